--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,6 +1,6 @@
 package balance
 
-// What is let in, what waits and what is refused: limits on attempts out at a member, and load shedding.
+// Admission: limits on attempts in flight at a member, the queue, and load shedding.
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	cell, g := cmp.Or(r.cells[e.Cell], r.cells[0]), r.group(e.Group)
 	c := cell.classes[e.Class]
 	if r.reqs[e.ID] != nil {
-		return // doubled
+		return // duplicate
 	} else if c == nil {
 		r.do(Refuse{ID: e.ID, Why: UnknownClass})
 		return
@@ -20,7 +20,8 @@
 	q := &request{Request: e, seq: r.seq, cls: c, cell: cell, group: g, arrived: r.now, worth: c.Worth,
 		shedDraw: r.rng.Float64()}
 	if t := r.tenants[e.Tenant]; t != nil {
-		// What the fleet uses shows at no router; who asks for more of its share than others shows at each.
+		// No router sees the usage of the whole fleet, but a tenant that uses more of its quota than others
+		// do so shows at each router.
 		if !e.Retry {
 			r.asked += (1 - r.asked) / shareMemory
 			for _, o := range r.tenants {
@@ -55,7 +56,8 @@
 	return float64(len(m.out)) < limit && r.fleetHasRoom(m)
 }
 
-// fleetHasRoom bounds what this router has out at m and its like: one each of many routers is a long queue there.
+// fleetHasRoom limits the attempts in flight at m and the members like it: one attempt of each of many
+// routers adds up to a long queue there.
 func (r *Router) fleetHasRoom(m *member) bool {
 	out, limit, p := 0, 0.0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
@@ -66,7 +68,8 @@
 	return float64(out) < max(1, limit*fewRouters/float64(r.s.Routers))
 }
 
-// shed says whether a read is turned away, by chance, where the given part of the last attempts ended badly: a router alone sees no queue.
+// shed decides at random, with the request's own draw, whether a read is shed, given the fraction of recent
+// attempts that ended badly. A single router cannot see the hosts' queues.
 func shed(q *request, bad float64) bool {
 	if q.worth < q.cls.Worth {
 		bad *= 2
@@ -74,7 +77,9 @@
 	return q.shedDraw < min(badMost, (bad-badFrom)*badSlope)
 }
 
-func (r *Router) enqueue(q *request) { // most worth for its work first, then newest, as the oldest are near late
+// enqueue sorts by worth per expected time, then newest first, as the oldest requests are the closest to
+// being late.
+func (r *Router) enqueue(q *request) {
 	q.queued = true
 	list := q.group.queued
 	i := len(list)
@@ -90,14 +95,14 @@
 	return x > y || x == y && a.cls.Name == b.cls.Name && a.seq > b.seq
 }
 
-// release sends what is queued and can go now, in the order that enqueue keeps.
+// release sends the queued requests that can be sent now, in the order that enqueue keeps.
 func (r *Router) release(g *group) {
 	if len(g.queued) == 0 {
 		return
 	}
-	list, stuck := g.queued, map[*class]int{} // a long queue is not tried to its end
+	list, stuck := g.queued, map[*class]int{} // stuck limits how much of a long queue is tried
 	order := list
-	if len(r.cells) > 1 { // the cell with least out for its weight goes first
+	if len(r.cells) > 1 { // the cell with the fewest attempts in flight for its weight goes first
 		used := map[*cell]float64{}
 		for _, m := range g.members {
 			for c, n := range m.of {
@@ -122,7 +127,8 @@
 	g.queued = slices.DeleteFunc(list, func(q *request) bool { return q.done || !q.queued })
 }
 
-func (r *Router) wake(g *group) { // asks for a beat if anything waits for one
+// wake schedules a beat if any group waits for one.
+func (r *Router) wake(g *group) {
 	if g != nil && !g.waiting {
 		g.waiting = true
 		r.waiting = append(r.waiting, g)
@@ -133,8 +139,8 @@
 	}
 }
 
-// adjustLimit moves the number of attempts kept out at m (what waits here can still be turned away) and the part of
-// bad ends there, if they are blamed on the cell.
+// adjustLimit adapts the limit of attempts in flight at m, as requests that wait here can still be refused,
+// and the fraction of bad ends there, unless the cell is not to blame for them.
 func (r *Router) adjustLimit(m *member, c *cell, cls *class, result Result, took time.Duration, blamed bool) {
 	cut, answered := 0.0, result == OK || result == TimedOut
 	if result == OK {
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,104 +1,109 @@
-// Package balance decides, for one query router, where each request of a sharded and replicated database
-// goes, when it is tried again and when it is turned away. This file is the interface: the settings, the
-// events a router is handed and the actions it answers with. The decisions have a file each.
+// Package balance decides, for one router, to which member each request of a sharded and replicated database
+// is sent, when it is retried and when it is refused. This file declares the interface: the settings, the
+// events that a router handles and the actions that it returns. Each kind of decision has a file of its own.
 package balance
 
 import (
 	"time"
 )
 
-// Times ("now", deadlines, start times) are readings of one clock with no particular zero. Positions of logs are readings of the
-// fleet's clock; ClockBounds says how the two stand, and without it they are the same.
+// All times ("now", deadlines, start times) are readings of one clock whose zero is arbitrary. Log positions
+// are readings of the fleet's clock. ClockBounds bounds the offset between the two clocks; until a router
+// gets such an event, it takes them to be the same clock.
 
-// Effect says what running a request twice would do.
+// Effect states what happens when a request is executed twice.
 type Effect int
 
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // carries a key; members of its scope drop a repeat for a while
-	Unsafe               // must never run twice
+	Safe   Effect = iota // idempotent: may be repeated any number of times
+	Keyed                // carries a key; the members in its Scope ignore a repeat until KeyTTL has passed
+	Unsafe               // must never be executed twice
 )
 
-// Scope says which members drop the repeat of a keyed request.
+// Scope states which members ignore the repeat of a keyed request.
 type Scope int
 
 const (
-	ScopeAll   Scope = iota // any member
-	ScopeZone               // the members in the zone of the one that may have run it
+	ScopeAll   Scope = iota // all members
+	ScopeZone               // the members in the zone of the member that possibly executed it
 	ScopeGroup              // the members of the request's group
 )
 
-// Need says how current the data behind an answer must be.
+// Need states how current the data behind an answer must be.
 type Need int
 
 const (
-	AnyData Need = iota // any member will do
-	Bounded             // no older than Class.Bound when sent
-	Session             // all that the session has written
-	Latest              // all that was committed before the request came
-	Write               // only the primary takes it
+	AnyData Need = iota // any member may answer
+	Bounded             // no older than Class.Bound at the time of the send
+	Session             // includes everything that the session has written
+	Latest              // includes everything committed before the request arrived
+	Write               // a write: only the primary executes it
 )
 
-// Checks says what a member does with a read that it lags too far for.
+// Checks states what a member does with a read for which its lag is too large.
 type Checks int
 
 const (
-	ChecksNone   Checks = iota // answers from what it has
-	ChecksRefuse               // Miss at once
-	ChecksWait                 // waits a while, then Miss
+	ChecksNone   Checks = iota // answers from the data that it has
+	ChecksRefuse               // refuses with Miss at once
+	ChecksWait                 // waits for a while, then refuses with Miss
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string
-	Need             Need
-	Bound            time.Duration // of Bounded reads; of Session ones too, where it is above 0
-	Effect           Effect
-	Scope            Scope         // of Keyed requests
-	KeyTTL           time.Duration // of Keyed requests
-	Aim, Deadline    time.Duration // wanted within, given up after
-	Worth, LateWorth float64       // LateWorth is a share of Worth
+	Name   string
+	Need   Need
+	Bound  time.Duration // maximum age of data for Bounded reads; if above 0, for Session reads as well
+	Effect Effect
+	Scope  Scope         // used by Keyed requests only
+	KeyTTL time.Duration // used by Keyed requests only
+	// Aim is the latency target; Deadline is the time after which the request is given up.
+	Aim, Deadline time.Duration
+	// Worth is the value of an answer within the latency target. LateWorth is the value of a late answer, as
+	// a fraction of Worth.
+	Worth, LateWorth float64
 }
 
-// bounded says that its reads may see data of some age only.
+// bounded reports whether reads of the class have a maximum age of data.
 func (c *Class) bounded() bool { return c.Need == Bounded || c.Need == Session && c.Bound > 0 }
 
-// Tenant is one customer and its share of the service.
+// Tenant is one customer and its quota.
 type Tenant struct {
 	Name   string
-	PerSec float64 // requests a second, over all routers, inside its share; 0 means no limit
+	PerSec float64 // requests per second within its quota, over all routers; 0 means no limit
 }
 
-// Settings is what a router is told once, at start.
+// Settings configures a Router. It is given to New and may be replaced later by a Retune event.
 type Settings struct {
 	Routers         int
-	Tick            time.Duration // shortest gap between two events
+	Tick            time.Duration // minimum time between two events
 	Classes         []Class
 	Tenants         []Tenant
 	OverShareWorth  float64
 	Checks          Checks
-	TokensCarried   bool // session reads say how old the session's last write is
-	Ask             bool // the list answers only when asked
-	Probes, Cancel  bool // allowed
+	TokensCarried   bool // session reads carry the age of the session's last write
+	Ask             bool // the list sends changes only after a Watch action
+	Probes, Cancel  bool // whether the router may probe members and cancel attempts
 	RetryAfter      bool
 	MaxRetryAfter   time.Duration
-	MaxAttempts     int // default 6
+	MaxAttempts     int // 0 means 6
 	DrainGrace      time.Duration
-	HoldUp          time.Duration // that a send may take to get out; windows end as much earlier
+	HoldUp          time.Duration // maximum delay between a decision and its send; time windows end earlier by this
 	OverloadFactor  float64
 	ColdShare       float64
 	ColdTime        time.Duration
-	DroppedStayOpen bool          // a member that left unlisted as draining may still be used
-	Restarted       bool          // an earlier router knew members that this one does not
-	Floor           time.Duration // with remembered tokens: until then sessions may have written through an earlier process
+	DroppedStayOpen bool          // a member removed from the list without having been drained may still be used
+	Restarted       bool          // a previous router knew members that this router does not know
+	Floor           time.Duration // used without TokensCarried: sessions may have written through a previous process until this time
 }
 
-// SettingError says which setting makes no sense, and why.
+// SettingError names an invalid setting and the reason why it is invalid.
 type SettingError struct{ Setting, Why string }
 
 func (e SettingError) Error() string { return e.Setting + ": " + e.Why }
 
-// Checked returns the settings with absent ones filled in; the error names the one that makes no sense.
+// Checked returns the settings with defaults filled in. The error is a SettingError that names the first
+// invalid setting.
 func (s Settings) Checked() (Settings, error) {
 	for _, f := range []struct {
 		name string
@@ -142,7 +147,7 @@
 	return s, nil
 }
 
-// State is a member's state on the list.
+// State is the state of a member on the member list.
 type State int
 
 const (
@@ -151,65 +156,70 @@
 	Left
 )
 
-// Member is one entry of the list of servers.
+// Member is one entry of the member list.
 type Member struct {
 	Server  string
 	Group   int
 	State   State
-	Primary bool // the list deems it the group's primary
+	Primary bool // the list names it as the primary of the group
 	Weight  float64
-	Started time.Duration // at the latest; 0: long ago
-	// Incarnation is its start as the list told it: another value is another process. 0: Started tells.
+	Started time.Duration // latest possible start time of its process; 0 if it started long ago
+	// Incarnation is the start time as the list states it: a different value means a different process. If
+	// it is 0, Started is used instead.
 	Incarnation time.Duration
-	// SendUntil is until when anything new may go to a member that drains; 0: DrainGrace after the router hears of it, less
-	// what it keeps free itself.
+	// SendUntil is the time until which new requests may be sent to a draining member, before the router
+	// subtracts its own margin. If it is 0, DrainGrace counts from the time at which the router was
+	// notified.
 	SendUntil time.Duration
 }
 
-// Members hands the router the list, whole or changes only.
+// Members passes the member list to the router, as a snapshot (Whole) or as a delta.
 type Members struct {
 	Whole bool
 	List  []Member
 }
 
-// ListLost says that a call for the list failed or the subscription ended; the old list stands.
+// ListLost reports that a call for the list failed or that the subscription ended. The previous list stays
+// in force.
 type ListLost struct{}
 
-// Cell is a part of the clients, with what it may use of the hosts. Cells that may use the same member share it by
-// weight: each can always have Reserve of its fair part of what the router keeps out there.
+// Cell is a subset of the clients and the members that they may use. Cells that may use the same member
+// share it by weight: each is guaranteed the fraction Reserve of its fair share of the router's limit there.
 type Cell struct {
-	ID      int             // 1 and up; requests of cell 0 or an unknown one use everything
+	ID      int             // 1 or more; requests of cell 0 or of an unknown cell may use all members
 	Weight  float64         // above 0
-	Reserve float64         // 0 to 1
-	Servers map[string]bool // those it may read from; nil: all, with no reserve there. Any cell may use the primary
+	Reserve float64         // fraction of its fair share, 0 to 1
+	Servers map[string]bool // replicas that it may read from; nil means all, without a reserve. Any cell may use the primary
 }
 
-// Retune hands the router new settings, whole. A request under way keeps the class that it came with; limits, as the
-// number of attempts, hold for it too. They are to be as Checked gives them.
+// Retune replaces the settings, which must be as Checked returns them. An open request keeps its class, but
+// new limits, such as the maximum number of attempts, apply to it.
 type Retune struct{ Settings Settings }
 
-// Cells hands the router all cells there are. What is out or waits keeps its cell as it was.
+// Cells replaces the set of all cells. Requests that are queued or in flight keep the cell that they arrived
+// with.
 type Cells struct{ List []Cell }
 
-// Request is a client's request; the router owes it one final answer by Deadline.
+// Request is a request of a client. The router gives it exactly one final answer, by Deadline at the latest.
 type Request struct {
 	ID, Class, Tenant, Session string
 	Group, Cell                int
 	Deadline                   time.Duration
-	Elapsed                    time.Duration // its client has been at it for so long with earlier tries; 0: not known
+	Elapsed                    time.Duration // time that the client spent on earlier tries; 0 if unknown
 	Retry                      bool
-	After                      time.Duration // the position that the session must see, with carried tokens; 0: WriteAge tells
-	WriteAge                   time.Duration // since the session's last write, with carried tokens; 0: none
-	Since                      time.Duration // a position that a session which wrote must see too; 0: there is none
-	Over                       time.Duration // above 0: more than its share; refused, to come back after as long
-	// Lease says that its attempt keeps the member until its client is through, as a transaction does: it has no time-out
-	// but the deadline, and never goes again once it may have run. Patience is how long it may wait to be sent; 0: half of
-	// its time, as any.
+	After                      time.Duration // with carried tokens: the position that the session must see; 0 means that WriteAge states it
+	WriteAge                   time.Duration // with carried tokens: time since the session's last write; 0 means that there was none
+	Since                      time.Duration // an additional lower bound on the position for a session that has written; 0 means none
+	Over                       time.Duration // above 0: the request is over its quota and is refused with this time as RetryAfter
+	// Lease means that the attempt keeps the host connection until the client is finished, as a transaction
+	// does. It then has no timeout except the deadline, and is never retried once it was possibly executed.
+	// Patience is the maximum time that it may wait for its first send; 0 means half of the time until its
+	// deadline, as for any other request.
 	Lease    bool
 	Patience time.Duration
 }
 
-// Role of a member in its group.
+// Role is the role of a member in its group.
 type Role int
 
 const (
@@ -218,127 +228,133 @@
 	Replica
 )
 
-// Report is a member's word on itself, as old as it is.
+// Report is a load report of a member. Its content may be older than the answer that it came with.
 type Report struct {
 	Has       bool
-	Role      Role          // Unknown: it holds none
-	Position  time.Duration // 0: not told
-	NotBefore time.Duration // a primary's was made no earlier, as a primary's position is the present
+	Role      Role          // Unknown if the report states no role
+	Position  time.Duration // 0 if the report states none
+	NotBefore time.Duration // earliest time at which a primary's report was made; a primary's position is the present, so the position shows it
 }
 
-// Result is how an attempt or a probe ended.
+// Result states how an attempt or a probe ended.
 type Result int
 
 const (
 	OK Result = iota
 	Failed
-	Full // never ran
+	Full // the member refused it for lack of capacity; not executed
 	TimedOut
-	NoConnection // never ran
+	NoConnection // not executed
 	Reset
 	Cancelled
-	NotSent // never ran
-	Miss    // never ran
-	Garbled // what came back can't be read; it says nothing of the member but that it lives
-	Stale   // a read ran on data older than its class allows, as the answer itself tells
+	NotSent // not executed
+	Miss    // refused by a member that is not the primary or lags too far; not executed
+	Garbled // the answer could not be parsed; it shows only that the member is alive
+	Stale   // the answer shows that a read ran on data older than its class allows
 )
 
-// String is the result in a word or two.
+// String returns the name of the result as it appears in logs and reports.
 func (x Result) String() string {
 	return [...]string{"ok", "error", "turned away", "timed out", "no connection", "reset", "canceled", "not sent", "miss", "garbled", "stale"}[x]
 }
 
-// NeverRan says that the attempt had no effect and will have none.
+// NeverRan reports whether the attempt was not executed and will not be.
 func (x Result) NeverRan() bool { return x == Full || x == NoConnection || x == NotSent || x == Miss }
 
-// Outcome ends an attempt; each Send gets exactly one.
+// Outcome reports the end of an attempt. Each Send gets exactly one.
 type Outcome struct {
 	ID       string
 	Attempt  int
 	Server   string
 	Result   Result
 	Took     time.Duration
-	Final    bool // the request is over
+	Final    bool // the request has ended
 	Role     Role
-	Position time.Duration // 0: not told; after a write, its commit
+	Position time.Duration // 0 if unknown; after a write, the position of its commit
 	Report   Report
-	Made     Made // when the member said so; nothing: between the attempt's start and now
-	// Written is when the last byte of the query had been written; 0: when the attempt was sent.
+	Made     Made // when the member made the statement; the zero value means between the start of the attempt and now
+	// Written is the time at which the last byte of the query had been written, or 0 for the time of the
+	// send.
 	Written time.Duration
 }
 
-// ProbeResult ends a Probe.
+// ProbeResult reports the end of a probe.
 type ProbeResult struct {
 	Server string
 	Result Result
 	Took   time.Duration
 	Report Report
-	Made   Made // NotAfter 0: now
+	Made   Made // a NotAfter of 0 means now
 }
 
-// Heard is how an attempt or a probe of another router's ended, as that router told.
+// Heard reports how an attempt or a probe of another router ended, as that router stated in a gossip
+// message.
 type Heard struct {
-	Server, Class string // no class: a probe
+	Server, Class string // an empty class means a probe
 	Result        Result
 	Took          time.Duration
 	Role          Role
-	Position      time.Duration // 0: not told
-	At            time.Duration // when it ended, at the earliest; 0: not known
-	NotBefore     time.Duration // its role was told no earlier; of no use but of a primary's
-	NotAfter      time.Duration // and no later; 0: now
-	Source        Source        // FromGossip, or FromAnswer where this router's host side learnt it behind an outcome
+	Position      time.Duration // 0 if unknown
+	At            time.Duration // earliest time at which it ended; 0 if unknown
+	NotBefore     time.Duration // earliest time of the statement on the role; used only if that role is Primary
+	NotAfter      time.Duration // latest time of that statement; 0 means now
+	Source        Source        // FromGossip, or FromAnswer if the host side of this router learned it after the outcome
 }
 
-// Inherited is what an earlier router knew of a member, with times by this one's clock: an earlier process's, or that of a router
-// which panicked.
+// Inherited passes on what an earlier router knew about a member, with times by the clock of this router.
+// The earlier router belonged to a previous process, or has panicked.
 type Inherited struct {
 	Server                   string
 	Leads, Follows, Position time.Duration // as in Seen
-	Alive                    bool          // it was not set aside
+	Alive                    bool          // the earlier router had not blacklisted it
 }
 
-// ClockBounds says how this router's clock stands to the one that positions are read by.
+// ClockBounds bounds the offset between this router's clock and the clock of log positions.
 type ClockBounds struct {
-	Known bool          // there are bounds: without them no position shows how old data is
-	Ages  time.Duration // to be added to the ages of positions; may be below 0
-	Most  time.Duration // the positions' clock shows so much more than this one, at most
+	Known bool          // if false there are no bounds, and no position shows how old the data is
+	Ages  time.Duration // added to the ages of positions; may be negative
+	Most  time.Duration // maximum offset: the positions' clock minus this router's clock
 }
 
-// ClockReplaced says that the bounds so far were wrong: a leader's word or a start that was dated by them does not count any more.
+// ClockReplaced reports that the previous bounds were wrong. Statements of a primary and start times that
+// were dated by them no longer count.
 type ClockReplaced struct{}
 
-// Timer is an After come due.
+// Timer reports that the timer started by an After action has expired.
 type Timer struct{ Tag int64 }
 
-// Gone says that a request's client left; nothing more is owed.
+// Gone reports that the client of a request has disconnected. No answer is expected any more.
 type Gone struct{ ID string }
 
-// Ending says that the router ends: what it holds has to be answered by then, however long its clients would wait.
+// Ending reports that the process shuts down. All open requests must be answered by the time By, even if
+// their deadlines are later.
 type Ending struct{ By time.Duration }
 
 // Event is one of Members, ListLost, Cells, Retune, Request, Outcome, ProbeResult, Heard, Inherited,
 // ClockBounds, ClockReplaced, Timer, Gone, Ending.
 type Event any
 
-// Seen is what a router believes of a member.
+// Seen is the router's view of a member.
 type Seen struct {
-	Server         string
-	Group          int
-	Limit          float64       // attempts that the router keeps out there at most
-	Out            int           // those out
-	Warmth         float64       // the least part of its capacity that it has, 0 to 1
-	Usable         bool          // open for reads and not set aside
-	Primary, Known bool          // believed to be the primary; a position of it is known
-	Leads          time.Duration // the newest word that it is the primary was made no earlier; 0: none
-	Follows        time.Duration // the newest word that it is none was made no later; 0: none
-	Position       time.Duration // 0: not known
-	Started        time.Duration // its last start, told or seen; 0: long ago
+	Server string
+	Group  int
+	Limit  float64 // maximum number of attempts in flight
+	Out    int     // attempts in flight
+	Warmth float64 // minimum fraction of its capacity that is available during slow start, 0 to 1
+	Usable bool    // accepts reads and is not blacklisted
+	// Primary means that the router takes the member for the primary. Known means that a position of it is
+	// known.
+	Primary, Known bool
+	Leads          time.Duration // earliest time of the newest statement that it is the primary; 0 if there is none
+	Follows        time.Duration // latest time of the newest statement that it is a replica; 0 if there is none
+	Position       time.Duration // 0 if unknown
+	Started        time.Duration // its last start, as listed or observed; 0 if long ago
 }
 
-// Send starts an attempt; attempts of a request count from 0.
+// Send starts an attempt. Attempts of a request are numbered from 0.
 type Send struct {
 	ID, Server string
-	Timeout    time.Duration // 0: until the client gives up
+	Timeout    time.Duration // 0 means no timeout except the deadline
 	Grounds    Grounds
 	Demand     Demand
 }
@@ -347,15 +363,15 @@
 type Why int
 
 const (
-	UnknownClass    Why = iota // of a class that the settings lack
-	Shed                       // by load shedding as it came: many attempts in its group end badly, or it is over its share
-	TooLate                    // it can hardly be answered in time, or was not sent in half of its time
-	NoAttemptLeft              // its attempts are used up, or it must not go again
-	FailsEverywhere            // it fails wherever it goes
-	Overdue                    // its time is over
+	UnknownClass    Why = iota // the settings have no such class
+	Shed                       // load shedding on arrival: many attempts in its group end badly, or it is over its quota
+	TooLate                    // an answer in time is unlikely, or it was not sent within half of its time
+	NoAttemptLeft              // its attempts are used up, or it must not be retried
+	FailsEverywhere            // it failed on two members
+	Overdue                    // its deadline has passed
 )
 
-// String is the reason in a few words.
+// String returns the name of the reason as it appears in logs and reports.
 func (w Why) String() string {
 	return [...]string{"unknown class", "thinned", "too late", "no attempt left", "fails everywhere", "overdue"}[w]
 }
@@ -367,8 +383,8 @@
 	return w
 }
 
-// Refuse answers finally that the request did not run and a retry is harmless. Bad is the part of attempts at its group's
-// replicas that ended badly lately, 0 to 1.
+// Refuse is a final answer: the request was not executed, or may be repeated without harm. Bad is the
+// fraction of recent attempts on the group's replicas that ended badly, 0 to 1.
 type Refuse struct {
 	ID         string
 	RetryAfter time.Duration
@@ -376,38 +392,39 @@
 	Bad        float64
 }
 
-// Fail answers finally, promising nothing. Bad is as with Refuse.
+// Fail is a final answer that leaves open whether the request was executed. Bad is the same as in Refuse.
 type Fail struct {
 	ID  string
 	Why Why
 	Bad float64
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel stops waiting for the answer to an attempt.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Probe checks on a member.
+// Probe sends a health check to a member.
 type Probe struct{ Server string }
 
-// After asks for a Timer.
+// After starts a timer; a Timer event with the same Tag follows when it expires.
 type After struct {
 	Wait time.Duration
 	Tag  int64
 }
 
-// PrimaryChange tells, for the log, that another member counts as a group's primary, or none, and the evidence that made it so.
+// PrimaryChange reports, for the log, that another member or none now counts as the primary of a group, and
+// the evidence for it.
 type PrimaryChange struct {
 	Group                   int
-	From, To                string // "": none
-	Source                  Source // of the last statement
-	About                   string // the member that it was on, whose evidence follows
+	From, To                string // empty means none
+	Source                  Source // source of the last statement
+	About                   string // member that the last statement was about; the times below are its evidence
 	Leads, Follows, Started time.Duration
 }
 
-// Watch subscribes to changes of the list.
+// Watch subscribes to changes of the member list.
 type Watch struct{}
 
 // Action is one of Send, Refuse, Fail, Cancel, Probe, After, Watch.
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -1,6 +1,6 @@
 package balance
 
-// A request's attempts: when one goes out, whether another may, and how the request ends.
+// The attempts of a request: when one is sent, whether another one is allowed, and how the request ends.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// route sends q, parks it until it can be sent, or ends it.
+// route sends q, queues it or ends it.
 func (r *Router) route(q *request) {
 	if q.done || q.at != nil {
 		return
@@ -28,7 +28,8 @@
 	q.limit = 0
 	if q.cls.Effect == Safe && !q.Lease {
 		q.limit = r.usefulUntil(q) - r.now
-		// An end too early for another attempt only throws away what the host goes on with.
+		// A timeout that leaves no time for another attempt would only waste work that the host continues
+		// with.
 		if end := max(q.cls.Aim*6/10, 6*q.cls.took); m != q.group.primary && end+q.cls.attemptTime() <= q.limit {
 			q.limit = end
 		}
@@ -45,11 +46,11 @@
 	}
 	r.do(Send{q.ID, m.Server, q.limit, r.grounds(q, m), r.demand(q)})
 	if m == q.group.primary {
-		r.wake(q.group) // it may fall silent
+		r.wake(q.group) // the beat detects if the primary falls silent
 	}
 }
 
-// end closes a request; its record stays while an attempt is out.
+// end closes a request. Its record is kept while an attempt is in flight.
 func (r *Router) end(q *request) {
 	q.done = true
 	delete(r.seqs, q.seq)
@@ -67,7 +68,7 @@
 	}
 }
 
-// giveUp ends a request at once: refused where that is true, failed otherwise.
+// giveUp ends a request at once: with Refuse if that promise holds, otherwise with Fail.
 func (r *Router) giveUp(q *request, why Why) {
 	c, bad := q.cls, q.cell.badAttempts(q.group).replicas
 	if q.at == nil && q.ranAt == 0 || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
@@ -78,16 +79,19 @@
 	r.end(q)
 }
 
-// repeatable says whether q may go again; keyed within a zone not: the new primary may stand in another.
+// repeatable reports whether q may be sent again. Requests keyed within a zone may not once they were
+// possibly executed, as the new primary may be in another zone.
 func (r *Router) repeatable(q *request) bool {
 	return q.ranAt == 0 || !q.Lease && q.cls.Effect == Safe || !q.Lease && q.cls.Effect == Keyed &&
 		q.cls.Scope != ScopeZone && r.now-q.ranAt < q.cls.KeyTTL-4*r.s.Tick-r.s.HoldUp
 }
 
-func (c *class) attemptTime() time.Duration { return min(c.took*3/2, c.Aim/2) } // that an attempt needs
+// attemptTime returns the time that an attempt is expected to need.
+func (c *class) attemptTime() time.Duration { return min(c.took*3/2, c.Aim/2) }
 
-// expectedTime is the time that an attempt for q is expected to need. A guess turns nobody away before half of the request's time is gone:
-// that time may be short for reasons of its own, such as the end of the process.
+// expectedTime returns the time that an attempt for q is expected to need. An initial estimate must not
+// refuse a request before half of its time has passed: that time may be short for other reasons, such as the
+// shutdown of the process.
 func (r *Router) expectedTime(q *request) time.Duration {
 	if q.cls.answers < guessFades {
 		return min(q.cls.attemptTime(), max((r.usefulUntil(q)-q.arrived)/2, 1))
@@ -95,8 +99,9 @@
 	return q.cls.attemptTime()
 }
 
-// hopeless says that q can hardly be answered in time. Half the aim is enough, or a slow class stayed shut.
-// What was never sent is not held past half its time, once it has been tried: its client can come back.
+// hopeless reports whether q is unlikely to be answered in time. The expected time counts as at most half of
+// the latency target; otherwise a class that was slow once would stay refused. A request that was never sent
+// is not held beyond half of its time after the first try to send it: its client can retry.
 func (r *Router) hopeless(q *request) bool {
 	return r.now+r.expectedTime(q) > r.usefulUntil(q) ||
 		q.attempts == 0 && r.now > q.arrived &&
@@ -110,9 +115,9 @@
 	return min(q.Deadline, q.arrived-q.Elapsed+q.cls.Aim)
 }
 
-// refusedPause is about how long q waits before it asks the primary m again, which did not run it.
+// refusedPause returns the average delay before q is sent again to the primary m, which did not execute it.
 func (r *Router) refusedPause(q *request, m *member, result Result) time.Duration {
-	if result == Full && r.warmth(m) < 1 { // its budget counts what it turns away as well
+	if result == Full && r.warmth(m) < 1 { // refused requests count against the budget of a cold member as well
 		q.coldDraw *= coldRetryFactor
 		return coldPause
 	}
@@ -126,12 +131,12 @@
 	}
 	r.learnOutcome(m, e)
 	if q == nil || q.at != m || e.Attempt != q.attempts-1 {
-		return // late or doubled
+		return // late or duplicate
 	}
 	r.detach(q, m)
 	r.noteResult(q, m, e)
 	part, _ := r.part(q.cell, m, m.limit)
-	// A cell with less than its part out is not what overloads a member.
+	// A cell with less than its share in flight is not the one that overloads a member.
 	blamed := len(r.cells) == 1 || float64(m.of[q.cell]) >= part*q.cell.Weight
 	r.adjustLimit(m, q.cell, q.cls, e.Result, e.Took, blamed)
 	if e.Final || e.Result == OK {
@@ -143,7 +148,7 @@
 	}
 }
 
-// detach takes an attempt that has ended off its member.
+// detach removes an ended attempt from its member.
 func (r *Router) detach(q *request, m *member) {
 	m.out = slices.DeleteFunc(m.out, func(o *request) bool { return o == q })
 	if m.of[q.cell]--; m.of[q.cell] == 0 {
@@ -154,21 +159,23 @@
 	}
 }
 
-// noteResult takes what the end of q's attempt shows of m, of the members that q failed at before, and of q.
+// noteResult records what the end of q's attempt shows about m, about the members that q failed at before,
+// and about q.
 func (r *Router) noteResult(q *request, m *member, e Outcome) {
 	primary := r.primaryOf(q.group)
 	switch e.Result {
 	case OK:
 		for _, f := range q.failed {
 			if f != m && f != primary && r.canBlacklist(f) {
-				r.blacklist(f, f.fails >= failsMost) // what failed there runs here: that member's error
+				r.blacklist(f, f.fails >= failsMost) // q failed there and succeeded here, so the error was that member's
 			}
 		}
 		m.downUntil, m.suspect, m.timeouts, m.fails = 0, false, 0, 0
 		if q.cls.Need == Write && q.Session != "" && !r.s.TokensCarried {
 			r.remember(q.Session, e.Position)
 		}
-	case NoConnection, Reset: // one may break for reasons of its own: a dead process answers no probe
+	// A single connection may break for its own reasons: a probe shows whether the process is dead.
+	case NoConnection, Reset:
 		if m.suspect = true; !r.probe(m) {
 			r.blacklist(m, false)
 		}
@@ -176,7 +183,7 @@
 		q.failed = append(q.failed, m)
 		m.fails++
 	case TimedOut:
-		// A time-out is this member's fault only if it has answered nothing at all meanwhile.
+		// A timeout is blamed on the member only if it has answered nothing since the send.
 		if q.limit > 0 && m.silentSince <= q.sentAt && m != primary && r.canBlacklist(m) {
 			r.blacklist(m, true)
 		}
@@ -190,11 +197,12 @@
 	}
 }
 
-// goOn sends q again, lets it wait or ends it, after its attempt at m ended so.
+// goOn retries q, queues it or ends it after its attempt at m ended with result.
 func (r *Router) goOn(q *request, m *member, result Result) {
 	g := q.group
 	if (result == Full || result == NoConnection || result == NotSent) && m == r.primaryOf(g) {
-		// Sent back at once by hundreds of routers, rejects are all that a full primary gets to do.
+		// Immediate retries by hundreds of routers would keep a full primary busy with nothing but
+		// rejections.
 		q.notBefore = r.now + r.jitter(r.refusedPause(q, m, result))
 	}
 	if g.searcher == q && (q.done || result != Miss) {
@@ -205,7 +213,7 @@
 	case q.notBefore > r.now || q.cls.Need == Write && result == Miss && g.primary == nil:
 		r.enqueue(q) // waits for the next beat or answer
 	case len(q.failed) >= 2:
-		r.giveUp(q, FailsEverywhere) // it fails wherever it goes: no member's fault
+		r.giveUp(q, FailsEverywhere) // it failed on two members, so no member is to blame
 	default:
 		r.route(q)
 	}
--- a/balance/cells.go
+++ b/balance/cells.go
@@ -1,18 +1,19 @@
 package balance
 
-// Cells: parts of the clients that share members by weight.
+// Cells: subsets of the clients that share members by weight.
 
-// cell has what one flooded cell must not spoil for the others: how long answers take and how many end badly.
+// cell holds the statistics that one flooded cell must not spoil for the others: how long answers take and
+// how many attempts end badly.
 type cell struct {
 	Cell
 	classes map[string]*class
 	bad     map[int]*badAttempts // by group
 }
 
-// badAttempts is the part of the last attempts in a group that ended badly, 0 to 1.
+// badAttempts holds the fractions of recent attempts in a group that ended badly, 0 to 1.
 type badAttempts struct{ replicas, primary float64 }
 
-// badAttempts gives that of one group: elsewhere hosts may stand idle.
+// badAttempts returns the fractions of one group: the hosts of another group may be idle.
 func (c *cell) badAttempts(g *group) *badAttempts {
 	if c.bad[g.id] == nil {
 		c.bad[g.id] = &badAttempts{}
@@ -20,7 +21,8 @@
 	return c.bad[g.id]
 }
 
-type sharers struct { // the cells that may use a member, and their weight
+// sharers holds the cells that may use a member, and the sum of their weights.
+type sharers struct {
 	cells  []*cell
 	weight float64
 }
@@ -51,7 +53,7 @@
 
 func (q *request) may(m *member) bool { return q.cell.Servers == nil || q.cell.Servers[m.Server] }
 
-// part is the fair part of limit at m for a weight of 1, among the cells that may use m.
+// part returns the fair share of limit at m for a weight of 1, and the cells that may use m.
 func (r *Router) part(c *cell, m *member, limit float64) (float64, []*cell) {
 	by := r.shared[m.Server]
 	if m == m.group.primary {
@@ -60,8 +62,9 @@
 	return limit / max(by.weight, c.Weight, leastWeight), by.cells
 }
 
-// cellHasRoom says whether q's cell may have one more out at m: its reserve of its fair part even where others hold
-// the limit; beyond it leaves free what others have left of theirs.
+// cellHasRoom reports whether q's cell may have one more attempt in flight at m. Its reserve of its fair
+// share is guaranteed even if other cells fill the limit. Beyond that, it must leave free what other cells
+// have not used of their reserves.
 func (r *Router) cellHasRoom(q *request, m *member, limit float64) bool {
 	part, cells := r.part(q.cell, m, limit)
 	free := limit - float64(len(m.out))
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -1,6 +1,6 @@
 package balance
 
-// Which member a request goes to.
+// The choice of the member that a request is sent to.
 
 import (
 	"math"
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// choose is the ordinary path: the primary for what needs it, the draw among replicas for other reads.
+// choose returns the primary for requests that need it and a random replica for other reads. It returns nil
+// if the request has to wait.
 func (r *Router) choose(q *request) *member {
 	c := q.cls
 	if c.primaryOnly() || c.Need == Session && q.wrote > 0 && r.now+r.clock.Ages-q.wrote < pinWindow {
@@ -17,20 +18,21 @@
 	if m := r.draw(q); m != nil {
 		return m
 	}
-	// What replicas cannot serve overloads the primary when they all lag.
+	// Reads that no replica can serve would overload the primary when all replicas lag.
 	if r.probesPosition(q) || r.boundingClock(q) || shed(q, q.cell.badAttempts(q.group).primary) {
 		return nil
 	}
 	return r.primaryFor(q, fallbackPart, fallbackPart)
 }
 
-// boundingClock says that q, which needs no more than that the clock is bounded, waits for an answer that may do so: the first reads of
-// all routers that have just started would overload the primaries.
+// boundingClock reports whether q, which only lacks bounds of the clock offset, waits for an attempt in
+// flight that may provide them: the first reads of all routers that have just started would overload the
+// primaries.
 func (r *Router) boundingClock(q *request) bool {
 	return q.cls.bounded() && !r.clock.Known && r.s.Checks == ChecksNone && r.clockRead != nil && r.now-r.clockRead.sentAt < clockReadFor
 }
 
-// draw picks a replica for q at random by weight, nil if none may take it.
+// draw picks a replica for q at random by weight, or returns nil if none may take it.
 func (r *Router) draw(q *request) *member {
 	var total, all float64
 	usable, primary := r.usable[:0], r.primaryOf(q.group)
@@ -44,7 +46,9 @@
 		case r.alive(m) && !(m.suspect && r.s.Probes):
 			usable = append(usable, m)
 		case (m.timeouts == 0 || r.alive(m)) && r.now-m.probedAt >= downPause:
-			r.probe(m) // only where a read needs it: on each beat, the probes of hundreds of routers would load a member
+			// Members are probed only when a read needs them: on each beat, the probes of hundreds of
+			// routers would load a member.
+			r.probe(m)
 		}
 	}
 	r.usable = usable
@@ -72,8 +76,8 @@
 	return nil
 }
 
-// primaryFor finds the primary for q, nil while q has to wait. Only a write is sent to members in turn in search of it: who is no
-// primary turns it away unrun.
+// primaryFor returns the primary for q, or nil while q has to wait. If the primary is unknown, only writes
+// are sent to the members in turn, as a member that is not the primary refuses them without executing them.
 func (r *Router) primaryFor(q *request, part, share float64) *member {
 	g := q.group
 	p := r.primaryOf(g)
@@ -81,14 +85,15 @@
 		if g.lostAt > 0 {
 			g.foundAt, g.outage, g.lostAt = r.now, r.now-g.lostAt, 0
 		}
-		// After an outage every router holds a few: those late or before a cold primary are spread in time.
+		// After an outage every router holds some requests. Those that are late, or whose primary is cold,
+		// are spread over time.
 		if q.arrived < g.foundAt && q.sentAt < g.foundAt && q.notBefore < g.foundAt &&
 			(r.warmth(p) < 1 || r.now > q.arrived+q.cls.Aim) {
 			spread := min(g.outage, q.Deadline-r.now)*3/4 + 1
 			q.notBefore = r.now + 1 + time.Duration(r.rng.Int64N(int64(spread)))
 		}
 		if r.unresponsive(p) && r.s.Probes {
-			r.probe(p) // nothing is sent to a silent member before it has answered
+			r.probe(p) // nothing is sent to a silent member until it has answered
 			return nil
 		}
 		if !r.hasRoom(q, p, part) || r.now < q.notBefore {
@@ -110,7 +115,8 @@
 	for range g.members {
 		m := g.members[g.next%len(g.members)]
 		g.next++
-		// A miss weighs on a cold member like work that is served, so only probes look for the primary there.
+		// A misdirected write costs a cold member as much as a served one, so that only probes look for the
+		// primary there.
 		if m != p && r.accepts(m, true) && r.alive(m) && !slices.Contains(q.tried, m) && r.hasRoom(q, m, 1) &&
 			!r.unresponsive(m) && r.warmth(m) == 1 {
 			g.searcher = q
@@ -122,11 +128,12 @@
 	return nil
 }
 
-func (r *Router) askPause() time.Duration { // longer, the more routers ask for the same primary
+// askPause grows with the number of routers that look for the same primary.
+func (r *Router) askPause() time.Duration {
 	return min(retryPause+time.Duration(r.s.Routers)*ms, downProbe)
 }
 
-// probeForPrimary probes a member of a group in which requests wait, each in turn, for a sign of its primary.
+// probeForPrimary looks for the primary of a group in which requests wait, by probing its members in turn.
 func (r *Router) probeForPrimary(g *group) {
 	if p := r.primaryOf(g); r.serves(p) && !r.unresponsive(p) ||
 		r.now-g.searchedAt < r.askPause() || len(g.members) == 0 {
@@ -135,7 +142,8 @@
 	g.searchedAt, g.next = r.now, g.next+1
 	m := g.members[g.next%len(g.members)]
 	for _, o := range g.members {
-		if o.Primary && r.now-o.probedAt >= downProbe { // the list's word proves nothing, but that is whom to ask first
+		// The list is no proof, but the member that it names is probed first.
+		if o.Primary && r.now-o.probedAt >= downProbe {
 			m = o
 		}
 	}
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -1,11 +1,12 @@
 package balance
 
-// Evidence of roles and positions: what answers, reports, other routers, the list and an earlier process said of members, and since
-// when it was true at the earliest and at the latest. This file alone writes it and says who may be read from as a primary, and on
-// what grounds. docs/freshness.md has the table of sources.
+// Evidence of roles and positions: what answers, reports, other routers, the list and a previous process
+// stated about members, with bounds of the time at which each statement was made. Only this file changes the
+// evidence and decides which member may be read from as the primary, and on what grounds. docs/freshness.md
+// has the table of sources.
 //
-// What is kept of a member is a maximum over all that was said, so that the order in which statements come does not matter: older
-// news never takes the place of newer.
+// The evidence about a member is a maximum over all statements, so that the order in which they arrive does
+// not matter: an older statement never replaces a newer one.
 
 import (
 	"cmp"
@@ -13,57 +14,57 @@
 	"time"
 )
 
-// Source is who made a statement.
+// Source is the origin of a statement.
 type Source int
 
 const (
-	FromAnswer   Source = iota // an answer of the member's, whole
-	FromPart                   // the part that came of an answer which broke off, or which can't be read otherwise
-	FromReport                 // a load report that came without a role beside it
+	FromAnswer   Source = iota // a complete answer of the member
+	FromPart                   // the part that arrived of an answer that broke off or could not be parsed
+	FromReport                 // a load report, where the answer itself stated no role
 	FromGossip                 // another router
-	FromHandover               // an earlier process of this router
-	FromList                   // the list of servers
+	FromHandover               // a previous process of this router
+	FromList                   // the member list
 )
 
-// String is the source in a word.
+// String returns the name of the source as it appears in logs.
 func (s Source) String() string {
 	return [...]string{"answer", "part of an answer", "report", "gossip", "handover", "list"}[s]
 }
 
-// Made bounds when a statement was made, by the router's clock.
+// Made bounds the time at which a statement was made, by the router's clock.
 type Made struct {
 	NotBefore, NotAfter time.Duration
-	Epoch               int // of the clock by which it was dated; the router itself knows one only
+	Epoch               int // epoch of the clock that dated the statement; the router itself knows only one
 }
 
-// Statement is what a source said of a member.
+// Statement is what a source stated about a member.
 type Statement struct {
 	Source   Source
-	Role     Role          // Unknown: nothing was said of it
-	Position time.Duration // that its log had reached; 0: not told
+	Role     Role          // Unknown if none was stated
+	Position time.Duration // position of the member's log; 0 if none was stated
 	Made     Made
 }
 
-// evidence is what is known of one member's role and log.
+// evidence is what is known about the role and the log of one member.
 type evidence struct {
-	position     time.Duration // highest that was told: it never goes back
+	position     time.Duration // highest position stated; a position never decreases
 	positionFrom Source
-	positionAt   time.Duration // when that was told last, at the latest
-	leads        time.Duration // the newest word that it is the primary was made no earlier; 0: there was none
+	positionAt   time.Duration // latest time of the last statement of that position
+	leads        time.Duration // earliest time of the newest statement that it is the primary; 0 if there was none
 	leadsFrom    Source
-	follows      time.Duration // the newest word that it is none was made no later; 0: there was none
+	follows      time.Duration // latest time of the newest statement that it is a replica; 0 if there was none
 	followsFrom  Source
-	told         bool          // it has told its role at any time
-	started      time.Duration // its process started no later, by the list; 0: long ago
+	told         bool          // it has ever stated its role
+	started      time.Duration // latest start time of its process, by the list; 0 if long ago
 }
 
-// add takes a statement that reached the router at a time. Words against being read from bind as if they had been made as late as
-// possible, words for it as if they had been made as early as possible.
+// add records a statement that reached the router at now. A statement against reading from the member as the
+// primary counts from the latest time at which it may have been made, one for it from the earliest.
 func (e *evidence) add(now time.Duration, s Statement) {
 	if told := cmp.Or(s.Made.NotAfter, now); s.Position > e.position {
 		e.position, e.positionFrom, e.positionAt = s.Position, s.Source, told
 	} else if s.Position == e.position {
-		e.positionAt = max(e.positionAt, told) // its log stands still
+		e.positionAt = max(e.positionAt, told) // the log does not move
 	}
 	e.told = e.told || s.Role != Unknown
 	switch s.Role {
@@ -78,92 +79,98 @@
 	}
 }
 
-// start takes the time at which the member's process started at the latest. Who starts goes on as a replica.
+// start records the latest time at which the member's process started. A new process starts as a replica.
 func (e *evidence) start(at time.Duration) { e.started = max(e.started, at) }
 
-// leading says that its newest word is that it is the primary: one made, for certain, after all that speaks against it.
+// leading reports whether the newest statement that the member is the primary was certainly made after all
+// evidence against it.
 func (e *evidence) leading() bool { return e.leads > max(e.follows, e.started) }
 
-// silent says that it has never told its role.
+// silent reports whether the member has never stated its role.
 func (e *evidence) silent() bool { return !e.told }
 
-// clockReplaced drops what was dated by a clock that was wrong. Positions stay: they are by the fleet's own.
+// clockReplaced drops the times that were dated by a wrong clock. Positions stay, as they are readings of
+// the fleet's clock.
 func (e *evidence) clockReplaced() { e.leads, e.started = 0, 0 }
 
-// Grounds say on what evidence an attempt goes to a member.
+// Grounds is the evidence on which an attempt is sent to a member.
 type Grounds struct {
 	Kind     GroundsKind
-	Source   Source        // of that evidence
-	Position time.Duration // the member's, as far as it is known; 0: it is not
-	Leads    time.Duration // with LeaderWord: the word was made no earlier
-	// SendBy is when the evidence no longer holds, so that the attempt must not begin later; 0: it holds for good. It moves with the
-	// bounds of the clock, which then had data so much older by Ages.
+	Source   Source        // source of that evidence
+	Position time.Duration // position of the member; 0 if unknown
+	Leads    time.Duration // with LeaderWord: earliest time of the statement
+	// SendBy is the time until which the evidence holds, so that the attempt must not be sent later; 0 means
+	// without limit. It was computed with the clock bounds of that time, whose Ages is kept here.
 	SendBy, Ages time.Duration
 }
 
-// Expired says that the evidence does not hold any more, by the bounds of the clock as they are now.
+// Expired reports whether the evidence no longer holds under the present clock bounds.
 func (g Grounds) Expired(now time.Duration, clock ClockBounds) bool {
 	return g.SendBy > 0 && (!clock.Known || now > g.SendBy-max(0, clock.Ages-g.Ages))
 }
 
-// GroundsKind is a kind of Grounds.
+// GroundsKind is the kind of evidence in Grounds.
 type GroundsKind int
 
 const (
-	NotNeeded  GroundsKind = iota // a write, or a read that any member may serve: the member itself turns away what it can't
-	ByPosition                    // a replica that has applied the log far enough
-	LeaderWord                    // the member said that it is the primary, and nothing later speaks against it
-	Excused                       // the list names it, and it has told this router nothing of its role
+	NotNeeded  GroundsKind = iota // a write, or a read that any member may serve: the member itself refuses what it cannot serve
+	ByPosition                    // a replica that has applied enough of the log
+	LeaderWord                    // the member stated that it is the primary, and no later evidence contradicts it
+	Excused                       // the list names it as the primary, and it has not stated its role to this router
 )
 
-// String is the kind in a word or two.
+// String returns the name of the kind as it appears in logs.
 func (k GroundsKind) String() string {
 	return [...]string{"not needed", "position", "leader's word", "list"}[k]
 }
 
-// RoleWords are a member's last words on its role as a host side reads them, before the router gets to them. The zero value has none.
+// RoleWords holds a member's last statements on its role as the host side reads them, before the router
+// processes them. The zero value holds none.
 type RoleWords struct {
-	follows time.Duration // when it last said that it is no primary; 0: it never did
-	leads   bool          // it has said since, in a whole answer, that it is
+	follows time.Duration // time of its last statement that it is not the primary; 0 if there was none
+	leads   bool          // a complete answer has stated since then that it is the primary
 }
 
-// Leads notes that a whole answer named the member the primary.
+// Leads records that a complete answer named the member as the primary.
 func (w *RoleWords) Leads() { w.leads = true }
 
-// Follows notes that the member said that it is no primary. news: it had not, or has said otherwise since.
+// Follows records the member's statement that it is not the primary. It reports whether that is new: the
+// first such statement, or the first one since a statement to the contrary.
 func (w *RoleWords) Follows(now time.Duration) (news bool) {
 	news = w.leads || w.follows == 0
 	w.follows, w.leads = now, false
 	return news
 }
 
-// Refute says that the member has told, since an attempt was decided on, that it is not the primary that the attempt needs.
+// Refute reports whether the member has stated, since the decision to send an attempt, that it is not the
+// primary, and the attempt needs the primary.
 func (w *RoleWords) Refute(g Grounds) bool {
 	return g.NeedsLeader() && w.follows > 0 && w.follows >= g.Leads
 }
 
-// NeedsLeader says that a word of the member's that it follows takes the grounds away.
+// NeedsLeader reports whether the grounds end with a statement of the member that it is a replica.
 func (g Grounds) NeedsLeader() bool { return g.Kind == LeaderWord || g.Kind == Excused }
 
-// learn takes a statement on m, and notes who is its group's primary now.
+// learn records a statement about m and updates the primary of its group.
 func (r *Router) learn(m *member, s Statement) {
 	before := m.evidence
 	if s.Position > r.latestPosition(cmp.Or(s.Made.NotAfter, r.now)) {
-		s.Position = 0 // from the future: it would pass stale data as fresh once that has come
+		s.Position = 0 // a position in the future would later make stale data pass as fresh
 	}
 	m.evidence.add(r.now, s)
 	m.group.newest = max(m.group.newest, s.Position)
 	r.noteRole(m, s.Source, before)
 }
 
-// learnStart takes a start that the list tells.
+// learnStart records a start time from the list.
 func (r *Router) learnStart(m *member, at time.Duration) {
 	before := m.evidence
 	m.evidence.start(at)
 	r.noteRole(m, FromList, before)
 }
 
-// noteRole finds the group's primary anew after evidence on m has changed, and reports a change of who it is.
+// noteRole updates the primary of the group after evidence about m has changed, and records a change of the
+// primary.
 func (r *Router) noteRole(m *member, source Source, before evidence) {
 	after := m.evidence
 	if after.leads == before.leads && after.follows == before.follows && after.started == before.started {
@@ -186,21 +193,22 @@
 	}
 }
 
-// noBound is a position that none reaches.
+// noBound is a position that no log reaches.
 const noBound = time.Duration(math.MaxInt64 / 2)
 
-// changesMost is how many changes are kept for who asks for them; the simulator never does.
+// changesMost is the maximum number of changes kept for Changes, which the simulator never calls.
 const changesMost = 100
 
-// Changes gives what has changed since the last call, of who counts as a group's primary.
+// Changes returns the changes of primaries since the last call.
 func (r *Router) Changes() []PrimaryChange {
 	out := r.changes
 	r.changes = nil
 	return out
 }
 
-// newestLeader is the member with the newest word that it is the primary, if that still stands. Where it does not, no older word of
-// another member takes its place: that one had been replaced before.
+// newestLeader returns the member with the newest statement that it is the primary, or nil if that statement
+// is contradicted. It does not fall back to an older statement of another member, as that member had been
+// replaced before.
 func (g *group) newestLeader() *member {
 	var newest *member
 	for _, m := range g.members {
@@ -214,7 +222,8 @@
 	return newest
 }
 
-// primaryOf is the member that last said it is the primary, else the one that the list names as long as it has not told its role.
+// primaryOf returns the member that last stated it is the primary, or else the member that the list names,
+// as long as that one has not stated its role. It returns nil if there is neither.
 func (r *Router) primaryOf(g *group) *member {
 	if g.primary != nil {
 		return g.primary
@@ -227,7 +236,7 @@
 	return nil
 }
 
-// grounds says on what evidence q may be sent to m now.
+// grounds returns the evidence on which q may be sent to m now.
 func (r *Router) grounds(q *request, m *member) Grounds {
 	e := &m.evidence
 	if q.cls.Need == Write || r.anyMember(q) {
@@ -246,11 +255,13 @@
 	return Grounds{Kind: Excused, Source: FromList, Position: e.position}
 }
 
-// learnOutcome takes what an attempt told. Of an answer that did not come whole only what speaks against the member counts.
+// learnOutcome records what the end of an attempt states. Of an incomplete answer, only a statement against
+// the member counts.
 func (r *Router) learnOutcome(m *member, e Outcome) {
 	if e.Made == (Made{}) {
 		e.Made.NotBefore = r.now - e.Took
-		if e.Role == Primary { // its position is the present; of a write, its commit, rounded up
+		// A primary's position is the present; after a write it is that of the commit, rounded up.
+		if e.Role == Primary {
 			e.Made.NotBefore = max(e.Made.NotBefore, e.Position-r.clock.Most-slack)
 		}
 	}
@@ -262,12 +273,12 @@
 	}
 	r.learn(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, Made: e.Made})
 	if e.Role != Unknown {
-		e.Report.Role = Unknown // the report beside it is older
+		e.Report.Role = Unknown // the report that came with it is older
 	}
 	r.learnReport(m, e.Made, e.Report)
 }
 
-// learnReport takes a load report, which says itself how old it is.
+// learnReport records a load report, which states its own age.
 func (r *Router) learnReport(m *member, made Made, rep Report) {
 	if rep.Has {
 		made.NotBefore = rep.NotBefore
@@ -275,7 +286,8 @@
 	}
 }
 
-// latestPosition is the latest position that a log may have had at a time; without bounds it may be any.
+// latestPosition returns the highest position that a log may have had at a time. Without clock bounds that
+// is any position.
 func (r *Router) latestPosition(at time.Duration) time.Duration {
 	if !r.clock.Known {
 		return noBound
@@ -283,7 +295,7 @@
 	return at + r.clock.Most + slack
 }
 
-// onClockBounds takes how the clock stands. A position that turns out to lie in the future was none.
+// onClockBounds applies new clock bounds. Positions that now turn out to lie in the future are dropped.
 func (r *Router) onClockBounds(e ClockBounds) {
 	first := e.Known && !r.clock.Known
 	narrower := first || e.Known && e.Most < r.clock.Most
@@ -307,7 +319,7 @@
 	}
 }
 
-// onClockReplaced forgets what was dated by a clock that was wrong.
+// onClockReplaced drops evidence that was dated by a wrong clock.
 func (r *Router) onClockReplaced() {
 	for _, m := range r.members {
 		before := m.evidence
@@ -319,7 +331,7 @@
 	}
 }
 
-// onInherited takes what an earlier router knew of a member.
+// onInherited records what an earlier router knew about a member.
 func (r *Router) onInherited(e Inherited) {
 	m := r.members[e.Server]
 	if m == nil {
@@ -332,11 +344,11 @@
 		r.learn(m, Statement{Source: FromHandover, Role: Replica, Made: Made{NotAfter: e.Follows}})
 	}
 	r.learn(m, Statement{Source: FromHandover, Position: e.Position})
-	m.suspect = m.suspect || !e.Alive // a probe comes before what is sent
+	m.suspect = m.suspect || !e.Alive // it is probed before anything is sent to it
 	r.release(m.group)
 }
 
-// wholeAnswer says that a result is told by an answer that came whole.
+// wholeAnswer reports whether a result comes from a complete answer.
 func wholeAnswer(x Result) bool {
 	return x == OK || x == Failed || x == Full || x == Miss || x == Stale
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,15 +1,17 @@
 package balance
 
-// Which members are set aside, and the probes that bring them back.
+// Health: which members are blacklisted, and the probes that end a blacklisting.
 
 import "cmp"
 
-// unresponsive says that m has work out and has been silent for longer than its answers usually take.
+// unresponsive reports whether m has attempts in flight and has been silent for longer than its answers
+// usually take.
 func (r *Router) unresponsive(m *member) bool {
 	return len(m.out) > 0 && r.now-m.silentSince > max(silentFloor, 2*m.out[0].cls.took, m.out[0].cls.Aim/4)
 }
 
-func (r *Router) probe(m *member) bool { // says whether one is out
+// probe sends a probe to m unless one is in flight. It reports whether one is in flight now.
+func (r *Router) probe(m *member) bool {
 	if !m.probeOut && r.s.Probes {
 		m.probeOut, m.probedAt = true, r.now
 		r.do(Probe{m.Server})
@@ -17,8 +19,9 @@
 	return m.probeOut
 }
 
-// blacklist sets aside m and takes back what may be tried elsewhere. A good probe ends that, but not after a
-// time-out: members that take requests and never answer them answer probes. They stay away longer each time.
+// blacklist excludes m for a while and cancels attempts that may be retried elsewhere. A good probe ends the
+// blacklisting, but not one after a timeout: members that accept requests and never answer them do answer
+// probes. Those stay blacklisted for longer each time.
 func (r *Router) blacklist(m *member, timedOut bool) {
 	m.downUntil, m.suspect = r.now+blacklistFor, true
 	if timedOut {
@@ -32,14 +35,15 @@
 	}
 }
 
-// reinstate ends a blacklisting, but for one after a time-out.
+// reinstate ends a blacklisting, except after a timeout.
 func (m *member) reinstate() {
 	if m.timeouts == 0 {
 		m.downUntil = 0
 	}
 }
 
-// canBlacklist says that half of the replicas are left without m: what shows on most is not one member's fault.
+// canBlacklist reports whether at least half of the replicas remain without m. A fault that shows on most
+// replicas is not the fault of one member.
 func (r *Router) canBlacklist(m *member) bool {
 	n, left, primary := 0, 0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
@@ -64,14 +68,15 @@
 		r.learnReport(m, e.Made, e.Report)
 		m.suspect = false
 		m.reinstate()
-	} else if e.Result != NotSent { // that is this router's own lack of a connection
+	} else if e.Result != NotSent { // this router itself lacked a connection
 		m.dead = true
 		r.blacklist(m, false)
 	}
 	r.release(m.group)
 }
 
-// onHeard takes what another router tells: of a member, not a request. The dead show their start here.
+// onHeard handles an outcome that another router reported. It concerns a member, not a request. A member
+// that was seen dead is not revived by it.
 func (r *Router) onHeard(e Heard) {
 	m := r.members[e.Server]
 	if m == nil {
@@ -80,7 +85,7 @@
 	r.learn(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, Made: Made{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
 	switch {
 	case e.Result == NoConnection:
-		m.suspect = m.suspect || e.At > m.silentSince // a probe comes before what is sent
+		m.suspect = m.suspect || e.At > m.silentSince // it is probed before anything is sent to it
 	case e.Result != TimedOut && e.Result != Reset && e.At > m.silentSince && !m.dead:
 		m.silentSince, m.aliveAt, m.suspect = e.At, max(m.aliveAt, e.At), false
 		if e.Result == OK {
--- a/balance/look.go
+++ b/balance/look.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Look shows what the router believes of its members.
+// Look calls see with the router's view of each member.
 func (r *Router) Look(now time.Duration, see func(Seen)) {
 	r.now = now
 	for _, m := range r.members {
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -1,6 +1,6 @@
 package balance
 
-// Which members there are, and whether the list lets anything new go to them.
+// Membership: which members there are, and whether the list allows anything new to be sent to them.
 
 import (
 	"cmp"
@@ -11,23 +11,25 @@
 
 type member struct {
 	Member
-	group                   *group
-	toldAt                  time.Duration // when this router heard that it drains or is gone
-	drained                 bool          // was listed as draining
-	evidence                evidence
-	relisted                bool          // it may have told its role before, and that is forgotten
-	cutAt                   time.Duration // when its limit was cut last
-	aliveAt                 time.Duration // last sign of life
-	revived                 time.Duration // first heard of after its death was seen: a start not told yet
-	out                     []*request    // attempts out, oldest first
-	of                      map[*cell]int // how many of them each cell has
-	silentSince             time.Duration // start of the present silence with work out
-	downUntil               time.Duration // blacklisted
-	timeouts, fails         int           // since its last answer
-	probedAt                time.Duration
-	probeOut, suspect, dead bool    // blacklisted, no life since; a probe failed, nothing heard since
-	share                   float64 // smoothed answer time as a share of the aim
-	limit                   float64 // attempts this router keeps out here at most
+	group           *group
+	toldAt          time.Duration // when this router was notified that it drains or is removed
+	drained         bool          // it was listed as draining
+	evidence        evidence
+	relisted        bool          // it may have stated its role before it was forgotten
+	cutAt           time.Duration // time of the last reduction of its limit
+	aliveAt         time.Duration // last sign of life
+	revived         time.Duration // first sign of life after it was seen dead: a start that is not listed yet
+	out             []*request    // attempts in flight, oldest first
+	of              map[*cell]int // number of attempts in flight per cell
+	silentSince     time.Duration // start of the present silence while attempts are in flight
+	downUntil       time.Duration // blacklisted until then
+	timeouts, fails int           // since its last answer
+	probedAt        time.Duration
+	// probeOut: a probe is in flight. suspect: blacklisted, without a sign of life since. dead: a probe
+	// failed, without a sign of life since.
+	probeOut, suspect, dead bool
+	share                   float64 // smoothed answer time as a fraction of the latency target
+	limit                   float64 // maximum number of attempts in flight from this router
 }
 
 func (r *Router) onMembers(e Members) {
@@ -39,7 +41,7 @@
 	for _, l := range e.List {
 		named[l.Server] = true
 		if !(l.Weight > leastWeight) {
-			l.Weight = leastWeight // none, or nonsense: drawn where no other is
+			l.Weight = leastWeight // a missing or invalid weight: drawn only if no member has a better one
 		}
 		m := r.members[l.Server]
 		if m == nil && l.State == Left {
@@ -52,7 +54,7 @@
 				func(o *member, server string) int { return strings.Compare(o.Server, server) })
 			g.members = slices.Insert(g.members, i, m) // in the same order at every router
 		} else if l.incarnation() != m.incarnation() && l.Started > m.aliveAt {
-			m.downUntil, m.suspect, m.fails, m.limit, m.share = 0, false, 0, firstLimit, 0 // a new process, not met yet
+			m.downUntil, m.suspect, m.fails, m.limit, m.share = 0, false, 0, firstLimit, 0 // a new process, which has not answered yet
 		}
 		r.setState(m, l.State)
 		m.Member = l
@@ -68,15 +70,17 @@
 		if m.State != Left || r.accepts(m, true) || len(m.out) > 0 || r.now-m.toldAt < forgetAfter {
 			continue
 		}
-		// Gone for good: a fleet that is replaced again and again must not fill memory.
+		// Removed members are dropped, as a fleet whose members are replaced again and again must not fill
+		// the memory.
 		r.forget(m)
 	}
 }
 
-// incarnation tells one process of a member from another: the start as the list tells it.
+// incarnation identifies one process of a member, by its start time as the list states it.
 func (m *Member) incarnation() time.Duration { return cmp.Or(m.Incarnation, m.Started) }
 
-// forget drops a member. That it has told its role is remembered: a list that names it the primary again proves nothing.
+// forget drops a member. It remembers whether the member had stated its role: if so, a later list that names
+// it as the primary is no proof.
 func (r *Router) forget(m *member) {
 	delete(r.members, m.Server)
 	g := m.group
@@ -103,8 +107,9 @@
 	}
 }
 
-// accepts says whether the list lets anything new go to m. A primary that drains still takes writes until it
-// hands over, so it may be used for a part of the grace; reads have other places.
+// accepts reports whether the list allows anything new to be sent to m. A draining primary takes writes
+// until it hands over, so that with grace it may be used for a part of the drain grace; reads have other
+// members to go to.
 func (r *Router) accepts(m *member, grace bool) bool {
 	if m.State == Draining {
 		return grace && r.now < cmp.Or(m.SendUntil, m.toldAt+r.s.DrainGrace)-2*r.s.Tick-beat
@@ -112,7 +117,8 @@
 	return m.State == Active || m.State == Left && r.s.DroppedStayOpen && !m.drained
 }
 
-// noteAlive notes a sign of life. After a death that was seen it means a start, told late.
+// noteAlive records a sign of life. If m had been seen dead, it has started since, and the list will state
+// that later.
 func (r *Router) noteAlive(m *member) {
 	m.silentSince, m.aliveAt = r.now, r.now
 	if m.dead {
--- a/balance/router.go
+++ b/balance/router.go
@@ -1,8 +1,10 @@
 package balance
 
-// The router: its state, and the one entry point through which events come in. The interface is in api.go; each kind of
-// decision has a file of its own. The ordinary path: writes, and for a while a session's reads, to the primary; other reads to a
-// weighted random choice among the replicas inside the bound, else the primary; what errs is set aside. docs/design.md has the rest.
+// The router: its state and Handle, the single entry point for events. The interface is declared in api.go;
+// each kind of decision has a file of its own. The common path: writes, and a session's reads for a while
+// after its writes, go to the primary. Other reads go to a weighted random choice among the replicas that
+// are fresh enough, or else to the primary. Members that fail are blacklisted for a while. docs/design.md
+// describes the rest.
 
 import (
 	"cmp"
@@ -14,72 +16,82 @@
 const (
 	ms = time.Millisecond
 
-	pinWindow         = 300 * ms // session reads stay on the primary this long after a write
+	pinWindow         = 300 * ms // a session's reads go to the primary for this long after a write
 	blacklistFor      = 5 * time.Second
-	beat              = 20 * ms         // pace of what waits, also for a position that was asked for
-	clockReadFor      = 150 * ms        // reads wait for an answer that may bound the clock
-	retryPause        = 50 * ms         // before a primary that was full, or none, is asked for again
-	silentFloor       = 100 * ms        // a primary with work out and silent for longer is probed
-	cutPause          = 100 * ms        // between two cuts of a limit
-	downProbe         = 500 * ms        // between probes of a blacklisted member
-	probeShare        = 10 * ms         // the same for each router, where that is more
-	refusedRetryAfter = time.Second     // of who is refused: sooner it only adds to the load, and gains little
-	coldPause         = 2 * time.Second // about until a cold primary is asked again
-	coldRetryFactor   = 4               // of what it turned away, one part in so many may ask again
-	forgetAfter       = time.Minute     // a member that left
-	slack             = ms              // positions are whole milliseconds: doubt counts as stale
-
-	// holdUpSlack is the part of the protocol's 50 ms of slack that a process held up before a send may use; the rest is for the
-	// clock (fleetclock.AgeSlack). At most one part in holdUpPart of a bound is kept free for that: short bounds would leave no
-	// replica to read from. A log that was behind by one part in keepsUpPart of the bound at most keeps up; reports are up to 0.2 s
-	// old, and a log seems so much behind.
+	beat              = 20 * ms         // interval at which queued requests are tried again, also while they wait for a position
+	clockReadFor      = 150 * ms        // how long reads wait for an answer that may bound the clock offset
+	retryPause        = 50 * ms         // first delay before a primary that was full, or a missing primary, is tried again
+	silentFloor       = 100 * ms        // a primary with attempts in flight that is silent for longer is probed
+	cutPause          = 100 * ms        // minimum time between two reductions of a limit
+	downProbe         = 500 * ms        // minimum time between probes of a blacklisted member
+	probeShare        = 10 * ms         // the same per router of the fleet, where that is longer
+	refusedRetryAfter = time.Second     // retryAfter of refused requests: an earlier retry adds load and gains little
+	coldPause         = 2 * time.Second // average delay before a cold primary is tried again
+	coldRetryFactor   = 4               // of the requests that a cold primary refused, one in this many may be retried there
+	forgetAfter       = time.Minute     // a removed member is dropped after this time
+	slack             = ms              // positions are whole milliseconds; in doubt data counts as stale
+
+	// holdUpSlack is the part of the protocol's 50 ms of slack that a process stalled before a send may use;
+	// the rest is for the clock offset (fleetclock.AgeSlack). The margin that is kept free for such a stall
+	// is at most the bound divided by holdUpPart, as otherwise short bounds would leave no replica to read
+	// from. A log whose lag is at most the bound divided by keepsUpPart keeps up; reports are up to 0.2 s
+	// old, so that every log seems to lag by as much.
 	holdUpSlack, holdUpPart, keepsUpPart = 5 * ms, 3, 2
 
-	forgottenMost        = 10000   // members that left, remembered as having told a role
-	sessionLimit         = 20000   // remembered writes
-	fallbackPart         = 0.6     // of the primary's limit that reads a replica could serve may fill
-	coldMargin           = 0.6     // of the overload factor may be used, the rest is for retries
-	coldSpare            = 0.2     // of what it has beyond 1, in case the member is warmer than it has to be; the rest is for bursts
-	coldSpareRouters     = 60.0    // few routers' own limits hold bursts back: so many use all of that
-	leastWeight          = 1e-9    // weights of nothing, all alike, still make a draw
-	tookMemory           = 16.0    // answers
-	guessFades           = 64      // answers, after which a first guess weighs less than 2 in 100
-	badMemory, failsMost = 10.0, 3 // attempts; errors in a row, which a good probe does not end
-
-	fewRouters                 = 2.0           // whose limits together a group bears
-	firstLimit, leastLimit     = 8, 4          // attempts out at a new member; kept however slow all are
-	highShare, lowShare        = 0.35, 0.25    // of the aim: slower answers, fewer attempts out
-	shareMemory, overMargin    = 100.0, 1.2    // requests tenants are compared by; above that is over
-	badFrom, badSlope, badMost = 0.1, 2.0, 0.9 // bad attempts: reads are shed from there, how steeply, at most
-
-	tagBeat, tagWatch, firstSeq = 0, 1, 2 // timer tags; those above are request numbers
+	forgottenMost    = 10000 // maximum number of removed members remembered as having stated a role
+	sessionLimit     = 20000 // maximum number of sessions whose last write is remembered
+	fallbackPart     = 0.6   // fraction of the primary's limit that may be filled by reads that a replica could serve
+	coldMargin       = 0.6   // fraction of the overload factor that may be used; the rest is for retries
+	coldSpare        = 0.2   // fraction of the factor above 1 that may be used, as the member may be warmer than its minimum; the rest is for bursts
+	coldSpareRouters = 60.0  // up to this many routers, whose own limits contain bursts, may use all of it
+	leastWeight      = 1e-9  // replaces a weight of 0, so that equal zero weights can still be drawn from
+	tookMemory       = 16.0  // number of answers that the smoothed answer time averages over
+	guessFades       = 64    // number of answers after which the initial estimate weighs less than 2 %
+	// badMemory is the number of attempts that the fraction of bad ends averages over. After failsMost
+	// errors in a row, a good probe does not end a blacklisting.
+	badMemory, failsMost = 10.0, 3
+
+	fewRouters = 2.0 // all routers together may fill the limits of about this many at a group
+	// firstLimit is the limit of attempts in flight at a new member; leastLimit is kept however slow all
+	// answers are.
+	firstLimit, leastLimit = 8, 4
+	// As fractions of the latency target: above highShare the limit is reduced, below lowShare it may grow.
+	highShare, lowShare = 0.35, 0.25
+	// shareMemory is the number of requests over which tenants are compared; above overMargin times its
+	// share a tenant is over its quota.
+	shareMemory, overMargin = 100.0, 1.2
+	// Load shedding of reads starts at the fraction badFrom of bad attempts, grows by badSlope and sheds
+	// badMost at most.
+	badFrom, badSlope, badMost = 0.1, 2.0, 0.9
+
+	tagBeat, tagWatch, firstSeq = 0, 1, 2 // timer tags; tags from firstSeq on are sequence numbers of requests
 )
 
 type class struct {
 	Class
-	took    time.Duration // smoothed time of an answer, from a guess on
-	answers int           // that it was smoothed over, up to guessFades
+	took    time.Duration // smoothed answer time, starting from an estimate
+	answers int           // number of answers in the average, up to guessFades
 }
 
-// primaryOnly says that only a primary may serve it.
+// primaryOnly reports whether only the primary may serve requests of the class.
 func (c *class) primaryOnly() bool { return c.Need == Write || c.Need == Latest }
 
 type tenant struct {
-	share, used float64 // requests a second; of this router's lately, as a part
+	share, used float64 // share is in requests per second; used is the tenant's fraction of this router's recent requests
 }
 
 type group struct {
 	id                      int
 	members                 []*member
-	primary                 *member       // who said so last, if nothing later speaks against it
-	ledBefore               time.Duration // newest such word of members that are forgotten
-	newest                  time.Duration // position of any member
+	primary                 *member       // the member with the newest statement that it is the primary, unless later evidence contradicts it
+	ledBefore               time.Duration // time of the newest such statement of members that were forgotten
+	newest                  time.Duration // highest known position of any member
 	queued                  []*request
-	searcher                *request // the one write that looks for the primary while there is none
+	searcher                *request // the one write that is sent to members in turn while the primary is unknown
 	searchAfter, searchedAt time.Duration
-	lostAt, foundAt, outage time.Duration // of the primary, as requests met it
-	next                    int           // member whose turn it is to be asked for the primary
-	waiting                 bool          // requests are queued: looked at with each beat
+	lostAt, foundAt, outage time.Duration // when requests found no primary, when they found one again, and the time between
+	next                    int           // index of the member that is asked next for the primary
+	waiting                 bool          // the group is looked at with each beat, as requests are queued
 }
 
 type request struct {
@@ -88,52 +100,52 @@
 	cls                     *class
 	cell                    *cell
 	group                   *group
-	wrote                   time.Duration // the session's last write; 0: none
+	wrote                   time.Duration // position of the session's last write; 0 if there is none
 	attempts                int
-	at                      *member // where the attempt out is; nil: none out
+	at                      *member // the member that the attempt in flight was sent to; nil if none is in flight
 	arrived, sentAt         time.Duration
-	limit                   time.Duration // that attempt's time-out, 0: the client's
-	ranAt                   time.Duration // when the first attempt was sent that may have run
-	tried, failed           []*member     // sent to; answered with an error
+	limit                   time.Duration // timeout of that attempt; 0 means the client's deadline
+	ranAt                   time.Duration // send time of the first attempt that was possibly executed
+	tried, failed           []*member     // members that it was sent to; members that answered with an error
 	queued, withdrawn, done bool
 	worth                   float64
-	shedDraw                float64       // drawn once, as it comes: below the part that is shed, it is
-	coldDraw                float64       // drawn once, above 0, when a cold member is first in question; 0: not yet
-	notBefore               time.Duration // it does not ask the primary again before this
+	shedDraw                float64       // drawn once on arrival: the request is shed if it is below the fraction to shed
+	coldDraw                float64       // drawn once, above 0, when a cold member is first considered; 0 if not drawn yet
+	notBefore               time.Duration // the request is not sent to the primary before this time
 }
 
-// Router decides for one instance. It is not safe for concurrent use.
+// Router decides where the requests of one gateway go. It is not safe for concurrent use.
 type Router struct {
 	s                  Settings
 	rng                *rand.Rand
 	now, beatDue       time.Duration
 	listed             Cells
-	cells              map[int]*cell      // the one for requests of none is cell 0
-	all                sharers            // of a primary
-	shared             map[string]sharers // of a replica
+	cells              map[int]*cell      // cell 0 is for requests without a cell
+	all                sharers            // the cells that share a primary
+	shared             map[string]sharers // the cells that share a replica, by server
 	clock              ClockBounds
-	clockRead          *request      // whose answer may bound the clock, where nothing does; nil: none is out
-	bound              time.Duration // the least bound of a bounded class: the pace of position probes
+	clockRead          *request      // request whose answer may bound the clock offset while nothing else does; nil if none is in flight
+	bound              time.Duration // smallest bound of the bounded classes: the interval of position probes
 	members            map[string]*member
-	forgotten          map[string]bool // members that left, of which a role had been told
-	forgotSome         bool            // more of them than are remembered
+	forgotten          map[string]bool // removed members that had stated a role
+	forgotSome         bool            // more members were removed than are remembered
 	groups             map[int]*group
 	waiting            []*group
 	reqs               map[string]*request
 	seqs               map[int64]*request
 	tenants            map[string]*tenant
 	seq                int64
-	quota, asked       float64   // all shares; requests of tenants lately, as a part of the memory
-	usable             []*member // of the last draw
+	quota, asked       float64   // sum of all shares; fraction of recent requests that came from tenants
+	usable             []*member // candidates of the last draw
 	weights            []float64
-	sessions           map[string]time.Duration // last write known of each session, with remembered tokens
-	newest, floor      time.Duration            // of those writes; none forgotten is later than the floor
-	beating, watchSent bool                     // a beat is asked for; the list is watched
+	sessions           map[string]time.Duration // last known write of each session, with remembered tokens
+	newest, floor      time.Duration            // newest is the latest of those writes; no forgotten write is later than floor
+	beating, watchSent bool                     // a beat is scheduled; the list is being watched
 	acts               []Action
-	changes            []PrimaryChange // not asked for yet
+	changes            []PrimaryChange // not yet fetched by Changes
 }
 
-// New makes a router; the error names the setting that makes no sense.
+// New returns a router with the given settings. The error is that of Settings.Checked.
 func New(s Settings, seed uint64) (*Router, error) {
 	s, err := s.Checked()
 	if err != nil {
@@ -146,9 +158,10 @@
 	return r, nil
 }
 
-// take puts settings in force. What is under way keeps the class that it came with.
+// take applies settings. Open requests keep the class that they arrived with.
 func (r *Router) take(s Settings) {
-	if r.s.TokensCarried && !s.TokensCarried { // what sessions wrote until now was not remembered
+	// The writes of sessions were not remembered until now.
+	if r.s.TokensCarried && !s.TokensCarried {
 		r.floor = max(r.floor, r.latestPosition(r.now))
 	}
 	r.s, r.bound, r.tenants, r.quota = s, 0, map[string]*tenant{}, 0
@@ -168,11 +181,12 @@
 	r.onCells(r.listed)
 }
 
-// Handle takes one event and appends what to do about it to acts.
+// Handle processes one event and appends the resulting actions to acts.
 func (r *Router) Handle(now time.Duration, ev Event, acts []Action) []Action {
 	r.now, r.acts = now, acts
 	if r.beating && now > r.beatDue+silentFloor {
-		for _, m := range r.members { // this router stood still: what seems silent or slow is nobody's fault
+		// This router was stalled, so that silence and slow answers are not the members' fault.
+		for _, m := range r.members {
 			m.silentSince, m.cutAt = now, now
 		}
 		r.beatDue = now
@@ -243,6 +257,7 @@
 	}
 }
 
-func (r *Router) jitter(d time.Duration) time.Duration { // half to one and a half of it
+// jitter returns a random duration between half of d and one and a half times d.
+func (r *Router) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(r.rng.Int64N(int64(d)))
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,8 +1,8 @@
 package balance
 
-// Slow start: what a member that has just started may be sent.
+// Slow start: how much is sent to a member whose process has just started.
 
-// warmth is the least part of its capacity that m has, by the start that was told or that this router saw.
+// warmth returns the minimum fraction of its capacity that m has, by its listed or observed start.
 func (r *Router) warmth(m *member) float64 {
 	start := max(m.Started, m.revived)
 	age := r.now - start
@@ -12,9 +12,10 @@
 	return r.s.ColdShare + (1-r.s.ColdShare)*float64(age)/float64(r.s.ColdTime)
 }
 
-// admit keeps a cold member's budget: of requests that come to m with the given chance so many pass that its
-// part of the group's traffic is its part of the capacity, times the margin: at each router, so in sum. A request draws once, so
-// that asking again is no further chance.
+// admit enforces the budget of a cold member. Of the requests that choose m with the given chance, it admits
+// so many that m's share of the group's traffic is its fraction of the capacity, times a margin. As every
+// router does so, the sum holds as well. Each request draws its random number once, so that asking again
+// gives it no further chance.
 func (r *Router) admit(q *request, m *member, chance, share float64) bool {
 	w := r.warmth(m)
 	if w == 1 {
@@ -26,7 +27,7 @@
 	return q.coldDraw*chance <= w*share*r.coldFactor()
 }
 
-// coldFactor is how many times the least part of its capacity a cold member may be sent.
+// coldFactor returns by how much a cold member may be sent more than its minimum capacity.
 func (r *Router) coldFactor() float64 {
 	factor := r.s.OverloadFactor
 	if factor == 0 {
