--- a/balance/admission.go
+++ b/balance/admission.go
@@ -11,70 +11,70 @@
 func (r *Router) onRequest(e Request) {
 	cell, g := cmp.Or(r.cells[e.Cell], r.cells[0]), r.group(e.Group)
 	c := cell.classes[e.Class]
-	if r.reqs[e.ID] != nil {
+	if r.requests[e.ID] != nil {
 		return // duplicate
 	} else if c == nil {
-		r.do(Refuse{ID: e.ID, Why: UnknownClass})
+		r.emit(Refuse{ID: e.ID, Why: UnknownClass})
 		return
 	}
-	q := &request{Request: e, seq: r.seq, cls: c, cell: cell, group: g, arrived: r.now, worth: c.Worth,
+	q := &request{Request: e, seq: r.nextSeq, class: c, cell: cell, group: g, arrived: r.now, worth: c.Worth,
 		shedDraw: r.rng.Float64()}
 	if t := r.tenants[e.Tenant]; t != nil {
 		// No router sees the usage of the whole fleet, but a tenant that uses more of its quota than others
 		// do so shows at each router.
 		if !e.Retry {
-			r.asked += (1 - r.asked) / shareMemory
+			r.tenantUsage += (1 - r.tenantUsage) / quotaWindow
 			for _, o := range r.tenants {
-				o.used -= o.used / shareMemory
+				o.usage -= o.usage / quotaWindow
 			}
-			t.used += 1 / shareMemory
+			t.usage += 1 / quotaWindow
 		}
-		if t.used*r.quota > overMargin*t.share*r.asked {
-			q.worth *= r.s.OverShareWorth
+		if t.usage*r.totalQuota > overQuotaMargin*t.quota*r.tenantUsage {
+			q.worth *= r.settings.OverShareWorth
 		}
 	}
-	r.seq++
-	r.reqs[e.ID], r.seqs[q.seq] = q, q
+	r.nextSeq++
+	r.requests[e.ID], r.requestsBySeq[q.seq] = q, q
 	if c.Need == Session {
-		if q.wrote = r.wrote(e); q.wrote > 0 {
-			q.wrote = max(q.wrote, e.Since)
+		if q.lastWrite = r.lastWrite(e); q.lastWrite > 0 {
+			q.lastWrite = max(q.lastWrite, e.Since)
 		}
 	}
 	if e.Over > 0 || !c.primaryOnly() && shed(q, cell.badAttempts(g).replicas) {
 		r.giveUp(q, Shed)
 		return
 	}
-	r.do(After{max(e.Deadline-r.now, 1), q.seq})
+	r.emit(After{max(e.Deadline-r.now, 1), q.seq})
 	r.route(q)
 }
 
-func (r *Router) hasRoom(q *request, m *member, part float64) bool {
-	limit := max(1, m.limit*part)
+func (r *Router) hasCapacity(q *request, m *member, fraction float64) bool {
+	limit := max(1, m.limit*fraction)
 	if len(r.cells) > 1 {
-		return r.cellHasRoom(q, m, limit)
+		return r.hasCellCapacity(q, m, limit)
 	}
-	return float64(len(m.out)) < limit && r.fleetHasRoom(m)
+	return float64(len(m.inFlight)) < limit && r.hasFleetCapacity(m)
 }
 
-// fleetHasRoom limits the attempts in flight at m and the members like it: one attempt of each of many
+// hasFleetCapacity limits the attempts in flight at m and the members like it: one attempt of each of many
 // routers adds up to a long queue there.
-func (r *Router) fleetHasRoom(m *member) bool {
+func (r *Router) hasFleetCapacity(m *member) bool {
 	out, limit, p := 0, 0.0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
 		if (o == p) == (m == p) && r.accepts(o, true) {
-			out, limit = out+len(o.out), limit+o.limit
+			out, limit = out+len(o.inFlight), limit+o.limit
 		}
 	}
-	return float64(out) < max(1, limit*fewRouters/float64(r.s.Routers))
+	return float64(out) < max(1, limit*fleetLimitFactor/float64(r.settings.Routers))
 }
 
 // shed decides at random, with the request's own draw, whether a read is shed, given the fraction of recent
 // attempts that ended badly. A single router cannot see the hosts' queues.
 func shed(q *request, bad float64) bool {
-	if q.worth < q.cls.Worth {
+	if q.worth < q.class.Worth {
 		bad *= 2
 	}
-	return q.shedDraw < min(badMost, (bad-badFrom)*badSlope)
+	return q.shedDraw < min(maxShedFraction, (bad-shedThreshold)*shedSlope)
 }
 
 // enqueue sorts by worth per expected time, then newest first, as the oldest requests are the closest to
@@ -83,20 +83,20 @@
 	q.queued = true
 	list := q.group.queued
 	i := len(list)
-	for i > 0 && before(q, list[i-1]) {
+	for i > 0 && precedes(q, list[i-1]) {
 		i--
 	}
 	q.group.queued = slices.Insert(list, i, q)
-	r.wake(q.group)
+	r.scheduleQueue(q.group)
 }
 
-func before(a, b *request) bool {
-	x, y := a.worth/float64(a.cls.took+1), b.worth/float64(b.cls.took+1)
-	return x > y || x == y && a.cls.Name == b.cls.Name && a.seq > b.seq
+func precedes(a, b *request) bool {
+	x, y := a.worth/float64(a.class.latency+1), b.worth/float64(b.class.latency+1)
+	return x > y || x == y && a.class.Name == b.class.Name && a.seq > b.seq
 }
 
-// release sends the queued requests that can be sent now, in the order that enqueue keeps.
-func (r *Router) release(g *group) {
+// sendQueued sends the queued requests that can be sent now, in the order that enqueue keeps.
+func (r *Router) sendQueued(g *group) {
 	if len(g.queued) == 0 {
 		return
 	}
@@ -105,8 +105,8 @@
 	if len(r.cells) > 1 { // the cell with the fewest attempts in flight for its weight goes first
 		used := map[*cell]float64{}
 		for _, m := range g.members {
-			for c, n := range m.of {
-				used[c] += float64(n) / max(c.Weight, leastWeight)
+			for c, n := range m.inFlightByCell {
+				used[c] += float64(n) / max(c.Weight, minWeight)
 			}
 		}
 		order = slices.Clone(list)
@@ -116,26 +116,26 @@
 	}
 	g.queued = nil
 	for _, q := range order {
-		if q.done || !q.queued || stuck[q.cls] >= 3 && !r.hopeless(q) {
+		if q.done || !q.queued || stuck[q.class] >= 3 && !r.unlikelyInTime(q) {
 			continue
 		}
 		q.queued = false
 		if r.route(q); q.queued {
-			stuck[q.cls]++
+			stuck[q.class]++
 		}
 	}
 	g.queued = slices.DeleteFunc(list, func(q *request) bool { return q.done || !q.queued })
 }
 
-// wake schedules a beat if any group waits for one.
-func (r *Router) wake(g *group) {
+// scheduleQueue schedules a beat if any group waits for one.
+func (r *Router) scheduleQueue(g *group) {
 	if g != nil && !g.waiting {
 		g.waiting = true
 		r.waiting = append(r.waiting, g)
 	}
-	if !r.beating && len(r.waiting) > 0 {
-		r.beating, r.beatDue = true, r.now+beat
-		r.do(After{beat, tagBeat})
+	if !r.queueTimerSet && len(r.waiting) > 0 {
+		r.queueTimerSet, r.queueTimerDue = true, r.now+queueInterval
+		r.emit(After{queueInterval, tagQueue})
 	}
 }
 
@@ -144,22 +144,22 @@
 func (r *Router) adjustLimit(m *member, c *cell, cls *class, result Result, took time.Duration, blamed bool) {
 	cut, answered := 0.0, result == OK || result == TimedOut
 	if result == OK {
-		cls.took += (took - cls.took) / tookMemory
-		cls.answers = min(cls.answers+1, guessFades)
+		cls.latency += (took - cls.latency) / latencyWindow
+		cls.samples = min(cls.samples+1, estimateWindow)
 	}
 	switch {
 	case result == Full:
 		cut = 0.7
 	case answered:
-		m.share += (float64(took)/float64(cls.Aim+1) - m.share) / 8
-		if m.share > highShare {
+		m.latencyRatio += (float64(took)/float64(cls.Aim+1) - m.latencyRatio) / 8
+		if m.latencyRatio > highLatencyRatio {
 			cut = 0.9
-		} else if m.share < lowShare && float64(len(m.out)+1) >= m.limit*0.7 {
+		} else if m.latencyRatio < lowLatencyRatio && float64(len(m.inFlight)+1) >= m.limit*0.7 {
 			m.limit += 1 / m.limit
 		}
 	}
-	if cut > 0 && r.now-m.cutAt >= cutPause {
-		m.limit, m.cutAt = max(leastLimit, min(m.limit, float64(len(m.out)+1))*cut), r.now
+	if cut > 0 && r.now-m.limitCutAt >= limitCutInterval {
+		m.limit, m.limitCutAt = max(minLimit, min(m.limit, float64(len(m.inFlight)+1))*cut), r.now
 	}
 	if answered || result == Full {
 		bad := c.badAttempts(m.group)
@@ -167,9 +167,9 @@
 		if m == m.group.primary {
 			b = &bad.primary
 		}
-		*b *= 1 - 1/badMemory
+		*b *= 1 - 1/badWindow
 		if (result != OK || took > cls.Aim) && blamed {
-			*b += 1 / badMemory
+			*b += 1 / badWindow
 		}
 	}
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -40,7 +40,7 @@
 	for range 10 {
 		g.now += 100 * ms
 		m.silentSince = g.now
-		g.do(Timer{tagBeat})
+		g.do(Timer{tagQueue})
 	}
 	g.ask("save", 0)
 	acts := g.answer(first, "p", 0, OK, Primary)
@@ -81,7 +81,7 @@
 			id := fmt.Sprint(i)
 			g.do(Request{ID: id, Class: "any", Deadline: g.now + time.Second,
 				Tenant: []string{"big", "big", "small", "big"}[i%4]})
-			if q := g.r.reqs[id]; q.worth < q.cls.Worth {
+			if q := g.r.requests[id]; q.worth < q.class.Worth {
 				over++
 			}
 			g.do(Gone{id})
@@ -107,7 +107,7 @@
 
 func TestAClassOnceSlowIsTriedAgain(t *testing.T) {
 	g := newRig(t, nil)
-	g.r.cells[0].classes["any"].took = 10 * time.Second
+	g.r.cells[0].classes["any"].latency = 10 * time.Second
 	if _, acts := g.ask("any", 0); len(sends(acts)) != 1 {
 		t.Error("a class whose answers were slow is refused forever")
 	}
@@ -130,9 +130,9 @@
 			g.do(Members{Whole: true, List: l})
 			g.r.now = g.now
 			g.r.blacklist(g.r.members["p"], false)
-			g.r.members["p"].downUntil = g.now + time.Hour
+			g.r.members["p"].blacklistedUntil = g.now + time.Hour
 			for _, s := range []string{"a", "b"} {
-				g.r.members[s].downUntil = g.now + time.Hour
+				g.r.members[s].blacklistedUntil = g.now + time.Hour
 			}
 			g.ask("save", 0)
 			g.beat(c.outage)
@@ -140,8 +140,8 @@
 				l[0].Started = g.now
 				g.do(Members{List: l[:1]})
 			}
-			g.r.members["p"].downUntil = 0
-			n += len(sends(g.beat(2 * beat)))
+			g.r.members["p"].blacklistedUntil = 0
+			n += len(sends(g.beat(2 * queueInterval)))
 		}
 		if n > c.most*hundreds || n == 0 || c.most == 100 && n < 100*hundreds {
 			t.Errorf("%s: %d of %d held writes sent at once, want at most %d", c.name, n, 100*hundreds, c.most*hundreds)
--- a/balance/api.go
+++ b/balance/api.go
@@ -376,9 +376,9 @@
 	return [...]string{"unknown class", "thinned", "too late", "no attempt left", "fails everywhere", "overdue"}[w]
 }
 
-func (w Why) unless(other bool, than Why) Why {
-	if other {
-		return than
+func (w Why) unless(condition bool, alternative Why) Why {
+	if condition {
+		return alternative
 	}
 	return w
 }
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -38,7 +38,7 @@
 func TestOneFinalAnswer(t *testing.T) {
 	g := newRig(t, nil)
 	id, _ := g.ask("save", 0)
-	seq := g.r.reqs[id].seq
+	seq := g.r.requests[id].seq
 	g.now += 4 * time.Second
 	want(t, "deadline", finals(g.do(Timer{seq})), []string{"fail " + id})
 	var rest []Action
@@ -49,7 +49,7 @@
 	if len(rest) != 0 {
 		t.Errorf("after the final answer: %v", rest)
 	}
-	if len(g.r.reqs)+len(g.r.seqs) != 0 {
+	if len(g.r.requests)+len(g.r.requestsBySeq) != 0 {
 		t.Error("the ended request is still held")
 	}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -39,9 +39,9 @@
 			}
 		}
 		g.now += forgetAfter + time.Second
-		g.do(Timer{tagBeat})
+		g.do(Timer{tagQueue})
 	}
-	n := len(g.r.reqs) + len(g.r.seqs)
+	n := len(g.r.requests) + len(g.r.requestsBySeq)
 	for _, gr := range g.r.groups {
 		n += len(gr.members) + len(gr.queued)
 	}
@@ -62,7 +62,7 @@
 					all = append(all, g.answer(id, s, 0, OK, Unknown)...)
 				}
 			}
-			all = append(all, g.beat(beat)...)
+			all = append(all, g.beat(queueInterval)...)
 		}
 		return all
 	}
@@ -98,7 +98,7 @@
 	now, acts := origin, r.Handle(origin, Members{Whole: true, List: list()}, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		now += beat
-		acts = r.Handle(now, Timer{tagBeat}, acts[:0])
+		now += queueInterval
+		acts = r.Handle(now, Timer{tagQueue}, acts[:0])
 	}
 }
--- a/balance/cells.go
+++ b/balance/cells.go
@@ -6,8 +6,8 @@
 // how many attempts end badly.
 type cell struct {
 	Cell
-	classes map[string]*class
-	bad     map[int]*badAttempts // by group
+	classes    map[string]*class
+	badByGroup map[int]*badAttempts // by group
 }
 
 // badAttempts holds the fractions of recent attempts in a group that ended badly, 0 to 1.
@@ -15,10 +15,10 @@
 
 // badAttempts returns the fractions of one group: the hosts of another group may be idle.
 func (c *cell) badAttempts(g *group) *badAttempts {
-	if c.bad[g.id] == nil {
-		c.bad[g.id] = &badAttempts{}
+	if c.badByGroup[g.id] == nil {
+		c.badByGroup[g.id] = &badAttempts{}
 	}
-	return c.bad[g.id]
+	return c.badByGroup[g.id]
 }
 
 // sharers holds the cells that may use a member, and the sum of their weights.
@@ -29,51 +29,51 @@
 
 func (r *Router) onCells(e Cells) {
 	old := r.cells
-	r.listed, r.cells, r.all, r.shared = e, map[int]*cell{}, sharers{}, map[string]sharers{}
+	r.cellList, r.cells, r.primarySharers, r.replicaSharers = e, map[int]*cell{}, sharers{}, map[string]sharers{}
 	for _, c := range append([]Cell{{}}, e.List...) {
 		n := old[c.ID]
 		if n == nil {
-			n = &cell{bad: map[int]*badAttempts{}}
+			n = &cell{badByGroup: map[int]*badAttempts{}}
 		}
 		known := n.classes
 		n.Cell, n.classes, r.cells[c.ID] = c, map[string]*class{}, n
-		for _, cls := range r.s.Classes {
+		for _, cls := range r.settings.Classes {
 			if n.classes[cls.Name] = known[cls.Name]; known[cls.Name] == nil || known[cls.Name].Class != cls {
-				n.classes[cls.Name] = &class{Class: cls, took: cls.Aim / 4}
+				n.classes[cls.Name] = &class{Class: cls, latency: cls.Aim / 4}
 			}
 		}
-		r.all = r.all.with(n)
+		r.primarySharers = r.primarySharers.with(n)
 		for server := range c.Servers {
-			r.shared[server] = r.shared[server].with(n)
+			r.replicaSharers[server] = r.replicaSharers[server].with(n)
 		}
 	}
 }
 
 func (s sharers) with(c *cell) sharers { return sharers{append(s.cells, c), s.weight + c.Weight} }
 
-func (q *request) may(m *member) bool { return q.cell.Servers == nil || q.cell.Servers[m.Server] }
+func (q *request) mayUse(m *member) bool { return q.cell.Servers == nil || q.cell.Servers[m.Server] }
 
-// part returns the fair share of limit at m for a weight of 1, and the cells that may use m.
-func (r *Router) part(c *cell, m *member, limit float64) (float64, []*cell) {
-	by := r.shared[m.Server]
+// fairShare returns the fair share of limit at m for a weight of 1, and the cells that may use m.
+func (r *Router) fairShare(c *cell, m *member, limit float64) (float64, []*cell) {
+	by := r.replicaSharers[m.Server]
 	if m == m.group.primary {
-		by = r.all
+		by = r.primarySharers
 	}
-	return limit / max(by.weight, c.Weight, leastWeight), by.cells
+	return limit / max(by.weight, c.Weight, minWeight), by.cells
 }
 
-// cellHasRoom reports whether q's cell may have one more attempt in flight at m. Its reserve of its fair
+// hasCellCapacity reports whether q's cell may have one more attempt in flight at m. Its reserve of its fair
 // share is guaranteed even if other cells fill the limit. Beyond that, it must leave free what other cells
 // have not used of their reserves.
-func (r *Router) cellHasRoom(q *request, m *member, limit float64) bool {
-	part, cells := r.part(q.cell, m, limit)
-	free := limit - float64(len(m.out))
-	if float64(m.of[q.cell]+1) <= q.cell.Reserve*q.cell.Weight*part {
+func (r *Router) hasCellCapacity(q *request, m *member, limit float64) bool {
+	share, cells := r.fairShare(q.cell, m, limit)
+	free := limit - float64(len(m.inFlight))
+	if float64(m.inFlightByCell[q.cell]+1) <= q.cell.Reserve*q.cell.Weight*share {
 		return true
 	}
 	for _, o := range cells {
 		if o != q.cell && free > 0 {
-			free -= max(0, o.Reserve*o.Weight*part-float64(m.of[o]))
+			free -= max(0, o.Reserve*o.Weight*share-float64(m.inFlightByCell[o]))
 		}
 	}
 	return free > 0
--- a/balance/cells_test.go
+++ b/balance/cells_test.go
@@ -89,7 +89,7 @@
 	}
 	// The limit is reduced during the flood: the reserve of the remaining limit must still be free.
 	m := g.r.members["p"]
-	m.limit, m.of[g.r.cells[2]] = 6, 0
+	m.limit, m.inFlightByCell[g.r.cells[2]] = 6, 0
 	if _, acts := g.of(2, "save", nil); len(sends(acts)) != 1 {
 		t.Error("the reserve is not free while other cells fill the limit")
 	}
@@ -110,7 +110,7 @@
 		t.Fatal("the primary still has capacity")
 	}
 	g.of(1, "save", nil) // the newest request of all
-	out := slices.IndexFunc(flood, func(id string) bool { return g.r.reqs[id].at != nil })
+	out := slices.IndexFunc(flood, func(id string) bool { return g.r.requests[id].member != nil })
 	firstSent(t, g.answer(flood[out], "p", 0, OK, Primary), late, "the write of the cell with the fewest attempts in flight")
 }
 
@@ -175,7 +175,7 @@
 		m := g.r.members["p"]
 		id, acts := g.of(cell, "save", nil)
 		want2 := sends(acts)[0]
-		m.of[g.r.cells[1]] = 5 // attempts of the flooding cell
+		m.inFlightByCell[g.r.cells[1]] = 5 // attempts of the flooding cell
 		g.answer(id, want2, 0, Full, Primary)
 		if got := g.r.cells[cell].badAttempts(g.r.groups[0]).primary > 0; got != want {
 			t.Errorf("cell %d is blamed: %v", cell, got)
@@ -193,8 +193,8 @@
 		t.Errorf("the cell is now %+v", g.r.cells[1])
 	}
 	g.answer(id, to, 0, OK, Replica)
-	if m := g.r.members[to]; len(m.of) != 0 || len(m.out) != 0 {
-		t.Errorf("attempts left at the member: %v", m.of)
+	if m := g.r.members[to]; len(m.inFlightByCell) != 0 || len(m.inFlight) != 0 {
+		t.Errorf("attempts left at the member: %v", m.inFlightByCell)
 	}
 	_, acts = g.of(1, "browse", nil)
 	want(t, "the next read", sends(acts), []string{"d"})
@@ -223,15 +223,15 @@
 					continue
 				}
 				out[s.ID] = true
-				q := g.r.reqs[s.ID]
-				part, _ := g.r.part(q.cell, p, p.limit)
-				if float64(p.of[q.cell]) <= part*q.cell.Weight {
+				q := g.r.requests[s.ID]
+				part, _ := g.r.fairShare(q.cell, p, p.limit)
+				if float64(p.inFlightByCell[q.cell]) <= part*q.cell.Weight {
 					continue
 				}
 				for _, w := range q.group.queued {
-					if w.cell != q.cell && w.notBefore <= g.now && float64(p.of[w.cell]+1) <= reserve*part*w.cell.Weight {
-						rt.Fatalf("cell %d has %d in flight at a limit of %v while cell %d waits with %d", q.cell.ID, p.of[q.cell],
-							p.limit, w.cell.ID, p.of[w.cell])
+					if w.cell != q.cell && w.notBefore <= g.now && float64(p.inFlightByCell[w.cell]+1) <= reserve*part*w.cell.Weight {
+						rt.Fatalf("cell %d has %d in flight at a limit of %v while cell %d waits with %d", q.cell.ID, p.inFlightByCell[q.cell],
+							p.limit, w.cell.ID, p.inFlightByCell[w.cell])
 					}
 				}
 			}
@@ -252,15 +252,15 @@
 					}
 				}
 			},
-			"beat": func(*rapid.T) { check(g.beat(beat)) },
+			"beat": func(*rapid.T) { check(g.beat(queueInterval)) },
 			"": func(rt *rapid.T) {
 				p := g.r.members["p"]
 				total := 0
-				for _, n := range p.of {
+				for _, n := range p.inFlightByCell {
 					total += n
 				}
-				if total != len(p.out) || total != len(out) {
-					rt.Fatalf("%d in flight, %d of all cells, %d sent and not answered", len(p.out), total, len(out))
+				if total != len(p.inFlight) || total != len(out) {
+					rt.Fatalf("%d in flight, %d of all cells, %d sent and not answered", len(p.inFlight), total, len(out))
 				}
 			},
 		})
@@ -287,7 +287,7 @@
 			}
 			r.Handle(now, c, nil)
 			for i := range 20 {
-				r.learn(r.members[fmt.Sprint("s", i)], Statement{Role: Replica, Position: now + time.Hour, Made: Made{NotBefore: now, NotAfter: now}})
+				r.addStatement(r.members[fmt.Sprint("s", i)], Statement{Role: Replica, Position: now + time.Hour, Made: Made{NotBefore: now, NotAfter: now}})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -136,7 +136,7 @@
 	g := newRig(t, nil)
 	id, acts := g.ask("save", 0)
 	want(t, "first", sends(acts), []string{"p"})
-	acts = append(g.answer(id, "p", 0, Miss, Replica), g.beat(2*beat)...)
+	acts = append(g.answer(id, "p", 0, Miss, Replica), g.beat(2*queueInterval)...)
 	second := sends(acts)
 	if len(second) != 1 || second[0] == "p" {
 		t.Fatalf("after a misdirected write: %q", second)
@@ -164,18 +164,18 @@
 
 func TestSessionMemory(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.TokensCarried = false })
-	for i := range sessionLimit + 10 {
+	for i := range maxSessions + 10 {
 		g.now += ms
-		g.r.remember(fmt.Sprint("s", i), g.now)
+		g.r.rememberWrite(fmt.Sprint("s", i), g.now)
 	}
-	if n := len(g.r.sessions); n > sessionLimit {
+	if n := len(g.r.sessionWrites); n > maxSessions {
 		t.Errorf("%d sessions kept", n)
 	}
-	if got := g.r.wrote(Request{Session: "s5"}); got < origin+5*ms {
+	if got := g.r.lastWrite(Request{Session: "s5"}); got < origin+5*ms {
 		t.Errorf("the floor %v of a forgotten session is below its write", got)
 	}
-	last := fmt.Sprint("s", sessionLimit+9)
-	if got := g.r.wrote(Request{Session: last}); got != g.now {
+	last := fmt.Sprint("s", maxSessions+9)
+	if got := g.r.lastWrite(Request{Session: last}); got != g.now {
 		t.Errorf("last write of the newest session is %v, want %v", got, g.now)
 	}
 }
@@ -207,7 +207,7 @@
 		acts = g.answer(id, "p", try, Full, Primary)
 		from := g.now
 		for len(sends(acts)) == 0 && g.now-from < time.Second {
-			acts = g.beat(beat)
+			acts = g.beat(queueInterval)
 		}
 		if g.now-from < least {
 			t.Errorf("attempt %d: retried after %v", try, g.now-from)
--- a/balance/clock_bounds_test.go
+++ b/balance/clock_bounds_test.go
@@ -54,7 +54,7 @@
 	g := newRig(t, func(s *Settings) { s.Probes = false })
 	g.do(ClockBounds{})
 	g.ask("browse", 0)
-	g.now += clockReadFor
+	g.now += clockReadWait
 	if _, acts := g.ask("browse", 0); !slices.Equal(sends(acts), []string{"p"}) {
 		t.Errorf("a read goes to %v while an older one is still in flight, want p", sends(acts))
 	}
--- a/balance/even_test.go
+++ b/balance/even_test.go
@@ -21,7 +21,7 @@
 		for i := range reads {
 			r.Handle(at, Request{ID: fmt.Sprint(i), Class: "a", Deadline: at + 9000*ms}, nil)
 		}
-		q, s := len(r.members["q"].out), len(r.members["s"].out)
+		q, s := len(r.members["q"].inFlight), len(r.members["s"].inFlight)
 		if q+s != reads {
 			t.Fatalf("%d and %d of %d reads are in flight at the replicas", q, s, reads)
 		}
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -47,34 +47,34 @@
 
 // evidence is what is known about the role and the log of one member.
 type evidence struct {
-	position     time.Duration // highest position stated; a position never decreases
-	positionFrom Source
-	positionAt   time.Duration // latest time of the last statement of that position
-	leads        time.Duration // earliest time of the newest statement that it is the primary; 0 if there was none
-	leadsFrom    Source
-	follows      time.Duration // latest time of the newest statement that it is a replica; 0 if there was none
-	followsFrom  Source
-	told         bool          // it has ever stated its role
-	started      time.Duration // latest start time of its process, by the list; 0 if long ago
+	position         time.Duration // highest position stated; a position never decreases
+	positionSource   Source
+	positionNotAfter time.Duration // latest time of the last statement of that position
+	primaryNotBefore time.Duration // earliest time of the newest statement that it is the primary; 0 if there was none
+	primarySource    Source
+	replicaNotAfter  time.Duration // latest time of the newest statement that it is a replica; 0 if there was none
+	replicaSource    Source
+	statedRole       bool          // it has ever stated its role
+	started          time.Duration // latest start time of its process, by the list; 0 if long ago
 }
 
 // add records a statement that reached the router at now. A statement against reading from the member as the
 // primary counts from the latest time at which it may have been made, one for it from the earliest.
 func (e *evidence) add(now time.Duration, s Statement) {
-	if told := cmp.Or(s.Made.NotAfter, now); s.Position > e.position {
-		e.position, e.positionFrom, e.positionAt = s.Position, s.Source, told
+	if notAfter := cmp.Or(s.Made.NotAfter, now); s.Position > e.position {
+		e.position, e.positionSource, e.positionNotAfter = s.Position, s.Source, notAfter
 	} else if s.Position == e.position {
-		e.positionAt = max(e.positionAt, told) // the log does not move
+		e.positionNotAfter = max(e.positionNotAfter, notAfter) // the log does not move
 	}
-	e.told = e.told || s.Role != Unknown
+	e.statedRole = e.statedRole || s.Role != Unknown
 	switch s.Role {
 	case Primary:
-		if made := min(s.Made.NotBefore, now); made > e.leads {
-			e.leads, e.leadsFrom = made, s.Source
+		if statedAt := min(s.Made.NotBefore, now); statedAt > e.primaryNotBefore {
+			e.primaryNotBefore, e.primarySource = statedAt, s.Source
 		}
 	case Replica:
-		if made := min(cmp.Or(s.Made.NotAfter, now), now); made > e.follows {
-			e.follows, e.followsFrom = made, s.Source
+		if statedAt := min(cmp.Or(s.Made.NotAfter, now), now); statedAt > e.replicaNotAfter {
+			e.replicaNotAfter, e.replicaSource = statedAt, s.Source
 		}
 	}
 }
@@ -82,16 +82,16 @@
 // start records the latest time at which the member's process started. A new process starts as a replica.
 func (e *evidence) start(at time.Duration) { e.started = max(e.started, at) }
 
-// leading reports whether the newest statement that the member is the primary was certainly made after all
+// isPrimary reports whether the newest statement that the member is the primary was certainly made after all
 // evidence against it.
-func (e *evidence) leading() bool { return e.leads > max(e.follows, e.started) }
+func (e *evidence) isPrimary() bool { return e.primaryNotBefore > max(e.replicaNotAfter, e.started) }
 
-// silent reports whether the member has never stated its role.
-func (e *evidence) silent() bool { return !e.told }
+// neverStatedRole reports whether the member has never stated its role.
+func (e *evidence) neverStatedRole() bool { return !e.statedRole }
 
 // clockReplaced drops the times that were dated by a wrong clock. Positions stay, as they are readings of
 // the fleet's clock.
-func (e *evidence) clockReplaced() { e.leads, e.started = 0, 0 }
+func (e *evidence) clockReplaced() { e.primaryNotBefore, e.started = 0, 0 }
 
 // Grounds is the evidence on which an attempt is sent to a member.
 type Grounds struct {
@@ -127,77 +127,77 @@
 // RoleWords holds a member's last statements on its role as the host side reads them, before the router
 // processes them. The zero value holds none.
 type RoleWords struct {
-	follows time.Duration // time of its last statement that it is not the primary; 0 if there was none
-	leads   bool          // a complete answer has stated since then that it is the primary
+	replicaAt    time.Duration // time of its last statement that it is not the primary; 0 if there was none
+	primarySince bool          // a complete answer has stated since then that it is the primary
 }
 
 // Leads records that a complete answer named the member as the primary.
-func (w *RoleWords) Leads() { w.leads = true }
+func (w *RoleWords) Leads() { w.primarySince = true }
 
 // Follows records the member's statement that it is not the primary. It reports whether that is new: the
 // first such statement, or the first one since a statement to the contrary.
-func (w *RoleWords) Follows(now time.Duration) (news bool) {
-	news = w.leads || w.follows == 0
-	w.follows, w.leads = now, false
-	return news
+func (w *RoleWords) Follows(now time.Duration) (isNew bool) {
+	isNew = w.primarySince || w.replicaAt == 0
+	w.replicaAt, w.primarySince = now, false
+	return isNew
 }
 
 // Refute reports whether the member has stated, since the decision to send an attempt, that it is not the
 // primary, and the attempt needs the primary.
 func (w *RoleWords) Refute(g Grounds) bool {
-	return g.NeedsLeader() && w.follows > 0 && w.follows >= g.Leads
+	return g.NeedsLeader() && w.replicaAt > 0 && w.replicaAt >= g.Leads
 }
 
 // NeedsLeader reports whether the grounds end with a statement of the member that it is a replica.
 func (g Grounds) NeedsLeader() bool { return g.Kind == LeaderWord || g.Kind == Excused }
 
-// learn records a statement about m and updates the primary of its group.
-func (r *Router) learn(m *member, s Statement) {
+// addStatement records a statement about m and updates the primary of its group.
+func (r *Router) addStatement(m *member, s Statement) {
 	before := m.evidence
 	if s.Position > r.latestPosition(cmp.Or(s.Made.NotAfter, r.now)) {
 		s.Position = 0 // a position in the future would later make stale data pass as fresh
 	}
 	m.evidence.add(r.now, s)
-	m.group.newest = max(m.group.newest, s.Position)
-	r.noteRole(m, s.Source, before)
+	m.group.newestPosition = max(m.group.newestPosition, s.Position)
+	r.updatePrimary(m, s.Source, before)
 }
 
-// learnStart records a start time from the list.
-func (r *Router) learnStart(m *member, at time.Duration) {
+// addStart records a start time from the list.
+func (r *Router) addStart(m *member, at time.Duration) {
 	before := m.evidence
 	m.evidence.start(at)
-	r.noteRole(m, FromList, before)
+	r.updatePrimary(m, FromList, before)
 }
 
-// noteRole updates the primary of the group after evidence about m has changed, and records a change of the
+// updatePrimary updates the primary of the group after evidence about m has changed, and records a change of the
 // primary.
-func (r *Router) noteRole(m *member, source Source, before evidence) {
+func (r *Router) updatePrimary(m *member, source Source, before evidence) {
 	after := m.evidence
-	if after.leads == before.leads && after.follows == before.follows && after.started == before.started {
+	if after.primaryNotBefore == before.primaryNotBefore && after.replicaNotAfter == before.replicaNotAfter && after.started == before.started {
 		return
 	}
 	g, was := m.group, m.group.primary
-	g.primary = g.newestLeader()
+	g.primary = g.newestPrimary()
 	if g.primary == was {
 		return
 	}
-	x := PrimaryChange{Group: g.id, Source: source, About: m.Server, Leads: after.leads, Follows: after.follows, Started: after.started}
+	x := PrimaryChange{Group: g.id, Source: source, About: m.Server, Leads: after.primaryNotBefore, Follows: after.replicaNotAfter, Started: after.started}
 	if was != nil {
 		x.From = was.Server
 	}
 	if g.primary != nil {
 		x.To = g.primary.Server
 	}
-	if len(r.changes) < changesMost {
+	if len(r.changes) < maxChanges {
 		r.changes = append(r.changes, x)
 	}
 }
 
-// noBound is a position that no log reaches.
-const noBound = time.Duration(math.MaxInt64 / 2)
+// unreachablePosition is a position that no log reaches.
+const unreachablePosition = time.Duration(math.MaxInt64 / 2)
 
-// changesMost is the maximum number of changes kept for Changes, which the simulator never calls.
-const changesMost = 100
+// maxChanges is the maximum number of changes kept for Changes, which the simulator never calls.
+const maxChanges = 100
 
 // Changes returns the changes of primaries since the last call.
 func (r *Router) Changes() []PrimaryChange {
@@ -206,17 +206,17 @@
 	return out
 }
 
-// newestLeader returns the member with the newest statement that it is the primary, or nil if that statement
+// newestPrimary returns the member with the newest statement that it is the primary, or nil if that statement
 // is contradicted. It does not fall back to an older statement of another member, as that member had been
 // replaced before.
-func (g *group) newestLeader() *member {
+func (g *group) newestPrimary() *member {
 	var newest *member
 	for _, m := range g.members {
-		if m.evidence.leads > 0 && (newest == nil || m.evidence.leads > newest.evidence.leads) {
+		if m.evidence.primaryNotBefore > 0 && (newest == nil || m.evidence.primaryNotBefore > newest.evidence.primaryNotBefore) {
 			newest = m
 		}
 	}
-	if newest == nil || newest.evidence.leads < g.ledBefore || !newest.evidence.leading() {
+	if newest == nil || newest.evidence.primaryNotBefore < g.forgottenPrimaryAt || !newest.evidence.isPrimary() {
 		return nil
 	}
 	return newest
@@ -229,7 +229,7 @@
 		return g.primary
 	}
 	for _, m := range g.members {
-		if m.Primary && m.evidence.silent() && !m.relisted && r.accepts(m, true) {
+		if m.Primary && m.evidence.neverStatedRole() && !m.mayHaveStatedRole && r.accepts(m, true) {
 			return m
 		}
 	}
@@ -239,15 +239,15 @@
 // grounds returns the evidence on which q may be sent to m now.
 func (r *Router) grounds(q *request, m *member) Grounds {
 	e := &m.evidence
-	if q.cls.Need == Write || r.anyMember(q) {
+	if q.class.Need == Write || r.needsNoProof(q) {
 		return Grounds{Kind: NotNeeded, Position: e.position}
 	}
 	switch {
 	case m == m.group.primary:
-		return Grounds{Kind: LeaderWord, Source: e.leadsFrom, Position: e.position, Leads: e.leads}
+		return Grounds{Kind: LeaderWord, Source: e.primarySource, Position: e.position, Leads: e.primaryNotBefore}
 	case r.fresh(q, m):
-		g := Grounds{Kind: ByPosition, Source: e.positionFrom, Position: e.position}
-		if q.cls.bounded() {
+		g := Grounds{Kind: ByPosition, Source: e.positionSource, Position: e.position}
+		if q.class.bounded() {
 			g.SendBy, g.Ages = r.sendBy(q, m), r.clock.Ages
 		}
 		return g
@@ -255,9 +255,9 @@
 	return Grounds{Kind: Excused, Source: FromList, Position: e.position}
 }
 
-// learnOutcome records what the end of an attempt states. Of an incomplete answer, only a statement against
+// addOutcome records what the end of an attempt states. Of an incomplete answer, only a statement against
 // the member counts.
-func (r *Router) learnOutcome(m *member, e Outcome) {
+func (r *Router) addOutcome(m *member, e Outcome) {
 	if e.Made == (Made{}) {
 		e.Made.NotBefore = r.now - e.Took
 		// A primary's position is the present; after a write it is that of the commit, rounded up.
@@ -265,24 +265,24 @@
 			e.Made.NotBefore = max(e.Made.NotBefore, e.Position-r.clock.Most-slack)
 		}
 	}
-	if !wholeAnswer(e.Result) {
+	if !completeAnswer(e.Result) {
 		if e.Role == Replica {
-			r.learn(m, Statement{Source: FromPart, Role: Replica, Made: e.Made})
+			r.addStatement(m, Statement{Source: FromPart, Role: Replica, Made: e.Made})
 		}
 		return
 	}
-	r.learn(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, Made: e.Made})
+	r.addStatement(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, Made: e.Made})
 	if e.Role != Unknown {
 		e.Report.Role = Unknown // the report that came with it is older
 	}
-	r.learnReport(m, e.Made, e.Report)
+	r.addReport(m, e.Made, e.Report)
 }
 
-// learnReport records a load report, which states its own age.
-func (r *Router) learnReport(m *member, made Made, rep Report) {
+// addReport records a load report, which states its own age.
+func (r *Router) addReport(m *member, made Made, rep Report) {
 	if rep.Has {
 		made.NotBefore = rep.NotBefore
-		r.learn(m, Statement{Source: FromReport, Role: rep.Role, Position: rep.Position, Made: made})
+		r.addStatement(m, Statement{Source: FromReport, Role: rep.Role, Position: rep.Position, Made: made})
 	}
 }
 
@@ -290,7 +290,7 @@
 // is any position.
 func (r *Router) latestPosition(at time.Duration) time.Duration {
 	if !r.clock.Known {
-		return noBound
+		return unreachablePosition
 	}
 	return at + r.clock.Most + slack
 }
@@ -308,13 +308,13 @@
 		}
 	}
 	for _, g := range r.groups {
-		if g.newest > r.latestPosition(r.now) {
-			g.newest = 0
+		if g.newestPosition > r.latestPosition(r.now) {
+			g.newestPosition = 0
 		}
 	}
 	if first {
 		for _, g := range r.groups {
-			r.release(g)
+			r.sendQueued(g)
 		}
 	}
 }
@@ -324,31 +324,31 @@
 	for _, m := range r.members {
 		before := m.evidence
 		m.evidence.clockReplaced()
-		r.noteRole(m, FromAnswer, before)
+		r.updatePrimary(m, FromAnswer, before)
 	}
 	for _, g := range r.groups {
-		g.ledBefore = 0
+		g.forgottenPrimaryAt = 0
 	}
 }
 
-// onInherited records what an earlier router knew about a member.
-func (r *Router) onInherited(e Inherited) {
+// onPriorEvidence records what an earlier router knew about a member.
+func (r *Router) onPriorEvidence(e Inherited) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
 	if e.Leads > 0 {
-		r.learn(m, Statement{Source: FromHandover, Role: Primary, Made: Made{NotBefore: e.Leads}})
+		r.addStatement(m, Statement{Source: FromHandover, Role: Primary, Made: Made{NotBefore: e.Leads}})
 	}
 	if e.Follows > 0 {
-		r.learn(m, Statement{Source: FromHandover, Role: Replica, Made: Made{NotAfter: e.Follows}})
+		r.addStatement(m, Statement{Source: FromHandover, Role: Replica, Made: Made{NotAfter: e.Follows}})
 	}
-	r.learn(m, Statement{Source: FromHandover, Position: e.Position})
+	r.addStatement(m, Statement{Source: FromHandover, Position: e.Position})
 	m.suspect = m.suspect || !e.Alive // it is probed before anything is sent to it
-	r.release(m.group)
+	r.sendQueued(m.group)
 }
 
-// wholeAnswer reports whether a result comes from a complete answer.
-func wholeAnswer(x Result) bool {
+// completeAnswer reports whether a result comes from a complete answer.
+func completeAnswer(x Result) bool {
 	return x == OK || x == Failed || x == Full || x == Miss || x == Stale
 }
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -30,7 +30,7 @@
 		for _, s := range rapid.Permutation(list).Draw(t, "order") {
 			other.add(time.Second, s)
 		}
-		if one.leads != other.leads || one.follows != other.follows || one.position != other.position || one.leading() != other.leading() {
+		if one.primaryNotBefore != other.primaryNotBefore || one.replicaNotAfter != other.replicaNotAfter || one.position != other.position || one.isPrimary() != other.isPrimary() {
 			t.Errorf("evidence %+v differs from %+v", one, other)
 		}
 	})
@@ -69,8 +69,8 @@
 		if c.started > 0 {
 			e.start(now + c.started)
 		}
-		if e.leading() != c.leading {
-			t.Errorf("%s: leading %t, %+v", name, e.leading(), e)
+		if e.isPrimary() != c.leading {
+			t.Errorf("%s: leading %t, %+v", name, e.isPrimary(), e)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	start := g.now
 	g.now += 100 * ms
 	g.know("p", Replica, time.Second)
-	g.r.members["p"].aliveAt, g.r.members["p"].fails = g.now, 2
+	g.r.members["p"].aliveAt, g.r.members["p"].failures = g.now, 2
 	g.now += 100 * ms
 	g.started("p", start, true)
 	if p := g.r.primaryOf(g.r.groups[0]); p != nil {
@@ -98,12 +98,12 @@
 	if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "p") {
 		t.Error("a read goes to a replica that lags")
 	}
-	if g.r.members["p"].fails != 2 {
+	if g.r.members["p"].failures != 2 {
 		t.Error("the health record of the new process is lost")
 	}
 	g.now += time.Second
 	g.started("p", g.now-10*ms, true) // a process that has not answered yet
-	if g.r.members["p"].fails != 0 {
+	if g.r.members["p"].failures != 0 {
 		t.Error("a new process keeps the health record of the previous one")
 	}
 }
@@ -112,9 +112,9 @@
 func TestAStartReadOtherwiseIsNoStart(t *testing.T) {
 	g := newRig(t, nil)
 	g.started("a", origin-time.Second, false)
-	g.r.members["a"].fails = 2
+	g.r.members["a"].failures = 2
 	g.do(Members{List: []Member{{Server: "a", Weight: 1, Started: origin - 500*ms, Incarnation: origin - time.Second}}})
-	if g.r.members["a"].fails != 2 {
+	if g.r.members["a"].failures != 2 {
 		t.Error("a member counts as a new process after a change of the clock offset")
 	}
 }
@@ -201,7 +201,7 @@
 func TestAPartOfAnAnswerTellsNoPosition(t *testing.T) {
 	g := newRig(t, nil)
 	g.part("a", Replica)
-	if e := g.r.members["a"].evidence; e.position != 0 || e.follows == 0 {
+	if e := g.r.members["a"].evidence; e.position != 0 || e.replicaNotAfter == 0 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -242,7 +242,7 @@
 		g.know("a", Replica, c.lag)
 		g.now = told + 450*ms - c.lag // the position is 450 ms old
 		g.know("b", Replica, 3*time.Second)
-		g.r.learn(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.moved, Made: Made{NotBefore: g.now - c.moved, NotAfter: g.now}})
+		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.moved, Made: Made{NotBefore: g.now - c.moved, NotAfter: g.now}})
 		_, acts := g.ask("browse", 0)
 		if sent := slices.Contains(sends(acts), "a"); sent != c.sent {
 			t.Errorf("%s: sent %t, %v", name, sent, acts)
@@ -298,7 +298,7 @@
 		again(g)
 		g.now += 140 * ms
 		g.know("b", Replica, 3*time.Second)
-		g.r.learn(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, Made: Made{NotBefore: g.now - 10*ms, NotAfter: g.now}})
+		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, Made: Made{NotBefore: g.now - 10*ms, NotAfter: g.now}})
 		if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("%s: a read with a bound of 500 ms goes to a replica whose log stopped 450 ms ago, with no margin for a stall: %v", name, acts)
 		}
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -11,40 +11,40 @@
 // need no proof.
 func (r *Router) fresh(q *request, m *member) bool {
 	switch {
-	case r.anyMember(q):
+	case r.needsNoProof(q):
 		return true
-	case m.evidence.position == 0 || q.cls.Need == Session && m.evidence.position < q.wrote:
+	case m.evidence.position == 0 || q.class.Need == Session && m.evidence.position < q.lastWrite:
 		return false
 	}
-	return !q.cls.bounded() || r.clock.Known && r.now <= r.sendBy(q, m)
+	return !q.class.bounded() || r.clock.Known && r.now <= r.sendBy(q, m)
 }
 
-// anyMember reports whether every member may be sent q, because its data is always good enough or because a
+// needsNoProof reports whether every member may be sent q, because its data is always good enough or because a
 // member that lags too far refuses q itself.
-func (r *Router) anyMember(q *request) bool {
-	return r.s.Checks != ChecksNone || q.cls.Need == AnyData || q.cls.Need == Session && q.wrote == 0 && !q.cls.bounded()
+func (r *Router) needsNoProof(q *request) bool {
+	return r.settings.Checks != ChecksNone || q.class.Need == AnyData || q.class.Need == Session && q.lastWrite == 0 && !q.class.bounded()
 }
 
 // sendBy returns the time until which a bounded read may be sent to m on its known position. If m may be
 // falling behind, it leaves a margin for a process that stalls between the decision and the send, as far as
 // the bound allows. If m keeps up and its log stops just then, the answer shows that: see Stale.
 func (r *Router) sendBy(q *request, m *member) time.Duration {
-	by := m.evidence.position - r.clock.Ages + q.cls.Bound - slack
+	by := m.evidence.position - r.clock.Ages + q.class.Bound - slack
 	if !r.keepsUp(q, m) {
-		by -= r.holdUpMargin(q.cls)
+		by -= r.sendDelayMargin(q.class)
 	}
 	return by
 }
 
-func (r *Router) holdUpMargin(c *class) time.Duration {
-	return max(0, min(r.s.HoldUp-holdUpSlack, c.Bound/holdUpPart))
+func (r *Router) sendDelayMargin(c *class) time.Duration {
+	return max(0, min(r.settings.HoldUp-sendDelaySlack, c.Bound/sendDelayDivisor))
 }
 
 // keepsUp reports whether m's last known lag was small and the log of its group has moved recently. The
 // known position of m is then old only because m has not been heard from lately.
 func (r *Router) keepsUp(q *request, m *member) bool {
-	lag := m.evidence.positionAt + r.clock.Ages - m.evidence.position
-	return lag <= q.cls.Bound/keepsUpPart && r.age(m.group.newest) <= q.cls.Bound-slack-r.holdUpMargin(q.cls)
+	lag := m.evidence.positionNotAfter + r.clock.Ages - m.evidence.position
+	return lag <= q.class.Bound/lagDivisor && r.age(m.group.newestPosition) <= q.class.Bound-slack-r.sendDelayMargin(q.class)
 }
 
 // Demand states what data a read's answer must be based on. The zero value demands nothing.
@@ -69,21 +69,21 @@
 // demand returns the demand of q's class. Members that check reads themselves need no second check.
 func (r *Router) demand(q *request) Demand {
 	var d Demand
-	if r.s.Checks != ChecksNone {
+	if r.settings.Checks != ChecksNone {
 		return d
 	}
-	if q.cls.Need == Session {
-		d.Reach = q.wrote
+	if q.class.Need == Session {
+		d.Reach = q.lastWrite
 	}
-	if q.cls.bounded() {
-		d.Bound = max(q.cls.Bound, 1)
+	if q.class.bounded() {
+		d.Bound = max(q.class.Bound, 1)
 	}
 	return d
 }
 
 // Stale reports whether an answer proves that its read ran on data older than its class allows.
 func (r *Router) Stale(now time.Duration, e Outcome) bool {
-	q := r.reqs[e.ID]
+	q := r.requests[e.ID]
 	return q != nil && e.Result == OK &&
 		r.demand(q).Refuted(e.Role, e.Position, min(cmp.Or(e.Written, q.sentAt), now), r.clock)
 }
@@ -92,25 +92,25 @@
 // clock bounds it may be any age.
 func (r *Router) age(position time.Duration) time.Duration {
 	if !r.clock.Known {
-		return noBound
+		return unreachablePosition
 	}
 	return r.now + r.clock.Ages - position
 }
 
-// probesPosition probes a replica for a fresh position, at most once per bound and less often if the replica
+// probeForPosition probes a replica for a fresh position, at most once per bound and less often if the replica
 // lags far behind. It reports whether q waits for the answer. Without clock bounds q does not wait, as only
 // a primary's answer to q itself helps.
-func (r *Router) probesPosition(q *request) bool {
+func (r *Router) probeForPosition(q *request) bool {
 	var next *member
 	n := 0
-	for _, m := range r.usable { // the candidates of the draw that has just failed
-		if !r.s.Probes || r.fresh(q, m) || !r.hasRoom(q, m, 1) || !r.clock.Known && m.evidence.position > 0 {
+	for _, m := range r.candidates { // the candidates of the draw that has just failed
+		if !r.settings.Probes || r.fresh(q, m) || !r.hasCapacity(q, m, 1) || !r.clock.Known && m.evidence.position > 0 {
 			continue
 		}
-		if m.probeOut && r.now-m.probedAt < beat {
+		if m.probing && r.now-m.probedAt < queueInterval {
 			return r.clock.Known
 		}
-		if !m.probeOut && r.now-m.probedAt >= max(r.bound, min((m.probedAt+r.clock.Ages-m.evidence.position)/4, time.Second)) {
+		if !m.probing && r.now-m.probedAt >= max(r.minBound, min((m.probedAt+r.clock.Ages-m.evidence.position)/4, time.Second)) {
 			if n++; r.rng.IntN(n) == 0 {
 				next = m
 			}
@@ -122,10 +122,10 @@
 	return next != nil && r.clock.Known
 }
 
-// wrote returns the position of the last write that a session read must see, or 0 if there is none. It is
+// lastWrite returns the position of the last write that a session read must see, or 0 if there is none. It is
 // the maximum of what the request carries and what is remembered.
-func (r *Router) wrote(e Request) time.Duration {
-	remembered := max(r.sessions[e.Session], r.floor)
+func (r *Router) lastWrite(e Request) time.Duration {
+	remembered := max(r.sessionWrites[e.Session], r.writeFloor)
 	switch {
 	case e.After > 0:
 		return max(remembered, e.After+slack) // a commit position is rounded up: a member that states the same one may lack the commit
@@ -135,13 +135,13 @@
 	return remembered
 }
 
-// remember records a session's last write. When the memory is full it is cleared, and the floor is set above
+// rememberWrite records a session's last write. When the memory is full it is cleared, and the floor is set above
 // all forgotten writes.
-func (r *Router) remember(key string, commit time.Duration) {
+func (r *Router) rememberWrite(key string, commit time.Duration) {
 	commit = cmp.Or(commit, r.latestPosition(r.now))
-	r.sessions[key], r.newest = max(commit, r.sessions[key]), max(commit, r.newest)
-	if len(r.sessions) > sessionLimit {
-		clear(r.sessions)
-		r.floor = r.newest
+	r.sessionWrites[key], r.newestWrite = max(commit, r.sessionWrites[key]), max(commit, r.newestWrite)
+	if len(r.sessionWrites) > maxSessions {
+		clear(r.sessionWrites)
+		r.writeFloor = r.newestWrite
 	}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -89,14 +89,14 @@
 func (g *rig) beat(d time.Duration) []Action {
 	var all []Action
 	for end := g.now + d; g.now < end; {
-		g.now += beat
-		all = append(all, g.do(Timer{tagBeat})...)
+		g.now += queueInterval
+		all = append(all, g.do(Timer{tagQueue})...)
 	}
 	return all
 }
 
 func (g *rig) know(server string, role Role, behind time.Duration) {
-	g.r.learn(g.r.members[server], Statement{Role: role, Position: g.now - behind, Made: Made{NotBefore: g.now, NotAfter: g.now}})
+	g.r.addStatement(g.r.members[server], Statement{Role: role, Position: g.now - behind, Made: Made{NotBefore: g.now, NotAfter: g.now}})
 }
 
 func (g *rig) answer(id, server string, try int, res Result, role Role) []Action {
--- a/balance/health.go
+++ b/balance/health.go
@@ -7,30 +7,30 @@
 // unresponsive reports whether m has attempts in flight and has been silent for longer than its answers
 // usually take.
 func (r *Router) unresponsive(m *member) bool {
-	return len(m.out) > 0 && r.now-m.silentSince > max(silentFloor, 2*m.out[0].cls.took, m.out[0].cls.Aim/4)
+	return len(m.inFlight) > 0 && r.now-m.silentSince > max(minSilence, 2*m.inFlight[0].class.latency, m.inFlight[0].class.Aim/4)
 }
 
 // probe sends a probe to m unless one is in flight. It reports whether one is in flight now.
 func (r *Router) probe(m *member) bool {
-	if !m.probeOut && r.s.Probes {
-		m.probeOut, m.probedAt = true, r.now
-		r.do(Probe{m.Server})
+	if !m.probing && r.settings.Probes {
+		m.probing, m.probedAt = true, r.now
+		r.emit(Probe{m.Server})
 	}
-	return m.probeOut
+	return m.probing
 }
 
 // blacklist excludes m for a while and cancels attempts that may be retried elsewhere. A good probe ends the
 // blacklisting, but not one after a timeout: members that accept requests and never answer them do answer
 // probes. Those stay blacklisted for longer each time.
 func (r *Router) blacklist(m *member, timedOut bool) {
-	m.downUntil, m.suspect = r.now+blacklistFor, true
+	m.blacklistedUntil, m.suspect = r.now+blacklistDuration, true
 	if timedOut {
 		m.timeouts = min(m.timeouts+1, 3)
-		m.downUntil = r.now + blacklistFor<<(m.timeouts-1)
+		m.blacklistedUntil = r.now + blacklistDuration<<(m.timeouts-1)
 	}
-	for _, q := range m.out {
-		if !q.done && q.cls.Effect != Unsafe {
-			r.withdraw(q)
+	for _, q := range m.inFlight {
+		if !q.done && q.class.Effect != Unsafe {
+			r.cancelAttempt(q)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 // reinstate ends a blacklisting, except after a timeout.
 func (m *member) reinstate() {
 	if m.timeouts == 0 {
-		m.downUntil = 0
+		m.blacklistedUntil = 0
 	}
 }
 
@@ -50,7 +50,7 @@
 		if o == m || o == primary || !r.accepts(o, false) {
 			continue
 		}
-		if n++; r.alive(o) {
+		if n++; r.available(o) {
 			left++
 		}
 	}
@@ -62,27 +62,27 @@
 	if m == nil {
 		return
 	}
-	m.probeOut = false
+	m.probing = false
 	if e.Result == OK || e.Result == Garbled {
-		r.noteAlive(m)
-		r.learnReport(m, e.Made, e.Report)
+		r.recordAlive(m)
+		r.addReport(m, e.Made, e.Report)
 		m.suspect = false
 		m.reinstate()
 	} else if e.Result != NotSent { // this router itself lacked a connection
 		m.dead = true
 		r.blacklist(m, false)
 	}
-	r.release(m.group)
+	r.sendQueued(m.group)
 }
 
-// onHeard handles an outcome that another router reported. It concerns a member, not a request. It does not
+// onRemoteOutcome handles an outcome that another router reported. It concerns a member, not a request. It does not
 // revive a member that was seen dead: only contact with this router shows that such a member has started.
-func (r *Router) onHeard(e Heard) {
+func (r *Router) onRemoteOutcome(e Heard) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	r.learn(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, Made: Made{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
+	r.addStatement(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, Made: Made{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
 	switch {
 	case e.Result == NoConnection:
 		m.suspect = m.suspect || e.At > m.silentSince // it is probed before anything is sent to it
@@ -95,5 +95,5 @@
 	if cls := r.cells[0].classes[e.Class]; cls != nil {
 		r.adjustLimit(m, r.cells[0], cls, e.Result, e.Took, true)
 	}
-	r.release(m.group)
+	r.sendQueued(m.group)
 }
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -19,7 +19,7 @@
 			g.answer(id2, "a", 0, OK, Replica)
 		}
 		g.do(Outcome{ID: id1, Server: "a", Result: TimedOut, Took: 700 * ms})
-		if got := g.r.alive(g.r.members["a"]); got != answers {
+		if got := g.r.available(g.r.members["a"]); got != answers {
 			t.Errorf("answers others: %v, available: %v", answers, got)
 		}
 	}
@@ -32,14 +32,14 @@
 	g.know("a", Replica, 0)
 	m := g.r.members["a"]
 	for range 60 {
-		g.now += cutPause
+		g.now += limitCutInterval
 		g.r.now = g.now
 		g.r.adjustLimit(m, g.r.cells[0], g.r.cells[0].classes["any"], OK, 900*ms, true)
 	}
 	// A host runs four attempts in parallel; with two in flight, half of it idled while reads waited until
 	// they were too late.
-	if m.limit != leastLimit || !g.r.hasRoom(nil, &member{limit: m.limit, out: make([]*request, 3), group: m.group}, 1) {
-		t.Errorf("limit %v after a long slow period, want %d and capacity for a fourth attempt", m.limit, leastLimit)
+	if m.limit != minLimit || !g.r.hasCapacity(nil, &member{limit: m.limit, inFlight: make([]*request, 3), group: m.group}, 1) {
+		t.Errorf("limit %v after a long slow period, want %d and capacity for a fourth attempt", m.limit, minLimit)
 	}
 }
 
@@ -48,7 +48,7 @@
 	g.do(Members{Whole: true, List: list()[:2]})
 	id, _ := g.ask("any", 0)
 	g.answer(id, "a", 0, Failed, Replica)
-	if !g.r.alive(g.r.members["a"]) {
+	if !g.r.available(g.r.members["a"]) {
 		t.Error("the only replica was blacklisted for one error")
 	}
 }
@@ -61,7 +61,7 @@
 	_, acts := g.ask("save", 0)
 	want(t, "write to a silent primary", sends(acts), nil)
 	probed := false
-	for _, a := range append(acts, g.beat(beat)...) {
+	for _, a := range append(acts, g.beat(queueInterval)...) {
 		probed = probed || a == Action(Probe{"p"})
 	}
 	if !probed {
@@ -94,7 +94,7 @@
 			want(t, c.name, finals(acts), []string{"refuse " + id})
 		}
 		for s, m := range g.r.members {
-			if down := !g.r.alive(m); down != (c.down && s == first) {
+			if down := !g.r.available(m); down != (c.down && s == first) {
 				t.Errorf("%s: %s blacklisted %v", c.name, s, down)
 			}
 		}
@@ -123,13 +123,13 @@
 				asked = asked || a.Server == "a"
 			}
 		}
-		if g.r.members["a"].out[0].ID != other || asked != c.asked {
-			t.Errorf("%v: in flight %v, probed %v", c.broke, g.r.members["a"].out, asked)
+		if g.r.members["a"].inFlight[0].ID != other || asked != c.asked {
+			t.Errorf("%v: in flight %v, probed %v", c.broke, g.r.members["a"].inFlight, asked)
 		}
 		if asked {
 			g.do(ProbeResult{Server: "a", Result: c.probe})
 		}
-		if got := g.r.alive(g.r.members["a"]); got != c.alive {
+		if got := g.r.available(g.r.members["a"]); got != c.alive {
 			t.Errorf("%v, then a probe that ends with %v: available %v", c.broke, c.probe, got)
 		}
 	}
@@ -138,7 +138,7 @@
 func TestAProbeDoesNotEndTheBlacklistingOfWhatOnlyErrs(t *testing.T) {
 	// A replica that failed every request at once answered its probes and was in use again every half
 	// second.
-	for n, back := range map[int]bool{failsMost - 1: true, failsMost: false} {
+	for n, back := range map[int]bool{maxFailures - 1: true, maxFailures: false} {
 		g := newRig(t, nil)
 		m := g.r.members["a"]
 		for range n {
@@ -151,11 +151,11 @@
 			}
 			g.answer(id, to[0], 1, OK, Unknown)
 			g.do(ProbeResult{Server: "a", Result: OK})
-			if n == failsMost && g.r.alive(m) && m.fails == n {
+			if n == maxFailures && g.r.available(m) && m.failures == n {
 				t.Errorf("available again after %d errors in a row", n)
 			}
 		}
-		if got := g.r.alive(m); got != back {
+		if got := g.r.available(m); got != back {
 			t.Errorf("%d errors in a row, then a good probe: available %v, want %v", n, got, back)
 		}
 	}
@@ -167,7 +167,7 @@
 		timeouts int
 		after    time.Duration
 		back     bool
-	}{{0, 0, true}, {1, 0, false}, {1, blacklistFor, true}, {2, blacklistFor, false}, {2, 2 * blacklistFor, true}} {
+	}{{0, 0, true}, {1, 0, false}, {1, blacklistDuration, true}, {2, blacklistDuration, false}, {2, 2 * blacklistDuration, true}} {
 		g := newRig(t, nil)
 		m := g.r.members["a"]
 		g.r.now = g.now
@@ -179,7 +179,7 @@
 		}
 		g.now += c.after
 		g.do(ProbeResult{Server: "a", Result: OK})
-		if got := g.r.alive(m); got != c.back {
+		if got := g.r.available(m); got != c.back {
 			t.Errorf("%d timeouts, a good probe %v later: available %v, want %v", c.timeouts, c.after, got, c.back)
 		}
 	}
@@ -219,10 +219,10 @@
 		}
 		g.answer(id, to, 0, TimedOut, Unknown)
 		m := g.r.members[to]
-		if blame := !g.r.alive(m); blame != c.blame {
+		if blame := !g.r.available(m); blame != c.blame {
 			t.Errorf("stalled for %v: blacklisted %v", c.stood, blame)
 		}
-		if !c.blame && m.limit != firstLimit {
+		if !c.blame && m.limit != initialLimit {
 			t.Errorf("limit reduced to %v after a stall", m.limit)
 		}
 	}
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -11,55 +11,55 @@
 
 type member struct {
 	Member
-	group           *group
-	toldAt          time.Duration // when this router was notified that it drains or is removed
-	drained         bool          // it was listed as draining
-	evidence        evidence
-	relisted        bool          // it may have stated its role before it was forgotten
-	cutAt           time.Duration // time of the last reduction of its limit
-	aliveAt         time.Duration // last sign of life
-	revived         time.Duration // first sign of life after it was seen dead: a start that is not listed yet
-	out             []*request    // attempts in flight, oldest first
-	of              map[*cell]int // number of attempts in flight per cell
-	silentSince     time.Duration // start of the present silence while attempts are in flight
-	downUntil       time.Duration // blacklisted until then
-	timeouts, fails int           // since its last answer
-	probedAt        time.Duration
-	// probeOut: a probe is in flight. suspect: blacklisted, without a sign of life since. dead: a probe
+	group              *group
+	notifiedAt         time.Duration // when this router was notified that it drains or is removed
+	wasDraining        bool          // it was listed as draining
+	evidence           evidence
+	mayHaveStatedRole  bool          // it may have stated its role before it was forgotten
+	limitCutAt         time.Duration // time of the last reduction of its limit
+	aliveAt            time.Duration // last sign of life
+	restartedAt        time.Duration // first sign of life after it was seen dead: a start that is not listed yet
+	inFlight           []*request    // attempts in flight, oldest first
+	inFlightByCell     map[*cell]int // number of attempts in flight per cell
+	silentSince        time.Duration // start of the present silence while attempts are in flight
+	blacklistedUntil   time.Duration // blacklisted until then
+	timeouts, failures int           // since its last answer
+	probedAt           time.Duration
+	// probing: a probe is in flight. suspect: blacklisted, without a sign of life since. dead: a probe
 	// failed, without a sign of life since.
-	probeOut, suspect, dead bool
-	share                   float64 // smoothed answer time as a fraction of the latency target
-	limit                   float64 // maximum number of attempts in flight from this router
+	probing, suspect, dead bool
+	latencyRatio           float64 // smoothed answer time as a fraction of the latency target
+	limit                  float64 // maximum number of attempts in flight from this router
 }
 
 func (r *Router) onMembers(e Members) {
-	if r.s.Ask && !r.watchSent {
-		r.watchSent = true
-		r.do(Watch{})
+	if r.settings.Ask && !r.watching {
+		r.watching = true
+		r.emit(Watch{})
 	}
 	named := map[string]bool{}
 	for _, l := range e.List {
 		named[l.Server] = true
-		if !(l.Weight > leastWeight) {
-			l.Weight = leastWeight // a missing or invalid weight: drawn only if no member has a better one
+		if !(l.Weight > minWeight) {
+			l.Weight = minWeight // a missing or invalid weight: drawn only if no member has a better one
 		}
 		m := r.members[l.Server]
 		if m == nil && l.State == Left {
 			continue
 		} else if m == nil {
 			g := r.group(l.Group)
-			m = &member{group: g, of: map[*cell]int{}, limit: firstLimit, probedAt: r.now - time.Hour, relisted: r.forgotSome || r.forgotten[l.Server]}
+			m = &member{group: g, inFlightByCell: map[*cell]int{}, limit: initialLimit, probedAt: r.now - time.Hour, mayHaveStatedRole: r.forgottenLost || r.forgotten[l.Server]}
 			r.members[l.Server] = m
 			i, _ := slices.BinarySearchFunc(g.members, l.Server,
 				func(o *member, server string) int { return strings.Compare(o.Server, server) })
 			g.members = slices.Insert(g.members, i, m) // in the same order at every router
 		} else if l.incarnation() != m.incarnation() && l.Started > m.aliveAt {
-			m.downUntil, m.suspect, m.fails, m.limit, m.share = 0, false, 0, firstLimit, 0 // a new process, which has not answered yet
+			m.blacklistedUntil, m.suspect, m.failures, m.limit, m.latencyRatio = 0, false, 0, initialLimit, 0 // a new process, which has not answered yet
 		}
 		r.setState(m, l.State)
 		m.Member = l
 		if l.Started > 0 {
-			r.learnStart(m, l.Started)
+			r.addStart(m, l.Started)
 		}
 	}
 	for _, m := range r.members {
@@ -67,7 +67,7 @@
 			r.setState(m, Left)
 			m.State = Left
 		}
-		if m.State != Left || r.accepts(m, true) || len(m.out) > 0 || r.now-m.toldAt < forgetAfter {
+		if m.State != Left || r.accepts(m, true) || len(m.inFlight) > 0 || r.now-m.notifiedAt < forgetAfter {
 			continue
 		}
 		// Removed members are dropped, as a fleet whose members are replaced again and again must not fill
@@ -85,25 +85,25 @@
 	delete(r.members, m.Server)
 	g := m.group
 	g.members = slices.DeleteFunc(g.members, func(o *member) bool { return o == m })
-	g.ledBefore = max(g.ledBefore, m.evidence.leads)
+	g.forgottenPrimaryAt = max(g.forgottenPrimaryAt, m.evidence.primaryNotBefore)
 	if g.primary == m {
 		g.primary = nil
 	}
-	if m.evidence.silent() {
+	if m.evidence.neverStatedRole() {
 		return
 	}
-	if len(r.forgotten) >= forgottenMost {
+	if len(r.forgotten) >= maxForgotten {
 		clear(r.forgotten)
-		r.forgotSome = true // any member that is listed from now on may be one of them
+		r.forgottenLost = true // any member that is listed from now on may be one of them
 	}
 	r.forgotten[m.Server] = true
 }
 
 func (r *Router) setState(m *member, s State) {
-	if m.drained = (m.drained || s == Draining) && s != Active; s == Active {
-		m.toldAt = 0
-	} else if m.toldAt == 0 {
-		m.toldAt = r.now
+	if m.wasDraining = (m.wasDraining || s == Draining) && s != Active; s == Active {
+		m.notifiedAt = 0
+	} else if m.notifiedAt == 0 {
+		m.notifiedAt = r.now
 	}
 }
 
@@ -112,20 +112,20 @@
 // members to go to.
 func (r *Router) accepts(m *member, grace bool) bool {
 	if m.State == Draining {
-		return grace && r.now < cmp.Or(m.SendUntil, m.toldAt+r.s.DrainGrace)-2*r.s.Tick-beat
+		return grace && r.now < cmp.Or(m.SendUntil, m.notifiedAt+r.settings.DrainGrace)-2*r.settings.Tick-queueInterval
 	}
-	return m.State == Active || m.State == Left && r.s.DroppedStayOpen && !m.drained
+	return m.State == Active || m.State == Left && r.settings.DroppedStayOpen && !m.wasDraining
 }
 
-// noteAlive records a sign of life. If m had been seen dead, it has started since, and the list will state
+// recordAlive records a sign of life. If m had been seen dead, it has started since, and the list will state
 // that later.
-func (r *Router) noteAlive(m *member) {
+func (r *Router) recordAlive(m *member) {
 	m.silentSince, m.aliveAt = r.now, r.now
 	if m.dead {
-		m.dead, m.revived = false, r.now
+		m.dead, m.restartedAt = false, r.now
 	}
 }
 
-func (r *Router) alive(m *member) bool { return r.now >= m.downUntil }
+func (r *Router) available(m *member) bool { return r.now >= m.blacklistedUntil }
 
-func (r *Router) serves(p *member) bool { return p != nil && r.accepts(p, true) && r.alive(p) }
+func (r *Router) canServe(p *member) bool { return p != nil && r.accepts(p, true) && r.available(p) }
--- a/balance/membership_test.go
+++ b/balance/membership_test.go
@@ -36,7 +36,7 @@
 	l := list()
 	l[1].Started = g.now
 	g.do(Members{List: l[1:2]})
-	if !g.r.alive(g.r.members["a"]) {
+	if !g.r.available(g.r.members["a"]) {
 		t.Error("a new process is still blacklisted for the failures of the old one")
 	}
 }
@@ -87,7 +87,7 @@
 	g := newRig(t, nil)
 	id, acts := g.ask("any", 0)
 	g.answer(id, sends(acts)[0], 0, OK, Replica)
-	if acts := g.do(Timer{tagBeat}); len(acts) != 0 {
+	if acts := g.do(Timer{tagQueue}); len(acts) != 0 {
 		t.Errorf("the beat of an idle router returns %v", acts)
 	}
 	if _, acts := g.ask("save", 0); len(acts) == 0 {
--- a/balance/retune_test.go
+++ b/balance/retune_test.go
@@ -18,18 +18,18 @@
 	if acts := r.Handle(at, Request{ID: "old", Class: "a", Deadline: at + 900*ms}, nil); len(acts) != 2 {
 		t.Fatalf("%v", acts)
 	}
-	old := r.reqs["old"]
+	old := r.requests["old"]
 	s.Classes = []Class{{Name: "a", Need: AnyData, Effect: Unsafe, Aim: 100 * ms, Deadline: 400 * ms, Worth: 1}, {Name: "n", Need: AnyData, Aim: ms, Deadline: ms}}
 	s, err = s.Checked()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Handle(at, Retune{s}, nil)
-	if r.reqs["old"] != old || old.cls.Effect != Safe || old.cls.Deadline != 900*ms {
-		t.Errorf("the class of the open request became %+v", old.cls.Class)
+	if r.requests["old"] != old || old.class.Effect != Safe || old.class.Deadline != 900*ms {
+		t.Errorf("the class of the open request became %+v", old.class.Class)
 	}
 	r.Handle(at, Request{ID: "new", Class: "a", Deadline: at + 400*ms}, nil)
-	if q := r.reqs["new"]; q == nil || q.cls.Effect != Unsafe {
+	if q := r.requests["new"]; q == nil || q.class.Effect != Unsafe {
 		t.Errorf("a new request has %+v", q)
 	}
 	if acts := r.Handle(at, Request{ID: "gone", Class: "w", Deadline: at + 400*ms}, nil); len(acts) != 1 || acts[0] != (Refuse{ID: "gone"}) {
--- a/balance/router.go
+++ b/balance/router.go
@@ -16,133 +16,133 @@
 const (
 	ms = time.Millisecond
 
-	pinWindow         = 300 * ms // a session's reads go to the primary for this long after a write
-	blacklistFor      = 5 * time.Second
-	beat              = 20 * ms         // interval at which queued requests are tried again, also while they wait for a position
-	clockReadFor      = 150 * ms        // how long reads wait for an answer that may bound the clock offset
-	retryPause        = 50 * ms         // first delay before a primary that was full, or a missing primary, is tried again
-	silentFloor       = 100 * ms        // a primary with attempts in flight that is silent for longer is probed
-	cutPause          = 100 * ms        // minimum time between two reductions of a limit
-	downProbe         = 500 * ms        // minimum time between probes of a blacklisted member
-	probeShare        = 10 * ms         // the same per router of the fleet, where that is longer
-	refusedRetryAfter = time.Second     // retryAfter of refused requests: an earlier retry adds load and gains little
-	coldPause         = 2 * time.Second // average delay before a cold primary is tried again
-	coldRetryFactor   = 4               // of the requests that a cold primary refused, one in this many may be retried there
-	forgetAfter       = time.Minute     // a removed member is dropped after this time
-	slack             = ms              // positions are whole milliseconds; in doubt data counts as stale
+	pinWindow              = 300 * ms // a session's reads go to the primary for this long after a write
+	blacklistDuration      = 5 * time.Second
+	queueInterval          = 20 * ms         // interval at which queued requests are tried again, also while they wait for a position
+	clockReadWait          = 150 * ms        // how long reads wait for an answer that may bound the clock offset
+	retryDelay             = 50 * ms         // first delay before a primary that was full, or a missing primary, is tried again
+	minSilence             = 100 * ms        // a primary with attempts in flight that is silent for longer is probed
+	limitCutInterval       = 100 * ms        // minimum time between two reductions of a limit
+	probeInterval          = 500 * ms        // minimum time between probes of a blacklisted member
+	probeIntervalPerRouter = 10 * ms         // the same per router of the fleet, where that is longer
+	refusedRetryAfter      = time.Second     // retryAfter of refused requests: an earlier retry adds load and gains little
+	coldRetryDelay         = 2 * time.Second // average delay before a cold primary is tried again
+	coldRetryFactor        = 4               // of the requests that a cold primary refused, one in this many may be retried there
+	forgetAfter            = time.Minute     // a removed member is dropped after this time
+	slack                  = ms              // positions are whole milliseconds; in doubt data counts as stale
 
-	// holdUpSlack is the part of the protocol's 50 ms of slack that a process stalled before a send may use;
+	// sendDelaySlack is the part of the protocol's 50 ms of slack that a process stalled before a send may use;
 	// the rest is for the clock offset (fleetclock.AgeSlack). The margin that is kept free for such a stall
 	// is at most the bound divided by holdUpPart, as otherwise short bounds would leave no replica to read
 	// from. A log whose lag is at most the bound divided by keepsUpPart keeps up; reports are up to 0.2 s
 	// old, so that every log seems to lag by as much.
-	holdUpSlack, holdUpPart, keepsUpPart = 5 * ms, 3, 2
+	sendDelaySlack, sendDelayDivisor, lagDivisor = 5 * ms, 3, 2
 
-	forgottenMost    = 10000 // maximum number of removed members remembered as having stated a role
-	sessionLimit     = 20000 // maximum number of sessions whose last write is remembered
-	fallbackPart     = 0.6   // fraction of the primary's limit that may be filled by reads that a replica could serve
-	coldMargin       = 0.6   // fraction of the overload factor that may be used; the rest is for retries
-	coldSpare        = 0.2   // fraction of the factor above 1 that may be used, as the member may be warmer than its minimum; the rest is for bursts
+	maxForgotten     = 10000 // maximum number of removed members remembered as having stated a role
+	maxSessions      = 20000 // maximum number of sessions whose last write is remembered
+	fallbackFraction = 0.6   // fraction of the primary's limit that may be filled by reads that a replica could serve
+	coldFactorMargin = 0.6   // fraction of the overload factor that may be used; the rest is for retries
+	coldFactorSpare  = 0.2   // fraction of the factor above 1 that may be used, as the member may be warmer than its minimum; the rest is for bursts
 	coldSpareRouters = 60.0  // up to this many routers, whose own limits contain bursts, may use all of it
-	leastWeight      = 1e-9  // replaces a weight of 0, so that equal zero weights can still be drawn from
-	tookMemory       = 16.0  // number of answers that the smoothed answer time averages over
-	guessFades       = 64    // number of answers after which the initial estimate weighs less than 2 %
-	// badMemory is the number of attempts that the fraction of bad ends averages over. After failsMost
+	minWeight        = 1e-9  // replaces a weight of 0, so that equal zero weights can still be drawn from
+	latencyWindow    = 16.0  // number of answers that the smoothed answer time averages over
+	estimateWindow   = 64    // number of answers after which the initial estimate weighs less than 2 %
+	// badWindow is the number of attempts that the fraction of bad ends averages over. After failsMost
 	// errors in a row, a good probe does not end a blacklisting.
-	badMemory, failsMost = 10.0, 3
+	badWindow, maxFailures = 10.0, 3
 
-	fewRouters = 2.0 // all routers together may fill the limits of about this many at a group
-	// firstLimit is the limit of attempts in flight at a new member; leastLimit is kept however slow all
+	fleetLimitFactor = 2.0 // all routers together may fill the limits of about this many at a group
+	// initialLimit is the limit of attempts in flight at a new member; leastLimit is kept however slow all
 	// answers are.
-	firstLimit, leastLimit = 8, 4
+	initialLimit, minLimit = 8, 4
 	// As fractions of the latency target: above highShare the limit is reduced, below lowShare it may grow.
-	highShare, lowShare = 0.35, 0.25
-	// shareMemory is the number of requests over which tenants are compared; above overMargin times its
+	highLatencyRatio, lowLatencyRatio = 0.35, 0.25
+	// quotaWindow is the number of requests over which tenants are compared; above overMargin times its
 	// share a tenant is over its quota.
-	shareMemory, overMargin = 100.0, 1.2
+	quotaWindow, overQuotaMargin = 100.0, 1.2
 	// Load shedding of reads starts at the fraction badFrom of bad attempts, grows by badSlope and sheds
 	// badMost at most.
-	badFrom, badSlope, badMost = 0.1, 2.0, 0.9
+	shedThreshold, shedSlope, maxShedFraction = 0.1, 2.0, 0.9
 
-	tagBeat, tagWatch, firstSeq = 0, 1, 2 // timer tags; tags from firstSeq on are sequence numbers of requests
+	tagQueue, tagWatch, firstSeq = 0, 1, 2 // timer tags; tags from firstSeq on are sequence numbers of requests
 )
 
 type class struct {
 	Class
-	took    time.Duration // smoothed answer time, starting from an estimate
-	answers int           // number of answers in the average, up to guessFades
+	latency time.Duration // smoothed answer time, starting from an estimate
+	samples int           // number of answers in the average, up to guessFades
 }
 
 // primaryOnly reports whether only the primary may serve requests of the class.
 func (c *class) primaryOnly() bool { return c.Need == Write || c.Need == Latest }
 
 type tenant struct {
-	share, used float64 // share is in requests per second; used is the tenant's fraction of this router's recent requests
+	quota, usage float64 // share is in requests per second; used is the tenant's fraction of this router's recent requests
 }
 
 type group struct {
 	id                      int
 	members                 []*member
 	primary                 *member       // the member with the newest statement that it is the primary, unless later evidence contradicts it
-	ledBefore               time.Duration // time of the newest such statement of members that were forgotten
-	newest                  time.Duration // highest known position of any member
+	forgottenPrimaryAt      time.Duration // time of the newest such statement of members that were forgotten
+	newestPosition          time.Duration // highest known position of any member
 	queued                  []*request
 	searcher                *request // the one write that is sent to members in turn while the primary is unknown
 	searchAfter, searchedAt time.Duration
 	lostAt, foundAt, outage time.Duration // when requests found no primary, when they found one again, and the time between
-	next                    int           // index of the member that is asked next for the primary
+	nextSearched            int           // index of the member that is asked next for the primary
 	waiting                 bool          // the group is looked at with each beat, as requests are queued
 }
 
 type request struct {
 	Request
-	seq                     int64
-	cls                     *class
-	cell                    *cell
-	group                   *group
-	wrote                   time.Duration // position of the session's last write; 0 if there is none
-	attempts                int
-	at                      *member // the member that the attempt in flight was sent to; nil if none is in flight
-	arrived, sentAt         time.Duration
-	limit                   time.Duration // timeout of that attempt; 0 means the client's deadline
-	ranAt                   time.Duration // send time of the first attempt that was possibly executed
-	tried, failed           []*member     // members that it was sent to; members that answered with an error
-	queued, withdrawn, done bool
-	worth                   float64
-	shedDraw                float64       // drawn once on arrival: the request is shed if it is below the fraction to shed
-	coldDraw                float64       // drawn once, above 0, when a cold member is first considered; 0 if not drawn yet
-	notBefore               time.Duration // the request is not sent to the primary before this time
+	seq                      int64
+	class                    *class
+	cell                     *cell
+	group                    *group
+	lastWrite                time.Duration // position of the session's last write; 0 if there is none
+	attempts                 int
+	member                   *member // the member that the attempt in flight was sent to; nil if none is in flight
+	arrived, sentAt          time.Duration
+	timeout                  time.Duration // timeout of that attempt; 0 means the client's deadline
+	possiblyExecutedAt       time.Duration // send time of the first attempt that was possibly executed
+	tried, failed            []*member     // members that it was sent to; members that answered with an error
+	queued, cancelSent, done bool
+	worth                    float64
+	shedDraw                 float64       // drawn once on arrival: the request is shed if it is below the fraction to shed
+	coldDraw                 float64       // drawn once, above 0, when a cold member is first considered; 0 if not drawn yet
+	notBefore                time.Duration // the request is not sent to the primary before this time
 }
 
 // Router decides where the requests of one gateway go. It is not safe for concurrent use.
 type Router struct {
-	s                  Settings
-	rng                *rand.Rand
-	now, beatDue       time.Duration
-	listed             Cells
-	cells              map[int]*cell      // cell 0 is for requests without a cell
-	all                sharers            // the cells that share a primary
-	shared             map[string]sharers // the cells that share a replica, by server
-	clock              ClockBounds
-	clockRead          *request      // request whose answer may bound the clock offset while nothing else does; nil if none is in flight
-	bound              time.Duration // smallest bound of the bounded classes: the interval of position probes
-	members            map[string]*member
-	forgotten          map[string]bool // removed members that had stated a role
-	forgotSome         bool            // more members were removed than are remembered
-	groups             map[int]*group
-	waiting            []*group
-	reqs               map[string]*request
-	seqs               map[int64]*request
-	tenants            map[string]*tenant
-	seq                int64
-	quota, asked       float64   // sum of all shares; fraction of recent requests that came from tenants
-	usable             []*member // candidates of the last draw
-	weights            []float64
-	sessions           map[string]time.Duration // last known write of each session, with remembered tokens
-	newest, floor      time.Duration            // newest is the latest of those writes; no forgotten write is later than floor
-	beating, watchSent bool                     // a beat is scheduled; the list is being watched
-	acts               []Action
-	changes            []PrimaryChange // not yet fetched by Changes
+	settings                Settings
+	rng                     *rand.Rand
+	now, queueTimerDue      time.Duration
+	cellList                Cells
+	cells                   map[int]*cell      // cell 0 is for requests without a cell
+	primarySharers          sharers            // the cells that share a primary
+	replicaSharers          map[string]sharers // the cells that share a replica, by server
+	clock                   ClockBounds
+	clockRead               *request      // request whose answer may bound the clock offset while nothing else does; nil if none is in flight
+	minBound                time.Duration // smallest bound of the bounded classes: the interval of position probes
+	members                 map[string]*member
+	forgotten               map[string]bool // removed members that had stated a role
+	forgottenLost           bool            // more members were removed than are remembered
+	groups                  map[int]*group
+	waiting                 []*group
+	requests                map[string]*request
+	requestsBySeq           map[int64]*request
+	tenants                 map[string]*tenant
+	nextSeq                 int64
+	totalQuota, tenantUsage float64   // sum of all shares; fraction of recent requests that came from tenants
+	candidates              []*member // candidates of the last draw
+	weights                 []float64
+	sessionWrites           map[string]time.Duration // last known write of each session, with remembered tokens
+	newestWrite, writeFloor time.Duration            // newest is the latest of those writes; no forgotten write is later than floor
+	queueTimerSet, watching bool                     // a beat is scheduled; the list is being watched
+	actions                 []Action
+	changes                 []PrimaryChange // not yet fetched by Changes
 }
 
 // New returns a router with the given settings. The error is that of Settings.Checked.
@@ -152,54 +152,54 @@
 		return nil, err
 	}
 	r := &Router{rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), members: map[string]*member{}, forgotten: map[string]bool{},
-		groups: map[int]*group{}, reqs: map[string]*request{}, seqs: map[int64]*request{}, seq: firstSeq,
-		sessions: map[string]time.Duration{}, clock: ClockBounds{Known: true}}
-	r.take(s)
+		groups: map[int]*group{}, requests: map[string]*request{}, requestsBySeq: map[int64]*request{}, nextSeq: firstSeq,
+		sessionWrites: map[string]time.Duration{}, clock: ClockBounds{Known: true}}
+	r.applySettings(s)
 	return r, nil
 }
 
-// take applies settings. Open requests keep the class that they arrived with.
-func (r *Router) take(s Settings) {
+// applySettings applies settings. Open requests keep the class that they arrived with.
+func (r *Router) applySettings(s Settings) {
 	// The writes of sessions were not remembered until now.
-	if r.s.TokensCarried && !s.TokensCarried {
-		r.floor = max(r.floor, r.latestPosition(r.now))
+	if r.settings.TokensCarried && !s.TokensCarried {
+		r.writeFloor = max(r.writeFloor, r.latestPosition(r.now))
 	}
-	r.s, r.bound, r.tenants, r.quota = s, 0, map[string]*tenant{}, 0
+	r.settings, r.minBound, r.tenants, r.totalQuota = s, 0, map[string]*tenant{}, 0
 	for _, c := range s.Classes {
-		if c.bounded() && (r.bound == 0 || c.Bound < r.bound) {
-			r.bound = c.Bound
+		if c.bounded() && (r.minBound == 0 || c.Bound < r.minBound) {
+			r.minBound = c.Bound
 		}
 	}
 	for _, t := range s.Tenants {
 		if t.PerSec > 0 {
-			r.tenants[t.Name] = &tenant{share: t.PerSec}
-			r.quota += t.PerSec
+			r.tenants[t.Name] = &tenant{quota: t.PerSec}
+			r.totalQuota += t.PerSec
 		}
 	}
-	r.bound, r.floor = cmp.Or(r.bound, pinWindow), max(r.floor, s.Floor)
-	r.forgotSome = r.forgotSome || s.Restarted
-	r.onCells(r.listed)
+	r.minBound, r.writeFloor = cmp.Or(r.minBound, pinWindow), max(r.writeFloor, s.Floor)
+	r.forgottenLost = r.forgottenLost || s.Restarted
+	r.onCells(r.cellList)
 }
 
 // Handle processes one event and appends the resulting actions to acts.
 func (r *Router) Handle(now time.Duration, ev Event, acts []Action) []Action {
-	r.now, r.acts = now, acts
-	if r.beating && now > r.beatDue+silentFloor {
+	r.now, r.actions = now, acts
+	if r.queueTimerSet && now > r.queueTimerDue+minSilence {
 		// This router was stalled, so that silence and slow answers are not the members' fault.
 		for _, m := range r.members {
-			m.silentSince, m.cutAt = now, now
+			m.silentSince, m.limitCutAt = now, now
 		}
-		r.beatDue = now
+		r.queueTimerDue = now
 	}
 	switch e := ev.(type) {
 	case Members:
 		r.onMembers(e)
 	case ListLost:
-		r.do(After{time.Second + time.Duration(r.rng.Int64N(int64(time.Second))), tagWatch})
+		r.emit(After{time.Second + time.Duration(r.rng.Int64N(int64(time.Second))), tagWatch})
 	case Cells:
 		r.onCells(e)
 	case Retune:
-		r.take(e.Settings)
+		r.applySettings(e.Settings)
 	case Request:
 		r.onRequest(e)
 	case Outcome:
@@ -207,30 +207,30 @@
 	case ProbeResult:
 		r.onProbe(e)
 	case Heard:
-		r.onHeard(e)
+		r.onRemoteOutcome(e)
 	case ClockBounds:
 		r.onClockBounds(e)
 	case ClockReplaced:
 		r.onClockReplaced()
 	case Inherited:
-		r.onInherited(e)
+		r.onPriorEvidence(e)
 	case Timer:
 		r.onTimer(e.Tag)
 	case Gone:
-		if q := r.reqs[e.ID]; q != nil {
-			r.end(q)
+		if q := r.requests[e.ID]; q != nil {
+			r.finish(q)
 		}
 	case Ending:
-		for _, q := range r.seqs {
+		for _, q := range r.requestsBySeq {
 			q.Deadline = min(q.Deadline, e.By)
-			r.do(After{max(q.Deadline-r.now, 1), q.seq})
+			r.emit(After{max(q.Deadline-r.now, 1), q.seq})
 		}
 	}
-	acts, r.acts = r.acts, nil
+	acts, r.actions = r.actions, nil
 	return acts
 }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
 func (r *Router) group(n int) *group {
 	if r.groups[n] == nil {
@@ -240,20 +240,20 @@
 }
 
 func (r *Router) onTimer(tag int64) {
-	switch q := r.seqs[tag]; {
+	switch q := r.requestsBySeq[tag]; {
 	case tag == tagWatch:
-		r.do(Watch{})
+		r.emit(Watch{})
 	case q != nil:
 		r.giveUp(q, Overdue)
-	case tag == tagBeat:
-		r.beating = false
+	case tag == tagQueue:
+		r.queueTimerSet = false
 		r.waiting = slices.DeleteFunc(r.waiting, func(g *group) bool {
 			r.probeForPrimary(g)
-			r.release(g)
-			g.waiting = len(g.queued) > 0 || g.primary != nil && len(g.primary.out) > 0
+			r.sendQueued(g)
+			g.waiting = len(g.queued) > 0 || g.primary != nil && len(g.primary.inFlight) > 0
 			return !g.waiting
 		})
-		r.wake(nil)
+		r.scheduleQueue(nil)
 	}
 }
 
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -2,22 +2,22 @@
 
 // Slow start: how much is sent to a member whose process has just started.
 
-// warmth returns the minimum fraction of its capacity that m has, by its listed or observed start.
-func (r *Router) warmth(m *member) float64 {
-	start := max(m.Started, m.revived)
+// warmUpWeight returns the minimum fraction of its capacity that m has, by its listed or observed start.
+func (r *Router) warmUpWeight(m *member) float64 {
+	start := max(m.Started, m.restartedAt)
 	age := r.now - start
-	if start == 0 || age >= r.s.ColdTime {
+	if start == 0 || age >= r.settings.ColdTime {
 		return 1
 	}
-	return r.s.ColdShare + (1-r.s.ColdShare)*float64(age)/float64(r.s.ColdTime)
+	return r.settings.ColdShare + (1-r.settings.ColdShare)*float64(age)/float64(r.settings.ColdTime)
 }
 
-// admit enforces the budget of a cold member. Of the requests that choose m with the given chance, it admits
+// admitCold enforces the budget of a cold member. Of the requests that choose m with the given chance, it admits
 // so many that m's share of the group's traffic is its fraction of the capacity, times a margin. As every
 // router does so, the sum holds as well. Each request draws its random number once, so that asking again
 // gives it no further chance.
-func (r *Router) admit(q *request, m *member, chance, share float64) bool {
-	w := r.warmth(m)
+func (r *Router) admitCold(q *request, m *member, chance, share float64) bool {
+	w := r.warmUpWeight(m)
 	if w == 1 {
 		return true
 	}
@@ -29,10 +29,10 @@
 
 // coldFactor returns by how much a cold member may be sent more than its minimum capacity.
 func (r *Router) coldFactor() float64 {
-	factor := r.s.OverloadFactor
+	factor := r.settings.OverloadFactor
 	if factor == 0 {
 		return 1
 	}
-	spare := max(coldSpare, min(1, coldSpareRouters/float64(r.s.Routers)))
-	return min(coldMargin*factor, 1+spare*(factor-1))
+	spare := max(coldFactorSpare, min(1, coldSpareRouters/float64(r.settings.Routers)))
+	return min(coldFactorMargin*factor, 1+spare*(factor-1))
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -59,10 +59,10 @@
 	g.do(ProbeResult{Server: "a", Result: TimedOut})
 	g.now += 2 * time.Second
 	g.do(ProbeResult{Server: "a", Result: OK})
-	if w := g.r.warmth(m); w > 0.3 {
+	if w := g.r.warmUpWeight(m); w > 0.3 {
 		t.Errorf("warm-up weight %.2f after a restart, want that of a start", w)
 	}
-	if w := g.r.warmth(g.r.members["b"]); w != 1 {
+	if w := g.r.warmUpWeight(g.r.members["b"]); w != 1 {
 		t.Errorf("warm-up weight %.2f of a member that was never seen dead", w)
 	}
 }
--- a/balance/timeout_test.go
+++ b/balance/timeout_test.go
@@ -15,7 +15,7 @@
 		}
 		at := 1000 * ms
 		r.Handle(at, Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
-		r.cells[0].classes["a"].took = time.Duration(c.took) * ms
+		r.cells[0].classes["a"].latency = time.Duration(c.took) * ms
 		for _, a := range r.Handle(at, Request{ID: "x", Class: "a", Deadline: at + 900*ms}, nil) {
 			if s, ok := a.(Send); ok && (s.Server != "q" || int(s.Timeout/ms) != c.want) {
 				t.Errorf("answers take %d ms: sent to %s for %s, want %d ms at q", c.took, s.Server, s.Timeout, c.want)
@@ -35,8 +35,8 @@
 	}{
 		{"never answered", 0, 0, 1},
 		{"answered once", 1, 5 * ms, 1},
-		{"answered until the estimate has faded", guessFades, 5 * ms, 1},
-		{"known to be too slow", guessFades, 2500 * ms, 0},
+		{"answered until the estimate has faded", estimateWindow, 5 * ms, 1},
+		{"known to be too slow", estimateWindow, 2500 * ms, 0},
 	} {
 		for _, class := range []string{"any", "save"} {
 			g := newRig(t, func(s *Settings) {
@@ -65,13 +65,13 @@
 		}
 	})
 	c := g.r.cells[0].classes["any"]
-	q := &request{Request: Request{Deadline: g.now + 3500*ms}, cls: c, arrived: g.now, attempts: 1}
+	q := &request{Request: Request{Deadline: g.now + 3500*ms}, class: c, arrived: g.now, attempts: 1}
 	for _, x := range []struct {
 		after time.Duration
 		want  bool
 	}{{0, false}, {1700 * ms, false}, {1800 * ms, true}} {
 		g.r.now = q.arrived + x.after
-		if got := g.r.hopeless(q); got != x.want {
+		if got := g.r.unlikelyInTime(q); got != x.want {
 			t.Errorf("%s after its arrival: hopeless is %t", x.after, got)
 		}
 	}
