--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-func TestHopelessReadIsRefusedAtOnce(t *testing.T) {
+func TestUnlikelyReadIsRefused(t *testing.T) {
 	g := newRig(t, nil)
-	g.know("p", Replica, 0)
-	id, _ := g.ask("fresh", 0)
-	acts := g.beat(time.Second)
+	g.setState("p", Replica, 0)
+	id, _ := g.request("fresh", 0)
+	acts := g.advance(time.Second)
 	want(t, "read without remaining value", finals(acts), []string{"refuse " + id})
 	for _, a := range acts {
 		if f, ok := a.(Refuse); ok && f.RetryAfter == 0 {
@@ -19,35 +19,35 @@
 	}
 }
 
-func TestWorthFirst(t *testing.T) {
+func TestQueueOrderByWorth(t *testing.T) {
 	g := newRig(t, nil)
 	m := g.r.members["p"]
 	m.limit = 1
-	first, _ := g.ask("save", 0)
-	g.ask("fresh", 0)
-	g.ask("save", 0)
+	first, _ := g.request("save", 0)
+	g.request("fresh", 0)
+	g.request("save", 0)
 	acts := g.answer(first, "p", 0, OK, Primary)
-	firstSent(t, acts, "q3", "the write with the higher worth")
+	requireFirstSend(t, acts, "q3", "the write with the higher worth")
 }
 
-func TestLateOnesGoBehindThoseStillInTime(t *testing.T) {
+func TestQueueOrderPrefersRequestsInTime(t *testing.T) {
 	// When writes were served first come, first served, a backlog made every write late.
 	g := newRig(t, nil)
 	m := g.r.members["p"]
 	m.limit = 1
-	first, _ := g.ask("save", 0)
-	g.ask("save", 0)
+	first, _ := g.request("save", 0)
+	g.request("save", 0)
 	for range 10 {
 		g.now += 100 * ms
 		m.silentSince = g.now
-		g.do(Timer{tagQueue})
+		g.handle(Timer{tagQueue})
 	}
-	g.ask("save", 0)
+	g.request("save", 0)
 	acts := g.answer(first, "p", 0, OK, Primary)
-	firstSent(t, acts, "q3", "the write that can still be in time")
+	requireFirstSend(t, acts, "q3", "the write that can still be in time")
 }
 
-func TestRequestsOverTheirShareWaitBehind(t *testing.T) {
+func TestQueueOrderPutsOverQuotaLast(t *testing.T) {
 	// A tenant far over its quota took the places of requests worth twenty times as much.
 	g := newRig(t, func(s *Settings) {
 		s.OverShareWorth, s.Routers = 0.05, 2
@@ -55,7 +55,7 @@
 	})
 	g.r.members["p"].limit = 1
 	ask := func(id, tenant string) []Action {
-		return g.do(Request{ID: id, Class: "fresh", Tenant: tenant, Deadline: g.now + 2*time.Second})
+		return g.handle(Request{ID: id, Class: "fresh", Tenant: tenant, Deadline: g.now + 2*time.Second})
 	}
 	ask("out", "big")
 	for i := range 12 {
@@ -64,10 +64,10 @@
 	ask("small", "small")
 	ask("over", "big")
 	acts := g.answer("out", "p", 0, OK, Primary)
-	firstSent(t, acts, "small", "the newest request within its quota")
+	requireFirstSend(t, acts, "small", "the newest request within its quota")
 }
 
-func TestAQuietRouterCountsNobodyOverItsShare(t *testing.T) {
+func TestLowTrafficIsNotOverQuota(t *testing.T) {
 	// With hundreds of routers an even share is under one request per second, and every request counted as
 	// over quota.
 	for _, routers := range []int{1, 40, 400} {
@@ -79,12 +79,12 @@
 		for i := range 200 {
 			g.now += 500 * ms
 			id := fmt.Sprint(i)
-			g.do(Request{ID: id, Class: "any", Deadline: g.now + time.Second,
+			g.handle(Request{ID: id, Class: "any", Deadline: g.now + time.Second,
 				Tenant: []string{"big", "big", "small", "big"}[i%4]})
 			if q := g.r.requests[id]; q.worth < q.class.Worth {
 				over++
 			}
-			g.do(Gone{id})
+			g.handle(Gone{id})
 		}
 		if over > 20 {
 			t.Errorf("%d routers: %d of 200 requests count as over quota, want none of a tenant within it", routers, over)
@@ -92,28 +92,28 @@
 	}
 }
 
-func TestNewestFirst(t *testing.T) {
+func TestQueueOrderNewestFirst(t *testing.T) {
 	// When the oldest request went first, a backlog served each request just too late.
 	for _, c := range []struct{ class, first string }{{"fresh", "q3"}, {"save", "q3"}} {
 		g := newRig(t, nil)
 		g.r.members["p"].limit = 1
-		first, _ := g.ask(c.class, 0)
-		g.ask(c.class, 0)
-		g.ask(c.class, 0)
+		first, _ := g.request(c.class, 0)
+		g.request(c.class, 0)
+		g.request(c.class, 0)
 		acts := g.answer(first, "p", 0, OK, Primary)
-		firstSent(t, acts, c.first, "the newest "+c.class)
+		requireFirstSend(t, acts, c.first, "the newest "+c.class)
 	}
 }
 
-func TestAClassOnceSlowIsTriedAgain(t *testing.T) {
+func TestSlowClassIsRetried(t *testing.T) {
 	g := newRig(t, nil)
 	g.r.cells[0].classes["any"].latency = 10 * time.Second
-	if _, acts := g.ask("any", 0); len(sends(acts)) != 1 {
+	if _, acts := g.request("any", 0); len(sends(acts)) != 1 {
 		t.Error("a class whose answers were slow is refused forever")
 	}
 }
 
-func TestReleaseAfterAnOutageIsSpread(t *testing.T) {
+func TestQueuedWritesAreSpreadAfterOutage(t *testing.T) {
 	// When the primary recovered, hundreds of routers sent all the requests that they held at the same
 	// moment.
 	for _, c := range []struct {
@@ -125,23 +125,23 @@
 		const hundreds = 10
 		n := 0
 		for seed := range 100 * hundreds {
-			g := seeded(t, seed)
+			g := newSeededRig(t, seed)
 			l := list()
-			g.do(Members{Whole: true, List: l})
+			g.handle(Members{Whole: true, List: l})
 			g.r.now = g.now
 			g.r.blacklist(g.r.members["p"], false)
 			g.r.members["p"].blacklistedUntil = g.now + time.Hour
 			for _, s := range []string{"a", "b"} {
 				g.r.members[s].blacklistedUntil = g.now + time.Hour
 			}
-			g.ask("save", 0)
-			g.beat(c.outage)
+			g.request("save", 0)
+			g.advance(c.outage)
 			if c.cold {
 				l[0].Started = g.now
-				g.do(Members{List: l[:1]})
+				g.handle(Members{List: l[:1]})
 			}
 			g.r.members["p"].blacklistedUntil = 0
-			n += len(sends(g.beat(2 * queueInterval)))
+			n += len(sends(g.advance(2 * queueInterval)))
 		}
 		if n > c.most*hundreds || n == 0 || c.most == 100 && n < 100*hundreds {
 			t.Errorf("%s: %d of %d held writes sent at once, want at most %d", c.name, n, 100*hundreds, c.most*hundreds)
@@ -151,7 +151,7 @@
 
 // Deadlines may be as short as the beat that queued requests are tried at: each request is tried all the
 // same.
-func TestShortAndLongDeadlinesAreTried(t *testing.T) {
+func TestShortAndLongDeadlinesAreSent(t *testing.T) {
 	for _, deadline := range []time.Duration{20 * ms, 50 * ms, 95 * ms, 20 * time.Second} {
 		g := newRig(t, func(s *Settings) {
 			for i := range s.Classes {
@@ -159,7 +159,7 @@
 			}
 		})
 		for _, class := range []string{"any", "own", "save", "keyed", "fresh"} {
-			_, acts := g.ask(class, 0)
+			_, acts := g.request(class, 0)
 			if len(sends(acts)) != 1 {
 				t.Errorf("%s with a deadline of %s: %v", class, deadline, acts)
 			}
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestNoEffectTwice(t *testing.T) {
+func TestNoRepeatedEffect(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
 		res         Result
@@ -21,10 +21,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, nil)
-			id, acts := g.ask(c.class, 0)
+			id, acts := g.request(c.class, 0)
 			want(t, "first", sends(acts), []string{"p"})
 			g.now += c.wait
-			acts = append(g.answer(id, "p", 0, c.res, Unknown), g.beat(200*ms)...)
+			acts = append(g.answer(id, "p", 0, c.res, Unknown), g.advance(200*ms)...)
 			if again := len(sends(acts)) > 0; again != c.again {
 				t.Errorf("sent again %v, want %v", again, c.again)
 			}
@@ -37,15 +37,15 @@
 
 func TestOneFinalAnswer(t *testing.T) {
 	g := newRig(t, nil)
-	id, _ := g.ask("save", 0)
+	id, _ := g.request("save", 0)
 	seq := g.r.requests[id].seq
 	g.now += 4 * time.Second
-	want(t, "deadline", finals(g.do(Timer{seq})), []string{"fail " + id})
+	want(t, "deadline", finals(g.handle(Timer{seq})), []string{"fail " + id})
 	var rest []Action
-	rest = append(rest, g.do(Timer{seq})...)
-	rest = append(rest, g.do(Outcome{ID: id, Server: "p", Result: TimedOut, Final: true})...)
-	rest = append(rest, g.do(Outcome{ID: id, Server: "p", Result: TimedOut})...)
-	rest = append(rest, g.do(Gone{id})...)
+	rest = append(rest, g.handle(Timer{seq})...)
+	rest = append(rest, g.handle(Outcome{ID: id, Server: "p", Result: TimedOut, Final: true})...)
+	rest = append(rest, g.handle(Outcome{ID: id, Server: "p", Result: TimedOut})...)
+	rest = append(rest, g.handle(Gone{id})...)
 	if len(rest) != 0 {
 		t.Errorf("after the final answer: %v", rest)
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestNewNamesTheBadField(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"Classes":         func(s *Settings) { s.Classes = nil },
 		"DrainGrace":      func(s *Settings) { s.DrainGrace = -1 },
@@ -31,15 +31,15 @@
 	for i := range 50 {
 		l := list()
 		l[1].Server = fmt.Sprint("a", i)
-		g.do(Members{Whole: true, List: l})
+		g.handle(Members{Whole: true, List: l})
 		for range 10 {
-			id, acts := g.ask("any", 0)
+			id, acts := g.request("any", 0)
 			for _, s := range sends(acts) {
 				g.answer(id, s, 0, OK, Replica)
 			}
 		}
 		g.now += forgetAfter + time.Second
-		g.do(Timer{tagQueue})
+		g.handle(Timer{tagQueue})
 	}
 	n := len(g.r.requests) + len(g.r.requestsBySeq)
 	for _, gr := range g.r.groups {
@@ -50,19 +50,19 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestDeterministicActions(t *testing.T) {
 	run := func() (all []Action) {
 		g := newRig(t, nil)
 		for i := range 300 {
 			g.now += 3 * ms
-			id, acts := g.ask([]string{"any", "browse", "own", "save"}[i%4], time.Duration(i)*ms)
+			id, acts := g.request([]string{"any", "browse", "own", "save"}[i%4], time.Duration(i)*ms)
 			all = append(all, acts...)
 			for _, s := range sends(acts) {
 				if i%5 != 0 {
 					all = append(all, g.answer(id, s, 0, OK, Unknown)...)
 				}
 			}
-			all = append(all, g.beat(queueInterval)...)
+			all = append(all, g.advance(queueInterval)...)
 		}
 		return all
 	}
--- a/balance/cells_test.go
+++ b/balance/cells_test.go
@@ -10,37 +10,37 @@
 	"pgregory.net/rapid"
 )
 
-// celled returns a rig with a primary and four replicas, and two cells that share one of the replicas.
-func celled(t *testing.T, change func(*Settings)) *rig {
+// newCellRig returns a rig with a primary and four replicas, and two cells that share one of the replicas.
+func newCellRig(t *testing.T, change func(*Settings)) *rig {
 	g := newRig(t, change)
-	g.do(Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
+	g.handle(Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
 		{Server: "b", Weight: 1}, {Server: "c", Weight: 1}, {Server: "d", Weight: 1}}})
 	for _, s := range []string{"a", "b", "c", "d"} {
-		g.know(s, Replica, 0)
+		g.setState(s, Replica, 0)
 	}
-	g.know("p", Primary, 0)
-	g.do(Cells{List: []Cell{
+	g.setState("p", Primary, 0)
+	g.handle(Cells{List: []Cell{
 		{ID: 1, Weight: 1, Reserve: 0.5, Servers: map[string]bool{"a": true, "b": true}},
 		{ID: 2, Weight: 1, Reserve: 0.5, Servers: map[string]bool{"b": true, "c": true}}}})
 	return g
 }
 
-// of sends a request of cell n.
-func (g *rig) of(n int, class string, change func(*Request)) (string, []Action) {
+// requestInCell sends a request of cell n.
+func (g *rig) requestInCell(n int, class string, change func(*Request)) (string, []Action) {
 	g.n++
 	q := Request{ID: fmt.Sprint("q", g.n), Class: class, Session: "s", Cell: n, Deadline: g.now + 4*time.Second}
 	if change != nil {
 		change(&q)
 	}
-	return q.ID, g.do(q)
+	return q.ID, g.handle(q)
 }
 
-func TestReadsStayInTheirCell(t *testing.T) {
-	g := celled(t, nil)
+func TestCellReadsUseOnlyItsReplicas(t *testing.T) {
+	g := newCellRig(t, nil)
 	seen := map[int]map[string]bool{1: {}, 2: {}, 0: {}, 9: {}}
 	for range 200 {
 		for cell := range seen {
-			id, acts := g.of(cell, "browse", nil)
+			id, acts := g.requestInCell(cell, "browse", nil)
 			to := sends(acts)[0]
 			seen[cell][to] = true
 			g.answer(id, to, 0, OK, Replica)
@@ -53,28 +53,28 @@
 	}
 }
 
-func TestEveryCellWritesToThePrimary(t *testing.T) {
-	g := celled(t, nil)
+func TestCellWritesUsePrimary(t *testing.T) {
+	g := newCellRig(t, nil)
 	for cell := range 3 {
-		_, acts := g.of(cell, "save", nil)
+		_, acts := g.requestInCell(cell, "save", nil)
 		want(t, "a write", sends(acts), []string{"p"})
 	}
 }
 
-func TestAReadGoesOnInsideItsCellThenToThePrimary(t *testing.T) {
-	g := celled(t, nil)
-	id, acts := g.of(1, "browse", nil)
+func TestCellReadRetriesInCellThenPrimary(t *testing.T) {
+	g := newCellRig(t, nil)
+	id, acts := g.requestInCell(1, "browse", nil)
 	first := sends(acts)[0]
 	other := map[string]string{"a": "b", "b": "a"}[first]
 	want(t, "after an error", sends(g.answer(id, first, 0, NotSent, Unknown)), []string{other})
 	want(t, "after two errors", sends(g.answer(id, other, 1, NotSent, Unknown)), []string{"p"})
 }
 
-func TestAFloodLeavesTheReserveOfOthers(t *testing.T) {
-	g := celled(t, nil)
+func TestCellReserveDuringFlood(t *testing.T) {
+	g := newCellRig(t, nil)
 	var flood int
 	for range 50 {
-		_, acts := g.of(1, "save", nil)
+		_, acts := g.requestInCell(1, "save", nil)
 		flood += len(sends(acts))
 	}
 	// The limit at the primary is 8. The fair share of the flooding cell is 4; of the other cell's 4, half
@@ -83,55 +83,55 @@
 		t.Errorf("a flood of writes has %d in flight at the primary, want 6", flood)
 	}
 	for i := range 2 {
-		if _, acts := g.of(2, "save", nil); len(sends(acts)) != 1 {
+		if _, acts := g.requestInCell(2, "save", nil); len(sends(acts)) != 1 {
 			t.Errorf("write %d of the other cell finds no capacity", i)
 		}
 	}
 	// The limit is reduced during the flood: the reserve of the remaining limit must still be free.
 	m := g.r.members["p"]
 	m.limit, m.inFlightByCell[g.r.cells[2]] = 6, 0
-	if _, acts := g.of(2, "save", nil); len(sends(acts)) != 1 {
+	if _, acts := g.requestInCell(2, "save", nil); len(sends(acts)) != 1 {
 		t.Error("the reserve is not free while other cells fill the limit")
 	}
 }
 
-func TestTheCellWithLeastOutGoesFirst(t *testing.T) {
-	g := celled(t, nil)
+func TestQueueOrderByCellUsage(t *testing.T) {
+	g := newCellRig(t, nil)
 	var flood []string
 	for range 20 {
-		id, _ := g.of(1, "save", nil)
+		id, _ := g.requestInCell(1, "save", nil)
 		flood = append(flood, id)
 	}
 	for range 2 {
-		g.of(2, "save", nil)
+		g.requestInCell(2, "save", nil)
 	}
-	late, acts := g.of(2, "save", nil)
+	late, acts := g.requestInCell(2, "save", nil)
 	if len(sends(acts)) != 0 {
 		t.Fatal("the primary still has capacity")
 	}
-	g.of(1, "save", nil) // the newest request of all
+	g.requestInCell(1, "save", nil) // the newest request of all
 	out := slices.IndexFunc(flood, func(id string) bool { return g.r.requests[id].member != nil })
-	firstSent(t, g.answer(flood[out], "p", 0, OK, Primary), late, "the write of the cell with the fewest attempts in flight")
+	requireFirstSend(t, g.answer(flood[out], "p", 0, OK, Primary), late, "the write of the cell with the fewest attempts in flight")
 }
 
-func TestOverIsRefusedAtOnceWithItsComeBack(t *testing.T) {
-	g := celled(t, nil)
+func TestOverQuotaIsRefusedWithRetryAfter(t *testing.T) {
+	g := newCellRig(t, nil)
 	for over, after := range map[time.Duration]time.Duration{70 * ms: 70 * ms, time.Hour: time.Second} {
-		_, acts := g.of(1, "save", func(q *Request) { q.Over = over })
+		_, acts := g.requestInCell(1, "save", func(q *Request) { q.Over = over })
 		if r, ok := acts[0].(Refuse); !ok || r.RetryAfter != after || len(acts) != 1 {
 			t.Errorf("over by %v: %v", over, acts)
 		}
 	}
 }
 
-func TestSinceRaisesWhatASessionMustSee(t *testing.T) {
-	g := celled(t, nil)
-	g.know("a", Replica, 0)
+func TestMinPositionOfSession(t *testing.T) {
+	g := newCellRig(t, nil)
+	g.setState("a", Replica, 0)
 	g.now += 400 * ms
-	g.know("b", Replica, 0)
+	g.setState("b", Replica, 0)
 	moved := g.now - 5*ms
 	for range 50 { // the write is old enough for every replica, but the move is not for a
-		id, acts := g.of(1, "own", func(q *Request) { q.WriteAge, q.Since = 500*ms, moved })
+		id, acts := g.requestInCell(1, "own", func(q *Request) { q.WriteAge, q.Since = 500*ms, moved })
 		if to := sends(acts)[0]; to != "p" {
 			t.Fatalf("5 ms after the move a read goes to %s", to)
 		}
@@ -139,25 +139,25 @@
 	}
 	g.now += pinWindow
 	for range 50 {
-		id, acts := g.of(1, "own", func(q *Request) { q.WriteAge, q.Since = 800*ms, moved })
+		id, acts := g.requestInCell(1, "own", func(q *Request) { q.WriteAge, q.Since = 800*ms, moved })
 		if to := sends(acts)[0]; to != "b" {
 			t.Fatalf("later a read goes to %s", to)
 		}
 		g.answer(id, "b", 0, OK, Unknown)
 	}
-	_, acts := g.of(1, "own", func(q *Request) { q.Since = moved }) // the session never wrote
+	_, acts := g.requestInCell(1, "own", func(q *Request) { q.Since = moved }) // the session never wrote
 	if to := sends(acts)[0]; to == "p" {
 		t.Error("a session that never wrote is sent to the primary")
 	}
 }
 
-func TestBadEndsOfOneCellThinNoOther(t *testing.T) {
-	g := celled(t, nil)
+func TestLoadSheddingPerCell(t *testing.T) {
+	g := newCellRig(t, nil)
 	*g.r.cells[1].badAttempts(g.r.groups[0]) = badAttempts{1, 1}
 	refused := map[int]int{}
 	for range 100 {
 		for _, cell := range []int{1, 2} {
-			id, acts := g.of(cell, "any", nil)
+			id, acts := g.requestInCell(cell, "any", nil)
 			refused[cell] += len(finals(acts))
 			if to := sends(acts); len(to) == 1 {
 				g.answer(id, to[0], 0, OK, Replica)
@@ -169,11 +169,11 @@
 	}
 }
 
-func TestWhoHasLessThanItsPartOutIsNotBlamedForAFullMember(t *testing.T) {
-	g := celled(t, nil)
+func TestCellBelowItsShareIsNotBlamed(t *testing.T) {
+	g := newCellRig(t, nil)
 	for cell, want := range map[int]bool{1: true, 2: false} {
 		m := g.r.members["p"]
-		id, acts := g.of(cell, "save", nil)
+		id, acts := g.requestInCell(cell, "save", nil)
 		want2 := sends(acts)[0]
 		m.inFlightByCell[g.r.cells[1]] = 5 // attempts of the flooding cell
 		g.answer(id, want2, 0, Full, Primary)
@@ -183,12 +183,12 @@
 	}
 }
 
-func TestNewCellsKeepWhatIsOutAndLearnt(t *testing.T) {
-	g := celled(t, nil)
-	id, acts := g.of(1, "browse", nil)
+func TestCellsUpdateKeepsState(t *testing.T) {
+	g := newCellRig(t, nil)
+	id, acts := g.requestInCell(1, "browse", nil)
 	to := sends(acts)[0]
 	g.r.cells[1].badAttempts(g.r.groups[0]).replicas = 0.3
-	g.do(Cells{List: []Cell{{ID: 1, Weight: 3, Servers: map[string]bool{"d": true}}}})
+	g.handle(Cells{List: []Cell{{ID: 1, Weight: 3, Servers: map[string]bool{"d": true}}}})
 	if g.r.cells[1].badAttempts(g.r.groups[0]).replicas != 0.3 || g.r.cells[1].Weight != 3 || len(g.r.cells) != 2 {
 		t.Errorf("the cell is now %+v", g.r.cells[1])
 	}
@@ -196,23 +196,23 @@
 	if m := g.r.members[to]; len(m.inFlightByCell) != 0 || len(m.inFlight) != 0 {
 		t.Errorf("attempts left at the member: %v", m.inFlightByCell)
 	}
-	_, acts = g.of(1, "browse", nil)
+	_, acts = g.requestInCell(1, "browse", nil)
 	want(t, "the next read", sends(acts), []string{"d"})
 }
 
-// TestPropertyNoCellIsBelowItsShareWhileAnotherGoesOver floods one primary from three cells in any order.
+// TestPropertyNoCellBelowItsReserve floods one primary from three cells in any order.
 // Whenever a write of a cell is sent beyond its fair share, no other cell may have a write waiting that fits
 // in its reserve. A failure prints the seed: go test ./balance -run PropertyNoCell -rapid.seed=SEED
-func TestPropertyNoCellIsBelowItsShareWhileAnotherGoesOver(t *testing.T) {
+func TestPropertyNoCellBelowItsReserve(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		g := celled(t, nil)
+		g := newCellRig(t, nil)
 		reserve := rapid.Float64Range(0, 1).Draw(rt, "reserve")
 		var list []Cell
 		for i := range 3 {
 			list = append(list, Cell{ID: i + 1, Weight: rapid.SampledFrom([]float64{1, 2, 5}).Draw(rt, "weight"),
 				Reserve: reserve, Servers: map[string]bool{"a": true}})
 		}
-		g.do(Cells{List: list})
+		g.handle(Cells{List: list})
 		g.r.members["p"].limit = float64(rapid.IntRange(4, 30).Draw(rt, "limit"))
 		out := map[string]bool{}
 		check := func(acts []Action) {
@@ -239,7 +239,7 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"write": func(rt *rapid.T) {
 				for range rapid.IntRange(1, 20).Draw(rt, "n") {
-					_, acts := g.of(rapid.IntRange(1, 3).Draw(rt, "cell"), "save", nil)
+					_, acts := g.requestInCell(rapid.IntRange(1, 3).Draw(rt, "cell"), "save", nil)
 					check(acts)
 				}
 			},
@@ -252,7 +252,7 @@
 					}
 				}
 			},
-			"beat": func(*rapid.T) { check(g.beat(queueInterval)) },
+			"beat": func(*rapid.T) { check(g.advance(queueInterval)) },
 			"": func(rt *rapid.T) {
 				p := g.r.members["p"]
 				total := 0
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestWhereARequestGoes(t *testing.T) {
+func TestChoiceByNeed(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
 		age         time.Duration // since the session's write
@@ -33,11 +33,11 @@
 				g := newRig(t, func(s *Settings) { s.Probes = false })
 				for s, d := range map[string]time.Duration{"a": c.a, "b": c.b} {
 					if d >= 0 {
-						g.know(s, Replica, d)
+						g.setState(s, Replica, d)
 					}
 				}
 				for range 6 {
-					_, acts := g.ask(c.class, c.age)
+					_, acts := g.request(c.class, c.age)
 					for _, s := range sends(acts) {
 						seen[s] = true
 					}
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestReadWaitsForAPositionAskedFor(t *testing.T) {
+func TestReadWaitsForProbedPosition(t *testing.T) {
 	// Reported positions are old when they arrive; a read that found no replica within its bound would load
 	// the primary.
 	for _, c := range []struct {
@@ -65,7 +65,7 @@
 	}{{"in the bound", 100 * ms, "ab"}, {"far behind", 900 * ms, "p"}} {
 		g := newRig(t, nil)
 		g.now += time.Second
-		_, acts := g.ask("browse", 0)
+		_, acts := g.request("browse", 0)
 		for range 4 {
 			i := slices.IndexFunc(acts, func(a Action) bool { _, ok := a.(Probe); return ok })
 			if i < 0 {
@@ -73,7 +73,7 @@
 			}
 			p := acts[i].(Probe)
 			g.now += ms
-			acts = g.do(ProbeResult{Server: p.Server, Result: OK, Report: Report{Has: true, Position: g.now - c.behind}})
+			acts = g.handle(ProbeResult{Server: p.Server, Result: OK, Report: Report{Has: true, Position: g.now - c.behind}})
 		}
 		if to := sends(acts); len(to) != 1 || !strings.Contains(c.to, to[0]) {
 			t.Errorf("%s: sent to %q, want one of %s", c.name, to, c.to)
@@ -81,17 +81,17 @@
 	}
 }
 
-func TestFallbackReadsLeaveAFullPrimaryByChance(t *testing.T) {
+func TestFallbackReadsAreShedAtFullPrimary(t *testing.T) {
 	// While replicas lag, reads fall back to the primary; hundreds of routers with one such read each
 	// overloaded it.
 	g := newRig(t, func(s *Settings) { s.Probes = false })
-	g.know("p", Primary, 0)
+	g.setState("p", Primary, 0)
 	count := func() (n int) {
 		for range 100 {
 			g.now += 10 * ms
-			id, acts := g.ask("browse", 0)
+			id, acts := g.request("browse", 0)
 			n += len(sends(acts))
-			g.do(Gone{id})
+			g.handle(Gone{id})
 			g.answer(id, "p", 0, Cancelled, Primary)
 		}
 		return n
@@ -100,16 +100,16 @@
 		t.Errorf("%d of 100 reads sent to a healthy primary", n)
 	}
 	for range 12 {
-		id, _ := g.ask("save", 0)
+		id, _ := g.request("save", 0)
 		g.answer(id, "p", 0, Full, Primary)
-		g.do(Gone{id})
+		g.handle(Gone{id})
 	}
 	if n := count(); n > 20 {
 		t.Errorf("%d of 100 reads sent to a full primary", n)
 	}
 	for range 40 {
 		g.now += 20 * ms
-		id, _ := g.ask("save", 0)
+		id, _ := g.request("save", 0)
 		g.answer(id, "p", 0, OK, Primary)
 	}
 	if n := count(); n < 90 {
@@ -117,12 +117,12 @@
 	}
 }
 
-func TestDrawFollowsWeight(t *testing.T) {
+func TestReplicaChoiceByWeight(t *testing.T) {
 	g := newRig(t, nil)
 	g.r.members["b"].Weight = 3
 	n := map[string]int{}
 	for range 4000 {
-		id, acts := g.ask("any", 0)
+		id, acts := g.request("any", 0)
 		to := sends(acts)[0]
 		n[to]++
 		g.answer(id, to, 0, OK, Replica)
@@ -132,29 +132,29 @@
 	}
 }
 
-func TestMissMovesAWriteOn(t *testing.T) {
+func TestMisdirectedWriteIsRetriedElsewhere(t *testing.T) {
 	g := newRig(t, nil)
-	id, acts := g.ask("save", 0)
+	id, acts := g.request("save", 0)
 	want(t, "first", sends(acts), []string{"p"})
-	acts = append(g.answer(id, "p", 0, Miss, Replica), g.beat(2*queueInterval)...)
+	acts = append(g.answer(id, "p", 0, Miss, Replica), g.advance(2*queueInterval)...)
 	second := sends(acts)
 	if len(second) != 1 || second[0] == "p" {
 		t.Fatalf("after a misdirected write: %q", second)
 	}
 	g.answer(id, second[0], 1, OK, Primary)
-	_, acts = g.ask("save", 0)
+	_, acts = g.request("save", 0)
 	want(t, "next write", sends(acts), second)
 }
 
-func TestOneWriteScoutsForThePrimary(t *testing.T) {
+func TestOneWriteSearchesForPrimary(t *testing.T) {
 	// Many writes sent to replicas use up attempts and host work while a group has no primary.
 	g := newRig(t, nil)
 	for _, s := range []string{"p", "a", "b"} {
-		g.know(s, Replica, 0)
+		g.setState(s, Replica, 0)
 	}
 	sent := 0
 	for range 20 {
-		_, acts := g.ask("save", 0)
+		_, acts := g.request("save", 0)
 		sent += len(sends(acts))
 	}
 	if sent != 1 {
@@ -180,34 +180,34 @@
 	}
 }
 
-func TestUnprovenMembersGetNoUnqualifiedRead(t *testing.T) {
+func TestLatestReadNeedsPrimary(t *testing.T) {
 	g := newRig(t, nil)
-	g.know("p", Replica, 0) // the listed primary answered as a replica
-	_, acts := g.ask("fresh", 0)
-	want(t, "no known primary", sends(append(acts, g.beat(500*ms)...)), nil)
+	g.setState("p", Replica, 0) // the listed primary answered as a replica
+	_, acts := g.request("fresh", 0)
+	want(t, "no known primary", sends(append(acts, g.advance(500*ms)...)), nil)
 }
 
-func TestMembersThatCheckReadsNeedNoProof(t *testing.T) {
+func TestMembersWithChecksNeedNoPosition(t *testing.T) {
 	for _, c := range []struct {
 		checks Checks
 		to     int
 	}{{ChecksNone, 0}, {ChecksRefuse, 1}, {ChecksWait, 1}} {
 		g := newRig(t, func(s *Settings) { s.Checks = c.checks })
-		if _, acts := g.ask("browse", 0); len(sends(acts)) != c.to {
+		if _, acts := g.request("browse", 0); len(sends(acts)) != c.to {
 			t.Errorf("checks %v: %d sends with no position known, want %d", c.checks, len(sends(acts)), c.to)
 		}
 	}
 }
 
-func TestAFullPrimaryIsNotAskedAgainAtOnce(t *testing.T) {
+func TestFullPrimaryBackoff(t *testing.T) {
 	g := newRig(t, nil)
-	id, acts := g.ask("save", 0)
+	id, acts := g.request("save", 0)
 	for try, least := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
 		want(t, "sent", sends(acts), []string{"p"})
 		acts = g.answer(id, "p", try, Full, Primary)
 		from := g.now
 		for len(sends(acts)) == 0 && g.now-from < time.Second {
-			acts = g.beat(queueInterval)
+			acts = g.advance(queueInterval)
 		}
 		if g.now-from < least {
 			t.Errorf("attempt %d: retried after %v", try, g.now-from)
--- a/balance/clock_bounds_test.go
+++ b/balance/clock_bounds_test.go
@@ -7,55 +7,55 @@
 )
 
 // The highest stated position is kept: a position in the future would later make stale data pass as fresh.
-func TestAPositionFromTheFutureIsNeverReadFrom(t *testing.T) {
+func TestFuturePositionIsIgnored(t *testing.T) {
 	for name, bounds := range map[string]ClockBounds{"stated while the clock is bounded": {Known: true}, "stated before": {}} {
 		g := newRig(t, func(s *Settings) { s.Probes = false })
-		g.do(bounds)
-		g.know("a", Replica, -9*time.Second)
-		g.do(ClockBounds{Known: true})
+		g.handle(bounds)
+		g.setState("a", Replica, -9*time.Second)
+		g.handle(ClockBounds{Known: true})
 		g.now += 9 * time.Second
-		if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
+		if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("%s: a read was sent on a position that was stated 9 s ahead of time", name)
 		}
 	}
 }
 
-func TestAPositionsAgeIsNotKnownWithoutBoundsOfTheClock(t *testing.T) {
+func TestPositionAgeNeedsClockBounds(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Probes = false })
-	g.do(ClockBounds{})
-	g.know("a", Replica, 0)
-	if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
+	g.handle(ClockBounds{})
+	g.setState("a", Replica, 0)
+	if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 		t.Error("a bounded read was sent on a position of unknown age")
 	}
-	g.do(ClockBounds{Known: true, Ages: 10 * time.Second, Most: 10 * time.Second})
-	if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
+	g.handle(ClockBounds{Known: true, Ages: 10 * time.Second, Most: 10 * time.Second})
+	if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 		t.Error("a bounded read was sent on a position that may be 10 s old")
 	}
 }
 
-func TestBoundedReadsWaitForOneAnswerThatMayBoundTheClock(t *testing.T) {
+func TestBoundedReadsWaitForClockBounds(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Probes = false })
-	g.do(ClockBounds{})
-	g.know("a", Replica, 0)
-	first, acts := g.ask("browse", 0)
+	g.handle(ClockBounds{})
+	g.setState("a", Replica, 0)
+	first, acts := g.request("browse", 0)
 	if !slices.Equal(sends(acts), []string{"p"}) {
 		t.Fatalf("the first read goes to %v", sends(acts))
 	}
-	if _, acts := g.ask("browse", 0); len(sends(acts)) > 0 {
+	if _, acts := g.request("browse", 0); len(sends(acts)) > 0 {
 		t.Errorf("another read goes to %v while the first is in flight", sends(acts))
 	}
-	if got := sends(g.do(ClockBounds{Known: true})); !slices.Equal(got, []string{"a"}) {
+	if got := sends(g.handle(ClockBounds{Known: true})); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("once the clock is bounded the waiting read goes to %v", got)
 	}
 	g.answer(first, "p", 0, OK, Primary)
 }
 
-func TestAReadWaitsNoLongerForAnAnswerThatMayBoundTheClockThanThatMayTake(t *testing.T) {
+func TestWaitForClockBoundsIsLimited(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.Probes = false })
-	g.do(ClockBounds{})
-	g.ask("browse", 0)
+	g.handle(ClockBounds{})
+	g.request("browse", 0)
 	g.now += clockReadWait
-	if _, acts := g.ask("browse", 0); !slices.Equal(sends(acts), []string{"p"}) {
+	if _, acts := g.request("browse", 0); !slices.Equal(sends(acts), []string{"p"}) {
 		t.Errorf("a read goes to %v while an older one is still in flight, want p", sends(acts))
 	}
 }
--- a/balance/cold_capacity_test.go
+++ b/balance/cold_capacity_test.go
@@ -8,7 +8,7 @@
 
 // A host starts in an overloaded group. The hosts have only their stated capacity, so that the requests that
 // they refuse are retried.
-func TestWhatAColdHostTurnsAwayCountsInItsBudget(t *testing.T) {
+func TestColdBudgetIncludesRefusedRequests(t *testing.T) {
 	half := map[string]bool{"r0": true, "r4": true}
 	for _, c := range []struct {
 		name        string
@@ -30,10 +30,10 @@
 					for seed := range uint64(2) {
 						s := settings()
 						s.Routers, s.OverloadFactor, s.ColdShare, s.ColdTime = routers, 4, 0.25, 10*time.Second
-						f := uneven(t, s, seed)
-						f.busy, f.before, f.dead = map[string][]time.Duration{}, c.before, c.dead
-						f.play(load, c.class, c.host, 0)
-						if worst := f.over(); worst > 1 {
+						f := newUnevenFleet(t, s, seed)
+						f.busyUntil, f.loadBefore, f.dead = map[string][]time.Duration{}, c.before, c.dead
+						f.run(load, c.class, c.host, 0)
+						if worst := f.worstOverload(); worst > 1 {
 							t.Errorf("seed %d: %.2f of the budget of the host", seed, worst)
 						}
 						if len(f.sent) == 0 {
--- a/balance/cold_limits_test.go
+++ b/balance/cold_limits_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// uneven returns a fleet of routers, some of which get several times the mean traffic.
-func uneven(t *testing.T, s Settings, seed uint64) *fleet {
+// newUnevenFleet returns a fleet of routers, some of which get several times the mean traffic.
+func newUnevenFleet(t *testing.T, s Settings, seed uint64) *fleet {
 	t.Helper()
-	f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 5)), out: map[string]int{}}
+	f := &fleet{settings: s, rng: rand.New(rand.NewPCG(seed, 5)), attempts: map[string]int{}}
 	sum := 0.0
 	for i := range s.Routers {
 		r, err := New(s, seed*1000+uint64(i))
@@ -25,7 +25,7 @@
 }
 
 // Reads that no replica can serve go to the primary; they must not overload a primary that has just started.
-func TestReadsThatNoReplicaCanServeKeepAColdPrimarysBudget(t *testing.T) {
+func TestFallbackReadsKeepColdPrimaryBudget(t *testing.T) {
 	for _, load := range []float64{1, 1.5} {
 		for _, probes := range []bool{true, false} {
 			for _, routers := range []int{20, 300} {
@@ -33,9 +33,9 @@
 					for seed := range uint64(2) {
 						s := settings()
 						s.Routers, s.Probes, s.OverloadFactor, s.ColdShare, s.ColdTime = routers, probes, 4, 0.25, 10*time.Second
-						f := uneven(t, s, seed)
-						f.play(load, "browse", "p", 0)
-						if worst := f.over(); worst > 1 {
+						f := newUnevenFleet(t, s, seed)
+						f.run(load, "browse", "p", 0)
+						if worst := f.worstOverload(); worst > 1 {
 							t.Errorf("seed %d: %.2f of the budget of the primary", seed, worst)
 						}
 					}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -13,69 +13,69 @@
 // fleet simulates many routers for one group on a virtual clock. Each router decides alone; what all of them
 // send to a host that has just started is added up.
 type fleet struct {
-	s       Settings
-	rng     *rand.Rand
-	routers []*Router
-	share   []float64 // cumulative shares of the traffic
-	due     moments
-	out     map[string]int // attempt number of each request in flight
-	sent    []time.Duration
-	now     time.Duration
-	served  int
-	warm    int // those served while no host was cold
-	// busy is the time until which each core of a host is busy, by host. If nil, hosts answer after the mean
+	settings   Settings
+	rng        *rand.Rand
+	routers    []*Router
+	share      []float64 // cumulative shares of the traffic
+	events     eventQueue
+	attempts   map[string]int // attempt number of each request in flight
+	sent       []time.Duration
+	now        time.Duration
+	served     int
+	servedWarm int // those served while no host was cold
+	// busyUntil is the time until which each core of a host is busy, by host. If nil, hosts answer after the mean
 	// work, whatever their load.
-	busy map[string][]time.Duration
-	dead map[string]bool // hosts that answer nothing; used only with busy
-	// before is the load until the host starts, as a fraction of the group's capacity; 0 means the load of
+	busyUntil map[string][]time.Duration
+	dead      map[string]bool // hosts that answer nothing; used only with busy
+	// loadBefore is the load until the host starts, as a fraction of the group's capacity; 0 means the load of
 	// the whole run.
-	before float64
+	loadBefore float64
 }
 
-type moment struct {
+type scheduledEvent struct {
 	at     time.Duration
 	seq    int
 	router int
 	ev     Event
 }
 
-type moments []moment
+type eventQueue []scheduledEvent
 
-func (m moments) Len() int { return len(m) }
-func (m moments) Less(i, j int) bool {
+func (m eventQueue) Len() int { return len(m) }
+func (m eventQueue) Less(i, j int) bool {
 	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
 }
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(v any)   { *m = append(*m, v.(moment)) }
-func (m *moments) Pop() any {
+func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m *eventQueue) Push(v any)   { *m = append(*m, v.(scheduledEvent)) }
+func (m *eventQueue) Pop() any {
 	last := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return last
 }
 
-func (f *fleet) later(at time.Duration, router int, ev Event) {
-	heap.Push(&f.due, moment{at, len(f.sent) + f.due.Len(), router, ev})
+func (f *fleet) schedule(at time.Duration, router int, ev Event) {
+	heap.Push(&f.events, scheduledEvent{at, len(f.sent) + f.events.Len(), router, ev})
 }
 
-// tell passes an event to a router and schedules what its actions lead to. The cold host is host.
-func (f *fleet) tell(i int, ev Event, host string) {
+// handle passes an event to a router and schedules what its actions lead to. The cold host is host.
+func (f *fleet) handle(i int, ev Event, host string) {
 	for _, a := range f.routers[i].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case Send:
 			if a.Server == host {
 				f.sent = append(f.sent, f.now)
 			}
-			n := f.out[a.ID]
-			f.out[a.ID]++
+			n := f.attempts[a.ID]
+			f.attempts[a.ID]++
 			f.answer(i, a, n, host)
 		case Probe:
 			result := OK
 			if f.dead[a.Server] {
 				result = TimedOut
 			}
-			f.later(f.now+ms, i, ProbeResult{Server: a.Server, Result: result, Took: ms})
+			f.schedule(f.now+ms, i, ProbeResult{Server: a.Server, Result: result, Took: ms})
 		case After:
-			f.later(f.now+a.Wait, i, Timer{a.Tag})
+			f.schedule(f.now+a.Wait, i, Timer{a.Tag})
 		}
 	}
 }
@@ -86,63 +86,63 @@
 	if a.Server == "p" {
 		role = Primary
 	}
-	out := Outcome{ID: a.ID, Server: a.Server, Attempt: attempt, Result: OK, Role: role, Took: work, Final: true}
-	if f.busy != nil {
+	out := Outcome{ID: a.ID, Server: a.Server, Attempt: attempt, Result: OK, Role: role, Took: meanWork, Final: true}
+	if f.busyUntil != nil {
 		out.Took, out.Result = f.queue(a, cold)
 		out.Final = out.Result == OK
 	}
-	f.later(f.now+out.Took, router, out)
+	f.schedule(f.now+out.Took, router, out)
 }
 
 // queue lets a host with a few cores take an attempt: it refuses what would wait too long, and continues
 // with attempts that have timed out.
 func (f *fleet) queue(a Send, cold string) (time.Duration, Result) {
 	if f.dead[a.Server] {
-		return cmp.Or(a.Timeout, silent), TimedOut
+		return cmp.Or(a.Timeout, silentTimeout), TimedOut
 	}
-	if f.busy[a.Server] == nil {
-		f.busy[a.Server] = make([]time.Duration, cores)
+	if f.busyUntil[a.Server] == nil {
+		f.busyUntil[a.Server] = make([]time.Duration, cores)
 	}
 	first := 0
-	for i, until := range f.busy[a.Server] {
-		if until < f.busy[a.Server][first] {
+	for i, until := range f.busyUntil[a.Server] {
+		if until < f.busyUntil[a.Server][first] {
 			first = i
 		}
 	}
-	begin := max(f.now, f.busy[a.Server][first])
-	if begin-f.now > longestQueue {
+	begin := max(f.now, f.busyUntil[a.Server][first])
+	if begin-f.now > maxQueueTime {
 		return ms, Full
 	}
-	took := work
+	took := meanWork
 	if began := origin + coldAt; a.Server == cold && f.now >= began {
-		took = time.Duration(float64(work) / f.warmth(f.now-began))
+		took = time.Duration(float64(meanWork) / f.warmUpWeight(f.now-began))
 	}
-	f.busy[a.Server][first] = begin + took
+	f.busyUntil[a.Server][first] = begin + took
 	if total := begin + took - f.now; a.Timeout == 0 || total <= a.Timeout {
 		return total, OK
 	}
 	return a.Timeout, TimedOut
 }
 
-// warmth returns the minimum fraction of its capacity that a host has at an age.
-func (f *fleet) warmth(age time.Duration) float64 {
-	return min(1, f.s.ColdShare+(1-f.s.ColdShare)*float64(age)/float64(f.s.ColdTime))
+// warmUpWeight returns the minimum fraction of its capacity that a host has at an age.
+func (f *fleet) warmUpWeight(age time.Duration) float64 {
+	return min(1, f.settings.ColdShare+(1-f.settings.ColdShare)*float64(age)/float64(f.settings.ColdTime))
 }
 
 const (
-	work         = 60 * ms
-	cores        = 4
-	capacity     = 66.0 // requests per second of a warm host
-	replicas     = 5
-	fall         = 1500 * ms
-	coldAt       = 2 * time.Second // after the beginning
-	longestQueue = 300 * ms
-	silent       = time.Second // until the client of a host that answers nothing gives up
+	meanWork       = 60 * ms
+	cores          = 4
+	capacity       = 66.0 // requests per second of a warm host
+	replicas       = 5
+	overloadWindow = 1500 * ms
+	coldAt         = 2 * time.Second // after the beginning
+	maxQueueTime   = 300 * ms
+	silentTimeout  = time.Second // until the client of a host that answers nothing gives up
 )
 
-// play runs a group under a load, as a fraction of its capacity, while one host starts cold. The fraction
+// run runs a group under a load, as a fraction of its capacity, while one host starts cold. The fraction
 // untold of the routers does not get the start from the list.
-func (f *fleet) play(load float64, class, host string, untold float64) {
+func (f *fleet) run(load float64, class, host string, untold float64) {
 	const start, end = coldAt, 14 * time.Second
 	members := Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
 	for i := range replicas {
@@ -150,25 +150,25 @@
 	}
 	f.now = origin
 	for i := range f.routers {
-		f.tell(i, members, host)
+		f.handle(i, members, host)
 	}
 	bears := capacity * replicas
 	if class == "save" {
 		bears = capacity
 	}
-	rate, n, begun := cmp.Or(f.before, load)*bears, 0, false
+	rate, n, begun := cmp.Or(f.loadBefore, load)*bears, 0, false
 	for next := origin; ; next += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second)) {
-		for f.due.Len() > 0 && f.due[0].at <= next {
-			m := heap.Pop(&f.due).(moment)
+		for f.events.Len() > 0 && f.events[0].at <= next {
+			m := heap.Pop(&f.events).(scheduledEvent)
 			f.now = m.at
 			if o, ok := m.ev.(Outcome); ok {
 				f.served++
 				if !begun {
-					f.warm++
+					f.servedWarm++
 				}
-				delete(f.out, o.ID)
+				delete(f.attempts, o.ID)
 			}
-			f.tell(m.router, m.ev, host)
+			f.handle(m.router, m.ev, host)
 		}
 		if f.now = next; next > origin+end {
 			return
@@ -186,7 +186,7 @@
 					}
 				}
 				l.Started = f.now
-				f.later(f.now, i, Members{List: []Member{l}})
+				f.schedule(f.now, i, Members{List: []Member{l}})
 			}
 		}
 		x, i := f.rng.Float64()*f.share[len(f.share)-1], 0
@@ -195,26 +195,26 @@
 		}
 		n++
 		c := f.routers[i].cells[0].classes[class].Class
-		f.tell(i, Request{ID: fmt.Sprint("q", n), Class: class, Session: fmt.Sprint(n), Deadline: next + c.Deadline}, host)
+		f.handle(i, Request{ID: fmt.Sprint("q", n), Class: class, Session: fmt.Sprint(n), Deadline: next + c.Deadline}, host)
 	}
 }
 
-// over returns the largest number of requests within a window, relative to the budget plus random variation.
+// worstOverload returns the largest number of requests within a window, relative to the budget plus random variation.
 // Windows that begin when the host is warm are ignored.
-func (f *fleet) over() (worst float64) {
+func (f *fleet) worstOverload() (worst float64) {
 	began := origin + coldAt
 	for i := range f.sent {
-		if f.sent[i] >= began+f.s.ColdTime {
+		if f.sent[i] >= began+f.settings.ColdTime {
 			break
 		}
 		n := 0
 		for _, at := range f.sent[i:] {
-			if at >= f.sent[i]+fall {
+			if at >= f.sent[i]+overloadWindow {
 				break
 			}
 			n++
 		}
-		budget := f.s.OverloadFactor * f.warmth(f.sent[i]-began) * capacity * fall.Seconds()
+		budget := f.settings.OverloadFactor * f.warmUpWeight(f.sent[i]-began) * capacity * overloadWindow.Seconds()
 		worst = max(worst, float64(n)/(budget+2*math.Sqrt(budget)+2))
 	}
 	return worst
@@ -222,7 +222,7 @@
 
 // All routers of a fleet together stay within the budget of a host that has just started, for any number of
 // routers and uneven traffic, although no router sees the sum.
-func TestAFleetKeepsAColdHostsBudget(t *testing.T) {
+func TestFleetKeepsColdBudget(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		class, host string
@@ -245,7 +245,7 @@
 				for seed := range uint64(5) {
 					s := settings()
 					s.Routers, s.OverloadFactor, s.ColdShare, s.ColdTime = routers, c.factor, 0.25, 10*time.Second
-					f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 5)), out: map[string]int{}}
+					f := &fleet{settings: s, rng: rand.New(rand.NewPCG(seed, 5)), attempts: map[string]int{}}
 					sum := 0.0
 					for i := range routers {
 						r, err := New(s, seed*1000+uint64(i))
@@ -256,11 +256,11 @@
 						sum += 0.2 + 4*f.rng.Float64()*f.rng.Float64() // some get several times the mean traffic
 						f.share = append(f.share, sum)
 					}
-					f.play(c.load, c.class, c.host, c.untold)
+					f.run(c.load, c.class, c.host, c.untold)
 					if len(f.sent) == 0 || f.served == 0 {
 						t.Fatalf("%d routers, seed %d: %d sent, %d served, want some of both", routers, seed, len(f.sent), f.served)
 					}
-					if worst := f.over(); worst > 1 && c.factor > 0 {
+					if worst := f.worstOverload(); worst > 1 && c.factor > 0 {
 						t.Errorf("%d routers, seed %d: %.2f of the budget of the host", routers, seed, worst)
 					} else {
 						t.Logf("%d routers, seed %d: %.2f, %d sent, %d served", routers, seed, worst, len(f.sent), f.served)
--- a/balance/elapsed_test.go
+++ b/balance/elapsed_test.go
@@ -5,7 +5,7 @@
 // When a client has spent more than the latency target on earlier tries, an answer without late worth has no
 // value: the request is refused at once instead of being sent to a host. A late answer that still has value
 // is given.
-func TestWhatCanEarnNothingIsNotSent(t *testing.T) {
+func TestWorthlessRequestIsNotSent(t *testing.T) {
 	g := newRig(t, nil)
 	for _, try := range []struct {
 		id, class string
@@ -15,7 +15,7 @@
 		if try.id == "first" {
 			q.Elapsed = 0
 		}
-		acts := g.do(q)
+		acts := g.handle(q)
 		switch a := acts[len(acts)-1].(type) {
 		case Send:
 			if !try.sent {
--- a/balance/even_test.go
+++ b/balance/even_test.go
@@ -8,7 +8,7 @@
 
 // Reads are spread more evenly than at random, as a replica is drawn less the more of its limit is in
 // flight. Drawn by weight alone, ten reads differ by 2.5 between two replicas on average.
-func TestTheDrawIsEven(t *testing.T) {
+func TestReplicaChoiceIsEven(t *testing.T) {
 	const seeds, reads = 300, 10
 	sum := 0.0
 	for seed := range uint64(seeds) {
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -9,7 +9,7 @@
 )
 
 // The evidence about a member does not depend on the order in which statements arrive.
-func TestEvidenceDoesNotDependOnOrder(t *testing.T) {
+func TestEvidenceIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := rapid.Custom(func(t *rapid.T) Made {
 			from := time.Duration(rapid.IntRange(1, 50).Draw(t, "from")) * ms
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestALeadersWordStandsOnlyIfItIsCertainlyLater(t *testing.T) {
+func TestPrimaryStatementMustBeCertainlyNewer(t *testing.T) {
 	const now = origin
 	follows := func(from, to time.Duration) Statement {
 		return Statement{Role: Replica, Made: Made{NotBefore: now + from, NotAfter: now + to}}
@@ -75,102 +75,102 @@
 	}
 }
 
-// started lists a member with a new start time.
-func (g *rig) started(server string, at time.Duration, primary bool) []Action {
-	return g.do(Members{List: []Member{{Server: server, Primary: primary, Weight: 1, Started: at, Incarnation: at}}})
+// restart lists a member with a new start time.
+func (g *rig) restart(server string, at time.Duration, primary bool) []Action {
+	return g.handle(Members{List: []Member{{Server: server, Primary: primary, Weight: 1, Started: at, Incarnation: at}}})
 }
 
 // The list reports a start after the new process has already answered: its answers and its health record
 // must survive.
-func TestALateStartOverridesNoAnswer(t *testing.T) {
+func TestLateListedStartKeepsAnswers(t *testing.T) {
 	g := newRig(t, nil)
-	g.know("p", Primary, 0)
+	g.setState("p", Primary, 0)
 	g.now += time.Second
 	start := g.now
 	g.now += 100 * ms
-	g.know("p", Replica, time.Second)
+	g.setState("p", Replica, time.Second)
 	g.r.members["p"].aliveAt, g.r.members["p"].failures = g.now, 2
 	g.now += 100 * ms
-	g.started("p", start, true)
+	g.restart("p", start, true)
 	if p := g.r.primaryOf(g.r.groups[0]); p != nil {
 		t.Errorf("%s counts as the primary", p.Server)
 	}
-	if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "p") {
+	if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "p") {
 		t.Error("a read goes to a replica that lags")
 	}
 	if g.r.members["p"].failures != 2 {
 		t.Error("the health record of the new process is lost")
 	}
 	g.now += time.Second
-	g.started("p", g.now-10*ms, true) // a process that has not answered yet
+	g.restart("p", g.now-10*ms, true) // a process that has not answered yet
 	if g.r.members["p"].failures != 0 {
 		t.Error("a new process keeps the health record of the previous one")
 	}
 }
 
 // A start time that moves only because the clock offset is now estimated differently is not a new start.
-func TestAStartReadOtherwiseIsNoStart(t *testing.T) {
+func TestAdjustedStartTimeIsNoRestart(t *testing.T) {
 	g := newRig(t, nil)
-	g.started("a", origin-time.Second, false)
+	g.restart("a", origin-time.Second, false)
 	g.r.members["a"].failures = 2
-	g.do(Members{List: []Member{{Server: "a", Weight: 1, Started: origin - 500*ms, Incarnation: origin - time.Second}}})
+	g.handle(Members{List: []Member{{Server: "a", Weight: 1, Started: origin - 500*ms, Incarnation: origin - time.Second}}})
 	if g.r.members["a"].failures != 2 {
 		t.Error("a member counts as a new process after a change of the clock offset")
 	}
 }
 
 // The list decides who is the primary only among members that have never stated their role.
-func TestTheListIsBelievedOnlyOfWhoIsSilent(t *testing.T) {
+func TestListedPrimaryNeedsSilentMember(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(g *rig)
 		want string
 	}{
 		"no statement":                               {func(*rig) {}, "p"},
-		"it is a replica":                            {func(g *rig) { g.know("p", Replica, 0) }, ""},
+		"it is a replica":                            {func(g *rig) { g.setState("p", Replica, 0) }, ""},
 		"a report states that it is a replica":       {func(g *rig) { g.report("p", Replica) }, ""},
-		"another router states that it is a replica": {func(g *rig) { g.heard("p", nil) }, ""},
+		"another router states that it is a replica": {func(g *rig) { g.gossip("p", nil) }, ""},
 		"another router states so, of a past time": {func(g *rig) {
-			g.know("p", Primary, 0)
+			g.setState("p", Primary, 0)
 			g.now += 50 * ms
-			g.heard("p", func(h *Heard) { h.At = g.now - 100*ms }) // a router cannot tell how long the gossip message was on its way
+			g.gossip("p", func(h *Heard) { h.At = g.now - 100*ms }) // a router cannot tell how long the gossip message was on its way
 		}, ""},
-		"a partial answer states that it is a replica":   {func(g *rig) { g.part("p", Replica) }, ""},
-		"a partial answer states that it is the primary": {func(g *rig) { g.part("a", Primary) }, "p"},
-		"another member is the primary":                  {func(g *rig) { g.know("a", Primary, 0) }, "a"},
+		"a partial answer states that it is a replica":   {func(g *rig) { g.partialAnswer("p", Replica) }, ""},
+		"a partial answer states that it is the primary": {func(g *rig) { g.partialAnswer("a", Primary) }, "p"},
+		"another member is the primary":                  {func(g *rig) { g.setState("a", Primary, 0) }, "a"},
 		"another member was the primary and is deposed": {func(g *rig) {
-			g.know("p", Primary, 0)
+			g.setState("p", Primary, 0)
 			g.now += ms
-			g.know("a", Primary, 0)
+			g.setState("a", Primary, 0)
 			g.now += ms
-			g.know("a", Replica, 0)
+			g.setState("a", Replica, 0)
 		}, ""},
-		"it was the primary and has restarted": {func(g *rig) { g.know("p", Primary, 0); g.now += ms; g.started("p", g.now, true) }, ""},
+		"it was the primary and has restarted": {func(g *rig) { g.setState("p", Primary, 0); g.now += ms; g.restart("p", g.now, true) }, ""},
 		"a report states that it is the primary": {func(g *rig) {
-			g.know("a", Replica, 0)
+			g.setState("a", Replica, 0)
 			g.now += time.Second
 			g.report("a", Primary)
 		}, "a"},
 		"an older report states that it is the primary": {func(g *rig) {
-			g.know("a", Replica, 0)
-			g.do(ProbeResult{Server: "a", Result: OK, Report: Report{Has: true, Role: Primary, Position: g.now - ms, NotBefore: g.now - ms}})
+			g.setState("a", Replica, 0)
+			g.handle(ProbeResult{Server: "a", Result: OK, Report: Report{Has: true, Role: Primary, Position: g.now - ms, NotBefore: g.now - ms}})
 		}, "p"},
 		"it is the primary, with an older report": {func(g *rig) {
-			g.do(Outcome{ID: "none", Server: "a", Result: OK, Role: Primary, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now},
+			g.handle(Outcome{ID: "none", Server: "a", Result: OK, Role: Primary, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now},
 				Report: Report{Has: true, Role: Replica, Position: g.now - ms, NotBefore: g.now - ms}})
 		}, "a"},
 		"it was removed long ago, after it had stated that it is a replica": {func(g *rig) {
-			g.know("p", Replica, 0)
-			g.do(Members{List: []Member{{Server: "p", State: Left}}})
+			g.setState("p", Replica, 0)
+			g.handle(Members{List: []Member{{Server: "p", State: Left}}})
 			g.now += 2 * forgetAfter
-			g.do(Members{List: []Member{{Server: "a", Weight: 1}}})
+			g.handle(Members{List: []Member{{Server: "a", Weight: 1}}})
 			if g.r.members["p"] != nil {
 				panic("the member was not dropped")
 			}
-			g.do(Members{List: list()})
+			g.handle(Members{List: list()})
 		}, ""},
-		"an earlier router knew that it is a replica": {func(g *rig) { g.do(Inherited{Server: "p", Follows: g.now - ms, Alive: true}) }, ""},
-		"an earlier router knew another primary":      {func(g *rig) { g.do(Inherited{Server: "a", Leads: g.now - ms, Alive: true}) }, "a"},
-		"the clock was wrong":                         {func(g *rig) { g.know("p", Primary, 0); g.do(ClockReplaced{}) }, ""},
+		"an earlier router knew that it is a replica": {func(g *rig) { g.handle(Inherited{Server: "p", Follows: g.now - ms, Alive: true}) }, ""},
+		"an earlier router knew another primary":      {func(g *rig) { g.handle(Inherited{Server: "a", Leads: g.now - ms, Alive: true}) }, "a"},
+		"the clock was wrong":                         {func(g *rig) { g.setState("p", Primary, 0); g.handle(ClockReplaced{}) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, nil)
@@ -189,46 +189,46 @@
 
 // report answers a probe with a report made now.
 func (g *rig) report(server string, role Role) {
-	g.do(ProbeResult{Server: server, Result: OK, Report: Report{Has: true, Role: role, Position: g.now, NotBefore: g.now}})
+	g.handle(ProbeResult{Server: server, Result: OK, Report: Report{Has: true, Role: role, Position: g.now, NotBefore: g.now}})
 }
 
-// part breaks off an answer after its role.
-func (g *rig) part(server string, role Role) {
-	g.do(Outcome{ID: "none", Server: server, Result: Reset, Role: role, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now}})
+// partialAnswer breaks off an answer after its role.
+func (g *rig) partialAnswer(server string, role Role) {
+	g.handle(Outcome{ID: "none", Server: server, Result: Reset, Role: role, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now}})
 }
 
 // An incomplete answer states no position.
-func TestAPartOfAnAnswerTellsNoPosition(t *testing.T) {
+func TestPartialAnswerHasNoPosition(t *testing.T) {
 	g := newRig(t, nil)
-	g.part("a", Replica)
+	g.partialAnswer("a", Replica)
 	if e := g.r.members["a"].evidence; e.position != 0 || e.replicaNotAfter == 0 {
 		t.Errorf("%+v", e)
 	}
 }
 
 // The position behind a bounded read must still be recent enough when the process stalls before the write.
-func TestBoundedReadsLeaveTimeForAHoldUp(t *testing.T) {
+func TestBoundedReadsKeepSendDelayMargin(t *testing.T) {
 	for _, c := range []struct{ bound, usable time.Duration }{
 		{500 * ms, 500*ms - 146*ms}, // 354 ms; with a stall of 150 ms, 4 ms of the protocol's 50 ms of slack are used
 		{210 * ms, 210*ms - 71*ms},  // only a third of the bound is kept free
 	} {
 		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound = 150*ms, c.bound })
-		g.know("a", Replica, c.usable)
-		_, acts := g.ask("browse", 0)
+		g.setState("a", Replica, c.usable)
+		_, acts := g.request("browse", 0)
 		s, ok := acts[len(acts)-1].(Send)
 		if !ok || s.Server != "a" || s.Grounds.Kind != ByPosition || s.Grounds.SendBy != g.now {
 			t.Errorf("with a position just inside the bound of %s: %+v", c.bound, acts)
 		}
 		g = newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound = 150*ms, c.bound })
-		g.know("a", Replica, c.usable+ms)
-		if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
+		g.setState("a", Replica, c.usable+ms)
+		if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("with a position just outside the bound: %+v", acts)
 		}
 	}
 }
 
 // A replica whose last known lag was small, in a group whose log moves, is used up to the bound.
-func TestWhoKeepsUpServesUpToTheBound(t *testing.T) {
+func TestReplicaThatKeepsUpIsUsedToTheBound(t *testing.T) {
 	for name, c := range map[string]struct {
 		lag, moved time.Duration // lag that the replica stated; time since the group's log was known to move
 		sent       bool
@@ -239,11 +239,11 @@
 	} {
 		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
 		told := g.now
-		g.know("a", Replica, c.lag)
+		g.setState("a", Replica, c.lag)
 		g.now = told + 450*ms - c.lag // the position is 450 ms old
-		g.know("b", Replica, 3*time.Second)
+		g.setState("b", Replica, 3*time.Second)
 		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.moved, Made: Made{NotBefore: g.now - c.moved, NotAfter: g.now}})
-		_, acts := g.ask("browse", 0)
+		_, acts := g.request("browse", 0)
 		if sent := slices.Contains(sends(acts), "a"); sent != c.sent {
 			t.Errorf("%s: sent %t, %v", name, sent, acts)
 		}
@@ -262,21 +262,21 @@
 		return Grounds{}
 	}
 	g := newRig(t, nil)
-	_, acts := g.ask("own", 10*ms)
+	_, acts := g.request("own", 10*ms)
 	if got := send(acts); got.Kind != Excused || !got.NeedsLeader() {
 		t.Errorf("before any statement: %+v", got)
 	}
-	_, acts = g.ask("save", 0)
+	_, acts = g.request("save", 0)
 	if got := send(acts); got.Kind != NotNeeded {
 		t.Errorf("a write: %+v", got)
 	}
-	g.know("p", Primary, 0)
-	_, acts = g.ask("own", 10*ms)
+	g.setState("p", Primary, 0)
+	_, acts = g.request("own", 10*ms)
 	if got := send(acts); got.Kind != LeaderWord || got.Leads != g.now || !got.NeedsLeader() {
 		t.Errorf("to the stated primary: %+v", got)
 	}
-	g.know("a", Replica, 0)
-	_, acts = g.ask("own", time.Second)
+	g.setState("a", Replica, 0)
+	_, acts = g.request("own", time.Second)
 	if got := send(acts); got.Kind != ByPosition || got.SendBy != 0 || got.Position != g.now {
 		t.Errorf("to a replica that has the write: %+v", got)
 	}
@@ -284,22 +284,22 @@
 
 // A replica whose answers repeat one position had a small lag when it first stated it, but its log has
 // stopped since.
-func TestAReplicaThatWasToldToStandStillDoesNotKeepUp(t *testing.T) {
+func TestReplicaWithStoppedLogDoesNotKeepUp(t *testing.T) {
 	for name, again := range map[string]func(g *rig){
-		"in its answer": func(g *rig) { g.know("a", Replica, 310*ms) },
+		"in its answer": func(g *rig) { g.setState("a", Replica, 310*ms) },
 		"in its report": func(g *rig) {
-			g.do(ProbeResult{Server: "a", Result: OK, Made: Made{NotBefore: g.now, NotAfter: g.now},
+			g.handle(ProbeResult{Server: "a", Result: OK, Made: Made{NotBefore: g.now, NotAfter: g.now},
 				Report: Report{Has: true, Role: Replica, Position: g.now - 310*ms}})
 		},
 	} {
 		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
-		g.know("a", Replica, 10*ms)
+		g.setState("a", Replica, 10*ms)
 		g.now += 300 * ms
 		again(g)
 		g.now += 140 * ms
-		g.know("b", Replica, 3*time.Second)
+		g.setState("b", Replica, 3*time.Second)
 		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, Made: Made{NotBefore: g.now - 10*ms, NotAfter: g.now}})
-		if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
+		if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("%s: a read with a bound of 500 ms goes to a replica whose log stopped 450 ms ago, with no margin for a stall: %v", name, acts)
 		}
 	}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -26,11 +26,11 @@
 
 // rig drives one router step by step.
 type rig struct {
-	t    *testing.T
-	r    *Router
-	now  time.Duration
-	acts []Action
-	n    int
+	t       *testing.T
+	r       *Router
+	now     time.Duration
+	actions []Action
+	n       int
 }
 
 func newRig(t *testing.T, change func(*Settings)) *rig {
@@ -44,12 +44,12 @@
 		t.Fatal(err)
 	}
 	g := &rig{t: t, r: r, now: origin}
-	g.do(Members{Whole: true, List: list()})
+	g.handle(Members{Whole: true, List: list()})
 	return g
 }
 
-// seeded returns a rig with the default settings and without a member list.
-func seeded(t *testing.T, seed int) *rig {
+// newSeededRig returns a rig with the default settings and without a member list.
+func newSeededRig(t *testing.T, seed int) *rig {
 	r, err := New(settings(), uint64(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 	return &rig{t: t, r: r, now: origin}
 }
 
-// firstSent requires the first action to be a Send of the request id.
-func firstSent(t *testing.T, acts []Action, id, why string) {
+// requireFirstSend requires the first action to be a Send of the request id.
+func requireFirstSend(t *testing.T, acts []Action, id, why string) {
 	t.Helper()
 	if s, ok := acts[0].(Send); !ok || s.ID != id {
 		t.Errorf("first action %v, want %s", acts[0], why)
@@ -70,37 +70,37 @@
 		{Server: "b", Weight: 1}}
 }
 
-func (g *rig) do(e Event) []Action {
-	g.acts = g.r.Handle(g.now, e, nil)
-	return g.acts
+func (g *rig) handle(e Event) []Action {
+	g.actions = g.r.Handle(g.now, e, nil)
+	return g.actions
 }
 
-func (g *rig) ask(class string, age time.Duration) (string, []Action) {
+func (g *rig) request(class string, age time.Duration) (string, []Action) {
 	g.n++
 	id := fmt.Sprint("q", g.n)
 	life := 2 * time.Second
 	if c := g.r.cells[0].classes[class]; c != nil {
 		life = c.Deadline
 	}
-	return id, g.do(Request{ID: id, Class: class, Session: "s", Deadline: g.now + life, WriteAge: age})
+	return id, g.handle(Request{ID: id, Class: class, Session: "s", Deadline: g.now + life, WriteAge: age})
 }
 
-// beat advances the clock in steps of the beat, so that queued requests are tried again.
-func (g *rig) beat(d time.Duration) []Action {
+// advance advances the clock in steps of the beat, so that queued requests are tried again.
+func (g *rig) advance(d time.Duration) []Action {
 	var all []Action
 	for end := g.now + d; g.now < end; {
 		g.now += queueInterval
-		all = append(all, g.do(Timer{tagQueue})...)
+		all = append(all, g.handle(Timer{tagQueue})...)
 	}
 	return all
 }
 
-func (g *rig) know(server string, role Role, behind time.Duration) {
+func (g *rig) setState(server string, role Role, behind time.Duration) {
 	g.r.addStatement(g.r.members[server], Statement{Role: role, Position: g.now - behind, Made: Made{NotBefore: g.now, NotAfter: g.now}})
 }
 
 func (g *rig) answer(id, server string, try int, res Result, role Role) []Action {
-	return g.do(Outcome{ID: id, Server: server, Attempt: try, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
+	return g.handle(Outcome{ID: id, Server: server, Attempt: try, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
 }
 
 func sends(acts []Action) (to []string) {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-func TestTimeOutBlacklistsOnlyTheSilent(t *testing.T) {
+func TestTimeoutBlacklistsOnlySilentMember(t *testing.T) {
 	// A busy replica that still answers others must not be blacklisted; a silent one must.
 	for _, answers := range []bool{false, true} {
 		g := newRig(t, nil)
 		g.r.members["b"].State = Left
-		id1, acts := g.ask("any", 0)
+		id1, acts := g.request("any", 0)
 		want(t, "first", sends(acts), []string{"a"})
-		id2, _ := g.ask("any", 0)
+		id2, _ := g.request("any", 0)
 		g.r.members["b"].State = Active
 		g.now += 700 * ms
 		if answers {
 			g.answer(id2, "a", 0, OK, Replica)
 		}
-		g.do(Outcome{ID: id1, Server: "a", Result: TimedOut, Took: 700 * ms})
+		g.handle(Outcome{ID: id1, Server: "a", Result: TimedOut, Took: 700 * ms})
 		if got := g.r.available(g.r.members["a"]); got != answers {
 			t.Errorf("answers others: %v, available: %v", answers, got)
 		}
 	}
 }
 
-func TestLimitsAreNotCutToNothing(t *testing.T) {
+func TestLimitHasMinimum(t *testing.T) {
 	// When everything slows down at once, every answer is above the threshold; the limits must not all fall
 	// to one attempt.
 	g := newRig(t, nil)
-	g.know("a", Replica, 0)
+	g.setState("a", Replica, 0)
 	m := g.r.members["a"]
 	for range 60 {
 		g.now += limitCutInterval
@@ -45,32 +45,32 @@
 
 func TestLastReplicaIsNotBlacklisted(t *testing.T) {
 	g := newRig(t, nil)
-	g.do(Members{Whole: true, List: list()[:2]})
-	id, _ := g.ask("any", 0)
+	g.handle(Members{Whole: true, List: list()[:2]})
+	id, _ := g.request("any", 0)
 	g.answer(id, "a", 0, Failed, Replica)
 	if !g.r.available(g.r.members["a"]) {
 		t.Error("the only replica was blacklisted for one error")
 	}
 }
 
-func TestSilentPrimaryIsProbedBeforeItIsFed(t *testing.T) {
+func TestSilentPrimaryIsProbedFirst(t *testing.T) {
 	// A hung primary would never answer unsafe writes.
 	g := newRig(t, nil)
-	g.ask("save", 0)
+	g.request("save", 0)
 	g.now += 600 * ms
-	_, acts := g.ask("save", 0)
+	_, acts := g.request("save", 0)
 	want(t, "write to a silent primary", sends(acts), nil)
 	probed := false
-	for _, a := range append(acts, g.beat(queueInterval)...) {
+	for _, a := range append(acts, g.advance(queueInterval)...) {
 		probed = probed || a == Action(Probe{"p"})
 	}
 	if !probed {
 		t.Fatal("the silent primary was not probed")
 	}
-	want(t, "after a good probe", sends(g.do(ProbeResult{Server: "p", Result: OK})), []string{"p"})
+	want(t, "after a good probe", sends(g.handle(ProbeResult{Server: "p", Result: OK})), []string{"p"})
 }
 
-func TestErrorsOfTheRequestAreToldFromTheMembers(t *testing.T) {
+func TestRequestErrorsAreNotBlamedOnMembers(t *testing.T) {
 	// Requests that fail on every member used up six attempts each and had every replica blacklisted.
 	for _, c := range []struct {
 		name   string
@@ -79,8 +79,8 @@
 		down   bool // whether the first member is blacklisted
 	}{{"fails on every member", Failed, 2, false}, {"succeeds on another member", OK, 2, true}} {
 		g := newRig(t, nil)
-		g.do(Members{List: append(list(), Member{Server: "c", Weight: 1})})
-		id, acts := g.ask("any", 0)
+		g.handle(Members{List: append(list(), Member{Server: "c", Weight: 1})})
+		id, acts := g.request("any", 0)
 		first, n := sends(acts)[0], 1
 		acts = g.answer(id, first, 0, Failed, Replica)
 		for try := 1; len(sends(acts)) > 0 && try < 8; try++ {
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestABrokenConnectionIsNotYetADeath(t *testing.T) {
+func TestBrokenConnectionIsProbed(t *testing.T) {
 	// After one reset connection or garbled answer, all other attempts at the host were canceled and
 	// repeated elsewhere.
 	for _, c := range []struct {
@@ -112,8 +112,8 @@
 		{NoConnection, NoConnection, true, false}, {Garbled, 0, false, true}} {
 		g := newRig(t, nil)
 		g.r.members["b"].State = Left
-		id, _ := g.ask("any", 0)
-		other, _ := g.ask("any", 0)
+		id, _ := g.request("any", 0)
+		other, _ := g.request("any", 0)
 		asked := false
 		for _, a := range g.answer(id, "a", 0, c.broke, Replica) {
 			switch a := a.(type) {
@@ -127,7 +127,7 @@
 			t.Errorf("%v: in flight %v, probed %v", c.broke, g.r.members["a"].inFlight, asked)
 		}
 		if asked {
-			g.do(ProbeResult{Server: "a", Result: c.probe})
+			g.handle(ProbeResult{Server: "a", Result: c.probe})
 		}
 		if got := g.r.available(g.r.members["a"]); got != c.alive {
 			t.Errorf("%v, then a probe that ends with %v: available %v", c.broke, c.probe, got)
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestAProbeDoesNotEndTheBlacklistingOfWhatOnlyErrs(t *testing.T) {
+func TestProbeKeepsBlacklistingAfterErrors(t *testing.T) {
 	// A replica that failed every request at once answered its probes and was in use again every half
 	// second.
 	for n, back := range map[int]bool{maxFailures - 1: true, maxFailures: false} {
@@ -143,14 +143,14 @@
 		m := g.r.members["a"]
 		for range n {
 			g.r.members["b"].State = Left
-			id, _ := g.ask("any", 0)
+			id, _ := g.request("any", 0)
 			g.r.members["b"].State = Active
 			to := sends(g.answer(id, "a", 0, Failed, Replica))
 			if len(to) != 1 || to[0] == "a" {
 				t.Fatalf("retried at %v", to)
 			}
 			g.answer(id, to[0], 1, OK, Unknown)
-			g.do(ProbeResult{Server: "a", Result: OK})
+			g.handle(ProbeResult{Server: "a", Result: OK})
 			if n == maxFailures && g.r.available(m) && m.failures == n {
 				t.Errorf("available again after %d errors in a row", n)
 			}
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestAProbeDoesNotEndATimeOutsBlacklisting(t *testing.T) {
+func TestProbeKeepsBlacklistingAfterTimeouts(t *testing.T) {
 	// Members that crawl or never answer requests do answer probes: every router used them again at once.
 	for _, c := range []struct {
 		timeouts int
@@ -178,17 +178,17 @@
 			g.r.blacklist(m, false)
 		}
 		g.now += c.after
-		g.do(ProbeResult{Server: "a", Result: OK})
+		g.handle(ProbeResult{Server: "a", Result: OK})
 		if got := g.r.available(m); got != c.back {
 			t.Errorf("%d timeouts, a good probe %v later: available %v, want %v", c.timeouts, c.after, got, c.back)
 		}
 	}
 }
 
-func TestWhatMostReplicasShowIsNotOnes(t *testing.T) {
+func TestMostReplicasAreNotBlacklisted(t *testing.T) {
 	g := newRig(t, nil)
 	for _, s := range []string{"c", "d"} {
-		g.do(Members{List: []Member{{Server: s, Weight: 1}}})
+		g.handle(Members{List: []Member{{Server: s, Weight: 1}}})
 	}
 	n := 0
 	for _, s := range []string{"a", "b", "c", "d"} {
@@ -202,18 +202,18 @@
 	}
 }
 
-func TestTheRoutersOwnStandstillIsNobodysFault(t *testing.T) {
+func TestRouterStallBlamesNoMember(t *testing.T) {
 	// A router that had been stalled saw timeouts and silence everywhere and blacklisted every member.
 	for _, c := range []struct {
 		stood time.Duration
 		blame bool
 	}{{0, true}, {800 * ms, false}} {
 		g := newRig(t, nil)
-		id, acts := g.ask("any", 0)
+		id, acts := g.request("any", 0)
 		to := sends(acts)[0]
-		g.do(Request{ID: "w", Class: "save", Group: 9, Deadline: g.now + 4*time.Second}) // waits, so that a beat is due
+		g.handle(Request{ID: "w", Class: "save", Group: 9, Deadline: g.now + 4*time.Second}) // waits, so that a beat is due
 		if c.stood == 0 {
-			g.beat(800 * ms)
+			g.advance(800 * ms)
 		} else {
 			g.now += c.stood
 		}
--- a/balance/hold_up_test.go
+++ b/balance/hold_up_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestAReadWrittenAfterAHoldUpIsInsideTheBoundOrNotServedWhereAReplicaStalls(t *testing.T) {
+func TestReadAfterSendDelayIsInBoundOrRejected(t *testing.T) {
 	const holdUp, slackOnSockets = 150 * ms, 50 * ms
 	for _, c := range []struct {
 		class  string // "own": a session's reads with a bound as well, while old and new settings are both in use
@@ -18,12 +18,12 @@
 				g := newRig(t, func(s *Settings) {
 					s.HoldUp, s.Classes[0].Bound, s.Classes[1].Bound, s.Probes = holdUp, c.bound, c.bound, false
 				})
-				g.know("a", Replica, 0) // its log stalls from now on
+				g.setState("a", Replica, 0) // its log stalls from now on
 				position := g.now
 				g.now += age
-				g.know("b", Replica, 10*time.Second)
-				g.know("p", Primary, 0) // the group's log moves
-				_, acts := g.ask(c.class, c.writes)
+				g.setState("b", Replica, 10*time.Second)
+				g.setState("p", Primary, 0) // the group's log moves
+				_, acts := g.request(c.class, c.writes)
 				for _, a := range acts {
 					s, ok := a.(Send)
 					if !ok || s.Server != "a" {
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	modelSlack      = 50 * ms  // added to every bound for reads over sockets
-	modelHoldUp     = 150 * ms // maximum stall of a process between a decision and the send
-	knownAfter      = 100 * ms // a statement counts as known this long after its answer was written
-	modelPresentAge = 5 * ms   // maximum age of the clock reading that a primary answers with
-	modelDrift      = 0.0009   // maximum drift of a machine's clock against the fleet's
+	modelSlack          = 50 * ms  // added to every bound for reads over sockets
+	modelMaxSendDelay   = 150 * ms // maximum stall of a process between a decision and the send
+	modelStatementDelay = 100 * ms // a statement counts as known this long after its answer was written
+	modelPresentAge     = 5 * ms   // maximum age of the clock reading that a primary answers with
+	modelDrift          = 0.0009   // maximum drift of a machine's clock against the fleet's
 )
 
 type modelAttempt struct {
@@ -27,7 +27,7 @@
 	grounds balance.Grounds
 	written time.Duration // 0 until it is written
 	sent    time.Duration // the same time by this machine's clock
-	over    bool
+	ended   bool
 }
 
 type modelRequest struct {
@@ -43,63 +43,63 @@
 
 // modelGateway is one gateway with its successive processes.
 type modelGateway struct {
-	w        *world
-	offset   time.Duration // fleet's clock minus the machine's clock, at the epoch
-	drift    float64       // how much slower the machine's clock runs, as a fraction
-	settings balance.Settings
-	seed     uint64
-	life     int // counts the processes
-	heldTo   time.Duration
-	loopTo   time.Duration // the event loop is busy until then
-	holdUps  bool
-	held     float64 // fraction of the writes that are preceded by a stall
-	reports  bool
-	lies     bool // one answer of each process states a primary's position that is too old
-	lied     bool
-	often    bool          // hosts are probed more often than the module requests, as if there were more of them
-	gap      time.Duration // maximum time between requests: a gateway with few requests gets few statements
-
-	router   *balance.Router
-	clock    *fleetclock.Estimate
-	epoch    int
-	bounds   balance.ClockBounds // as last passed to the module
-	list     map[string]balance.Member
-	requests map[string]*modelRequest
-	count    int
-	follows  map[string]time.Duration // time of each host's last statement on a connection that it is a replica, by this machine's clock
-	told     map[*modelHost][]time.Duration
-	stepped  time.Duration // when the fleet's clock was stepped, by this machine's clock; 0 if never
-	unshown  bool          // no answer to a query sent since the step shows it
-	shownAt  time.Duration // when an answer first showed the step
-	broke    []string
-	reads    int
+	w                 *world
+	clockOffset       time.Duration // fleet's clock minus the machine's clock, at the epoch
+	drift             float64       // how much slower the machine's clock runs, as a fraction
+	settings          balance.Settings
+	seed              uint64
+	process           int // counts the processes
+	stalledUntil      time.Duration
+	loopBusyUntil     time.Duration // the event loop is busy until then
+	stallsEnabled     bool
+	stallChance       float64 // fraction of the writes that are preceded by a stall
+	loadReports       bool
+	falsePositions    bool // one answer of each process states a primary's position that is too old
+	falsePositionSent bool
+	extraProbes       bool          // hosts are probed more often than the module requests, as if there were more of them
+	maxRequestGap     time.Duration // maximum time between requests: a gateway with few requests gets few statements
+
+	router         *balance.Router
+	clock          *fleetclock.Estimate
+	epoch          int
+	bounds         balance.ClockBounds // as last passed to the module
+	list           map[string]balance.Member
+	requests       map[string]*modelRequest
+	count          int
+	replicaAt      map[string]time.Duration // time of each host's last statement on a connection that it is a replica, by this machine's clock
+	replicaAnswers map[*modelHost][]time.Duration
+	steppedAt      time.Duration // when the fleet's clock was stepped, by this machine's clock; 0 if never
+	stepHidden     bool          // no answer to a query sent since the step shows it
+	stepShownAt    time.Duration // when an answer first showed the step
+	violations     []string
+	reads          int
 }
 
 func newModelGateway(w *world) *modelGateway {
 	bound := []time.Duration{500 * ms, 500 * ms, 200 * ms}[w.rng.IntN(3)]
-	g := &modelGateway{w: w, seed: w.rng.Uint64(), told: map[*modelHost][]time.Duration{}, list: map[string]balance.Member{}}
+	g := &modelGateway{w: w, seed: w.rng.Uint64(), replicaAnswers: map[*modelHost][]time.Duration{}, list: map[string]balance.Member{}}
 	if w.chance(0.5) {
-		g.offset = w.between(-500*ms, 500*ms)
+		g.clockOffset = w.between(-500*ms, 500*ms)
 	}
 	if w.chance(0.1) {
-		g.offset *= 10
+		g.clockOffset *= 10
 	}
-	switch g.lies = w.chance(0.3) && g.offset == 0; {
-	case g.lies:
+	switch g.falsePositions = w.chance(0.3) && g.clockOffset == 0; {
+	case g.falsePositions:
 	case w.chance(0.3):
 		g.drift = (2*w.rng.Float64() - 1) * modelDrift
-		w.after(w.between(time.Second, 6*time.Second), func() { w.quiet(w.between(time.Minute, 10*time.Minute)) })
-	case g.offset == 0 && w.chance(0.3):
-		w.after(w.between(0, 6*time.Second), func() { w.standStill(w.between(20*ms, 2*time.Second)) })
+		w.after(w.between(time.Second, 6*time.Second), func() { w.skip(w.between(time.Minute, 10*time.Minute)) })
+	case g.clockOffset == 0 && w.chance(0.3):
+		w.after(w.between(0, 6*time.Second), func() { w.repeatPosition(w.between(20*ms, 2*time.Second)) })
 	case w.chance(0.3):
 		w.after(w.between(0, 6*time.Second), func() { w.step(w.between(100*ms, 3*time.Second)) })
 	}
-	g.often = w.chance(0.3)
-	g.holdUps, g.reports = w.chance(0.5), w.chance(0.7)
-	g.held = []float64{0.03, 0.03, 0.5}[w.rng.IntN(3)]
-	g.gap = []time.Duration{40 * ms, 60 * ms, 300 * ms, 900 * ms}[w.rng.IntN(4)]
+	g.extraProbes = w.chance(0.3)
+	g.stallsEnabled, g.loadReports = w.chance(0.5), w.chance(0.7)
+	g.stallChance = []float64{0.03, 0.03, 0.5}[w.rng.IntN(3)]
+	g.maxRequestGap = []time.Duration{40 * ms, 60 * ms, 300 * ms, 900 * ms}[w.rng.IntN(4)]
 	g.settings = balance.Settings{Routers: 1, Tick: ms, TokensCarried: true, Probes: w.chance(0.8), Cancel: true, RetryAfter: true,
-		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, HoldUp: modelHoldUp, OverloadFactor: 4, ColdShare: 0.25,
+		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, HoldUp: modelMaxSendDelay, OverloadFactor: 4, ColdShare: 0.25,
 		ColdTime: 2 * time.Second, Classes: []balance.Class{
 			{Name: "view", Need: balance.Bounded, Bound: bound, Aim: 400 * ms, Deadline: 900 * ms, Worth: 1},
 			{Name: "own", Need: balance.Session, Aim: 400 * ms, Deadline: 900 * ms, Worth: 1},
@@ -108,27 +108,27 @@
 		g.list[h.id] = h.list
 	}
 	g.start(false)
-	w.after(0, g.ask)
+	w.after(0, g.sendRequests)
 	return g
 }
 
-func (g *modelGateway) local() time.Duration { return g.w.now - g.ahead() }
+func (g *modelGateway) local() time.Duration { return g.w.now - g.offset() }
 
-// ahead returns the fleet's clock minus the machine's clock.
-func (g *modelGateway) ahead() time.Duration {
-	return g.offset + time.Duration(g.drift*float64(g.w.now-epoch))
+// offset returns the fleet's clock minus the machine's clock.
+func (g *modelGateway) offset() time.Duration {
+	return g.clockOffset + time.Duration(g.drift*float64(g.w.now-epoch))
 }
 
 // stepBy adjusts the gateway to a step of the fleet's clock.
 func (g *modelGateway) stepBy(d time.Duration) {
-	g.offset += d
-	g.heldTo, g.loopTo = moved(g.heldTo, d), moved(g.loopTo, d)
-	for h := range g.told {
-		for i := range g.told[h] {
-			g.told[h][i] += d
+	g.clockOffset += d
+	g.stalledUntil, g.loopBusyUntil = shifted(g.stalledUntil, d), shifted(g.loopBusyUntil, d)
+	for h := range g.replicaAnswers {
+		for i := range g.replicaAnswers[h] {
+			g.replicaAnswers[h][i] += d
 		}
 	}
-	g.stepped, g.unshown = g.local(), true
+	g.steppedAt, g.stepHidden = g.local(), true
 }
 
 // start starts the module, for a new process or again after a panic.
@@ -169,18 +169,18 @@
 	return m
 }
 
-// giveUpAll ends all attempts in flight with a timeout.
-func (g *modelGateway) giveUpAll() {
+// timeOutAll ends all attempts in flight with a timeout.
+func (g *modelGateway) timeOutAll() {
 	for _, q := range g.requests {
 		if q.attempt != nil {
-			g.ended(q.attempt, balance.Outcome{Result: balance.TimedOut})
+			g.endAttempt(q.attempt, balance.Outcome{Result: balance.TimedOut})
 		}
 	}
 }
 
-// panicked replaces the module; the process continues.
-func (g *modelGateway) panicked() {
-	g.w.note("the module panics")
+// replaceModule replaces the module; the process continues.
+func (g *modelGateway) replaceModule() {
+	g.w.logf("the module panics")
 	var known []balance.Inherited
 	g.router.Look(g.local(), func(s balance.Seen) {
 		known = append(known, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
@@ -192,23 +192,23 @@
 	}
 }
 
-// restarted ends the process and starts the next one, with or without the handover state.
-func (g *modelGateway) restarted(handover bool) {
-	g.w.note("the process ends, handover: %t", handover)
+// restart ends the process and starts the next one, with or without the handover state.
+func (g *modelGateway) restart(handover bool) {
+	g.w.logf("the process ends, handover: %t", handover)
 	var known []balance.Inherited
 	g.router.Look(g.local(), func(s balance.Seen) {
 		known = append(known, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable})
 	})
 	g.end()
-	g.life++
-	g.follows, g.lied, g.unshown = nil, false, g.unshown && handover
+	g.process++
+	g.replicaAt, g.falsePositionSent, g.stepHidden = nil, false, g.stepHidden && handover
 	b := g.clock.Bounds()
 	g.clock, g.epoch = fleetclock.New(g.local()), 0
 	if handover && b.Bounded && !b.Doubted {
 		g.clock.Inherit(g.local(), b.At(g.local()))
 	}
 	if !handover {
-		g.told = map[*modelHost][]time.Duration{}
+		g.replicaAnswers = map[*modelHost][]time.Duration{}
 	}
 	g.start(handover)
 	if handover {
@@ -222,26 +222,26 @@
 func (g *modelGateway) end() {
 	for _, q := range g.requests {
 		if q.done = true; q.attempt != nil {
-			q.attempt.over = true
+			q.attempt.ended = true
 		}
 	}
 }
 
-func (g *modelGateway) holdUp(d time.Duration) {
-	if g.holdUps {
-		g.heldTo = max(g.heldTo, g.w.now+d)
+func (g *modelGateway) stall(d time.Duration) {
+	if g.stallsEnabled {
+		g.stalledUntil = max(g.stalledUntil, g.w.now+d)
 	}
 }
 
 // read runs do when something arrives on a socket, but not before the end of a stall.
 func (g *modelGateway) read(d time.Duration, do func()) {
-	life := g.life
+	life := g.process
 	var try func()
 	try = func() {
 		switch {
-		case life != g.life:
-		case g.w.now < g.heldTo:
-			g.w.after(g.heldTo-g.w.now+g.w.between(0, ms), try) // after a stall the order is random
+		case life != g.process:
+		case g.w.now < g.stalledUntil:
+			g.w.after(g.stalledUntil-g.w.now+g.w.between(0, ms), try) // after a stall the order is random
 		default:
 			do()
 		}
@@ -252,9 +252,9 @@
 // post hands something to the event loop, which may be busy for a while.
 func (g *modelGateway) post(do func()) {
 	if g.w.chance(0.02) {
-		g.loopTo = max(g.loopTo, g.w.now+g.w.between(0, 80*ms))
+		g.loopBusyUntil = max(g.loopBusyUntil, g.w.now+g.w.between(0, 80*ms))
 	}
-	g.read(max(0, g.loopTo-g.w.now), do)
+	g.read(max(0, g.loopBusyUntil-g.w.now), do)
 }
 
 func (g *modelGateway) members(whole bool, list []balance.Member) {
@@ -263,18 +263,18 @@
 		e := balance.Members{Whole: whole}
 		for _, m := range list {
 			g.list[m.Server] = m
-			g.w.note("list: %s primary %t started %t state %d", m.Server, m.Primary, m.Started > 0, m.State)
+			g.w.logf("list: %s primary %t started %t state %d", m.Server, m.Primary, m.Started > 0, m.State)
 			e.List = append(e.List, g.entry(m))
 		}
 		g.handle(e)
 	})
 }
 
-// ask sends requests until the run ends.
-func (g *modelGateway) ask() {
+// sendRequests sends requests until the run ends.
+func (g *modelGateway) sendRequests() {
 	w := g.w
-	w.after(w.between(2*ms, g.gap), g.ask)
-	if w.now < g.heldTo {
+	w.after(w.between(2*ms, g.maxRequestGap), g.sendRequests)
+	if w.now < g.stalledUntil {
 		return
 	}
 	g.count++
@@ -301,7 +301,7 @@
 	if w.chance(0.2) {
 		g.gossip()
 	}
-	for g.often && w.chance(0.3) {
+	for g.extraProbes && w.chance(0.3) {
 		g.probe(w.hosts[w.rng.IntN(len(w.hosts))].id)
 	}
 }
@@ -313,7 +313,7 @@
 	if !h.alive {
 		return
 	}
-	s := g.w.standing(h)
+	s := g.w.state(h)
 	g.read(g.w.between(5*ms, 1900*ms), func() {
 		b := g.clock.Bounds()
 		offset := b.At(g.local())
@@ -321,7 +321,7 @@
 		if b.Told {
 			n.At = s.at - offset.Least
 		}
-		if n.Role = balance.Replica; s.leads {
+		if n.Role = balance.Replica; s.primary {
 			n.Role = balance.Unknown
 			if b.Bounded {
 				n.Role, n.NotBefore = balance.Primary, s.position-offset.Most
@@ -331,8 +331,8 @@
 	})
 }
 
-// known returns the clock bounds that the module gets.
-func (g *modelGateway) known() balance.ClockBounds {
+// clockBounds returns the clock bounds that the module gets.
+func (g *modelGateway) clockBounds() balance.ClockBounds {
 	b := g.clock.Bounds()
 	if !b.Bounded {
 		return balance.ClockBounds{}
@@ -342,7 +342,7 @@
 
 // handle passes an event to the module and carries out its actions.
 func (g *modelGateway) handle(e balance.Event) {
-	if known := g.known(); known != g.bounds {
+	if known := g.clockBounds(); known != g.bounds {
 		g.bounds = known
 		g.handle(known)
 	}
@@ -355,12 +355,12 @@
 		case balance.Send:
 			g.send(a)
 		case balance.Refuse:
-			g.answered(a.ID)
+			g.finished(a.ID)
 		case balance.Fail:
-			g.answered(a.ID)
+			g.finished(a.ID)
 		case balance.Cancel:
 			if q := g.requests[a.ID]; q != nil && q.attempt != nil {
-				g.ended(q.attempt, balance.Outcome{Result: balance.Cancelled})
+				g.endAttempt(q.attempt, balance.Outcome{Result: balance.Cancelled})
 			}
 		case balance.Probe:
 			g.probe(a.Server)
@@ -374,11 +374,11 @@
 		}
 	}
 	for _, c := range g.router.Changes() {
-		g.w.note("module: primary %q, was %q, source %s about %s", c.To, c.From, c.Source, c.About)
+		g.w.logf("module: primary %q, was %q, source %s about %s", c.To, c.From, c.Source, c.About)
 	}
 }
 
-func (g *modelGateway) answered(id string) {
+func (g *modelGateway) finished(id string) {
 	if q := g.requests[id]; q != nil {
 		q.done = true
 	}
@@ -404,7 +404,7 @@
 	}
 	g.read(connect, func() { g.write(t) })
 	if a.Timeout > 0 {
-		g.read(a.Timeout, func() { g.ended(t, balance.Outcome{Result: balance.TimedOut}) })
+		g.read(a.Timeout, func() { g.endAttempt(t, balance.Outcome{Result: balance.TimedOut}) })
 	}
 }
 
@@ -412,38 +412,38 @@
 func (g *modelGateway) write(t *modelAttempt) {
 	now := g.local()
 	switch {
-	case t.over:
+	case t.ended:
 		return
-	case now >= t.request.deadline, t.request.done, t.grounds.Expired(now, g.known()),
-		t.grounds.NeedsLeader() && g.follows[t.server.id] > 0 && g.follows[t.server.id] >= t.grounds.Leads:
-		g.ended(t, balance.Outcome{Result: balance.NotSent})
+	case now >= t.request.deadline, t.request.done, t.grounds.Expired(now, g.clockBounds()),
+		t.grounds.NeedsLeader() && g.replicaAt[t.server.id] > 0 && g.replicaAt[t.server.id] >= t.grounds.Leads:
+		g.endAttempt(t, balance.Outcome{Result: balance.NotSent})
 		return
 	case !t.server.alive:
-		g.ended(t, balance.Outcome{Result: balance.NoConnection})
+		g.endAttempt(t, balance.Outcome{Result: balance.NoConnection})
 		return
 	}
 	held := time.Duration(0)
-	if g.holdUps && g.w.chance(g.held) { // between the check and the write
-		held = g.w.between(0, modelHoldUp)
-		g.heldTo = max(g.heldTo, g.w.now+held)
+	if g.stallsEnabled && g.w.chance(g.stallChance) { // between the check and the write
+		held = g.w.between(0, modelMaxSendDelay)
+		g.stalledUntil = max(g.stalledUntil, g.w.now+held)
 	}
 	g.w.after(held, func() {
-		if !t.over {
+		if !t.ended {
 			t.written, t.sent = g.w.now, g.local()
-			g.w.after(g.w.between(0, ms), func() { g.arrives(t, held) })
+			g.w.after(g.w.between(0, ms), func() { g.arriveAtHost(t, held) })
 		}
 	})
 }
 
-// arrives delivers the attempt to its host.
-func (g *modelGateway) arrives(t *modelAttempt, held time.Duration) {
+// arriveAtHost delivers the attempt to its host.
+func (g *modelGateway) arriveAtHost(t *modelAttempt, held time.Duration) {
 	w, h := g.w, t.server
 	switch {
 	case !h.alive:
-		g.read(0, func() { g.ended(t, balance.Outcome{Result: balance.Reset}) })
+		g.read(0, func() { g.endAttempt(t, balance.Outcome{Result: balance.Reset}) })
 		return
-	case h.hungTo > w.now:
-		w.after(h.hungTo-w.now+w.between(0, 5*ms), func() { g.arrives(t, held) })
+	case h.hangsUntil > w.now:
+		w.after(h.hangsUntil-w.now+w.between(0, 5*ms), func() { g.arriveAtHost(t, held) })
 		return
 	}
 	born := h.started
@@ -451,34 +451,34 @@
 		switch {
 		case !h.alive || h.started != born:
 			return // its process has died: broken has reset the connection
-		case h.hungTo > w.now:
-			w.after(h.hungTo-w.now, func() { g.serves(t, held) })
+		case h.hangsUntil > w.now:
+			w.after(h.hangsUntil-w.now, func() { g.serveAtHost(t, held) })
 		default:
-			g.serves(t, held)
+			g.serveAtHost(t, held)
 		}
 	})
 }
 
-// serves lets the host execute the query; its answer may be written late.
-func (g *modelGateway) serves(t *modelAttempt, held time.Duration) {
+// serveAtHost lets the host execute the query; its answer may be written late.
+func (g *modelGateway) serveAtHost(t *modelAttempt, held time.Duration) {
 	w, h := g.w, t.server
 	if !h.alive {
 		return
 	}
-	s := w.standing(h)
-	if w.stalls && !s.leads && w.chance(0.3) {
+	s := w.state(h)
+	if w.stalls && !s.primary && w.chance(0.3) {
 		w.stall(h, w.between(300*ms, 2*time.Second))
 	}
-	if s.leads { // its clock reading may be older than the query
-		s.tells -= w.between(0, modelPresentAge)
+	if s.primary { // its clock reading may be older than the query
+		s.stated -= w.between(0, modelPresentAge)
 	}
 	result := balance.OK
 	commit := time.Duration(0)
 	switch {
-	case t.request.class == "order" && !s.leads:
+	case t.request.class == "order" && !s.primary:
 		result = balance.Miss
 	case t.request.class == "order":
-		commit = s.tells
+		commit = s.stated
 	}
 	late := time.Duration(0)
 	if w.chance(0.1) {
@@ -487,11 +487,11 @@
 	w.after(late, func() {
 		spoilt, wrote := w.chance(0.03), w.now
 		g.read(w.between(0, 5*ms), func() {
-			if t.over {
+			if t.ended {
 				return // closed before the answer was read: docs/freshness.md lists that as an open risk
 			}
-			if !spoilt && !s.leads {
-				g.told[h] = append(g.told[h], wrote)
+			if !spoilt && !s.primary {
+				g.replicaAnswers[h] = append(g.replicaAnswers[h], wrote)
 			}
 			g.answer(t, s, result, commit, spoilt, held)
 		})
@@ -499,46 +499,46 @@
 }
 
 // answer handles the answer that the gateway reads.
-func (g *modelGateway) answer(t *modelAttempt, s modelStanding, result balance.Result, commit time.Duration, spoilt bool, held time.Duration) {
+func (g *modelGateway) answer(t *modelAttempt, s modelState, result balance.Result, commit time.Duration, spoilt bool, held time.Duration) {
 	h, now := t.server, g.local()
 	o := balance.Outcome{Result: result, Written: t.sent, Made: balance.Made{NotBefore: t.sent, NotAfter: now}}
-	if !s.leads && !spoilt {
-		g.heardFollower(h)
+	if !s.primary && !spoilt {
+		g.noteReplica(h)
 	}
 	if spoilt || g.w.chance(0.03) { // it breaks off
 		o.Result = []balance.Result{balance.Garbled, balance.Reset, balance.TimedOut}[g.w.rng.IntN(3)]
-		if !s.leads && !spoilt {
+		if !s.primary && !spoilt {
 			o.Role = balance.Replica
 		}
-		g.ended(t, o)
+		g.endAttempt(t, o)
 		return
 	}
-	position := s.tells.Truncate(ms)
+	position := s.stated.Truncate(ms)
 	if commit > 0 {
 		position = (commit + ms - 1).Truncate(ms)
 	}
 	told := fleetclock.Observation{Host: h.id, Position: position, Sent: t.sent, Received: now}
 	o.Role, o.Position = balance.Replica, position
-	if s.leads {
+	if s.primary {
 		o.Role = balance.Primary
-		if g.lies && !g.lied && g.w.chance(0.2) {
-			g.lied = true
+		if g.falsePositions && !g.falsePositionSent && g.w.chance(0.2) {
+			g.falsePositionSent = true
 			position -= g.w.between(10*ms, 3*time.Second)
 			told.Position, o.Position = position, position
-			g.w.note("%s states a position that is too old", h.id)
+			g.w.logf("%s states a position that is too old", h.id)
 		}
 		if result == balance.OK {
 			told.Present = position
 		}
 	}
-	if g.reports && h.report.at > 0 {
+	if g.loadReports && h.report.at > 0 {
 		told.Position = max(told.Position, reportPosition(h.report))
 	}
 	g.observe(told)
-	if g.reports && h.report.at > 0 {
+	if g.loadReports && h.report.at > 0 {
 		o.Report = g.localReport(h.report, now)
 	}
-	if b := g.clock.Bounds(); s.leads && b.Bounded {
+	if b := g.clock.Bounds(); s.primary && b.Bounded {
 		o.Made.NotBefore = max(o.Made.NotBefore, min(position-b.At(now).Most-ms, now))
 	}
 	o.Made.Epoch = g.clock.Epoch()
@@ -549,32 +549,32 @@
 			g.w.lastWrite = max(g.w.lastWrite, position)
 		}
 	}
-	g.ended(t, o)
+	g.endAttempt(t, o)
 }
 
 // observe passes an observation of the fleet's clock to the process and checks that the resulting bounds
 // hold.
 func (g *modelGateway) observe(o fleetclock.Observation) {
-	if b := g.clock.Bounds(); g.unshown && o.Sent >= g.stepped && b.Bounded && o.Proves().Least > b.At(g.local()).Most {
-		g.unshown, g.shownAt = false, g.w.now
-		g.w.note("%s shows the step", o.Host)
+	if b := g.clock.Bounds(); g.stepHidden && o.Sent >= g.steppedAt && b.Bounded && o.Proves().Least > b.At(g.local()).Most {
+		g.stepHidden, g.stepShownAt = false, g.w.now
+		g.w.logf("%s shows the step", o.Host)
 	}
 	g.clock.Observe(o)
-	b, ahead := g.clock.Bounds(), g.ahead()
-	if i := b.At(g.local()); !g.unshown && (b.Told && i.Least > ahead || b.Bounded && i.Most < ahead) {
-		g.broke = append(g.broke, fmt.Sprintf("the offset of the fleet's clock is %s, outside the bounds %+v", ahead, i))
-		g.w.note("BROKEN: %s", g.broke[len(g.broke)-1])
+	b, ahead := g.clock.Bounds(), g.offset()
+	if i := b.At(g.local()); !g.stepHidden && (b.Told && i.Least > ahead || b.Bounded && i.Most < ahead) {
+		g.violations = append(g.violations, fmt.Sprintf("the offset of the fleet's clock is %s, outside the bounds %+v", ahead, i))
+		g.w.logf("BROKEN: %s", g.violations[len(g.violations)-1])
 	}
 }
 
-// heardFollower records on the host side, at once, a host's statement that it is a replica.
-func (g *modelGateway) heardFollower(h *modelHost) {
-	if g.follows == nil {
-		g.follows = map[string]time.Duration{}
+// noteReplica records on the host side, at once, a host's statement that it is a replica.
+func (g *modelGateway) noteReplica(h *modelHost) {
+	if g.replicaAt == nil {
+		g.replicaAt = map[string]time.Duration{}
 	}
 	now := g.local()
-	news := g.follows[h.id] == 0
-	g.follows[h.id] = now
+	news := g.replicaAt[h.id] == 0
+	g.replicaAt[h.id] = now
 	if news || g.w.chance(0.5) {
 		g.post(func() {
 			g.handle(balance.Heard{Server: h.id, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart, At: now, NotAfter: now})
@@ -583,8 +583,8 @@
 }
 
 // check verifies the rule that no read is answered from data older than its class allows.
-func (g *modelGateway) check(t *modelAttempt, s modelStanding, held time.Duration, o balance.Outcome) {
-	if g.stepped > 0 && (g.unshown || t.written < g.shownAt || t.grounds.Kind != balance.ByPosition) {
+func (g *modelGateway) check(t *modelAttempt, s modelState, held time.Duration, o balance.Outcome) {
+	if g.steppedAt > 0 && (g.stepHidden || t.written < g.stepShownAt || t.grounds.Kind != balance.ByPosition) {
 		return // a step shows only once an answer does, and statements from before it cannot be dated
 	}
 	q, slack := t.request, modelSlack
@@ -598,41 +598,41 @@
 		return
 	}
 	g.reads++
-	if s.position >= bound-slack || g.excused(t.server, t.written) {
+	if s.position >= bound-slack || g.presumedPrimary(t.server, t.written) {
 		return
 	}
 	if held > 0 && g.router.Stale(g.local(), o) {
 		return // an answer after a stall before the write is rejected when it arrives; every other stale read must be prevented before the send
 	}
-	g.broke = append(g.broke, q.class+" "+q.id+" at "+t.server.id+" from data "+(bound-s.position).String()+" too old, on "+t.grounds.Kind.String()+
+	g.violations = append(g.violations, q.class+" "+q.id+" at "+t.server.id+" from data "+(bound-s.position).String()+" too old, on "+t.grounds.Kind.String()+
 		" of "+t.grounds.Source.String())
-	g.w.note("BROKEN: %s", g.broke[len(g.broke)-1])
+	g.w.logf("BROKEN: %s", g.violations[len(g.violations)-1])
 }
 
-// excused reports whether a host has been the primary, and no known answer has stated since then that it is
+// presumedPrimary reports whether a host has been the primary, and no known answer has stated since then that it is
 // not.
-func (g *modelGateway) excused(h *modelHost, sent time.Duration) bool {
-	if h.ledTo == 0 {
+func (g *modelGateway) presumedPrimary(h *modelHost, sent time.Duration) bool {
+	if h.primaryUntil == 0 {
 		return false
 	}
-	known := knownAfter
-	if g.holdUps {
-		known += modelHoldUp
+	known := modelStatementDelay
+	if g.stallsEnabled {
+		known += modelMaxSendDelay
 	}
-	for _, at := range g.told[h] {
-		if at > h.ledTo && sent-at > known {
+	for _, at := range g.replicaAnswers[h] {
+		if at > h.primaryUntil && sent-at > known {
 			return false
 		}
 	}
 	return true
 }
 
-// ended passes the outcome of an attempt to the module, once.
-func (g *modelGateway) ended(t *modelAttempt, o balance.Outcome) {
-	if t.over {
+// endAttempt passes the outcome of an attempt to the module, once.
+func (g *modelGateway) endAttempt(t *modelAttempt, o balance.Outcome) {
+	if t.ended {
 		return
 	}
-	t.over = true
+	t.ended = true
 	o.ID, o.Attempt, o.Server, o.Took = t.request.id, t.number, t.server.id, g.w.now-t.written
 	if t.written == 0 {
 		o.Took = 0
@@ -653,11 +653,11 @@
 	})
 }
 
-// broken resets all connections to a host whose process has died.
-func (g *modelGateway) broken(h *modelHost) {
+// resetConnections resets all connections to a host whose process has died.
+func (g *modelGateway) resetConnections(h *modelHost) {
 	for _, q := range g.requests {
-		if t := q.attempt; t != nil && !t.over && t.server == h && t.written > 0 {
-			g.read(g.w.between(0, ms), func() { g.ended(t, balance.Outcome{Result: balance.Reset}) })
+		if t := q.attempt; t != nil && !t.ended && t.server == h && t.written > 0 {
+			g.read(g.w.between(0, ms), func() { g.endAttempt(t, balance.Outcome{Result: balance.Reset}) })
 		}
 	}
 }
@@ -669,20 +669,20 @@
 		g.read(ms, func() { g.probed(balance.ProbeResult{Server: server, Result: balance.NoConnection}) })
 		return
 	}
-	if h.hungTo > w.now && !h.probed {
+	if h.hangsUntil > w.now && !h.answersProbes {
 		g.read(250*ms, func() { g.probed(balance.ProbeResult{Server: server, Result: balance.TimedOut}) })
 		return
 	}
 	s := h.report
-	if !s.leads && g.reports && s.at > 0 {
-		g.told[h] = append(g.told[h], w.now+ms)
+	if !s.primary && g.loadReports && s.at > 0 {
+		g.replicaAnswers[h] = append(g.replicaAnswers[h], w.now+ms)
 	}
 	g.read(w.between(ms, 6*ms), func() {
 		now := g.local()
 		p := balance.ProbeResult{Server: server, Result: balance.OK, Made: balance.Made{NotBefore: sent, NotAfter: now}}
-		if g.reports && s.at > 0 {
-			if !s.leads {
-				g.heardFollower(h)
+		if g.loadReports && s.at > 0 {
+			if !s.primary {
+				g.noteReplica(h)
 			}
 			g.observe(fleetclock.Observation{Host: h.id, Position: reportPosition(s), Sent: sent, Received: now})
 			p.Report = g.localReport(s, now)
@@ -692,13 +692,13 @@
 	})
 }
 
-func reportPosition(s modelStanding) time.Duration { return s.position.Truncate(ms) - ms }
+func reportPosition(s modelState) time.Duration { return s.position.Truncate(ms) - ms }
 
 // localReport returns a load report as the host side passes it on.
-func (g *modelGateway) localReport(s modelStanding, now time.Duration) balance.Report {
+func (g *modelGateway) localReport(s modelState, now time.Duration) balance.Report {
 	position := reportPosition(s)
 	r := balance.Report{Has: true, Role: balance.Replica, Position: position}
-	if s.leads {
+	if s.primary {
 		r.Role = balance.Unknown
 		if b := g.clock.Bounds(); b.Bounded {
 			r.Role, r.NotBefore = balance.Primary, position-b.At(now).Most
--- a/balance/model_test.go
+++ b/balance/model_test.go
@@ -50,9 +50,9 @@
 				if first == last {
 					t.Log("\n" + strings.Join(w.trace, "\n"))
 				}
-				if len(w.gateway.broke) > 0 {
+				if len(w.gateway.violations) > 0 {
 					mu.Lock()
-					broken[seed] = w.gateway.broke
+					broken[seed] = w.gateway.violations
 					mu.Unlock()
 				}
 			}
--- a/balance/retune_test.go
+++ b/balance/retune_test.go
@@ -6,7 +6,7 @@
 )
 
 // New settings apply to new requests; an open request keeps the class that it arrived with.
-func TestRetune(t *testing.T) {
+func TestSettingsUpdate(t *testing.T) {
 	s := Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 300 * ms, Deadline: 900 * ms, Worth: 1},
 		{Name: "w", Need: Write, Effect: Unsafe, Aim: 500 * ms, Deadline: 3000 * ms, Worth: 1}}, MaxAttempts: 3, DrainGrace: 1000 * ms}
 	r, err := New(s, 1)
@@ -43,21 +43,21 @@
 }
 
 // Whether sessions carry their last write may change: their earlier writes must be seen all the same.
-func TestAWriteIsSeenThoughTokensAreNotCarriedAnyMoreOrNotYet(t *testing.T) {
+func TestSessionWritesSurviveTokenSettingChange(t *testing.T) {
 	for name, carried := range map[string]bool{"no longer": true, "not yet": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, func(s *Settings) { s.TokensCarried, s.Probes = carried, false })
-			g.know("p", Primary, 0)
+			g.setState("p", Primary, 0)
 			for _, replica := range []string{"a", "b"} {
-				g.know(replica, Replica, 10*ms)
+				g.setState(replica, Replica, 10*ms)
 			}
-			id, _ := g.ask("save", 0)
-			g.do(Outcome{ID: id, Server: "p", Result: OK, Role: Primary, Position: g.now, Took: ms, Final: true})
+			id, _ := g.request("save", 0)
+			g.handle(Outcome{ID: id, Server: "p", Result: OK, Role: Primary, Position: g.now, Took: ms, Final: true})
 			s := settings()
 			s.TokensCarried, s.Probes = !carried, false
-			g.do(Retune{s})
+			g.handle(Retune{s})
 			g.now += time.Second // past the pin window, and no replica has stated a newer position
-			if _, acts := g.ask("own", 0); len(sends(acts)) != 1 || sends(acts)[0] != "p" {
+			if _, acts := g.request("own", 0); len(sends(acts)) != 1 || sends(acts)[0] != "p" {
 				t.Errorf("a read of the session goes to %v, want the primary", sends(acts))
 			}
 		})
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestColdMemberGetsNoMoreThanItsPart(t *testing.T) {
+func TestColdMemberShare(t *testing.T) {
 	// A limit per router is no budget: hundreds of routers overloaded members that had just started. The
 	// first requests of that many routers stand for what a fleet sends at one moment.
 	for _, c := range []struct {
@@ -25,7 +25,7 @@
 	} {
 		n := 0
 		for seed := range 400 {
-			g := seeded(t, seed)
+			g := newSeededRig(t, seed)
 			l := list()
 			cold := "a"
 			if c.class == "save" || c.gone == "ab" {
@@ -39,9 +39,9 @@
 					l[i].State = Left
 				}
 			}
-			g.do(Members{Whole: true, List: l})
-			_, acts := g.ask(c.class, 0)
-			for _, s := range sends(append(acts, g.beat(300*ms)...)) {
+			g.handle(Members{Whole: true, List: l})
+			_, acts := g.request(c.class, 0)
+			for _, s := range sends(append(acts, g.advance(300*ms)...)) {
 				if s == cold {
 					n++
 				}
@@ -53,12 +53,12 @@
 	}
 }
 
-func TestADeathSeenMakesAMemberCold(t *testing.T) {
+func TestFailedProbeMakesMemberCold(t *testing.T) {
 	g := newRig(t, nil)
 	m := g.r.members["a"]
-	g.do(ProbeResult{Server: "a", Result: TimedOut})
+	g.handle(ProbeResult{Server: "a", Result: TimedOut})
 	g.now += 2 * time.Second
-	g.do(ProbeResult{Server: "a", Result: OK})
+	g.handle(ProbeResult{Server: "a", Result: OK})
 	if w := g.r.warmUpWeight(m); w > 0.3 {
 		t.Errorf("warm-up weight %.2f after a restart, want that of a start", w)
 	}
@@ -67,28 +67,28 @@
 	}
 }
 
-func TestHeldWritesDoNotPressOnAColdPrimary(t *testing.T) {
+func TestQueuedWritesSpareColdPrimary(t *testing.T) {
 	// Retries every second let the whole backlog of an outage through within two seconds and overloaded the
 	// primary.
 	early, later := 0, 0
 	for seed := range 200 {
-		g := seeded(t, seed)
+		g := newSeededRig(t, seed)
 		l := list()
 		l[0].Started = g.now
-		g.do(Members{Whole: true, List: l})
-		_, acts := g.ask("save", 0)
+		g.handle(Members{Whole: true, List: l})
+		_, acts := g.request("save", 0)
 		if len(sends(acts)) > 0 {
 			continue
 		}
-		early += len(sends(g.beat(900 * ms)))
-		later += len(sends(g.beat(2200 * ms)))
+		early += len(sends(g.advance(900 * ms)))
+		later += len(sends(g.advance(2200 * ms)))
 	}
 	if early > 0 || later == 0 {
 		t.Errorf("%d held writes retried within 0.9 s, %d within 3.1 s; want none and some", early, later)
 	}
 }
 
-func TestAColdMembersFactorLeavesRoomForBurstsWhereRoutersAreMany(t *testing.T) {
+func TestColdFactorByRouters(t *testing.T) {
 	for _, c := range []struct {
 		routers      int
 		factor, want float64
--- a/balance/timeout_test.go
+++ b/balance/timeout_test.go
@@ -7,7 +7,7 @@
 
 // The timeout at a replica is shortened only if that leaves time for another attempt: otherwise it wastes
 // the work that the host continues with.
-func TestAnEarlyEndLeavesTimeForAnother(t *testing.T) {
+func TestReadTimeoutLeavesTimeForRetry(t *testing.T) {
 	for _, c := range []struct{ took, want int }{{25, 180}, {45, 300}} { // in ms: 0.6 of the latency target, or all of it
 		r, err := New(Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 300 * ms, Deadline: 900 * ms, Worth: 1}}}, 1)
 		if err != nil {
@@ -25,7 +25,7 @@
 }
 
 // A shutdown shortens deadlines, and the answer time of a class with few requests is only an estimate.
-func TestAGuessedAnswerTimeRefusesNobodyWhoseDeadlineIsShort(t *testing.T) {
+func TestEstimatedLatencyRefusesNoShortDeadline(t *testing.T) {
 	const left = 3500 * ms
 	for _, c := range []struct {
 		name    string
@@ -45,12 +45,12 @@
 				}
 			})
 			for range c.answers {
-				id, acts := g.ask(class, 0)
+				id, acts := g.request(class, 0)
 				server := sends(acts)[0]
 				g.now += c.took
-				g.do(Outcome{ID: id, Server: server, Result: OK, Took: c.took, Final: true})
+				g.handle(Outcome{ID: id, Server: server, Result: OK, Took: c.took, Final: true})
 			}
-			acts := g.do(Request{ID: "last", Class: class, Deadline: g.now + left})
+			acts := g.handle(Request{ID: "last", Class: class, Deadline: g.now + left})
 			if got := len(sends(acts)); got != c.sent {
 				t.Errorf("%s, %s, %s before its deadline: %v", class, c.name, left, acts)
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAGuessedAnswerTimeEndsARequestOnceHalfItsTimeIsGone(t *testing.T) {
+func TestEstimatedLatencyAfterHalfTheTime(t *testing.T) {
 	g := newRig(t, func(s *Settings) {
 		for i := range s.Classes {
 			s.Classes[i].Aim, s.Classes[i].Deadline = 10*time.Second, 20*time.Second
