--- a/balance/admission.go
+++ b/balance/admission.go
@@ -127,7 +127,7 @@
 	g.queued = slices.DeleteFunc(list, func(q *request) bool { return q.done || !q.queued })
 }
 
-// scheduleQueue schedules a beat if any group waits for one.
+// scheduleQueue starts the queue timer if a group waits for it.
 func (r *Router) scheduleQueue(g *group) {
 	if g != nil && !g.waiting {
 		g.waiting = true
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// Deadlines may be as short as the beat that queued requests are tried at: each request is tried all the
+// Deadlines may be as short as the interval of the queue timer: each request is tried all the
 // same.
 func TestShortAndLongDeadlinesAreSent(t *testing.T) {
 	for _, deadline := range []time.Duration{20 * ms, 50 * ms, 95 * ms, 20 * time.Second} {
--- a/balance/api.go
+++ b/balance/api.go
@@ -45,8 +45,8 @@
 
 const (
 	ChecksNone   Checks = iota // answers from the data that it has
-	ChecksRefuse               // refuses with Miss at once
-	ChecksWait                 // waits for a while, then refuses with Miss
+	ChecksRefuse               // refuses as misdirected at once
+	ChecksWait                 // waits for a while, then refuses as misdirected
 )
 
 // Class describes one class of requests.
@@ -73,7 +73,7 @@
 	PerSec float64 // requests per second within its quota, over all routers; 0 means no limit
 }
 
-// Settings configures a Router. It is given to New and may be replaced later by a Retune event.
+// Settings configures a Router. It is given to New and may be replaced later by a SettingsUpdate event.
 type Settings struct {
 	Routers         int
 	Tick            time.Duration // minimum time between two events
@@ -173,7 +173,7 @@
 	SendUntil time.Duration
 }
 
-// Members passes the member list to the router, as a snapshot (Whole) or as a delta.
+// Members passes the member list to the router, as a snapshot or as a delta.
 type Members struct {
 	Whole bool
 	List  []Member
@@ -305,7 +305,7 @@
 // The earlier router belonged to a previous process, or has panicked.
 type Inherited struct {
 	Server                   string
-	Leads, Follows, Position time.Duration // as in Seen
+	Leads, Follows, Position time.Duration // as in MemberView
 	Alive                    bool          // the earlier router had not blacklisted it
 }
 
@@ -320,7 +320,7 @@
 // were dated by them no longer count.
 type ClockReplaced struct{}
 
-// Timer reports that the timer started by an After action has expired.
+// Timer reports that the timer started by a StartTimer action has expired.
 type Timer struct{ Tag int64 }
 
 // Gone reports that the client of a request has disconnected. No answer is expected any more.
@@ -330,8 +330,8 @@
 // their deadlines are later.
 type Ending struct{ By time.Duration }
 
-// Event is one of Members, ListLost, Cells, Retune, Request, Outcome, ProbeResult, Heard, Inherited,
-// ClockBounds, ClockReplaced, Timer, Gone, Ending.
+// Event is one of Members, ListUnavailable, Cells, SettingsUpdate, Request, Outcome, ProbeResult, RemoteOutcome,
+// PriorEvidence, ClockBounds, ClockReplaced, Timer, RequestCanceled, Shutdown.
 type Event any
 
 // Seen is the router's view of a member.
@@ -427,5 +427,5 @@
 // Watch subscribes to changes of the member list.
 type Watch struct{}
 
-// Action is one of Send, Refuse, Fail, Cancel, Probe, After, Watch.
+// Action is one of Send, Refuse, Fail, Cancel, Probe, StartTimer, Watch.
 type Action any
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -46,7 +46,7 @@
 	}
 	r.emit(Send{q.ID, m.Server, q.timeout, r.grounds(q, m), r.demand(q)})
 	if m == q.group.primary {
-		r.scheduleQueue(q.group) // the beat detects if the primary falls silent
+		r.scheduleQueue(q.group) // the queue timer detects if the primary falls silent
 	}
 }
 
@@ -211,7 +211,7 @@
 	switch {
 	case q.done:
 	case q.notBefore > r.now || q.class.Need == Write && result == Miss && g.primary == nil:
-		r.enqueue(q) // waits for the next beat or answer
+		r.enqueue(q) // waits for the queue timer or an answer
 	case len(q.failed) >= 2:
 		r.giveUp(q, FailsEverywhere) // it failed on two members, so no member is to blame
 	default:
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -46,7 +46,7 @@
 		case r.available(m) && !(m.suspect && r.settings.Probes):
 			usable = append(usable, m)
 		case (m.timeouts == 0 || r.available(m)) && r.now-m.probedAt >= downPause:
-			// Members are probed only when a read needs them: on each beat, the probes of hundreds of
+			// Members are probed only when a read needs them: at every queue timer, the probes of hundreds of
 			// routers would load a member.
 			r.probe(m)
 		}
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -98,9 +98,9 @@
 	Kind     GroundsKind
 	Source   Source        // source of that evidence
 	Position time.Duration // position of the member; 0 if unknown
-	Leads    time.Duration // with LeaderWord: earliest time of the statement
+	Leads    time.Duration // with a statement of the primary: its earliest time
 	// SendBy is the time until which the evidence holds, so that the attempt must not be sent later; 0 means
-	// without limit. It was computed with the clock bounds of that time, whose Ages is kept here.
+	// without limit. It was computed with the clock bounds of that time, whose offset for ages is kept here.
 	SendBy, Ages time.Duration
 }
 
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -103,7 +103,7 @@
 func (r *Router) probeForPosition(q *request) bool {
 	var next *member
 	n := 0
-	for _, m := range r.candidates { // the candidates of the draw that has just failed
+	for _, m := range r.candidates { // the candidates of the choice that has just failed
 		if !r.settings.Probes || r.fresh(q, m) || !r.hasCapacity(q, m, 1) || !r.clock.Known && m.evidence.position > 0 {
 			continue
 		}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -85,7 +85,7 @@
 	return id, g.handle(Request{ID: id, Class: class, Session: "s", Deadline: g.now + life, WriteAge: age})
 }
 
-// advance advances the clock in steps of the beat, so that queued requests are tried again.
+// advance advances the clock in steps of queueInterval, so that queued requests are tried again.
 func (g *rig) advance(d time.Duration) []Action {
 	var all []Action
 	for end := g.now + d; g.now < end; {
--- a/balance/heard_test.go
+++ b/balance/heard_test.go
@@ -153,7 +153,7 @@
 	if len(sends(acts)) > 0 || len(finals(acts)) > 0 {
 		t.Fatalf("retried at once: %v", acts)
 	}
-	want(t, "after a few beats", sends(g.advance(200*ms)), []string{"p"})
+	want(t, "after some time", sends(g.advance(200*ms)), []string{"p"})
 }
 
 func TestColdMemberReplacesDrainingCapacity(t *testing.T) {
--- a/balance/membership_test.go
+++ b/balance/membership_test.go
@@ -83,12 +83,12 @@
 }
 
 func TestIdleRouterHasNoActions(t *testing.T) {
-	// The beats of hundreds of idle routers were most of what the fleet did.
+	// The queue timers of hundreds of idle routers were most of what the fleet did.
 	g := newRig(t, nil)
 	id, acts := g.request("any", 0)
 	g.answer(id, sends(acts)[0], 0, OK, Replica)
 	if acts := g.handle(Timer{tagQueue}); len(acts) != 0 {
-		t.Errorf("the beat of an idle router returns %v", acts)
+		t.Errorf("the queue timer of an idle router returns %v", acts)
 	}
 	if _, acts := g.request("save", 0); len(acts) == 0 {
 		t.Error("a request got no action")
--- a/balance/router.go
+++ b/balance/router.go
@@ -33,8 +33,8 @@
 
 	// sendDelaySlack is the part of the protocol's 50 ms of slack that a process stalled before a send may use;
 	// the rest is for the clock offset (fleetclock.AgeSlack). The margin that is kept free for such a stall
-	// is at most the bound divided by holdUpPart, as otherwise short bounds would leave no replica to read
-	// from. A log whose lag is at most the bound divided by keepsUpPart keeps up; reports are up to 0.2 s
+	// is at most the bound divided by sendDelayDivisor, as otherwise short bounds would leave no replica to read
+	// from. A log whose lag is at most the bound divided by lagDivisor keeps up; reports are up to 0.2 s
 	// old, so that every log seems to lag by as much.
 	sendDelaySlack, sendDelayDivisor, lagDivisor = 5 * ms, 3, 2
 
@@ -47,21 +47,21 @@
 	minWeight        = 1e-9  // replaces a weight of 0, so that equal zero weights can still be drawn from
 	latencyWindow    = 16.0  // number of answers that the smoothed answer time averages over
 	estimateWindow   = 64    // number of answers after which the initial estimate weighs less than 2 %
-	// badWindow is the number of attempts that the fraction of bad ends averages over. After failsMost
+	// badWindow is the number of attempts that the fraction of bad ends averages over. After maxFailures
 	// errors in a row, a good probe does not end a blacklisting.
 	badWindow, maxFailures = 10.0, 3
 
 	fleetLimitFactor = 2.0 // all routers together may fill the limits of about this many at a group
-	// initialLimit is the limit of attempts in flight at a new member; leastLimit is kept however slow all
+	// initialLimit is the limit of attempts in flight at a new member; minLimit is kept however slow all
 	// answers are.
 	initialLimit, minLimit = 8, 4
-	// As fractions of the latency target: above highShare the limit is reduced, below lowShare it may grow.
+	// As fractions of the latency target: above highLatencyRatio the limit is reduced, below lowLatencyRatio it may grow.
 	highLatencyRatio, lowLatencyRatio = 0.35, 0.25
-	// quotaWindow is the number of requests over which tenants are compared; above overMargin times its
-	// share a tenant is over its quota.
+	// quotaWindow is the number of requests over which tenants are compared; above overQuotaMargin times its
+	// quota a tenant is over its quota.
 	quotaWindow, overQuotaMargin = 100.0, 1.2
-	// Load shedding of reads starts at the fraction badFrom of bad attempts, grows by badSlope and sheds
-	// badMost at most.
+	// Load shedding of reads starts at the fraction shedThreshold of bad attempts, grows by shedSlope
+	// and sheds maxShedFraction at most.
 	shedThreshold, shedSlope, maxShedFraction = 0.1, 2.0, 0.9
 
 	tagQueue, tagWatch, firstSeq = 0, 1, 2 // timer tags; tags from firstSeq on are sequence numbers of requests
@@ -70,14 +70,14 @@
 type class struct {
 	Class
 	latency time.Duration // smoothed answer time, starting from an estimate
-	samples int           // number of answers in the average, up to guessFades
+	samples int           // number of answers in the average, up to estimateWindow
 }
 
 // primaryOnly reports whether only the primary may serve requests of the class.
 func (c *class) primaryOnly() bool { return c.Need == Write || c.Need == Latest }
 
 type tenant struct {
-	quota, usage float64 // share is in requests per second; used is the tenant's fraction of this router's recent requests
+	quota, usage float64 // quota is in requests per second; usage is the tenant's fraction of this router's recent requests
 }
 
 type group struct {
@@ -91,7 +91,7 @@
 	searchAfter, searchedAt time.Duration
 	lostAt, foundAt, outage time.Duration // when requests found no primary, when they found one again, and the time between
 	nextSearched            int           // index of the member that is asked next for the primary
-	waiting                 bool          // the group is looked at with each beat, as requests are queued
+	waiting                 bool          // the group is checked when the queue timer expires, as requests are queued
 }
 
 type request struct {
@@ -135,12 +135,12 @@
 	requestsBySeq           map[int64]*request
 	tenants                 map[string]*tenant
 	nextSeq                 int64
-	totalQuota, tenantUsage float64   // sum of all shares; fraction of recent requests that came from tenants
+	totalQuota, tenantUsage float64   // sum of all quotas; fraction of recent requests that came from tenants
 	candidates              []*member // candidates of the last draw
 	weights                 []float64
 	sessionWrites           map[string]time.Duration // last known write of each session, with remembered tokens
-	newestWrite, writeFloor time.Duration            // newest is the latest of those writes; no forgotten write is later than floor
-	queueTimerSet, watching bool                     // a beat is scheduled; the list is being watched
+	newestWrite, writeFloor time.Duration            // newestWrite is the latest of those writes; no forgotten write is later than writeFloor
+	queueTimerSet, watching bool                     // the timer of the queue is running; the list is being watched
 	actions                 []Action
 	changes                 []PrimaryChange // not yet fetched by Changes
 }
@@ -257,7 +257,7 @@
 	}
 }
 
-// jitter returns a random duration between half of d and one and a half times d.
+// jitter returns a random duration between half of d and 1.5 times d.
 func (r *Router) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(r.rng.Int64N(int64(d)))
 }
