--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// onRequest admits a request or refuses it.
 func (r *Router) onRequest(e Request) {
 	cell, g := cmp.Or(r.cells[e.Cell], r.cells[0]), r.group(e.Group)
 	c := cell.classes[e.Class]
@@ -48,6 +49,7 @@
 	r.route(q)
 }
 
+// hasCapacity reports whether one more attempt may be in flight at m, within the given fraction of its limit.
 func (r *Router) hasCapacity(q *request, m *member, fraction float64) bool {
 	limit := max(1, m.limit*fraction)
 	if len(r.cells) > 1 {
@@ -59,13 +61,13 @@
 // hasFleetCapacity limits the attempts in flight at m and the members like it: one attempt of each of many
 // routers adds up to a long queue there.
 func (r *Router) hasFleetCapacity(m *member) bool {
-	out, limit, p := 0, 0.0, r.primaryOf(m.group)
+	inFlight, limit, p := 0, 0.0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
 		if (o == p) == (m == p) && r.accepts(o, true) {
-			out, limit = out+len(o.inFlight), limit+o.limit
+			inFlight, limit = inFlight+len(o.inFlight), limit+o.limit
 		}
 	}
-	return float64(out) < max(1, limit*fleetLimitFactor/float64(r.settings.Routers))
+	return float64(inFlight) < max(1, limit*fleetLimitFactor/float64(r.settings.Routers))
 }
 
 // shed decides at random, with the request's own draw, whether a read is shed, given the fraction of recent
@@ -90,6 +92,7 @@
 	r.scheduleQueue(q.group)
 }
 
+// precedes reports whether a is placed before b in the queue.
 func precedes(a, b *request) bool {
 	x, y := a.worth/float64(a.class.latency+1), b.worth/float64(b.class.latency+1)
 	return x > y || x == y && a.class.Name == b.class.Name && a.seq > b.seq
@@ -100,7 +103,7 @@
 	if len(g.queued) == 0 {
 		return
 	}
-	list, stuck := g.queued, map[*class]int{} // stuck limits how much of a long queue is tried
+	list, unsent := g.queued, map[*class]int{} // a class is skipped after 3 unsent requests, so that a long queue is not tried to its end
 	order := list
 	if len(r.cells) > 1 { // the cell with the fewest attempts in flight for its weight goes first
 		used := map[*cell]float64{}
@@ -116,12 +119,12 @@
 	}
 	g.queued = nil
 	for _, q := range order {
-		if q.done || !q.queued || stuck[q.class] >= 3 && !r.unlikelyInTime(q) {
+		if q.done || !q.queued || unsent[q.class] >= 3 && !r.unlikelyInTime(q) {
 			continue
 		}
 		q.queued = false
 		if r.route(q); q.queued {
-			stuck[q.class]++
+			unsent[q.class]++
 		}
 	}
 	g.queued = slices.DeleteFunc(list, func(q *request) bool { return q.done || !q.queued })
@@ -142,24 +145,24 @@
 // adjustLimit adapts the limit of attempts in flight at m, as requests that wait here can still be refused,
 // and the fraction of bad ends there, unless the cell is not to blame for them.
 func (r *Router) adjustLimit(m *member, c *cell, cls *class, result Result, took time.Duration, blamed bool) {
-	cut, answered := 0.0, result == OK || result == TimedOut
+	reduction, answered := 0.0, result == OK || result == TimedOut
 	if result == OK {
 		cls.latency += (took - cls.latency) / latencyWindow
 		cls.samples = min(cls.samples+1, estimateWindow)
 	}
 	switch {
 	case result == Full:
-		cut = 0.7
+		reduction = 0.7
 	case answered:
 		m.latencyRatio += (float64(took)/float64(cls.Aim+1) - m.latencyRatio) / 8
 		if m.latencyRatio > highLatencyRatio {
-			cut = 0.9
+			reduction = 0.9
 		} else if m.latencyRatio < lowLatencyRatio && float64(len(m.inFlight)+1) >= m.limit*0.7 {
 			m.limit += 1 / m.limit
 		}
 	}
-	if cut > 0 && r.now-m.limitCutAt >= limitCutInterval {
-		m.limit, m.limitCutAt = max(minLimit, min(m.limit, float64(len(m.inFlight)+1))*cut), r.now
+	if reduction > 0 && r.now-m.limitCutAt >= limitCutInterval {
+		m.limit, m.limitCutAt = max(minLimit, min(m.limit, float64(len(m.inFlight)+1))*reduction), r.now
 	}
 	if answered || result == Full {
 		bad := c.badAttempts(m.group)
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -117,10 +117,10 @@
 	// When the primary recovered, hundreds of routers sent all the requests that they held at the same
 	// moment.
 	for _, c := range []struct {
-		name   string
-		cold   bool
-		outage time.Duration
-		most   int // limit for the writes sent in the first two beats, out of 100
+		name    string
+		cold    bool
+		outage  time.Duration
+		maxSent int // limit for the writes sent in the first two beats, out of 100
 	}{{"cold", true, 1800 * ms, 12}, {"late", false, 1800 * ms, 15}, {"in time", false, 100 * ms, 100}} {
 		const hundreds = 10
 		n := 0
@@ -143,8 +143,8 @@
 			g.r.members["p"].blacklistedUntil = 0
 			n += len(sends(g.advance(2 * queueInterval)))
 		}
-		if n > c.most*hundreds || n == 0 || c.most == 100 && n < 100*hundreds {
-			t.Errorf("%s: %d of %d held writes sent at once, want at most %d", c.name, n, 100*hundreds, c.most*hundreds)
+		if n > c.maxSent*hundreds || n == 0 || c.maxSent == 100 && n < 100*hundreds {
+			t.Errorf("%s: %d of %d held writes sent at once, want at most %d", c.name, n, 100*hundreds, c.maxSent*hundreds)
 		}
 	}
 }
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -24,6 +24,7 @@
 	r.enqueue(q)
 }
 
+// send starts an attempt of q at m.
 func (r *Router) send(q *request, m *member) {
 	q.timeout = 0
 	if q.class.Effect == Safe && !q.Lease {
@@ -61,6 +62,7 @@
 	}
 }
 
+// cancelAttempt cancels q's attempt in flight, once, if the settings allow it.
 func (r *Router) cancelAttempt(q *request) {
 	if q.member != nil && !q.cancelSent && r.settings.Cancel {
 		q.cancelSent = true
@@ -69,12 +71,12 @@
 }
 
 // giveUp ends a request at once: with Refuse if that promise holds, otherwise with Fail.
-func (r *Router) giveUp(q *request, why Why) {
+func (r *Router) giveUp(q *request, reason Why) {
 	c, bad := q.class, q.cell.badAttempts(q.group).replicas
 	if q.member == nil && q.possiblyExecutedAt == 0 || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
-		r.emit(Refuse{q.ID, min(cmp.Or(q.Over, refusedRetryAfter), r.settings.MaxRetryAfter), why, bad})
+		r.emit(Refuse{q.ID, min(cmp.Or(q.Over, refusedRetryAfter), r.settings.MaxRetryAfter), reason, bad})
 	} else {
-		r.emit(Fail{q.ID, why, bad})
+		r.emit(Fail{q.ID, reason, bad})
 	}
 	r.finish(q)
 }
@@ -99,15 +101,16 @@
 	return q.class.attemptTime()
 }
 
-// unlikelyInTime reports whether q is unlikely to be answered in time. The expected time counts as at most half of
-// the latency target; otherwise a class that was slow once would stay refused. A request that was never sent
-// is not held beyond half of its time after the first try to send it: its client can retry.
+// unlikelyInTime reports whether q is unlikely to be answered in time. The expected time counts as at most
+// half of the latency target; otherwise a class that was slow once would stay refused. A request that was
+// never sent is not held beyond half of its time after the first try to send it: its client can retry.
 func (r *Router) unlikelyInTime(q *request) bool {
 	return r.now+r.expectedTime(q) > r.answerBy(q) ||
 		q.attempts == 0 && r.now > q.arrived &&
 			r.now-q.arrived+2*queueInterval > cmp.Or(q.Patience, (q.Deadline-q.arrived)/2)
 }
 
+// answerBy returns the time after which an answer to q has no value.
 func (r *Router) answerBy(q *request) time.Duration {
 	if q.class.LateWorth > 0 || q.Lease {
 		return q.Deadline
@@ -124,6 +127,7 @@
 	return retryDelay << min(q.attempts-1, 4)
 }
 
+// onOutcome handles the end of an attempt.
 func (r *Router) onOutcome(e Outcome) {
 	m, q := r.members[e.Server], r.requests[e.ID]
 	if m == nil {
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -10,7 +10,7 @@
 		name, class string
 		res         Result
 		wait        time.Duration // before the outcome
-		again       bool
+		retried     bool
 		final       string
 	}{
 		{"possibly executed unsafe request fails", "save", Failed, 0, false, "fail"},
@@ -25,8 +25,8 @@
 			want(t, "first", sends(acts), []string{"p"})
 			g.now += c.wait
 			acts = append(g.answer(id, "p", 0, c.res, Unknown), g.advance(200*ms)...)
-			if again := len(sends(acts)) > 0; again != c.again {
-				t.Errorf("sent again %v, want %v", again, c.again)
+			if again := len(sends(acts)) > 0; again != c.retried {
+				t.Errorf("sent again %v, want %v", again, c.retried)
 			}
 			if f := finals(acts); c.final != "" && (len(f) != 1 || f[0] != c.final+" "+id) {
 				t.Errorf("final %q, want %s", f, c.final)
--- a/balance/cells.go
+++ b/balance/cells.go
@@ -7,7 +7,7 @@
 type cell struct {
 	Cell
 	classes    map[string]*class
-	badByGroup map[int]*badAttempts // by group
+	badByGroup map[int]*badAttempts
 }
 
 // badAttempts holds the fractions of recent attempts in a group that ended badly, 0 to 1.
@@ -27,6 +27,7 @@
 	weight float64
 }
 
+// onCells replaces the cells. Cells that remain keep their statistics.
 func (r *Router) onCells(e Cells) {
 	old := r.cells
 	r.cellList, r.cells, r.primarySharers, r.replicaSharers = e, map[int]*cell{}, sharers{}, map[string]sharers{}
@@ -49,17 +50,19 @@
 	}
 }
 
+// with returns s with c added.
 func (s sharers) with(c *cell) sharers { return sharers{append(s.cells, c), s.weight + c.Weight} }
 
+// mayUse reports whether q's cell may read from m.
 func (q *request) mayUse(m *member) bool { return q.cell.Servers == nil || q.cell.Servers[m.Server] }
 
 // fairShare returns the fair share of limit at m for a weight of 1, and the cells that may use m.
 func (r *Router) fairShare(c *cell, m *member, limit float64) (float64, []*cell) {
-	by := r.replicaSharers[m.Server]
+	users := r.replicaSharers[m.Server]
 	if m == m.group.primary {
-		by = r.primarySharers
+		users = r.primarySharers
 	}
-	return limit / max(by.weight, c.Weight, minWeight), by.cells
+	return limit / max(users.weight, c.Weight, minWeight), users.cells
 }
 
 // hasCellCapacity reports whether q's cell may have one more attempt in flight at m. Its reserve of its fair
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -35,8 +35,8 @@
 // pickReplica picks a replica for q at random by weight, or returns nil if none may take it.
 func (r *Router) pickReplica(q *request) *member {
 	var total, all float64
-	usable, primary := r.candidates[:0], r.primaryOf(q.group)
-	downPause := max(probeInterval, probeIntervalPerRouter*time.Duration(r.settings.Routers))
+	candidates, primary := r.candidates[:0], r.primaryOf(q.group)
+	probePause := max(probeInterval, probeIntervalPerRouter*time.Duration(r.settings.Routers))
 	for _, m := range q.group.members {
 		if m.State == Active {
 			all += m.Weight
@@ -44,16 +44,16 @@
 		switch {
 		case m == primary || !q.mayUse(m) || !r.accepts(m, false):
 		case r.available(m) && !(m.suspect && r.settings.Probes):
-			usable = append(usable, m)
-		case (m.timeouts == 0 || r.available(m)) && r.now-m.probedAt >= downPause:
+			candidates = append(candidates, m)
+		case (m.timeouts == 0 || r.available(m)) && r.now-m.probedAt >= probePause:
 			// Members are probed only when a read needs them: at every queue timer, the probes of hundreds of
 			// routers would load a member.
 			r.probe(m)
 		}
 	}
-	r.candidates = usable
+	r.candidates = candidates
 	weights := r.weights[:0]
-	for _, m := range usable {
+	for _, m := range candidates {
 		w := m.Weight * math.Sqrt(r.warmUpWeight(m)) * math.Pow(max(0, 1-float64(len(m.inFlight))/m.limit), 2)
 		if slices.Contains(q.tried, m) || !r.fresh(q, m) || !r.hasCapacity(q, m, 1) {
 			w = 0
@@ -63,7 +63,7 @@
 	}
 	r.weights = weights
 	x := r.rng.Float64() * total
-	for i, m := range usable {
+	for i, m := range candidates {
 		if x -= weights[i]; x >= 0 || weights[i] == 0 {
 			continue
 		}
@@ -124,19 +124,19 @@
 		}
 	}
 	q.tried, g.searcher = q.tried[:0], nil
-	g.searchAfter = r.now + r.askPause()
+	g.searchAfter = r.now + r.searchDelay()
 	return nil
 }
 
-// askPause grows with the number of routers that look for the same primary.
-func (r *Router) askPause() time.Duration {
+// searchDelay grows with the number of routers that look for the same primary.
+func (r *Router) searchDelay() time.Duration {
 	return min(retryDelay+time.Duration(r.settings.Routers)*ms, probeInterval)
 }
 
 // probeForPrimary looks for the primary of a group in which requests wait, by probing its members in turn.
 func (r *Router) probeForPrimary(g *group) {
 	if p := r.primaryOf(g); r.canServe(p) && !r.unresponsive(p) ||
-		r.now-g.searchedAt < r.askPause() || len(g.members) == 0 {
+		r.now-g.searchedAt < r.searchDelay() || len(g.members) == 0 {
 		return
 	}
 	g.searchedAt, g.nextSearched = r.now, g.nextSearched+1
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -202,15 +202,15 @@
 func TestFullPrimaryBackoff(t *testing.T) {
 	g := newRig(t, nil)
 	id, acts := g.request("save", 0)
-	for try, least := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
+	for attempt, minDelay := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
 		want(t, "sent", sends(acts), []string{"p"})
-		acts = g.answer(id, "p", try, Full, Primary)
+		acts = g.answer(id, "p", attempt, Full, Primary)
 		from := g.now
 		for len(sends(acts)) == 0 && g.now-from < time.Second {
 			acts = g.advance(queueInterval)
 		}
-		if g.now-from < least {
-			t.Errorf("attempt %d: retried after %v", try, g.now-from)
+		if g.now-from < minDelay {
+			t.Errorf("attempt %d: retried after %v", attempt, g.now-from)
 		}
 	}
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -142,7 +142,7 @@
 
 // run runs a group under a load, as a fraction of its capacity, while one host starts cold. The fraction
 // untold of the routers does not get the start from the list.
-func (f *fleet) run(load float64, class, host string, untold float64) {
+func (f *fleet) run(load float64, class, host string, notNotified float64) {
 	const start, end = coldAt, 14 * time.Second
 	members := Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
 	for i := range replicas {
@@ -176,7 +176,7 @@
 		if !begun && next > origin+start {
 			begun, f.sent, rate = true, nil, load*bears
 			for i := range f.routers {
-				if f.rng.Float64() < untold {
+				if f.rng.Float64() < notNotified {
 					continue
 				}
 				l := members.List[0]
@@ -228,7 +228,7 @@
 		class, host string
 		factor      float64
 		load        float64
-		untold      float64
+		notNotified float64
 	}{
 		{"a replica, full load", "any", "r2", 4, 1, 0},
 		{"a replica, a burst of 1.5 times the load", "any", "r2", 4, 1.5, 0},
@@ -256,7 +256,7 @@
 						sum += 0.2 + 4*f.rng.Float64()*f.rng.Float64() // some get several times the mean traffic
 						f.share = append(f.share, sum)
 					}
-					f.run(c.load, c.class, c.host, c.untold)
+					f.run(c.load, c.class, c.host, c.notNotified)
 					if len(f.sent) == 0 || f.served == 0 {
 						t.Fatalf("%d routers, seed %d: %d sent, %d served, want some of both", routers, seed, len(f.sent), f.served)
 					}
--- a/balance/elapsed_test.go
+++ b/balance/elapsed_test.go
@@ -7,29 +7,29 @@
 // is given.
 func TestWorthlessRequestIsNotSent(t *testing.T) {
 	g := newRig(t, nil)
-	for _, try := range []struct {
+	for _, c := range []struct {
 		id, class string
 		sent      bool
 	}{{"late", "any", false}, {"first", "any", true}, {"write", "save", true}} {
-		q := Request{ID: try.id, Class: try.class, Deadline: g.now + 1200*ms, Elapsed: 800 * ms}
-		if try.id == "first" {
+		q := Request{ID: c.id, Class: c.class, Deadline: g.now + 1200*ms, Elapsed: 800 * ms}
+		if c.id == "first" {
 			q.Elapsed = 0
 		}
 		acts := g.handle(q)
 		switch a := acts[len(acts)-1].(type) {
 		case Send:
-			if !try.sent {
-				t.Errorf("%s is sent", try.id)
+			if !c.sent {
+				t.Errorf("%s is sent", c.id)
 			}
-			if a.Timeout > 700*ms && try.class == "any" {
-				t.Errorf("%s has a timeout above its latency target", try.id)
+			if a.Timeout > 700*ms && c.class == "any" {
+				t.Errorf("%s has a timeout above its latency target", c.id)
 			}
 		case Refuse:
-			if try.sent || a.Why != TooLate {
-				t.Errorf("%s is refused: %v", try.id, a.Why)
+			if c.sent || a.Why != TooLate {
+				t.Errorf("%s is refused: %v", c.id, a.Why)
 			}
 		default:
-			t.Errorf("%s: %v", try.id, acts)
+			t.Errorf("%s: %v", c.id, acts)
 		}
 	}
 }
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -127,18 +127,18 @@
 // RoleWords holds a member's last statements on its role as the host side reads them, before the router
 // processes them. The zero value holds none.
 type RoleWords struct {
-	replicaAt    time.Duration // time of its last statement that it is not the primary; 0 if there was none
-	primarySince bool          // a complete answer has stated since then that it is the primary
+	replicaAt     time.Duration // time of its last statement that it is not the primary; 0 if there was none
+	statedPrimary bool          // a complete answer has stated since then that it is the primary
 }
 
 // Leads records that a complete answer named the member as the primary.
-func (w *RoleWords) Leads() { w.primarySince = true }
+func (w *RoleWords) Leads() { w.statedPrimary = true }
 
 // Follows records the member's statement that it is not the primary. It reports whether that is new: the
 // first such statement, or the first one since a statement to the contrary.
 func (w *RoleWords) Follows(now time.Duration) (isNew bool) {
-	isNew = w.primarySince || w.replicaAt == 0
-	w.replicaAt, w.primarySince = now, false
+	isNew = w.statedPrimary || w.replicaAt == 0
+	w.replicaAt, w.statedPrimary = now, false
 	return isNew
 }
 
@@ -176,20 +176,20 @@
 	if after.primaryNotBefore == before.primaryNotBefore && after.replicaNotAfter == before.replicaNotAfter && after.started == before.started {
 		return
 	}
-	g, was := m.group, m.group.primary
+	g, previous := m.group, m.group.primary
 	g.primary = g.newestPrimary()
-	if g.primary == was {
+	if g.primary == previous {
 		return
 	}
-	x := PrimaryChange{Group: g.id, Source: source, About: m.Server, Leads: after.primaryNotBefore, Follows: after.replicaNotAfter, Started: after.started}
-	if was != nil {
-		x.From = was.Server
+	change := PrimaryChange{Group: g.id, Source: source, About: m.Server, Leads: after.primaryNotBefore, Follows: after.replicaNotAfter, Started: after.started}
+	if previous != nil {
+		change.From = previous.Server
 	}
 	if g.primary != nil {
-		x.To = g.primary.Server
+		change.To = g.primary.Server
 	}
 	if len(r.changes) < maxChanges {
-		r.changes = append(r.changes, x)
+		r.changes = append(r.changes, change)
 	}
 }
 
@@ -279,10 +279,10 @@
 }
 
 // addReport records a load report, which states its own age.
-func (r *Router) addReport(m *member, made Made, rep Report) {
-	if rep.Has {
-		made.NotBefore = rep.NotBefore
-		r.addStatement(m, Statement{Source: FromReport, Role: rep.Role, Position: rep.Position, Made: made})
+func (r *Router) addReport(m *member, made Made, report Report) {
+	if report.Has {
+		made.NotBefore = report.NotBefore
+		r.addStatement(m, Statement{Source: FromReport, Role: report.Role, Position: report.Position, Made: made})
 	}
 }
 
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -45,9 +45,9 @@
 		return Statement{Role: Primary, Made: Made{NotBefore: now + from, NotAfter: now + to}}
 	}
 	for name, c := range map[string]struct {
-		said    []Statement
-		started time.Duration
-		leading bool
+		statements []Statement
+		started    time.Duration
+		leading    bool
 	}{
 		"nothing":                            {nil, 0, false},
 		"stated as the primary":              {[]Statement{leads(1, 2)}, 0, true},
@@ -63,7 +63,7 @@
 		"a statement from the future": {[]Statement{leads(2*time.Hour, 3*time.Hour), follows(time.Minute, time.Minute)}, 0, false},
 	} {
 		var e evidence
-		for _, s := range c.said {
+		for _, s := range c.statements {
 			e.add(now+time.Minute, s)
 		}
 		if c.started > 0 {
@@ -230,19 +230,19 @@
 // A replica whose last known lag was small, in a group whose log moves, is used up to the bound.
 func TestReplicaThatKeepsUpIsUsedToTheBound(t *testing.T) {
 	for name, c := range map[string]struct {
-		lag, moved time.Duration // lag that the replica stated; time since the group's log was known to move
-		sent       bool
+		lag, sinceMove time.Duration // lag that the replica stated; time since the group's log was known to move
+		sent           bool
 	}{
 		"it keeps up":                 {10 * ms, 10 * ms, true},
 		"its lag was large":           {300 * ms, 10 * ms, false},
 		"the group's log has stopped": {10 * ms, 400 * ms, false},
 	} {
 		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
-		told := g.now
+		statedAt := g.now
 		g.setState("a", Replica, c.lag)
-		g.now = told + 450*ms - c.lag // the position is 450 ms old
+		g.now = statedAt + 450*ms - c.lag // the position is 450 ms old
 		g.setState("b", Replica, 3*time.Second)
-		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.moved, Made: Made{NotBefore: g.now - c.moved, NotAfter: g.now}})
+		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.sinceMove, Made: Made{NotBefore: g.now - c.sinceMove, NotAfter: g.now}})
 		_, acts := g.request("browse", 0)
 		if sent := slices.Contains(sends(acts), "a"); sent != c.sent {
 			t.Errorf("%s: sent %t, %v", name, sent, acts)
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -29,11 +29,11 @@
 // falling behind, it leaves a margin for a process that stalls between the decision and the send, as far as
 // the bound allows. If m keeps up and its log stops just then, the answer shows that: see Stale.
 func (r *Router) sendBy(q *request, m *member) time.Duration {
-	by := m.evidence.position - r.clock.Ages + q.class.Bound - slack
+	deadline := m.evidence.position - r.clock.Ages + q.class.Bound - slack
 	if !r.keepsUp(q, m) {
-		by -= r.sendDelayMargin(q.class)
+		deadline -= r.sendDelayMargin(q.class)
 	}
-	return by
+	return deadline
 }
 
 func (r *Router) sendDelayMargin(c *class) time.Duration {
@@ -102,7 +102,7 @@
 // a primary's answer to q itself helps.
 func (r *Router) probeForPosition(q *request) bool {
 	var next *member
-	n := 0
+	drawn := 0
 	for _, m := range r.candidates { // the candidates of the choice that has just failed
 		if !r.settings.Probes || r.fresh(q, m) || !r.hasCapacity(q, m, 1) || !r.clock.Known && m.evidence.position > 0 {
 			continue
@@ -111,7 +111,7 @@
 			return r.clock.Known
 		}
 		if !m.probing && r.now-m.probedAt >= max(r.minBound, min((m.probedAt+r.clock.Ages-m.evidence.position)/4, time.Second)) {
-			if n++; r.rng.IntN(n) == 0 {
+			if drawn++; r.rng.IntN(drawn) == 0 {
 				next = m
 			}
 		}
--- a/balance/health.go
+++ b/balance/health.go
@@ -45,18 +45,19 @@
 // canBlacklist reports whether at least half of the other replicas are available. A fault that shows on most
 // replicas is not the fault of one member.
 func (r *Router) canBlacklist(m *member) bool {
-	n, left, primary := 0, 0, r.primaryOf(m.group)
+	others, usable, primary := 0, 0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
 		if o == m || o == primary || !r.accepts(o, false) {
 			continue
 		}
-		if n++; r.available(o) {
-			left++
+		if others++; r.available(o) {
+			usable++
 		}
 	}
-	return left > 0 && 2*left >= n
+	return usable > 0 && 2*usable >= others
 }
 
+// onProbe handles the end of a probe.
 func (r *Router) onProbe(e ProbeResult) {
 	m := r.members[e.Server]
 	if m == nil {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -105,9 +105,9 @@
 	// After one reset connection or garbled answer, all other attempts at the host were canceled and
 	// repeated elsewhere.
 	for _, c := range []struct {
-		broke        Result
-		probe        Result
-		asked, alive bool
+		result           Result
+		probe            Result
+		wantProbe, alive bool
 	}{{Reset, OK, true, true}, {Reset, Garbled, true, true}, {Reset, NotSent, true, true},
 		{NoConnection, NoConnection, true, false}, {Garbled, 0, false, true}} {
 		g := newRig(t, nil)
@@ -115,22 +115,22 @@
 		id, _ := g.request("any", 0)
 		other, _ := g.request("any", 0)
 		asked := false
-		for _, a := range g.answer(id, "a", 0, c.broke, Replica) {
+		for _, a := range g.answer(id, "a", 0, c.result, Replica) {
 			switch a := a.(type) {
 			case Cancel:
-				t.Errorf("%v: %s is canceled, want only %s to be affected", c.broke, a.ID, id)
+				t.Errorf("%v: %s is canceled, want only %s to be affected", c.result, a.ID, id)
 			case Probe:
 				asked = asked || a.Server == "a"
 			}
 		}
-		if g.r.members["a"].inFlight[0].ID != other || asked != c.asked {
-			t.Errorf("%v: in flight %v, probed %v", c.broke, g.r.members["a"].inFlight, asked)
+		if g.r.members["a"].inFlight[0].ID != other || asked != c.wantProbe {
+			t.Errorf("%v: in flight %v, probed %v", c.result, g.r.members["a"].inFlight, asked)
 		}
 		if asked {
 			g.handle(ProbeResult{Server: "a", Result: c.probe})
 		}
 		if got := g.r.available(g.r.members["a"]); got != c.alive {
-			t.Errorf("%v, then a probe that ends with %v: available %v", c.broke, c.probe, got)
+			t.Errorf("%v, then a probe that ends with %v: available %v", c.result, c.probe, got)
 		}
 	}
 }
@@ -205,22 +205,22 @@
 func TestRouterStallBlamesNoMember(t *testing.T) {
 	// A router that had been stalled saw timeouts and silence everywhere and blacklisted every member.
 	for _, c := range []struct {
-		stood time.Duration
-		blame bool
+		stalledFor time.Duration
+		blame      bool
 	}{{0, true}, {800 * ms, false}} {
 		g := newRig(t, nil)
 		id, acts := g.request("any", 0)
 		to := sends(acts)[0]
 		g.handle(Request{ID: "w", Class: "save", Group: 9, Deadline: g.now + 4*time.Second}) // waits, so that the queue timer is running
-		if c.stood == 0 {
+		if c.stalledFor == 0 {
 			g.advance(800 * ms)
 		} else {
-			g.now += c.stood
+			g.now += c.stalledFor
 		}
 		g.answer(id, to, 0, TimedOut, Unknown)
 		m := g.r.members[to]
 		if blame := !g.r.available(m); blame != c.blame {
-			t.Errorf("stalled for %v: blacklisted %v", c.stood, blame)
+			t.Errorf("stalled for %v: blacklisted %v", c.stalledFor, blame)
 		}
 		if !c.blame && m.limit != initialLimit {
 			t.Errorf("limit reduced to %v after a stall", m.limit)
--- a/balance/heard_test.go
+++ b/balance/heard_test.go
@@ -33,9 +33,9 @@
 
 func TestGossipRolesCountByTime(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		told  []Heard
-		writs string // who gets a write
+		name       string
+		entries    []Heard
+		wantTarget string // who gets a write
 	}{
 		{"a new primary is reported", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}}, "a"},
 		{"the last answer of the old primary arrives after it", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "p", Role: Primary, At: origin + ms, NotBefore: origin + ms}}, "a"},
@@ -46,12 +46,12 @@
 		g := newRig(t, nil)
 		g.setState("p", Primary, 0)
 		g.now += 10 * ms
-		for _, h := range c.told {
+		for _, h := range c.entries {
 			g.handle(h)
 		}
 		_, acts := g.request("save", 0)
-		if to := sends(acts); len(to) != 1 || to[0] != c.writs {
-			t.Errorf("%s: a write goes to %v, want %s", c.name, to, c.writs)
+		if to := sends(acts); len(to) != 1 || to[0] != c.wantTarget {
+			t.Errorf("%s: a write goes to %v, want %s", c.name, to, c.wantTarget)
 		}
 	}
 }
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// member is a member on the list, or one removed recently, and what the router knows about it.
 type member struct {
 	Member
 	group              *group
@@ -22,7 +23,7 @@
 	inFlight           []*request    // attempts in flight, oldest first
 	inFlightByCell     map[*cell]int // number of attempts in flight per cell
 	silentSince        time.Duration // start of the present silence while attempts are in flight
-	blacklistedUntil   time.Duration // blacklisted until then
+	blacklistedUntil   time.Duration // end of the blacklisting; 0 if there is none
 	timeouts, failures int           // since its last answer
 	probedAt           time.Duration
 	// probing: a probe is in flight. suspect: blacklisted, without a sign of life since. dead: a probe
@@ -32,38 +33,39 @@
 	limit                  float64 // maximum number of attempts in flight from this router
 }
 
+// onMembers applies a snapshot or a delta of the member list.
 func (r *Router) onMembers(e Members) {
 	if r.settings.Ask && !r.watching {
 		r.watching = true
 		r.emit(Watch{})
 	}
-	named := map[string]bool{}
-	for _, l := range e.List {
-		named[l.Server] = true
-		if !(l.Weight > minWeight) {
-			l.Weight = minWeight // a missing or invalid weight: drawn only if no member has a better one
+	listed := map[string]bool{}
+	for _, entry := range e.List {
+		listed[entry.Server] = true
+		if !(entry.Weight > minWeight) {
+			entry.Weight = minWeight // a missing or invalid weight: drawn only if no member has a better one
 		}
-		m := r.members[l.Server]
-		if m == nil && l.State == Left {
+		m := r.members[entry.Server]
+		if m == nil && entry.State == Left {
 			continue
 		} else if m == nil {
-			g := r.group(l.Group)
-			m = &member{group: g, inFlightByCell: map[*cell]int{}, limit: initialLimit, probedAt: r.now - time.Hour, mayHaveStatedRole: r.forgottenLost || r.forgotten[l.Server]}
-			r.members[l.Server] = m
-			i, _ := slices.BinarySearchFunc(g.members, l.Server,
+			g := r.group(entry.Group)
+			m = &member{group: g, inFlightByCell: map[*cell]int{}, limit: initialLimit, probedAt: r.now - time.Hour, mayHaveStatedRole: r.forgottenLost || r.forgotten[entry.Server]}
+			r.members[entry.Server] = m
+			i, _ := slices.BinarySearchFunc(g.members, entry.Server,
 				func(o *member, server string) int { return strings.Compare(o.Server, server) })
 			g.members = slices.Insert(g.members, i, m) // in the same order at every router
-		} else if l.incarnation() != m.incarnation() && l.Started > m.aliveAt {
+		} else if entry.incarnation() != m.incarnation() && entry.Started > m.aliveAt {
 			m.blacklistedUntil, m.suspect, m.failures, m.limit, m.latencyRatio = 0, false, 0, initialLimit, 0 // a new process, which has not answered yet
 		}
-		r.setState(m, l.State)
-		m.Member = l
-		if l.Started > 0 {
-			r.addStart(m, l.Started)
+		r.setState(m, entry.State)
+		m.Member = entry
+		if entry.Started > 0 {
+			r.addStart(m, entry.Started)
 		}
 	}
 	for _, m := range r.members {
-		if e.Whole && !named[m.Server] {
+		if e.Whole && !listed[m.Server] {
 			r.setState(m, Left)
 			m.State = Left
 		}
@@ -99,6 +101,8 @@
 	r.forgotten[m.Server] = true
 }
 
+// setState records a listed state and the time of the drain notification or removal. It is called before the
+// state is stored in m.
 func (r *Router) setState(m *member, s State) {
 	if m.wasDraining = (m.wasDraining || s == Draining) && s != Active; s == Active {
 		m.notifiedAt = 0
@@ -126,6 +130,8 @@
 	}
 }
 
+// available reports whether m is not blacklisted.
 func (r *Router) available(m *member) bool { return r.now >= m.blacklistedUntil }
 
+// canServe reports whether p is a member that the list allows to be used and that is not blacklisted.
 func (r *Router) canServe(p *member) bool { return p != nil && r.accepts(p, true) && r.available(p) }
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -181,13 +181,13 @@
 // replaceModule replaces the module; the process continues.
 func (g *modelGateway) replaceModule() {
 	g.w.logf("the module panics")
-	var known []balance.Inherited
+	var evidence []balance.Inherited
 	g.router.Look(g.local(), func(s balance.Seen) {
-		known = append(known, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
+		evidence = append(evidence, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
 	})
 	g.end()
 	g.start(true)
-	for _, k := range known {
+	for _, k := range evidence {
 		g.handle(k)
 	}
 }
@@ -195,9 +195,9 @@
 // restart ends the process and starts the next one, with or without the handover state.
 func (g *modelGateway) restart(handover bool) {
 	g.w.logf("the process ends, handover: %t", handover)
-	var known []balance.Inherited
+	var evidence []balance.Inherited
 	g.router.Look(g.local(), func(s balance.Seen) {
-		known = append(known, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable})
+		evidence = append(evidence, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable})
 	})
 	g.end()
 	g.process++
@@ -212,7 +212,7 @@
 	}
 	g.start(handover)
 	if handover {
-		for _, k := range known {
+		for _, k := range evidence {
 			g.handle(k)
 		}
 	}
@@ -317,17 +317,17 @@
 	g.read(g.w.between(5*ms, 1900*ms), func() {
 		b := g.clock.Bounds()
 		offset := b.At(g.local())
-		n := balance.Heard{Server: h.id, Class: "view", Result: balance.OK, Took: 10 * ms, Source: balance.FromGossip, Position: s.position}
+		entry := balance.Heard{Server: h.id, Class: "view", Result: balance.OK, Took: 10 * ms, Source: balance.FromGossip, Position: s.position}
 		if b.Told {
-			n.At = s.at - offset.Least
+			entry.At = s.at - offset.Least
 		}
-		if n.Role = balance.Replica; s.primary {
-			n.Role = balance.Unknown
+		if entry.Role = balance.Replica; s.primary {
+			entry.Role = balance.Unknown
 			if b.Bounded {
-				n.Role, n.NotBefore = balance.Primary, s.position-offset.Most
+				entry.Role, entry.NotBefore = balance.Primary, s.position-offset.Most
 			}
 		}
-		g.handle(n)
+		g.handle(entry)
 	})
 }
 
@@ -409,59 +409,59 @@
 }
 
 // write is the host side's last check before the first byte is written.
-func (g *modelGateway) write(t *modelAttempt) {
+func (g *modelGateway) write(attempt *modelAttempt) {
 	now := g.local()
 	switch {
-	case t.ended:
+	case attempt.ended:
 		return
-	case now >= t.request.deadline, t.request.done, t.grounds.Expired(now, g.clockBounds()),
-		t.grounds.NeedsLeader() && g.replicaAt[t.server.id] > 0 && g.replicaAt[t.server.id] >= t.grounds.Leads:
-		g.endAttempt(t, balance.Outcome{Result: balance.NotSent})
+	case now >= attempt.request.deadline, attempt.request.done, attempt.grounds.Expired(now, g.clockBounds()),
+		attempt.grounds.NeedsLeader() && g.replicaAt[attempt.server.id] > 0 && g.replicaAt[attempt.server.id] >= attempt.grounds.Leads:
+		g.endAttempt(attempt, balance.Outcome{Result: balance.NotSent})
 		return
-	case !t.server.alive:
-		g.endAttempt(t, balance.Outcome{Result: balance.NoConnection})
+	case !attempt.server.alive:
+		g.endAttempt(attempt, balance.Outcome{Result: balance.NoConnection})
 		return
 	}
-	held := time.Duration(0)
+	stalledFor := time.Duration(0)
 	if g.stallsEnabled && g.w.chance(g.stallChance) { // between the check and the write
-		held = g.w.between(0, modelMaxSendDelay)
-		g.stalledUntil = max(g.stalledUntil, g.w.now+held)
+		stalledFor = g.w.between(0, modelMaxSendDelay)
+		g.stalledUntil = max(g.stalledUntil, g.w.now+stalledFor)
 	}
-	g.w.after(held, func() {
-		if !t.ended {
-			t.written, t.sent = g.w.now, g.local()
-			g.w.after(g.w.between(0, ms), func() { g.arriveAtHost(t, held) })
+	g.w.after(stalledFor, func() {
+		if !attempt.ended {
+			attempt.written, attempt.sent = g.w.now, g.local()
+			g.w.after(g.w.between(0, ms), func() { g.arriveAtHost(attempt, stalledFor) })
 		}
 	})
 }
 
 // arriveAtHost delivers the attempt to its host.
-func (g *modelGateway) arriveAtHost(t *modelAttempt, held time.Duration) {
-	w, h := g.w, t.server
+func (g *modelGateway) arriveAtHost(attempt *modelAttempt, stalledFor time.Duration) {
+	w, h := g.w, attempt.server
 	switch {
 	case !h.alive:
-		g.read(0, func() { g.endAttempt(t, balance.Outcome{Result: balance.Reset}) })
+		g.read(0, func() { g.endAttempt(attempt, balance.Outcome{Result: balance.Reset}) })
 		return
 	case h.hangsUntil > w.now:
-		w.after(h.hangsUntil-w.now+w.between(0, 5*ms), func() { g.arriveAtHost(t, held) })
+		w.after(h.hangsUntil-w.now+w.between(0, 5*ms), func() { g.arriveAtHost(attempt, stalledFor) })
 		return
 	}
-	born := h.started
+	started := h.started
 	w.after(w.between(2*ms, 40*ms), func() {
 		switch {
-		case !h.alive || h.started != born:
+		case !h.alive || h.started != started:
 			return // its process has died: broken has reset the connection
 		case h.hangsUntil > w.now:
-			w.after(h.hangsUntil-w.now, func() { g.serveAtHost(t, held) })
+			w.after(h.hangsUntil-w.now, func() { g.serveAtHost(attempt, stalledFor) })
 		default:
-			g.serveAtHost(t, held)
+			g.serveAtHost(attempt, stalledFor)
 		}
 	})
 }
 
 // serveAtHost lets the host execute the query; its answer may be written late.
-func (g *modelGateway) serveAtHost(t *modelAttempt, held time.Duration) {
-	w, h := g.w, t.server
+func (g *modelGateway) serveAtHost(attempt *modelAttempt, stalledFor time.Duration) {
+	w, h := g.w, attempt.server
 	if !h.alive {
 		return
 	}
@@ -475,9 +475,9 @@
 	result := balance.OK
 	commit := time.Duration(0)
 	switch {
-	case t.request.class == "order" && !s.primary:
+	case attempt.request.class == "order" && !s.primary:
 		result = balance.Miss
-	case t.request.class == "order":
+	case attempt.request.class == "order":
 		commit = s.stated
 	}
 	late := time.Duration(0)
@@ -485,71 +485,71 @@
 		late = w.between(0, 1200*ms)
 	}
 	w.after(late, func() {
-		spoilt, wrote := w.chance(0.03), w.now
+		broken, writtenAt := w.chance(0.03), w.now
 		g.read(w.between(0, 5*ms), func() {
-			if t.ended {
+			if attempt.ended {
 				return // closed before the answer was read: docs/freshness.md lists that as an open risk
 			}
-			if !spoilt && !s.primary {
-				g.replicaAnswers[h] = append(g.replicaAnswers[h], wrote)
+			if !broken && !s.primary {
+				g.replicaAnswers[h] = append(g.replicaAnswers[h], writtenAt)
 			}
-			g.answer(t, s, result, commit, spoilt, held)
+			g.answer(attempt, s, result, commit, broken, stalledFor)
 		})
 	})
 }
 
 // answer handles the answer that the gateway reads.
-func (g *modelGateway) answer(t *modelAttempt, s modelState, result balance.Result, commit time.Duration, spoilt bool, held time.Duration) {
+func (g *modelGateway) answer(t *modelAttempt, s modelState, result balance.Result, commit time.Duration, broken bool, stalledFor time.Duration) {
 	h, now := t.server, g.local()
-	o := balance.Outcome{Result: result, Written: t.sent, Made: balance.Made{NotBefore: t.sent, NotAfter: now}}
-	if !s.primary && !spoilt {
+	outcome := balance.Outcome{Result: result, Written: t.sent, Made: balance.Made{NotBefore: t.sent, NotAfter: now}}
+	if !s.primary && !broken {
 		g.noteReplica(h)
 	}
-	if spoilt || g.w.chance(0.03) { // it breaks off
-		o.Result = []balance.Result{balance.Garbled, balance.Reset, balance.TimedOut}[g.w.rng.IntN(3)]
-		if !s.primary && !spoilt {
-			o.Role = balance.Replica
+	if broken || g.w.chance(0.03) { // it breaks off
+		outcome.Result = []balance.Result{balance.Garbled, balance.Reset, balance.TimedOut}[g.w.rng.IntN(3)]
+		if !s.primary && !broken {
+			outcome.Role = balance.Replica
 		}
-		g.endAttempt(t, o)
+		g.endAttempt(t, outcome)
 		return
 	}
 	position := s.stated.Truncate(ms)
 	if commit > 0 {
 		position = (commit + ms - 1).Truncate(ms)
 	}
-	told := fleetclock.Observation{Host: h.id, Position: position, Sent: t.sent, Received: now}
-	o.Role, o.Position = balance.Replica, position
+	observation := fleetclock.Observation{Host: h.id, Position: position, Sent: t.sent, Received: now}
+	outcome.Role, outcome.Position = balance.Replica, position
 	if s.primary {
-		o.Role = balance.Primary
+		outcome.Role = balance.Primary
 		if g.falsePositions && !g.falsePositionSent && g.w.chance(0.2) {
 			g.falsePositionSent = true
 			position -= g.w.between(10*ms, 3*time.Second)
-			told.Position, o.Position = position, position
+			observation.Position, outcome.Position = position, position
 			g.w.logf("%s states a position that is too old", h.id)
 		}
 		if result == balance.OK {
-			told.Present = position
+			observation.Present = position
 		}
 	}
 	if g.loadReports && h.report.at > 0 {
-		told.Position = max(told.Position, reportPosition(h.report))
+		observation.Position = max(observation.Position, reportPosition(h.report))
 	}
-	g.observe(told)
+	g.observe(observation)
 	if g.loadReports && h.report.at > 0 {
-		o.Report = g.localReport(h.report, now)
+		outcome.Report = g.localReport(h.report, now)
 	}
 	if b := g.clock.Bounds(); s.primary && b.Bounded {
-		o.Made.NotBefore = max(o.Made.NotBefore, min(position-b.At(now).Most-ms, now))
+		outcome.Made.NotBefore = max(outcome.Made.NotBefore, min(position-b.At(now).Most-ms, now))
 	}
-	o.Made.Epoch = g.clock.Epoch()
+	outcome.Made.Epoch = g.clock.Epoch()
 	if result == balance.OK && !t.request.done {
-		o.ID, o.Server = t.request.id, t.server.id
-		g.check(t, s, held, o)
+		outcome.ID, outcome.Server = t.request.id, t.server.id
+		g.check(t, s, stalledFor, outcome)
 		if commit > 0 {
 			g.w.lastWrite = max(g.w.lastWrite, position)
 		}
 	}
-	g.endAttempt(t, o)
+	g.endAttempt(t, outcome)
 }
 
 // observe passes an observation of the fleet's clock to the process and checks that the resulting bounds
@@ -573,9 +573,9 @@
 		g.replicaAt = map[string]time.Duration{}
 	}
 	now := g.local()
-	news := g.replicaAt[h.id] == 0
+	isNew := g.replicaAt[h.id] == 0
 	g.replicaAt[h.id] = now
-	if news || g.w.chance(0.5) {
+	if isNew || g.w.chance(0.5) {
 		g.post(func() {
 			g.handle(balance.Heard{Server: h.id, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart, At: now, NotAfter: now})
 		})
@@ -583,29 +583,29 @@
 }
 
 // check verifies the rule that no read is answered from data older than its class allows.
-func (g *modelGateway) check(t *modelAttempt, s modelState, held time.Duration, o balance.Outcome) {
-	if g.steppedAt > 0 && (g.stepHidden || t.written < g.stepShownAt || t.grounds.Kind != balance.ByPosition) {
+func (g *modelGateway) check(attempt *modelAttempt, s modelState, stalledFor time.Duration, o balance.Outcome) {
+	if g.steppedAt > 0 && (g.stepHidden || attempt.written < g.stepShownAt || attempt.grounds.Kind != balance.ByPosition) {
 		return // a step shows only once an answer does, and statements from before it cannot be dated
 	}
-	q, slack := t.request, modelSlack
+	q, slack := attempt.request, modelSlack
 	var bound time.Duration
 	switch q.class {
 	case "view":
-		bound = t.written - q.bound
+		bound = attempt.written - q.bound
 	case "own":
 		bound, slack = q.after, 0 // the position is stated exactly
 	default:
 		return
 	}
 	g.reads++
-	if s.position >= bound-slack || g.presumedPrimary(t.server, t.written) {
+	if s.position >= bound-slack || g.presumedPrimary(attempt.server, attempt.written) {
 		return
 	}
-	if held > 0 && g.router.Stale(g.local(), o) {
+	if stalledFor > 0 && g.router.Stale(g.local(), o) {
 		return // an answer after a stall before the write is rejected when it arrives; every other stale read must be prevented before the send
 	}
-	g.violations = append(g.violations, q.class+" "+q.id+" at "+t.server.id+" from data "+(bound-s.position).String()+" too old, on "+t.grounds.Kind.String()+
-		" of "+t.grounds.Source.String())
+	g.violations = append(g.violations, q.class+" "+q.id+" at "+attempt.server.id+" from data "+(bound-s.position).String()+" too old, on "+attempt.grounds.Kind.String()+
+		" of "+attempt.grounds.Source.String())
 	g.w.logf("BROKEN: %s", g.violations[len(g.violations)-1])
 }
 
--- a/balance/retune_test.go
+++ b/balance/retune_test.go
@@ -35,9 +35,9 @@
 	if acts := r.Handle(at, Request{ID: "gone", Class: "w", Deadline: at + 400*ms}, nil); len(acts) != 1 || acts[0] != (Refuse{ID: "gone"}) {
 		t.Errorf("a request of a removed class: %v", acts)
 	}
-	kept := r.cells[0].classes["a"]
+	unchanged := r.cells[0].classes["a"]
 	r.Handle(at, Retune{s}, nil)
-	if r.cells[0].classes["a"] != kept {
+	if r.cells[0].classes["a"] != unchanged {
 		t.Error("an unchanged class lost its statistics")
 	}
 }
--- a/balance/router.go
+++ b/balance/router.go
@@ -67,6 +67,7 @@
 	tagQueue, tagWatch, firstSeq = 0, 1, 2 // timer tags; tags from firstSeq on are sequence numbers of requests
 )
 
+// class is a class of requests as one cell experiences it.
 type class struct {
 	Class
 	latency time.Duration // smoothed answer time, starting from an estimate
@@ -76,10 +77,12 @@
 // primaryOnly reports whether only the primary may serve requests of the class.
 func (c *class) primaryOnly() bool { return c.Need == Write || c.Need == Latest }
 
+// tenant is a tenant with a quota.
 type tenant struct {
 	quota, usage float64 // quota is in requests per second; usage is the tenant's fraction of this router's recent requests
 }
 
+// group is a group of members, of which one is the primary.
 type group struct {
 	id                      int
 	members                 []*member
@@ -94,6 +97,7 @@
 	waiting                 bool          // the group is checked when the queue timer expires, as requests are queued
 }
 
+// request is an open request, or an ended one with an attempt still in flight.
 type request struct {
 	Request
 	seq                      int64
@@ -230,8 +234,10 @@
 	return acts
 }
 
+// emit adds an action to those that Handle returns.
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
+// group returns the group with number n, which it creates if needed.
 func (r *Router) group(n int) *group {
 	if r.groups[n] == nil {
 		r.groups[n] = &group{id: n}
@@ -239,6 +245,7 @@
 	return r.groups[n]
 }
 
+// onTimer handles the queue timer, the timer of the watch, and the deadlines of requests.
 func (r *Router) onTimer(tag int64) {
 	switch q := r.requestsBySeq[tag]; {
 	case tag == tagWatch:
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -12,7 +12,7 @@
 	// first requests of that many routers stand for what a fleet sends at one moment.
 	for _, c := range []struct {
 		name, class string
-		gone        string        // removed members
+		removed     string        // removed members
 		age         time.Duration // age of the cold member
 		lo, hi      float64       // expected range of its fraction of the requests
 	}{
@@ -28,14 +28,14 @@
 			g := newSeededRig(t, seed)
 			l := list()
 			cold := "a"
-			if c.class == "save" || c.gone == "ab" {
+			if c.class == "save" || c.removed == "ab" {
 				cold = "p"
 			}
 			for i := range l {
 				if l[i].Server == cold {
 					l[i].Started = g.now - c.age
 				}
-				if strings.Contains(c.gone, l[i].Server) {
+				if strings.Contains(c.removed, l[i].Server) {
 					l[i].State = Left
 				}
 			}
--- a/balance/timeout_test.go
+++ b/balance/timeout_test.go
@@ -26,7 +26,7 @@
 
 // A shutdown shortens deadlines, and the answer time of a class with few requests is only an estimate.
 func TestEstimatedLatencyRefusesNoShortDeadline(t *testing.T) {
-	const left = 3500 * ms
+	const remaining = 3500 * ms
 	for _, c := range []struct {
 		name    string
 		answers int
@@ -50,9 +50,9 @@
 				g.now += c.took
 				g.handle(Outcome{ID: id, Server: server, Result: OK, Took: c.took, Final: true})
 			}
-			acts := g.handle(Request{ID: "last", Class: class, Deadline: g.now + left})
+			acts := g.handle(Request{ID: "last", Class: class, Deadline: g.now + remaining})
 			if got := len(sends(acts)); got != c.sent {
-				t.Errorf("%s, %s, %s before its deadline: %v", class, c.name, left, acts)
+				t.Errorf("%s, %s, %s before its deadline: %v", class, c.name, remaining, acts)
 			}
 		}
 	}
