--- a/balance/admission.go
+++ b/balance/admission.go
@@ -103,7 +103,8 @@
 	if len(g.queued) == 0 {
 		return
 	}
-	list, unsent := g.queued, map[*class]int{} // a class is skipped after 3 unsent requests, so that a long queue is not tried to its end
+	// A class is skipped after 3 unsent requests, so that a long queue is not tried to its end.
+	list, unsent := g.queued, map[*class]int{}
 	order := list
 	if len(r.cells) > 1 { // the cell with the fewest attempts in flight for its weight goes first
 		used := map[*cell]float64{}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -120,7 +120,7 @@
 		name    string
 		cold    bool
 		outage  time.Duration
-		maxSent int // limit for the writes sent in the first two beats, out of 100
+		maxSent int // limit for the writes, out of 100, that are sent within two intervals of the queue timer
 	}{{"cold", true, 1800 * ms, 12}, {"late", false, 1800 * ms, 15}, {"in time", false, 100 * ms, 100}} {
 		const hundreds = 10
 		n := 0
--- a/balance/api.go
+++ b/balance/api.go
@@ -92,9 +92,10 @@
 	OverloadFactor  float64
 	ColdShare       float64
 	ColdTime        time.Duration
-	DroppedStayOpen bool          // a member removed from the list without having been drained may still be used
-	Restarted       bool          // a previous router knew members that this router does not know
-	Floor           time.Duration // used without TokensCarried: sessions may have written through a previous process until this time
+	DroppedStayOpen bool // a member removed from the list without having been drained may still be used
+	Restarted       bool // a previous router knew members that this router does not know
+	// Used without TokensCarried: sessions may have written through a previous process until this time.
+	Floor time.Duration
 }
 
 // SettingError names an invalid setting and the reason why it is invalid.
@@ -186,10 +187,11 @@
 // Cell is a subset of the clients and the members that they may use. Cells that may use the same member
 // share it by weight: each is guaranteed the fraction Reserve of its fair share of the router's limit there.
 type Cell struct {
-	ID      int             // 1 or more; requests of cell 0 or of an unknown cell may use all members
-	Weight  float64         // above 0
-	Reserve float64         // fraction of its fair share, 0 to 1
-	Servers map[string]bool // replicas that it may read from; nil means all, without a reserve. Any cell may use the primary
+	ID      int     // 1 or more; requests of cell 0 or of an unknown cell may use all members
+	Weight  float64 // above 0
+	Reserve float64 // fraction of its fair share, 0 to 1
+	// Replicas that it may read from; nil means all, without a reserve. Any cell may use the primary.
+	Servers map[string]bool
 }
 
 // Retune replaces the settings, which must be as Checked returns them. An open request keeps its class, but
@@ -207,10 +209,14 @@
 	Deadline                   time.Duration
 	Elapsed                    time.Duration // time that the client spent on earlier tries; 0 if unknown
 	Retry                      bool
-	After                      time.Duration // with carried tokens: the position that the session must see; 0 means that WriteAge states it
-	WriteAge                   time.Duration // with carried tokens: time since the session's last write; 0 means that there was none
-	Since                      time.Duration // an additional lower bound on the position for a session that has written; 0 means none
-	Over                       time.Duration // above 0: the request is over its quota and is refused with this time as RetryAfter
+	// With carried tokens: the position that the session must see; 0 means that WriteAge states it.
+	After time.Duration
+	// With carried tokens: time since the session's last write; 0 means that there was none.
+	WriteAge time.Duration
+	// An additional lower bound on the position for a session that has written; 0 means none.
+	Since time.Duration
+	// Above 0: the request is over its quota and is refused with this time as RetryAfter.
+	Over time.Duration
 	// Lease means that the attempt keeps the host connection until the client is finished, as a transaction
 	// does. It then has no timeout except the deadline, and is never retried once it was possibly executed.
 	// Patience is the maximum time that it may wait for its first send; 0 means half of the time until its
@@ -230,10 +236,12 @@
 
 // Report is a load report of a member. Its content may be older than the answer that it came with.
 type Report struct {
-	Has       bool
-	Role      Role          // Unknown if the report states no role
-	Position  time.Duration // 0 if the report states none
-	NotBefore time.Duration // earliest time at which a primary's report was made; a primary's position is the present, so the position shows it
+	Has      bool
+	Role     Role          // Unknown if the report states no role
+	Position time.Duration // 0 if the report states none
+	// Earliest time at which a primary's report was made; a primary's position is the present, so the
+	// position shows it.
+	NotBefore time.Duration
 }
 
 // Result states how an attempt or a probe ended.
@@ -298,7 +306,8 @@
 	At            time.Duration // earliest time at which it ended; 0 if unknown
 	NotBefore     time.Duration // earliest time of the statement on the role; used only if that role is Primary
 	NotAfter      time.Duration // latest time of that statement; 0 means now
-	Source        Source        // FromGossip, or FromAnswer if the host side of this router learned it after the outcome
+	// FromGossip, or FromAnswer if the host side of this router learned it after the outcome.
+	Source Source
 }
 
 // Inherited passes on what an earlier router knew about a member, with times by the clock of this router.
@@ -363,12 +372,13 @@
 type Why int
 
 const (
-	UnknownClass    Why = iota // the settings have no such class
-	Shed                       // load shedding on arrival: many attempts in its group end badly, or it is over its quota
-	TooLate                    // an answer in time is unlikely, or it was not sent within half of its time
-	NoAttemptLeft              // its attempts are used up, or it must not be retried
-	FailsEverywhere            // it failed on two members
-	Overdue                    // its deadline has passed
+	UnknownClass Why = iota // the settings have no such class
+	// Load shedding on arrival: many attempts in its group end badly, or it is over its quota.
+	Shed
+	TooLate         // an answer in time is unlikely, or it was not sent within half of its time
+	NoAttemptLeft   // its attempts are used up, or it must not be retried
+	FailsEverywhere // it failed on two members
+	Overdue         // its deadline has passed
 )
 
 // String returns the name of the reason as it appears in logs and reports.
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -171,7 +171,8 @@
 	case OK:
 		for _, f := range q.failed {
 			if f != m && f != primary && r.canBlacklist(f) {
-				r.blacklist(f, f.failures >= maxFailures) // q failed there and succeeded here, so the error was that member's
+				// Q failed there and succeeded here, so the error was that member's.
+				r.blacklist(f, f.failures >= maxFailures)
 			}
 		}
 		m.blacklistedUntil, m.suspect, m.timeouts, m.failures = 0, false, 0, 0
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -141,7 +141,7 @@
 )
 
 // run runs a group under a load, as a fraction of its capacity, while one host starts cold. The fraction
-// untold of the routers does not get the start from the list.
+// notNotified of the routers does not get the start from the list.
 func (f *fleet) run(load float64, class, host string, notNotified float64) {
 	const start, end = coldAt, 14 * time.Second
 	members := Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -50,7 +50,8 @@
 	position         time.Duration // highest position stated; a position never decreases
 	positionSource   Source
 	positionNotAfter time.Duration // latest time of the last statement of that position
-	primaryNotBefore time.Duration // earliest time of the newest statement that it is the primary; 0 if there was none
+	// Earliest time of the newest statement that it is the primary; 0 if there was none.
+	primaryNotBefore time.Duration
 	primarySource    Source
 	replicaNotAfter  time.Duration // latest time of the newest statement that it is a replica; 0 if there was none
 	replicaSource    Source
@@ -113,10 +114,11 @@
 type GroundsKind int
 
 const (
-	NotNeeded  GroundsKind = iota // a write, or a read that any member may serve: the member itself refuses what it cannot serve
-	ByPosition                    // a replica that has applied enough of the log
-	LeaderWord                    // the member stated that it is the primary, and no later evidence contradicts it
-	Excused                       // the list names it as the primary, and it has not stated its role to this router
+	// A write, or a read that any member may serve: the member itself refuses what it cannot serve.
+	NotNeeded  GroundsKind = iota
+	ByPosition             // a replica that has applied enough of the log
+	LeaderWord             // the member stated that it is the primary, and no later evidence contradicts it
+	Excused                // the list names it as the primary, and it has not stated its role to this router
 )
 
 // String returns the name of the kind as it appears in logs.
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -132,7 +132,8 @@
 		"another router states so, of a past time": {func(g *rig) {
 			g.setState("p", Primary, 0)
 			g.now += 50 * ms
-			g.gossip("p", func(h *Heard) { h.At = g.now - 100*ms }) // a router cannot tell how long the gossip message was on its way
+			// A router cannot tell how long the gossip message was on its way.
+			g.gossip("p", func(h *Heard) { h.At = g.now - 100*ms })
 		}, ""},
 		"a partial answer states that it is a replica":   {func(g *rig) { g.partialAnswer("p", Replica) }, ""},
 		"a partial answer states that it is the primary": {func(g *rig) { g.partialAnswer("a", Primary) }, "p"},
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -128,7 +128,8 @@
 	remembered := max(r.sessionWrites[e.Session], r.writeFloor)
 	switch {
 	case e.After > 0:
-		return max(remembered, e.After+slack) // a commit position is rounded up: a member that states the same one may lack the commit
+		// A commit position is rounded up: a member that states the same one may lack the commit.
+		return max(remembered, e.After+slack)
 	case e.WriteAge > 0:
 		return max(remembered, r.now-e.WriteAge+slack)
 	}
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -211,7 +211,8 @@
 		g := newRig(t, nil)
 		id, acts := g.request("any", 0)
 		to := sends(acts)[0]
-		g.handle(Request{ID: "w", Class: "save", Group: 9, Deadline: g.now + 4*time.Second}) // waits, so that the queue timer is running
+		// Waits, so that the queue timer is running.
+		g.handle(Request{ID: "w", Class: "save", Group: 9, Deadline: g.now + 4*time.Second})
 		if c.stalledFor == 0 {
 			g.advance(800 * ms)
 		} else {
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -56,7 +56,8 @@
 				func(o *member, server string) int { return strings.Compare(o.Server, server) })
 			g.members = slices.Insert(g.members, i, m) // in the same order at every router
 		} else if entry.incarnation() != m.incarnation() && entry.Started > m.aliveAt {
-			m.blacklistedUntil, m.suspect, m.failures, m.limit, m.latencyRatio = 0, false, 0, initialLimit, 0 // a new process, which has not answered yet
+			// A new process, which has not answered yet.
+			m.blacklistedUntil, m.suspect, m.failures, m.limit, m.latencyRatio = 0, false, 0, initialLimit, 0
 		}
 		r.setState(m, entry.State)
 		m.Member = entry
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -56,17 +56,19 @@
 	loadReports       bool
 	falsePositions    bool // one answer of each process states a primary's position that is too old
 	falsePositionSent bool
-	extraProbes       bool          // hosts are probed more often than the module requests, as if there were more of them
-	maxRequestGap     time.Duration // maximum time between requests: a gateway with few requests gets few statements
-
-	router         *balance.Router
-	clock          *fleetclock.Estimate
-	epoch          int
-	bounds         balance.ClockBounds // as last passed to the module
-	list           map[string]balance.Member
-	requests       map[string]*modelRequest
-	count          int
-	replicaAt      map[string]time.Duration // time of each host's last statement on a connection that it is a replica, by this machine's clock
+	// Hosts are probed more often than the module requests, as if there were more of them.
+	extraProbes   bool
+	maxRequestGap time.Duration // maximum time between requests: a gateway with few requests gets few statements
+
+	router   *balance.Router
+	clock    *fleetclock.Estimate
+	epoch    int
+	bounds   balance.ClockBounds // as last passed to the module
+	list     map[string]balance.Member
+	requests map[string]*modelRequest
+	count    int
+	// Time of each host's last statement on a connection that it is a replica, by this machine's clock.
+	replicaAt      map[string]time.Duration
 	replicaAnswers map[*modelHost][]time.Duration
 	steppedAt      time.Duration // when the fleet's clock was stepped, by this machine's clock; 0 if never
 	stepHidden     bool          // no answer to a query sent since the step shows it
@@ -450,7 +452,7 @@
 	w.after(w.between(2*ms, 40*ms), func() {
 		switch {
 		case !h.alive || h.started != started:
-			return // its process has died: broken has reset the connection
+			return // its process has died: resetConnections has ended the attempt
 		case h.hangsUntil > w.now:
 			w.after(h.hangsUntil-w.now, func() { g.serveAtHost(attempt, stalledFor) })
 		default:
@@ -602,15 +604,17 @@
 		return
 	}
 	if stalledFor > 0 && g.router.Stale(g.local(), o) {
-		return // an answer after a stall before the write is rejected when it arrives; every other stale read must be prevented before the send
+		// An answer after a stall before the write is rejected when it arrives; every other stale read must
+		// be prevented before the send.
+		return
 	}
 	g.violations = append(g.violations, q.class+" "+q.id+" at "+attempt.server.id+" from data "+(bound-s.position).String()+" too old, on "+attempt.grounds.Kind.String()+
 		" of "+attempt.grounds.Source.String())
 	g.w.logf("BROKEN: %s", g.violations[len(g.violations)-1])
 }
 
-// presumedPrimary reports whether a host has been the primary, and no known answer has stated since then that it is
-// not.
+// presumedPrimary reports whether a host has been the primary, and no known answer has stated since then
+// that it is not.
 func (g *modelGateway) presumedPrimary(h *modelHost, sent time.Duration) bool {
 	if h.primaryUntil == 0 {
 		return false
--- a/balance/model_world_test.go
+++ b/balance/model_world_test.go
@@ -334,7 +334,8 @@
 	w.sendList(h)
 	w.after(200*ms, func() {
 		w.skip(70 * time.Second)
-		w.sendList(w.hosts[(w.indexOf(h)+1)%len(w.hosts)]) // any change of the list lets the module drop removed members
+		// Any change of the list lets the module drop removed members.
+		w.sendList(w.hosts[(w.indexOf(h)+1)%len(w.hosts)])
 		w.after(100*ms, func() {
 			w.logf("%s is listed again", h.id)
 			h.list.State = balance.Active
--- a/balance/router.go
+++ b/balance/router.go
@@ -16,20 +16,24 @@
 const (
 	ms = time.Millisecond
 
-	pinWindow              = 300 * ms // a session's reads go to the primary for this long after a write
-	blacklistDuration      = 5 * time.Second
-	queueInterval          = 20 * ms         // interval at which queued requests are tried again, also while they wait for a position
-	clockReadWait          = 150 * ms        // how long reads wait for an answer that may bound the clock offset
-	retryDelay             = 50 * ms         // first delay before a primary that was full, or a missing primary, is tried again
-	minSilence             = 100 * ms        // a primary with attempts in flight that is silent for longer is probed
-	limitCutInterval       = 100 * ms        // minimum time between two reductions of a limit
-	probeInterval          = 500 * ms        // minimum time between probes of a blacklisted member
-	probeIntervalPerRouter = 10 * ms         // the same per router of the fleet, where that is longer
-	refusedRetryAfter      = time.Second     // retryAfter of refused requests: an earlier retry adds load and gains little
-	coldRetryDelay         = 2 * time.Second // average delay before a cold primary is tried again
-	coldRetryFactor        = 4               // of the requests that a cold primary refused, one in this many may be retried there
-	forgetAfter            = time.Minute     // a removed member is dropped after this time
-	slack                  = ms              // positions are whole milliseconds; in doubt data counts as stale
+	pinWindow         = 300 * ms // a session's reads go to the primary for this long after a write
+	blacklistDuration = 5 * time.Second
+	// Interval at which queued requests are tried again, also while they wait for a position.
+	queueInterval = 20 * ms
+	clockReadWait = 150 * ms // how long reads wait for an answer that may bound the clock offset
+	// First delay before a primary that was full, or a missing primary, is tried again.
+	retryDelay             = 50 * ms
+	minSilence             = 100 * ms // a primary with attempts in flight that is silent for longer is probed
+	limitCutInterval       = 100 * ms // minimum time between two reductions of a limit
+	probeInterval          = 500 * ms // minimum time between probes of a blacklisted member
+	probeIntervalPerRouter = 10 * ms  // the same per router of the fleet, where that is longer
+	// RetryAfter of refused requests: an earlier retry adds load and gains little.
+	refusedRetryAfter = time.Second
+	coldRetryDelay    = 2 * time.Second // average delay before a cold primary is tried again
+	// Of the requests that a cold primary refused, one in this many may be retried there.
+	coldRetryFactor = 4
+	forgetAfter     = time.Minute // a removed member is dropped after this time
+	slack           = ms          // positions are whole milliseconds; in doubt data counts as stale
 
 	// sendDelaySlack is the part of the protocol's 50 ms of slack that a process stalled before a send may use;
 	// the rest is for the clock offset (fleetclock.AgeSlack). The margin that is kept free for such a stall
@@ -42,11 +46,13 @@
 	maxSessions      = 20000 // maximum number of sessions whose last write is remembered
 	fallbackFraction = 0.6   // fraction of the primary's limit that may be filled by reads that a replica could serve
 	coldFactorMargin = 0.6   // fraction of the overload factor that may be used; the rest is for retries
-	coldFactorSpare  = 0.2   // fraction of the factor above 1 that may be used, as the member may be warmer than its minimum; the rest is for bursts
-	coldSpareRouters = 60.0  // up to this many routers, whose own limits contain bursts, may use all of it
-	minWeight        = 1e-9  // replaces a weight of 0, so that equal zero weights can still be drawn from
-	latencyWindow    = 16.0  // number of answers that the smoothed answer time averages over
-	estimateWindow   = 64    // number of answers after which the initial estimate weighs less than 2 %
+	// Fraction of the factor above 1 that may be used, as the member may be warmer than its minimum; the
+	// rest is for bursts.
+	coldFactorSpare  = 0.2
+	coldSpareRouters = 60.0 // up to this many routers, whose own limits contain bursts, may use all of it
+	minWeight        = 1e-9 // replaces a weight of 0, so that equal zero weights can still be drawn from
+	latencyWindow    = 16.0 // number of answers that the smoothed answer time averages over
+	estimateWindow   = 64   // number of answers after which the initial estimate weighs less than 2 %
 	// badWindow is the number of attempts that the fraction of bad ends averages over. After maxFailures
 	// errors in a row, a good probe does not end a blacklisting.
 	badWindow, maxFailures = 10.0, 3
@@ -79,22 +85,25 @@
 
 // tenant is a tenant with a quota.
 type tenant struct {
-	quota, usage float64 // quota is in requests per second; usage is the tenant's fraction of this router's recent requests
+	// Quota is in requests per second; usage is the tenant's fraction of this router's recent requests.
+	quota, usage float64
 }
 
 // group is a group of members, of which one is the primary.
 type group struct {
-	id                      int
-	members                 []*member
-	primary                 *member       // the member with the newest statement that it is the primary, unless later evidence contradicts it
+	id      int
+	members []*member
+	// The member with the newest statement that it is the primary, unless later evidence contradicts it.
+	primary                 *member
 	forgottenPrimaryAt      time.Duration // time of the newest such statement of members that were forgotten
 	newestPosition          time.Duration // highest known position of any member
 	queued                  []*request
 	searcher                *request // the one write that is sent to members in turn while the primary is unknown
 	searchAfter, searchedAt time.Duration
-	lostAt, foundAt, outage time.Duration // when requests found no primary, when they found one again, and the time between
-	nextSearched            int           // index of the member that is asked next for the primary
-	waiting                 bool          // the group is checked when the queue timer expires, as requests are queued
+	// When requests found no primary, when they found one again, and the time between.
+	lostAt, foundAt, outage time.Duration
+	nextSearched            int  // index of the member that is asked next for the primary
+	waiting                 bool // the group is checked when the queue timer expires, as requests are queued
 }
 
 // request is an open request, or an ended one with an attempt still in flight.
@@ -113,22 +122,25 @@
 	tried, failed            []*member     // members that it was sent to; members that answered with an error
 	queued, cancelSent, done bool
 	worth                    float64
-	shedDraw                 float64       // drawn once on arrival: the request is shed if it is below the fraction to shed
-	coldDraw                 float64       // drawn once, above 0, when a cold member is first considered; 0 if not drawn yet
-	notBefore                time.Duration // the request is not sent to the primary before this time
+	// Drawn once on arrival: the request is shed if it is below the fraction to shed.
+	shedDraw float64
+	// Drawn once, above 0, when a cold member is first considered; 0 if not drawn yet.
+	coldDraw  float64
+	notBefore time.Duration // the request is not sent to the primary before this time
 }
 
 // Router decides where the requests of one gateway go. It is not safe for concurrent use.
 type Router struct {
-	settings                Settings
-	rng                     *rand.Rand
-	now, queueTimerDue      time.Duration
-	cellList                Cells
-	cells                   map[int]*cell      // cell 0 is for requests without a cell
-	primarySharers          sharers            // the cells that share a primary
-	replicaSharers          map[string]sharers // the cells that share a replica, by server
-	clock                   ClockBounds
-	clockRead               *request      // request whose answer may bound the clock offset while nothing else does; nil if none is in flight
+	settings           Settings
+	rng                *rand.Rand
+	now, queueTimerDue time.Duration
+	cellList           Cells
+	cells              map[int]*cell      // cell 0 is for requests without a cell
+	primarySharers     sharers            // the cells that share a primary
+	replicaSharers     map[string]sharers // the cells that share a replica, by server
+	clock              ClockBounds
+	// Request whose answer may bound the clock offset while nothing else does; nil if none is in flight.
+	clockRead               *request
 	minBound                time.Duration // smallest bound of the bounded classes: the interval of position probes
 	members                 map[string]*member
 	forgotten               map[string]bool // removed members that had stated a role
@@ -143,8 +155,9 @@
 	candidates              []*member // candidates of the last draw
 	weights                 []float64
 	sessionWrites           map[string]time.Duration // last known write of each session, with remembered tokens
-	newestWrite, writeFloor time.Duration            // newestWrite is the latest of those writes; no forgotten write is later than writeFloor
-	queueTimerSet, watching bool                     // the timer of the queue is running; the list is being watched
+	// newestWrite is the latest of those writes; no forgotten write is later than writeFloor.
+	newestWrite, writeFloor time.Duration
+	queueTimerSet, watching bool // the timer of the queue is running; the list is being watched
 	actions                 []Action
 	changes                 []PrimaryChange // not yet fetched by Changes
 }
--- a/balance/timeout_test.go
+++ b/balance/timeout_test.go
@@ -8,7 +8,8 @@
 // The timeout at a replica is shortened only if that leaves time for another attempt: otherwise it wastes
 // the work that the host continues with.
 func TestReadTimeoutLeavesTimeForRetry(t *testing.T) {
-	for _, c := range []struct{ took, want int }{{25, 180}, {45, 300}} { // in ms: 0.6 of the latency target, or all of it
+	// In ms: 0.6 of the latency target, or all of it.
+	for _, c := range []struct{ took, want int }{{25, 180}, {45, 300}} {
 		r, err := New(Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 300 * ms, Deadline: 900 * ms, Worth: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
