--- a/balance/api.go
+++ b/balance/api.go
@@ -75,25 +75,25 @@
 
 // Settings configures a Router. It is given to New and may be replaced later by a SettingsUpdate event.
 type Settings struct {
-	Routers         int
-	Tick            time.Duration // minimum time between two events
+	Routers         int           // number of routers in the fleet; 0 means 1
+	Tick            time.Duration // minimum time between two events; 0 means 1 ms
 	Classes         []Class
 	Tenants         []Tenant
-	OverShareWorth  float64
+	OverShareWorth  float64 // factor on the worth of requests over their quota
 	Checks          Checks
-	TokensCarried   bool // session reads carry the age of the session's last write
-	Ask             bool // the list sends changes only after a Watch action
-	Probes, Cancel  bool // whether the router may probe members and cancel attempts
-	RetryAfter      bool
-	MaxRetryAfter   time.Duration
-	MaxAttempts     int // 0 means 6
-	DrainGrace      time.Duration
+	TokensCarried   bool          // session reads carry the age of the session's last write
+	Ask             bool          // the list sends changes only after a Watch action
+	Probes, Cancel  bool          // whether the router may probe members and cancel attempts
+	RetryAfter      bool          // whether refusals may tell clients when to retry
+	MaxRetryAfter   time.Duration // 0 if RetryAfter is false
+	MaxAttempts     int           // 0 means 6
+	DrainGrace      time.Duration // how long a draining member may still get writes after the notification
 	HoldUp          time.Duration // maximum delay between a decision and its send; time windows end earlier by this
-	OverloadFactor  float64
-	ColdShare       float64
-	ColdTime        time.Duration
-	DroppedStayOpen bool // a member removed from the list without having been drained may still be used
-	Restarted       bool // a previous router knew members that this router does not know
+	OverloadFactor  float64       // how many times its minimum capacity a cold member withstands; 0 if unknown
+	ColdShare       float64       // fraction of its capacity that a member has when it starts
+	ColdTime        time.Duration // time from the start until the full capacity
+	DroppedStayOpen bool          // a member removed from the list without having been drained may still be used
+	Restarted       bool          // a previous router knew members that this router does not know
 	// Used without TokensCarried: sessions may have written through a previous process until this time.
 	Floor time.Duration
 }
@@ -148,7 +148,7 @@
 	return s, nil
 }
 
-// State is the state of a member on the member list.
+// State is the state of a member on the member list. A removed member is no longer listed.
 type State int
 
 const (
@@ -162,8 +162,8 @@
 	Server  string
 	Group   int
 	State   State
-	Primary bool // the list names it as the primary of the group
-	Weight  float64
+	Primary bool          // the list names it as the primary of the group
+	Weight  float64       // relative share of reads
 	Started time.Duration // latest possible start time of its process; 0 if it started long ago
 	// Incarnation is the start time as the list states it: a different value means a different process. If
 	// it is 0, Started is used instead.
@@ -174,7 +174,8 @@
 	SendUntil time.Duration
 }
 
-// Members passes the member list to the router, as a snapshot or as a delta.
+// Members passes the member list to the router, as a snapshot or as a delta. Members that a snapshot does not
+// contain are removed.
 type Members struct {
 	Whole bool
 	List  []Member
@@ -339,8 +340,8 @@
 // their deadlines are later.
 type Ending struct{ By time.Duration }
 
-// Event is one of Members, ListUnavailable, Cells, SettingsUpdate, Request, Outcome, ProbeResult, RemoteOutcome,
-// PriorEvidence, ClockBounds, ClockReplaced, Timer, RequestCanceled, Shutdown.
+// Event is one of Members, ListUnavailable, Cells, SettingsUpdate, Request, Outcome, ProbeResult,
+// RemoteOutcome, PriorEvidence, ClockBounds, ClockReplaced, Timer, RequestCanceled, Shutdown.
 type Event any
 
 // Seen is the router's view of a member.
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -171,7 +171,7 @@
 	case OK:
 		for _, f := range q.failed {
 			if f != m && f != primary && r.canBlacklist(f) {
-				// Q failed there and succeeded here, so the error was that member's.
+				// The request failed there and succeeded here, so that the error was that member's.
 				r.blacklist(f, f.failures >= maxFailures)
 			}
 		}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -33,6 +33,7 @@
 	n       int
 }
 
+// newRig returns a rig with a primary p and two replicas a and b.
 func newRig(t *testing.T, change func(*Settings)) *rig {
 	t.Helper()
 	s := settings()
@@ -70,11 +71,13 @@
 		{Server: "b", Weight: 1}}
 }
 
+// handle passes an event to the router and returns its actions.
 func (g *rig) handle(e Event) []Action {
 	g.actions = g.r.Handle(g.now, e, nil)
 	return g.actions
 }
 
+// request sends a request of a class whose session last wrote the given time ago.
 func (g *rig) request(class string, age time.Duration) (string, []Action) {
 	g.n++
 	id := fmt.Sprint("q", g.n)
@@ -95,14 +98,17 @@
 	return all
 }
 
+// setState records a statement of a member about its role and lag.
 func (g *rig) setState(server string, role Role, behind time.Duration) {
 	g.r.addStatement(g.r.members[server], Statement{Role: role, Position: g.now - behind, Made: Made{NotBefore: g.now, NotAfter: g.now}})
 }
 
+// answer ends an attempt.
 func (g *rig) answer(id, server string, try int, res Result, role Role) []Action {
 	return g.handle(Outcome{ID: id, Server: server, Attempt: try, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
 }
 
+// sends returns the servers of the Send actions.
 func sends(acts []Action) (to []string) {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
@@ -112,6 +118,7 @@
 	return to
 }
 
+// finals returns the final answers among the actions.
 func finals(acts []Action) (out []string) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -124,6 +131,7 @@
 	return out
 }
 
+// want requires got to equal wanted.
 func want(t *testing.T, what string, got, wanted []string) {
 	t.Helper()
 	if strings.Join(got, " ") != strings.Join(wanted, " ") {
--- a/balance/heard_test.go
+++ b/balance/heard_test.go
@@ -35,7 +35,7 @@
 	for _, c := range []struct {
 		name       string
 		entries    []Heard
-		wantTarget string // who gets a write
+		wantTarget string // member that gets a write
 	}{
 		{"a new primary is reported", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}}, "a"},
 		{"the last answer of the old primary arrives after it", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "p", Role: Primary, At: origin + ms, NotBefore: origin + ms}}, "a"},
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -20,6 +20,7 @@
 	modelDrift          = 0.0009   // maximum drift of a machine's clock against the fleet's
 )
 
+// modelAttempt is an attempt on its way between the gateway and a host.
 type modelAttempt struct {
 	request *modelRequest
 	number  int
@@ -30,6 +31,7 @@
 	ended   bool
 }
 
+// modelRequest is a request of the client.
 type modelRequest struct {
 	id       string
 	class    string
@@ -114,6 +116,7 @@
 	return g
 }
 
+// local returns the reading of the machine's clock.
 func (g *modelGateway) local() time.Duration { return g.w.now - g.offset() }
 
 // offset returns the fleet's clock minus the machine's clock.
@@ -160,6 +163,7 @@
 	g.handle(list)
 }
 
+// entry returns a list entry with its start time by the machine's clock.
 func (g *modelGateway) entry(m balance.Member) balance.Member {
 	if m.Started > 0 {
 		started := g.local()
@@ -229,6 +233,7 @@
 	}
 }
 
+// stall lets the process stall for a while, if stalls are enabled.
 func (g *modelGateway) stall(d time.Duration) {
 	if g.stallsEnabled {
 		g.stalledUntil = max(g.stalledUntil, g.w.now+d)
@@ -259,6 +264,7 @@
 	g.read(max(0, g.loopBusyUntil-g.w.now), do)
 }
 
+// members passes list entries to the module.
 func (g *modelGateway) members(whole bool, list []balance.Member) {
 	list = slices.Clone(list)
 	g.post(func() {
@@ -395,6 +401,7 @@
 	return nil
 }
 
+// send starts an attempt, which may have to connect first.
 func (g *modelGateway) send(a balance.Send) {
 	q := g.requests[a.ID]
 	t := &modelAttempt{request: q, number: q.attempts, server: g.host(a.Server), grounds: a.Grounds}
@@ -666,6 +673,7 @@
 	}
 }
 
+// probe sends a probe to a host.
 func (g *modelGateway) probe(server string) {
 	w, h := g.w, g.host(server)
 	sent := g.local()
@@ -696,6 +704,7 @@
 	})
 }
 
+// reportPosition returns the position in a load report, rounded down.
 func reportPosition(s modelState) time.Duration { return s.position.Truncate(ms) - ms }
 
 // localReport returns a load report as the host side passes it on.
@@ -711,6 +720,7 @@
 	return r
 }
 
+// probed passes the result of a probe to the module.
 func (g *modelGateway) probed(p balance.ProbeResult) {
 	router := g.router
 	g.post(func() {
--- a/balance/model_world_test.go
+++ b/balance/model_world_test.go
@@ -48,7 +48,7 @@
 	alive          bool
 	hangsUntil     time.Duration // accepts work and answers nothing until then
 	started        time.Duration // 0 if long ago
-	applied        time.Duration // position of its log at the time since
+	applied        time.Duration // position of its log at appliedAt
 	appliedAt      time.Duration
 	lag            time.Duration
 	speed          float64       // seconds of log applied per second
@@ -56,7 +56,7 @@
 	reportInterval time.Duration // interval of its load reports
 	answersProbes  bool          // answers probes even while it hangs
 	primaryUntil   time.Duration // last time at which it was the primary; 0 if never
-	// While it is the primary and until standsTo, its answers state the position that it had at standsAt.
+	// While it is the primary and until repeatsUntil, its answers state repeatedPosition.
 	repeatedPosition, repeatsUntil time.Duration
 
 	list balance.Member // its list entry, as discovery has it now
@@ -70,6 +70,7 @@
 	at       time.Duration
 }
 
+// world is a simulated group of hosts with one gateway.
 type world struct {
 	rng     *rand.Rand
 	now     time.Duration
@@ -90,6 +91,7 @@
 	trace        []string
 }
 
+// between returns a random duration from least up to most.
 func (w *world) between(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
@@ -97,19 +99,23 @@
 	return least + time.Duration(w.rng.Int64N(int64(most-least)))
 }
 
+// chance returns true with probability p.
 func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
 
+// after schedules do to run after d.
 func (w *world) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, scheduledEvent{w.now + d, w.seq, do})
 }
 
+// logf adds a line to the trace, up to 100,000 lines.
 func (w *world) logf(format string, args ...any) {
 	if len(w.trace) < 100_000 {
 		w.trace = append(w.trace, fmt.Sprintf("%8.1f ", float64(w.now-epoch)/float64(ms))+fmt.Sprintf(format, args...))
 	}
 }
 
+// run runs the scheduled events until the end.
 func (w *world) run() {
 	for len(w.events) > 0 && w.events[0].at <= w.end {
 		e := heap.Pop(&w.events).(scheduledEvent)
@@ -159,6 +165,7 @@
 	w.listRole(old, false)
 }
 
+// promote makes h the primary.
 func (w *world) promote(h *modelHost) {
 	if w.primary != nil {
 		w.depose()
@@ -179,6 +186,7 @@
 	return best
 }
 
+// listRole lets the list report a change of role, with a delay.
 func (w *world) listRole(h *modelHost, leads bool) {
 	if w.listedRoles != "late" {
 		return
@@ -233,6 +241,7 @@
 	})
 }
 
+// hang lets a host answer nothing for a while, except perhaps probes.
 func (w *world) hang(h *modelHost, d time.Duration) {
 	h.answersProbes = w.chance(0.6)
 	w.logf("%s hangs for %s, answers probes %t", h.id, d, h.answersProbes)
@@ -385,6 +394,7 @@
 	return w
 }
 
+// fault injects a random fault.
 func (w *world) fault() {
 	h := w.hosts[w.rng.IntN(len(w.hosts))]
 	switch w.rng.IntN(16) {
--- a/balance/router.go
+++ b/balance/router.go
@@ -18,38 +18,40 @@
 
 	pinWindow         = 300 * ms // a session's reads go to the primary for this long after a write
 	blacklistDuration = 5 * time.Second
-	// Interval at which queued requests are tried again, also while they wait for a position.
+	// queueInterval is the interval at which queued requests are tried again, also while they wait for a
+	// position.
 	queueInterval = 20 * ms
 	clockReadWait = 150 * ms // how long reads wait for an answer that may bound the clock offset
-	// First delay before a primary that was full, or a missing primary, is tried again.
+	// retryDelay is the first delay before a primary that was full, or a missing primary, is tried again.
 	retryDelay             = 50 * ms
 	minSilence             = 100 * ms // a primary with attempts in flight that is silent for longer is probed
 	limitCutInterval       = 100 * ms // minimum time between two reductions of a limit
 	probeInterval          = 500 * ms // minimum time between probes of a blacklisted member
 	probeIntervalPerRouter = 10 * ms  // the same per router of the fleet, where that is longer
-	// RetryAfter of refused requests: an earlier retry adds load and gains little.
+	// refusedRetryAfter is the retryAfter of refused requests: an earlier retry adds load and gains little.
 	refusedRetryAfter = time.Second
 	coldRetryDelay    = 2 * time.Second // average delay before a cold primary is tried again
-	// Of the requests that a cold primary refused, one in this many may be retried there.
+	// Of the requests that a cold primary refused, one in coldRetryFactor may be retried there.
 	coldRetryFactor = 4
 	forgetAfter     = time.Minute // a removed member is dropped after this time
 	slack           = ms          // positions are whole milliseconds; in doubt data counts as stale
 
-	// sendDelaySlack is the part of the protocol's 50 ms of slack that a process stalled before a send may use;
-	// the rest is for the clock offset (fleetclock.AgeSlack). The margin that is kept free for such a stall
-	// is at most the bound divided by sendDelayDivisor, as otherwise short bounds would leave no replica to read
-	// from. A log whose lag is at most the bound divided by lagDivisor keeps up; reports are up to 0.2 s
-	// old, so that every log seems to lag by as much.
+	// sendDelaySlack is the part of the protocol's 50 ms of slack that a process stalled before a send may
+	// use; the rest is for the clock offset (fleetclock.AgeSlack). The margin that is kept free for such a
+	// stall is at most the bound divided by sendDelayDivisor, as otherwise short bounds would leave no
+	// replica to read from. A log whose lag is at most the bound divided by lagDivisor keeps up; reports are
+	// up to 0.2 s old, so that a log may seem to lag by as much.
 	sendDelaySlack, sendDelayDivisor, lagDivisor = 5 * ms, 3, 2
 
 	maxForgotten     = 10000 // maximum number of removed members remembered as having stated a role
 	maxSessions      = 20000 // maximum number of sessions whose last write is remembered
 	fallbackFraction = 0.6   // fraction of the primary's limit that may be filled by reads that a replica could serve
 	coldFactorMargin = 0.6   // fraction of the overload factor that may be used; the rest is for retries
-	// Fraction of the factor above 1 that may be used, as the member may be warmer than its minimum; the
-	// rest is for bursts.
+	// coldFactorSpare is the fraction of the overload factor above 1 that may be used, as the member may be
+	// warmer than its minimum; the rest is for bursts.
 	coldFactorSpare  = 0.2
-	coldSpareRouters = 60.0 // up to this many routers, whose own limits contain bursts, may use all of it
+	// Up to this many routers, whose own limits contain bursts, may use all of the factor above 1.
+	coldSpareRouters = 60.0
 	minWeight        = 1e-9 // replaces a weight of 0, so that equal zero weights can still be drawn from
 	latencyWindow    = 16.0 // number of answers that the smoothed answer time averages over
 	estimateWindow   = 64   // number of answers after which the initial estimate weighs less than 2 %
@@ -61,7 +63,8 @@
 	// initialLimit is the limit of attempts in flight at a new member; minLimit is kept however slow all
 	// answers are.
 	initialLimit, minLimit = 8, 4
-	// As fractions of the latency target: above highLatencyRatio the limit is reduced, below lowLatencyRatio it may grow.
+	// As fractions of the latency target: above highLatencyRatio the limit is reduced, below lowLatencyRatio
+	// it may grow.
 	highLatencyRatio, lowLatencyRatio = 0.35, 0.25
 	// quotaWindow is the number of requests over which tenants are compared; above overQuotaMargin times its
 	// quota a tenant is over its quota.
@@ -85,7 +88,7 @@
 
 // tenant is a tenant with a quota.
 type tenant struct {
-	// Quota is in requests per second; usage is the tenant's fraction of this router's recent requests.
+	// quota is in requests per second; usage is the tenant's fraction of this router's recent requests.
 	quota, usage float64
 }
 
@@ -100,7 +103,7 @@
 	queued                  []*request
 	searcher                *request // the one write that is sent to members in turn while the primary is unknown
 	searchAfter, searchedAt time.Duration
-	// When requests found no primary, when they found one again, and the time between.
+	// lostAt is when requests found no primary, foundAt when they found one again, outage the time between.
 	lostAt, foundAt, outage time.Duration
 	nextSearched            int  // index of the member that is asked next for the primary
 	waiting                 bool // the group is checked when the queue timer expires, as requests are queued
