--- a/balance/router.go
+++ b/balance/router.go
@@ -49,7 +49,7 @@
 	coldFactorMargin = 0.6   // fraction of the overload factor that may be used; the rest is for retries
 	// coldFactorSpare is the fraction of the overload factor above 1 that may be used, as the member may be
 	// warmer than its minimum; the rest is for bursts.
-	coldFactorSpare  = 0.2
+	coldFactorSpare = 0.2
 	// Up to this many routers, whose own limits contain bursts, may use all of the factor above 1.
 	coldSpareRouters = 60.0
 	minWeight        = 1e-9 // replaces a weight of 0, so that equal zero weights can still be drawn from
