--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -58,8 +58,8 @@
 }
 
 // handle passes an event to a router and schedules what its actions lead to. The cold host is host.
-func (f *fleet) handle(i int, ev Event, host string) {
-	for _, a := range f.routers[i].Handle(f.now, ev, nil) {
+func (f *fleet) handle(router int, ev Event, host string) {
+	for _, a := range f.routers[router].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case Send:
 			if a.Server == host {
@@ -67,15 +67,15 @@
 			}
 			n := f.attempts[a.ID]
 			f.attempts[a.ID]++
-			f.answer(i, a, n, host)
+			f.answer(router, a, n, host)
 		case Probe:
 			result := OK
 			if f.dead[a.Server] {
 				result = TimedOut
 			}
-			f.schedule(f.now+ms, i, ProbeResult{Server: a.Server, Result: result, Took: ms})
+			f.schedule(f.now+ms, router, ProbeResult{Server: a.Server, Result: result, Took: ms})
 		case After:
-			f.schedule(f.now+a.Wait, i, Timer{a.Tag})
+			f.schedule(f.now+a.Wait, router, Timer{a.Tag})
 		}
 	}
 }
@@ -152,18 +152,18 @@
 	for i := range f.routers {
 		f.handle(i, members, host)
 	}
-	bears := capacity * replicas
+	maxRate := capacity * replicas
 	if class == "save" {
-		bears = capacity
+		maxRate = capacity
 	}
-	rate, n, begun := cmp.Or(f.loadBefore, load)*bears, 0, false
+	rate, n, started := cmp.Or(f.loadBefore, load)*maxRate, 0, false
 	for next := origin; ; next += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second)) {
 		for f.events.Len() > 0 && f.events[0].at <= next {
 			m := heap.Pop(&f.events).(scheduledEvent)
 			f.now = m.at
 			if o, ok := m.ev.(Outcome); ok {
 				f.served++
-				if !begun {
+				if !started {
 					f.servedWarm++
 				}
 				delete(f.attempts, o.ID)
@@ -173,8 +173,8 @@
 		if f.now = next; next > origin+end {
 			return
 		}
-		if !begun && next > origin+start {
-			begun, f.sent, rate = true, nil, load*bears
+		if !started && next > origin+start {
+			started, f.sent, rate = true, nil, load*maxRate
 			for i := range f.routers {
 				if f.rng.Float64() < notNotified {
 					continue
@@ -231,7 +231,7 @@
 		notNotified float64
 	}{
 		{"a replica, full load", "any", "r2", 4, 1, 0},
-		{"a replica, a burst of 1.5 times the load", "any", "r2", 4, 1.5, 0},
+		{"a replica, a burst of 1.5 times the capacity", "any", "r2", 4, 1.5, 0},
 		{"a replica, a third of the routers not notified", "any", "r2", 4, 1, 0.33},
 		{"a replica with a low overload factor", "any", "r2", 1, 1, 0},
 		{"a replica with a slightly higher overload factor", "any", "r2", 1.5, 1, 0},
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -404,16 +404,16 @@
 // send starts an attempt, which may have to connect first.
 func (g *modelGateway) send(a balance.Send) {
 	q := g.requests[a.ID]
-	t := &modelAttempt{request: q, number: q.attempts, server: g.host(a.Server), grounds: a.Grounds}
+	attempt := &modelAttempt{request: q, number: q.attempts, server: g.host(a.Server), grounds: a.Grounds}
 	q.attempts++
-	q.attempt = t
+	q.attempt = attempt
 	connect := g.w.between(0, 3*ms)
 	if g.w.chance(0.1) {
 		connect = g.w.between(0, 1200*ms)
 	}
-	g.read(connect, func() { g.write(t) })
+	g.read(connect, func() { g.write(attempt) })
 	if a.Timeout > 0 {
-		g.read(a.Timeout, func() { g.endAttempt(t, balance.Outcome{Result: balance.TimedOut}) })
+		g.read(a.Timeout, func() { g.endAttempt(attempt, balance.Outcome{Result: balance.TimedOut}) })
 	}
 }
 
@@ -508,9 +508,9 @@
 }
 
 // answer handles the answer that the gateway reads.
-func (g *modelGateway) answer(t *modelAttempt, s modelState, result balance.Result, commit time.Duration, broken bool, stalledFor time.Duration) {
-	h, now := t.server, g.local()
-	outcome := balance.Outcome{Result: result, Written: t.sent, Made: balance.Made{NotBefore: t.sent, NotAfter: now}}
+func (g *modelGateway) answer(attempt *modelAttempt, s modelState, result balance.Result, commit time.Duration, broken bool, stalledFor time.Duration) {
+	h, now := attempt.server, g.local()
+	outcome := balance.Outcome{Result: result, Written: attempt.sent, Made: balance.Made{NotBefore: attempt.sent, NotAfter: now}}
 	if !s.primary && !broken {
 		g.noteReplica(h)
 	}
@@ -519,14 +519,14 @@
 		if !s.primary && !broken {
 			outcome.Role = balance.Replica
 		}
-		g.endAttempt(t, outcome)
+		g.endAttempt(attempt, outcome)
 		return
 	}
 	position := s.stated.Truncate(ms)
 	if commit > 0 {
 		position = (commit + ms - 1).Truncate(ms)
 	}
-	observation := fleetclock.Observation{Host: h.id, Position: position, Sent: t.sent, Received: now}
+	observation := fleetclock.Observation{Host: h.id, Position: position, Sent: attempt.sent, Received: now}
 	outcome.Role, outcome.Position = balance.Replica, position
 	if s.primary {
 		outcome.Role = balance.Primary
@@ -551,14 +551,14 @@
 		outcome.Made.NotBefore = max(outcome.Made.NotBefore, min(position-b.At(now).Most-ms, now))
 	}
 	outcome.Made.Epoch = g.clock.Epoch()
-	if result == balance.OK && !t.request.done {
-		outcome.ID, outcome.Server = t.request.id, t.server.id
-		g.check(t, s, stalledFor, outcome)
+	if result == balance.OK && !attempt.request.done {
+		outcome.ID, outcome.Server = attempt.request.id, attempt.server.id
+		g.check(attempt, s, stalledFor, outcome)
 		if commit > 0 {
 			g.w.lastWrite = max(g.w.lastWrite, position)
 		}
 	}
-	g.endAttempt(t, outcome)
+	g.endAttempt(attempt, outcome)
 }
 
 // observe passes an observation of the fleet's clock to the process and checks that the resulting bounds
@@ -569,9 +569,9 @@
 		g.w.logf("%s shows the step", o.Host)
 	}
 	g.clock.Observe(o)
-	b, ahead := g.clock.Bounds(), g.offset()
-	if i := b.At(g.local()); !g.stepHidden && (b.Told && i.Least > ahead || b.Bounded && i.Most < ahead) {
-		g.violations = append(g.violations, fmt.Sprintf("the offset of the fleet's clock is %s, outside the bounds %+v", ahead, i))
+	b, offset := g.clock.Bounds(), g.offset()
+	if i := b.At(g.local()); !g.stepHidden && (b.Told && i.Least > offset || b.Bounded && i.Most < offset) {
+		g.violations = append(g.violations, fmt.Sprintf("the offset of the fleet's clock is %s, outside the bounds %+v", offset, i))
 		g.w.logf("BROKEN: %s", g.violations[len(g.violations)-1])
 	}
 }
@@ -639,25 +639,25 @@
 }
 
 // endAttempt passes the outcome of an attempt to the module, once.
-func (g *modelGateway) endAttempt(t *modelAttempt, o balance.Outcome) {
-	if t.ended {
+func (g *modelGateway) endAttempt(attempt *modelAttempt, outcome balance.Outcome) {
+	if attempt.ended {
 		return
 	}
-	t.ended = true
-	o.ID, o.Attempt, o.Server, o.Took = t.request.id, t.number, t.server.id, g.w.now-t.written
-	if t.written == 0 {
-		o.Took = 0
+	attempt.ended = true
+	outcome.ID, outcome.Attempt, outcome.Server, outcome.Took = attempt.request.id, attempt.number, attempt.server.id, g.w.now-attempt.written
+	if attempt.written == 0 {
+		outcome.Took = 0
 	}
 	router := g.router
 	g.post(func() {
 		if g.router == router {
-			q := t.request
-			o.Final = q.done
-			if o.Made.Epoch != g.epoch && o.Made.Epoch != g.clock.Epoch() && o.Role == balance.Primary {
-				o.Role = balance.Unknown
+			q := attempt.request
+			outcome.Final = q.done
+			if outcome.Made.Epoch != g.epoch && outcome.Made.Epoch != g.clock.Epoch() && outcome.Role == balance.Primary {
+				outcome.Role = balance.Unknown
 			}
-			g.handle(o)
-			if o.Result == balance.OK {
+			g.handle(outcome)
+			if outcome.Result == balance.OK {
 				q.done = true
 			}
 		}
--- a/balance/model_world_test.go
+++ b/balance/model_world_test.go
@@ -92,11 +92,11 @@
 }
 
 // between returns a random duration from least up to most.
-func (w *world) between(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (w *world) between(lower, upper time.Duration) time.Duration {
+	if upper <= lower {
+		return lower
 	}
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+	return lower + time.Duration(w.rng.Int64N(int64(upper-lower)))
 }
 
 // chance returns true with probability p.
@@ -128,11 +128,11 @@
 func (w *world) state(h *modelHost) modelState {
 	if w.primary == h {
 		h.applied, h.appliedAt, h.primaryUntil = w.now, w.now, w.now
-		tells := w.now
+		stated := w.now
 		if w.now < h.repeatsUntil {
-			tells = h.repeatedPosition
+			stated = h.repeatedPosition
 		}
-		return modelState{true, w.now, tells, w.now}
+		return modelState{true, w.now, stated, w.now}
 	}
 	end := w.now
 	if w.primary == nil {
