--- a/balance/admission.go
+++ b/balance/admission.go
@@ -15,7 +15,7 @@
 	if r.requests[e.ID] != nil {
 		return // duplicate
 	} else if c == nil {
-		r.emit(Refuse{ID: e.ID, Why: UnknownClass})
+		r.emit(Refuse{ID: e.ID, Reason: UnknownClass})
 		return
 	}
 	q := &request{Request: e, seq: r.nextSeq, class: c, cell: cell, group: g, arrived: r.now, worth: c.Worth,
@@ -38,14 +38,14 @@
 	r.requests[e.ID], r.requestsBySeq[q.seq] = q, q
 	if c.Need == Session {
 		if q.lastWrite = r.lastWrite(e); q.lastWrite > 0 {
-			q.lastWrite = max(q.lastWrite, e.Since)
+			q.lastWrite = max(q.lastWrite, e.MinPosition)
 		}
 	}
-	if e.Over > 0 || !c.primaryOnly() && shed(q, cell.badAttempts(g).replicas) {
+	if e.QuotaRetryAfter > 0 || !c.primaryOnly() && shed(q, cell.badAttempts(g).replicas) {
 		r.giveUp(q, Shed)
 		return
 	}
-	r.emit(After{max(e.Deadline-r.now, 1), q.seq})
+	r.emit(StartTimer{max(e.Deadline-r.now, 1), q.seq})
 	r.route(q)
 }
 
@@ -139,7 +139,7 @@
 	}
 	if !r.queueTimerSet && len(r.waiting) > 0 {
 		r.queueTimerSet, r.queueTimerDue = true, r.now+queueInterval
-		r.emit(After{queueInterval, tagQueue})
+		r.emit(StartTimer{queueInterval, tagQueue})
 	}
 }
 
@@ -152,10 +152,10 @@
 		cls.samples = min(cls.samples+1, estimateWindow)
 	}
 	switch {
-	case result == Full:
+	case result == QueueFull:
 		reduction = 0.7
 	case answered:
-		m.latencyRatio += (float64(took)/float64(cls.Aim+1) - m.latencyRatio) / 8
+		m.latencyRatio += (float64(took)/float64(cls.LatencyTarget+1) - m.latencyRatio) / 8
 		if m.latencyRatio > highLatencyRatio {
 			reduction = 0.9
 		} else if m.latencyRatio < lowLatencyRatio && float64(len(m.inFlight)+1) >= m.limit*0.7 {
@@ -165,14 +165,14 @@
 	if reduction > 0 && r.now-m.limitCutAt >= limitCutInterval {
 		m.limit, m.limitCutAt = max(minLimit, min(m.limit, float64(len(m.inFlight)+1))*reduction), r.now
 	}
-	if answered || result == Full {
+	if answered || result == QueueFull {
 		bad := c.badAttempts(m.group)
 		b := &bad.replicas
 		if m == m.group.primary {
 			b = &bad.primary
 		}
 		*b *= 1 - 1/badWindow
-		if (result != OK || took > cls.Aim) && blamed {
+		if (result != OK || took > cls.LatencyTarget) && blamed {
 			*b += 1 / badWindow
 		}
 	}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -84,7 +84,7 @@
 			if q := g.r.requests[id]; q.worth < q.class.Worth {
 				over++
 			}
-			g.handle(Gone{id})
+			g.handle(RequestCanceled{id})
 		}
 		if over > 20 {
 			t.Errorf("%d routers: %d of 200 requests count as over quota, want none of a tenant within it", routers, over)
@@ -127,7 +127,7 @@
 		for seed := range 100 * hundreds {
 			g := newSeededRig(t, seed)
 			l := list()
-			g.handle(Members{Whole: true, List: l})
+			g.handle(Members{Snapshot: true, List: l})
 			g.r.now = g.now
 			g.r.blacklist(g.r.members["p"], false)
 			g.r.members["p"].blacklistedUntil = g.now + time.Hour
@@ -155,7 +155,7 @@
 	for _, deadline := range []time.Duration{20 * ms, 50 * ms, 95 * ms, 20 * time.Second} {
 		g := newRig(t, func(s *Settings) {
 			for i := range s.Classes {
-				s.Classes[i].Aim, s.Classes[i].Deadline = deadline*4/5, deadline
+				s.Classes[i].LatencyTarget, s.Classes[i].Deadline = deadline*4/5, deadline
 			}
 		})
 		for _, class := range []string{"any", "own", "save", "keyed", "fresh"} {
--- a/balance/api.go
+++ b/balance/api.go
@@ -57,8 +57,8 @@
 	Effect Effect
 	Scope  Scope         // used by Keyed requests only
 	KeyTTL time.Duration // used by Keyed requests only
-	// Aim is the latency target; Deadline is the time after which the request is given up.
-	Aim, Deadline time.Duration
+	// LatencyTarget is the latency target; Deadline is the time after which the request is given up.
+	LatencyTarget, Deadline time.Duration
 	// Worth is the value of an answer within the latency target. LateWorth is the value of a late answer, as
 	// a fraction of Worth.
 	Worth, LateWorth float64
@@ -82,13 +82,13 @@
 	OverShareWorth  float64 // factor on the worth of requests over their quota
 	Checks          Checks
 	TokensCarried   bool          // session reads carry the age of the session's last write
-	Ask             bool          // the list sends changes only after a Watch action
+	SubscribeToList bool          // the list sends changes only after a Watch action
 	Probes, Cancel  bool          // whether the router may probe members and cancel attempts
 	RetryAfter      bool          // whether refusals may tell clients when to retry
 	MaxRetryAfter   time.Duration // 0 if RetryAfter is false
 	MaxAttempts     int           // 0 means 6
 	DrainGrace      time.Duration // how long a draining member may still get writes after the notification
-	HoldUp          time.Duration // maximum delay between a decision and its send; time windows end earlier by this
+	MaxSendDelay    time.Duration // maximum delay between a decision and its send; time windows end earlier by this
 	OverloadFactor  float64       // how many times its minimum capacity a cold member withstands; 0 if unknown
 	ColdShare       float64       // fraction of its capacity that a member has when it starts
 	ColdTime        time.Duration // time from the start until the full capacity
@@ -99,9 +99,9 @@
 }
 
 // SettingError names an invalid setting and the reason why it is invalid.
-type SettingError struct{ Setting, Why string }
+type SettingError struct{ Setting, Reason string }
 
-func (e SettingError) Error() string { return e.Setting + ": " + e.Why }
+func (e SettingError) Error() string { return e.Setting + ": " + e.Reason }
 
 // Checked returns the settings with defaults filled in. The error is a SettingError that names the first
 // invalid setting.
@@ -110,7 +110,7 @@
 		name string
 		v    float64
 	}{{"Tick", float64(s.Tick)}, {"MaxRetryAfter", float64(s.MaxRetryAfter)},
-		{"DrainGrace", float64(s.DrainGrace)}, {"HoldUp", float64(s.HoldUp)}, {"ColdTime", float64(s.ColdTime)},
+		{"DrainGrace", float64(s.DrainGrace)}, {"HoldUp", float64(s.MaxSendDelay)}, {"ColdTime", float64(s.ColdTime)},
 		{"MaxAttempts", float64(s.MaxAttempts)}, {"Routers", float64(s.Routers)}, {"ColdShare", s.ColdShare},
 		{"OverloadFactor", s.OverloadFactor}, {"OverShareWorth", s.OverShareWorth}} {
 		if !(f.v >= 0) {
@@ -125,7 +125,7 @@
 	}
 	named := map[string]bool{}
 	for _, c := range s.Classes {
-		if c.Aim < 0 || c.Deadline < 0 || c.Bound < 0 || c.KeyTTL < 0 {
+		if c.LatencyTarget < 0 || c.Deadline < 0 || c.Bound < 0 || c.KeyTTL < 0 {
 			return s, SettingError{"Classes[" + c.Name + "]", "negative time"}
 		}
 		if named[c.Name] {
@@ -154,7 +154,7 @@
 const (
 	Active State = iota
 	Draining
-	Left
+	Removed
 )
 
 // Member is one entry of the member list.
@@ -177,13 +177,13 @@
 // Members passes the member list to the router, as a snapshot or as a delta. Members that a snapshot does not
 // contain are removed.
 type Members struct {
-	Whole bool
-	List  []Member
+	Snapshot bool
+	List     []Member
 }
 
-// ListLost reports that a call for the list failed or that the subscription ended. The previous list stays
+// ListUnavailable reports that a call for the list failed or that the subscription ended. The previous list stays
 // in force.
-type ListLost struct{}
+type ListUnavailable struct{}
 
 // Cell is a subset of the clients and the members that they may use. Cells that may use the same member
 // share it by weight: each is guaranteed the fraction Reserve of its fair share of the router's limit there.
@@ -195,9 +195,9 @@
 	Servers map[string]bool
 }
 
-// Retune replaces the settings, which must be as Checked returns them. An open request keeps its class, but
+// SettingsUpdate replaces the settings, which must be as Checked returns them. An open request keeps its class, but
 // new limits, such as the maximum number of attempts, apply to it.
-type Retune struct{ Settings Settings }
+type SettingsUpdate struct{ Settings Settings }
 
 // Cells replaces the set of all cells. Requests that are queued or in flight keep the cell that they arrived
 // with.
@@ -211,19 +211,19 @@
 	Elapsed                    time.Duration // time that the client spent on earlier tries; 0 if unknown
 	Retry                      bool
 	// With carried tokens: the position that the session must see; 0 means that WriteAge states it.
-	After time.Duration
+	SessionPosition time.Duration
 	// With carried tokens: time since the session's last write; 0 means that there was none.
 	WriteAge time.Duration
 	// An additional lower bound on the position for a session that has written; 0 means none.
-	Since time.Duration
+	MinPosition time.Duration
 	// Above 0: the request is over its quota and is refused with this time as RetryAfter.
-	Over time.Duration
-	// Lease means that the attempt keeps the host connection until the client is finished, as a transaction
+	QuotaRetryAfter time.Duration
+	// Checkout means that the attempt keeps the host connection until the client is finished, as a transaction
 	// does. It then has no timeout except the deadline, and is never retried once it was possibly executed.
 	// Patience is the maximum time that it may wait for its first send; 0 means half of the time until its
 	// deadline, as for any other request.
-	Lease    bool
-	Patience time.Duration
+	Checkout bool
+	MaxWait  time.Duration
 }
 
 // Role is the role of a member in its group.
@@ -237,7 +237,7 @@
 
 // Report is a load report of a member. Its content may be older than the answer that it came with.
 type Report struct {
-	Has      bool
+	Valid    bool
 	Role     Role          // Unknown if the report states no role
 	Position time.Duration // 0 if the report states none
 	// Earliest time at which a primary's report was made; a primary's position is the present, so the
@@ -251,15 +251,15 @@
 const (
 	OK Result = iota
 	Failed
-	Full // the member refused it for lack of capacity; not executed
+	QueueFull // the member refused it for lack of capacity; not executed
 	TimedOut
 	NoConnection // not executed
 	Reset
-	Cancelled
-	NotSent // not executed
-	Miss    // refused by a member that is not the primary or lags too far; not executed
-	Garbled // the answer could not be parsed; it shows only that the member is alive
-	Stale   // the answer shows that a read ran on data older than its class allows
+	Canceled
+	NotSent     // not executed
+	Misdirected // refused by a member that is not the primary or lags too far; not executed
+	Garbled     // the answer could not be parsed; it shows only that the member is alive
+	Stale       // the answer shows that a read ran on data older than its class allows
 )
 
 // String returns the name of the result as it appears in logs and reports.
@@ -267,8 +267,10 @@
 	return [...]string{"ok", "error", "turned away", "timed out", "no connection", "reset", "canceled", "not sent", "miss", "garbled", "stale"}[x]
 }
 
-// NeverRan reports whether the attempt was not executed and will not be.
-func (x Result) NeverRan() bool { return x == Full || x == NoConnection || x == NotSent || x == Miss }
+// NotExecuted reports whether the attempt was not executed and will not be.
+func (x Result) NotExecuted() bool {
+	return x == QueueFull || x == NoConnection || x == NotSent || x == Misdirected
+}
 
 // Outcome reports the end of an attempt. Each Send gets exactly one.
 type Outcome struct {
@@ -281,7 +283,7 @@
 	Role     Role
 	Position time.Duration // 0 if unknown; after a write, the position of its commit
 	Report   Report
-	Made     Made // when the member made the statement; the zero value means between the start of the attempt and now
+	StatedAt TimeBounds // when the member made the statement; the zero value means between the start of the attempt and now
 	// Written is the time at which the last byte of the query had been written, or 0 for the time of the
 	// send.
 	Written time.Duration
@@ -289,16 +291,16 @@
 
 // ProbeResult reports the end of a probe.
 type ProbeResult struct {
-	Server string
-	Result Result
-	Took   time.Duration
-	Report Report
-	Made   Made // a NotAfter of 0 means now
+	Server   string
+	Result   Result
+	Took     time.Duration
+	Report   Report
+	StatedAt TimeBounds // a NotAfter of 0 means now
 }
 
-// Heard reports how an attempt or a probe of another router ended, as that router stated in a gossip
+// RemoteOutcome reports how an attempt or a probe of another router ended, as that router stated in a gossip
 // message.
-type Heard struct {
+type RemoteOutcome struct {
 	Server, Class string // an empty class means a probe
 	Result        Result
 	Took          time.Duration
@@ -311,19 +313,19 @@
 	Source Source
 }
 
-// Inherited passes on what an earlier router knew about a member, with times by the clock of this router.
+// PriorEvidence passes on what an earlier router knew about a member, with times by the clock of this router.
 // The earlier router belonged to a previous process, or has panicked.
-type Inherited struct {
-	Server                   string
-	Leads, Follows, Position time.Duration // as in MemberView
-	Alive                    bool          // the earlier router had not blacklisted it
+type PriorEvidence struct {
+	Server                                      string
+	PrimaryNotBefore, ReplicaNotAfter, Position time.Duration // as in MemberView
+	Alive                                       bool          // the earlier router had not blacklisted it
 }
 
 // ClockBounds bounds the offset between this router's clock and the clock of log positions.
 type ClockBounds struct {
-	Known bool          // if false there are no bounds, and no position shows how old the data is
-	Ages  time.Duration // added to the ages of positions; may be negative
-	Most  time.Duration // maximum offset: the positions' clock minus this router's clock
+	Known     bool          // if false there are no bounds, and no position shows how old the data is
+	AgeOffset time.Duration // added to the ages of positions; may be negative
+	MaxOffset time.Duration // maximum offset: the positions' clock minus this router's clock
 }
 
 // ClockReplaced reports that the previous bounds were wrong. Statements of a primary and start times that
@@ -333,32 +335,32 @@
 // Timer reports that the timer started by a StartTimer action has expired.
 type Timer struct{ Tag int64 }
 
-// Gone reports that the client of a request has disconnected. No answer is expected any more.
-type Gone struct{ ID string }
+// RequestCanceled reports that the client of a request has disconnected. No answer is expected any more.
+type RequestCanceled struct{ ID string }
 
-// Ending reports that the process shuts down. All open requests must be answered by the time By, even if
+// Shutdown reports that the process shuts down. All open requests must be answered by the time By, even if
 // their deadlines are later.
-type Ending struct{ By time.Duration }
+type Shutdown struct{ By time.Duration }
 
 // Event is one of Members, ListUnavailable, Cells, SettingsUpdate, Request, Outcome, ProbeResult,
 // RemoteOutcome, PriorEvidence, ClockBounds, ClockReplaced, Timer, RequestCanceled, Shutdown.
 type Event any
 
-// Seen is the router's view of a member.
-type Seen struct {
-	Server string
-	Group  int
-	Limit  float64 // maximum number of attempts in flight
-	Out    int     // attempts in flight
-	Warmth float64 // minimum fraction of its capacity that is available during slow start, 0 to 1
-	Usable bool    // accepts reads and is not blacklisted
+// MemberView is the router's view of a member.
+type MemberView struct {
+	Server       string
+	Group        int
+	Limit        float64 // maximum number of attempts in flight
+	InFlight     int     // attempts in flight
+	WarmUpWeight float64 // minimum fraction of its capacity that is available during slow start, 0 to 1
+	Usable       bool    // accepts reads and is not blacklisted
 	// Primary means that the router takes the member for the primary. Known means that a position of it is
 	// known.
-	Primary, Known bool
-	Leads          time.Duration // earliest time of the newest statement that it is the primary; 0 if there is none
-	Follows        time.Duration // latest time of the newest statement that it is a replica; 0 if there is none
-	Position       time.Duration // 0 if unknown
-	Started        time.Duration // its last start, as listed or observed; 0 if long ago
+	Primary, Known   bool
+	PrimaryNotBefore time.Duration // earliest time of the newest statement that it is the primary; 0 if there is none
+	ReplicaNotAfter  time.Duration // latest time of the newest statement that it is a replica; 0 if there is none
+	Position         time.Duration // 0 if unknown
+	Started          time.Duration // its last start, as listed or observed; 0 if long ago
 }
 
 // Send starts an attempt. Attempts of a request are numbered from 0.
@@ -369,11 +371,11 @@
 	Demand     Demand
 }
 
-// Why is the reason for which a request is given up.
-type Why int
+// Reason is the reason for which a request is given up.
+type Reason int
 
 const (
-	UnknownClass Why = iota // the settings have no such class
+	UnknownClass Reason = iota // the settings have no such class
 	// Load shedding on arrival: many attempts in its group end badly, or it is over its quota.
 	Shed
 	TooLate         // an answer in time is unlikely, or it was not sent within half of its time
@@ -383,11 +385,11 @@
 )
 
 // String returns the name of the reason as it appears in logs and reports.
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"unknown class", "thinned", "too late", "no attempt left", "fails everywhere", "overdue"}[w]
 }
 
-func (w Why) unless(condition bool, alternative Why) Why {
+func (w Reason) unless(condition bool, alternative Reason) Reason {
 	if condition {
 		return alternative
 	}
@@ -399,15 +401,15 @@
 type Refuse struct {
 	ID         string
 	RetryAfter time.Duration
-	Why        Why
+	Reason     Reason
 	Bad        float64
 }
 
 // Fail is a final answer that leaves open whether the request was executed. Bad is the same as in Refuse.
 type Fail struct {
-	ID  string
-	Why Why
-	Bad float64
+	ID     string
+	Reason Reason
+	Bad    float64
 }
 
 // Cancel stops waiting for the answer to an attempt.
@@ -419,8 +421,8 @@
 // Probe sends a health check to a member.
 type Probe struct{ Server string }
 
-// After starts a timer; a Timer event with the same Tag follows when it expires.
-type After struct {
+// StartTimer starts a timer; a Timer event with the same Tag follows when it expires.
+type StartTimer struct {
 	Wait time.Duration
 	Tag  int64
 }
@@ -428,11 +430,11 @@
 // PrimaryChange reports, for the log, that another member or none now counts as the primary of a group, and
 // the evidence for it.
 type PrimaryChange struct {
-	Group                   int
-	From, To                string // empty means none
-	Source                  Source // source of the last statement
-	About                   string // member that the last statement was about; the times below are its evidence
-	Leads, Follows, Started time.Duration
+	Group                                      int
+	From, To                                   string // empty means none
+	Source                                     Source // source of the last statement
+	Server                                     string // member that the last statement was about; the times below are its evidence
+	PrimaryNotBefore, ReplicaNotAfter, Started time.Duration
 }
 
 // Watch subscribes to changes of the member list.
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -27,11 +27,11 @@
 // send starts an attempt of q at m.
 func (r *Router) send(q *request, m *member) {
 	q.timeout = 0
-	if q.class.Effect == Safe && !q.Lease {
+	if q.class.Effect == Safe && !q.Checkout {
 		q.timeout = r.answerBy(q) - r.now
 		// A timeout that leaves no time for another attempt would only waste work that the host continues
 		// with.
-		if end := max(q.class.Aim*6/10, 6*q.class.latency); m != q.group.primary && end+q.class.attemptTime() <= q.timeout {
+		if end := max(q.class.LatencyTarget*6/10, 6*q.class.latency); m != q.group.primary && end+q.class.attemptTime() <= q.timeout {
 			q.timeout = end
 		}
 	}
@@ -71,10 +71,10 @@
 }
 
 // giveUp ends a request at once: with Refuse if that promise holds, otherwise with Fail.
-func (r *Router) giveUp(q *request, reason Why) {
+func (r *Router) giveUp(q *request, reason Reason) {
 	c, bad := q.class, q.cell.badAttempts(q.group).replicas
 	if q.member == nil && q.possiblyExecutedAt == 0 || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
-		r.emit(Refuse{q.ID, min(cmp.Or(q.Over, refusedRetryAfter), r.settings.MaxRetryAfter), reason, bad})
+		r.emit(Refuse{q.ID, min(cmp.Or(q.QuotaRetryAfter, refusedRetryAfter), r.settings.MaxRetryAfter), reason, bad})
 	} else {
 		r.emit(Fail{q.ID, reason, bad})
 	}
@@ -84,12 +84,12 @@
 // repeatable reports whether q may be sent again. Requests keyed within a zone may not once they were
 // possibly executed, as the new primary may be in another zone.
 func (r *Router) repeatable(q *request) bool {
-	return q.possiblyExecutedAt == 0 || !q.Lease && q.class.Effect == Safe || !q.Lease && q.class.Effect == Keyed &&
-		q.class.Scope != ScopeZone && r.now-q.possiblyExecutedAt < q.class.KeyTTL-4*r.settings.Tick-r.settings.HoldUp
+	return q.possiblyExecutedAt == 0 || !q.Checkout && q.class.Effect == Safe || !q.Checkout && q.class.Effect == Keyed &&
+		q.class.Scope != ScopeZone && r.now-q.possiblyExecutedAt < q.class.KeyTTL-4*r.settings.Tick-r.settings.MaxSendDelay
 }
 
 // attemptTime returns the time that an attempt is expected to need.
-func (c *class) attemptTime() time.Duration { return min(c.latency*3/2, c.Aim/2) }
+func (c *class) attemptTime() time.Duration { return min(c.latency*3/2, c.LatencyTarget/2) }
 
 // expectedTime returns the time that an attempt for q is expected to need. An initial estimate must not
 // refuse a request before half of its time has passed: that time may be short for other reasons, such as the
@@ -107,20 +107,20 @@
 func (r *Router) unlikelyInTime(q *request) bool {
 	return r.now+r.expectedTime(q) > r.answerBy(q) ||
 		q.attempts == 0 && r.now > q.arrived &&
-			r.now-q.arrived+2*queueInterval > cmp.Or(q.Patience, (q.Deadline-q.arrived)/2)
+			r.now-q.arrived+2*queueInterval > cmp.Or(q.MaxWait, (q.Deadline-q.arrived)/2)
 }
 
 // answerBy returns the time after which an answer to q has no value.
 func (r *Router) answerBy(q *request) time.Duration {
-	if q.class.LateWorth > 0 || q.Lease {
+	if q.class.LateWorth > 0 || q.Checkout {
 		return q.Deadline
 	}
-	return min(q.Deadline, q.arrived-q.Elapsed+q.class.Aim)
+	return min(q.Deadline, q.arrived-q.Elapsed+q.class.LatencyTarget)
 }
 
 // refusedDelay returns the average delay before q is sent again to the primary m, which did not execute it.
 func (r *Router) refusedDelay(q *request, m *member, result Result) time.Duration {
-	if result == Full && r.warmUpWeight(m) < 1 { // refused requests count against the budget of a cold member as well
+	if result == QueueFull && r.warmUpWeight(m) < 1 { // refused requests count against the budget of a cold member as well
 		q.coldDraw *= coldRetryFactor
 		return coldRetryDelay
 	}
@@ -147,7 +147,7 @@
 		r.finish(q)
 	}
 	r.retryOrFinish(q, m, e.Result)
-	if e.Result == OK || e.Result == Miss {
+	if e.Result == OK || e.Result == Misdirected {
 		r.sendQueued(q.group)
 	}
 }
@@ -194,10 +194,10 @@
 		}
 	}
 	switch e.Result {
-	case OK, Failed, Garbled, Full, Miss, Stale:
+	case OK, Failed, Garbled, QueueFull, Misdirected, Stale:
 		r.recordAlive(m)
 	}
-	if q.possiblyExecutedAt == 0 && !e.Result.NeverRan() {
+	if q.possiblyExecutedAt == 0 && !e.Result.NotExecuted() {
 		q.possiblyExecutedAt = q.sentAt
 	}
 }
@@ -205,17 +205,17 @@
 // retryOrFinish retries q, queues it or ends it after its attempt at m ended with result.
 func (r *Router) retryOrFinish(q *request, m *member, result Result) {
 	g := q.group
-	if (result == Full || result == NoConnection || result == NotSent) && m == r.primaryOf(g) {
+	if (result == QueueFull || result == NoConnection || result == NotSent) && m == r.primaryOf(g) {
 		// Immediate retries by hundreds of routers would keep a full primary busy with nothing but
 		// rejections.
 		q.notBefore = r.now + r.jitter(r.refusedDelay(q, m, result))
 	}
-	if g.searcher == q && (q.done || result != Miss) {
+	if g.searcher == q && (q.done || result != Misdirected) {
 		g.searcher = nil
 	}
 	switch {
 	case q.done:
-	case q.notBefore > r.now || q.class.Need == Write && result == Miss && g.primary == nil:
+	case q.notBefore > r.now || q.class.Need == Write && result == Misdirected && g.primary == nil:
 		r.enqueue(q) // waits for the queue timer or an answer
 	case len(q.failed) >= 2:
 		r.giveUp(q, FailsEverywhere) // it failed on two members, so no member is to blame
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -45,7 +45,7 @@
 	rest = append(rest, g.handle(Timer{seq})...)
 	rest = append(rest, g.handle(Outcome{ID: id, Server: "p", Result: TimedOut, Final: true})...)
 	rest = append(rest, g.handle(Outcome{ID: id, Server: "p", Result: TimedOut})...)
-	rest = append(rest, g.handle(Gone{id})...)
+	rest = append(rest, g.handle(RequestCanceled{id})...)
 	if len(rest) != 0 {
 		t.Errorf("after the final answer: %v", rest)
 	}
--- a/balance/cells.go
+++ b/balance/cells.go
@@ -40,7 +40,7 @@
 		n.Cell, n.classes, r.cells[c.ID] = c, map[string]*class{}, n
 		for _, cls := range r.settings.Classes {
 			if n.classes[cls.Name] = known[cls.Name]; known[cls.Name] == nil || known[cls.Name].Class != cls {
-				n.classes[cls.Name] = &class{Class: cls, latency: cls.Aim / 4}
+				n.classes[cls.Name] = &class{Class: cls, latency: cls.LatencyTarget / 4}
 			}
 		}
 		r.primarySharers = r.primarySharers.with(n)
--- a/balance/cells_test.go
+++ b/balance/cells_test.go
@@ -13,7 +13,7 @@
 // newCellRig returns a rig with a primary and four replicas, and two cells that share one of the replicas.
 func newCellRig(t *testing.T, change func(*Settings)) *rig {
 	g := newRig(t, change)
-	g.handle(Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
+	g.handle(Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
 		{Server: "b", Weight: 1}, {Server: "c", Weight: 1}, {Server: "d", Weight: 1}}})
 	for _, s := range []string{"a", "b", "c", "d"} {
 		g.setState(s, Replica, 0)
@@ -117,7 +117,7 @@
 func TestOverQuotaIsRefusedWithRetryAfter(t *testing.T) {
 	g := newCellRig(t, nil)
 	for over, after := range map[time.Duration]time.Duration{70 * ms: 70 * ms, time.Hour: time.Second} {
-		_, acts := g.requestInCell(1, "save", func(q *Request) { q.Over = over })
+		_, acts := g.requestInCell(1, "save", func(q *Request) { q.QuotaRetryAfter = over })
 		if r, ok := acts[0].(Refuse); !ok || r.RetryAfter != after || len(acts) != 1 {
 			t.Errorf("over by %v: %v", over, acts)
 		}
@@ -131,7 +131,7 @@
 	g.setState("b", Replica, 0)
 	moved := g.now - 5*ms
 	for range 50 { // the write is old enough for every replica, but the move is not for a
-		id, acts := g.requestInCell(1, "own", func(q *Request) { q.WriteAge, q.Since = 500*ms, moved })
+		id, acts := g.requestInCell(1, "own", func(q *Request) { q.WriteAge, q.MinPosition = 500*ms, moved })
 		if to := sends(acts)[0]; to != "p" {
 			t.Fatalf("5 ms after the move a read goes to %s", to)
 		}
@@ -139,13 +139,13 @@
 	}
 	g.now += pinWindow
 	for range 50 {
-		id, acts := g.requestInCell(1, "own", func(q *Request) { q.WriteAge, q.Since = 800*ms, moved })
+		id, acts := g.requestInCell(1, "own", func(q *Request) { q.WriteAge, q.MinPosition = 800*ms, moved })
 		if to := sends(acts)[0]; to != "b" {
 			t.Fatalf("later a read goes to %s", to)
 		}
 		g.answer(id, "b", 0, OK, Unknown)
 	}
-	_, acts := g.requestInCell(1, "own", func(q *Request) { q.Since = moved }) // the session never wrote
+	_, acts := g.requestInCell(1, "own", func(q *Request) { q.MinPosition = moved }) // the session never wrote
 	if to := sends(acts)[0]; to == "p" {
 		t.Error("a session that never wrote is sent to the primary")
 	}
@@ -176,7 +176,7 @@
 		id, acts := g.requestInCell(cell, "save", nil)
 		want2 := sends(acts)[0]
 		m.inFlightByCell[g.r.cells[1]] = 5 // attempts of the flooding cell
-		g.answer(id, want2, 0, Full, Primary)
+		g.answer(id, want2, 0, QueueFull, Primary)
 		if got := g.r.cells[cell].badAttempts(g.r.groups[0]).primary > 0; got != want {
 			t.Errorf("cell %d is blamed: %v", cell, got)
 		}
@@ -276,7 +276,7 @@
 			for i := range 20 {
 				list = append(list, Member{Server: fmt.Sprint("s", i), Primary: i == 0, Weight: 1})
 			}
-			acts := r.Handle(now, Members{Whole: true, List: list}, nil)
+			acts := r.Handle(now, Members{Snapshot: true, List: list}, nil)
 			var c Cells
 			for i := range cells {
 				own := map[string]bool{}
@@ -287,7 +287,7 @@
 			}
 			r.Handle(now, c, nil)
 			for i := range 20 {
-				r.addStatement(r.members[fmt.Sprint("s", i)], Statement{Role: Replica, Position: now + time.Hour, Made: Made{NotBefore: now, NotAfter: now}})
+				r.addStatement(r.members[fmt.Sprint("s", i)], Statement{Role: Replica, Position: now + time.Hour, StatedAt: TimeBounds{NotBefore: now, NotAfter: now}})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -12,7 +12,7 @@
 // if the request has to wait.
 func (r *Router) choose(q *request) *member {
 	c := q.class
-	if c.primaryOnly() || c.Need == Session && q.lastWrite > 0 && r.now+r.clock.Ages-q.lastWrite < pinWindow {
+	if c.primaryOnly() || c.Need == Session && q.lastWrite > 0 && r.now+r.clock.AgeOffset-q.lastWrite < pinWindow {
 		return r.primaryFor(q, 1, 1)
 	}
 	if m := r.pickReplica(q); m != nil {
@@ -88,7 +88,7 @@
 		// After an outage every router holds some requests. Those that are late, or whose primary is cold,
 		// are spread over time.
 		if q.arrived < g.foundAt && q.sentAt < g.foundAt && q.notBefore < g.foundAt &&
-			(r.warmUpWeight(p) < 1 || r.now > q.arrived+q.class.Aim) {
+			(r.warmUpWeight(p) < 1 || r.now > q.arrived+q.class.LatencyTarget) {
 			spread := min(g.outage, q.Deadline-r.now)*3/4 + 1
 			q.notBefore = r.now + 1 + time.Duration(r.rng.Int64N(int64(spread)))
 		}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -73,7 +73,7 @@
 			}
 			p := acts[i].(Probe)
 			g.now += ms
-			acts = g.handle(ProbeResult{Server: p.Server, Result: OK, Report: Report{Has: true, Position: g.now - c.behind}})
+			acts = g.handle(ProbeResult{Server: p.Server, Result: OK, Report: Report{Valid: true, Position: g.now - c.behind}})
 		}
 		if to := sends(acts); len(to) != 1 || !strings.Contains(c.to, to[0]) {
 			t.Errorf("%s: sent to %q, want one of %s", c.name, to, c.to)
@@ -91,8 +91,8 @@
 			g.now += 10 * ms
 			id, acts := g.request("browse", 0)
 			n += len(sends(acts))
-			g.handle(Gone{id})
-			g.answer(id, "p", 0, Cancelled, Primary)
+			g.handle(RequestCanceled{id})
+			g.answer(id, "p", 0, Canceled, Primary)
 		}
 		return n
 	}
@@ -101,8 +101,8 @@
 	}
 	for range 12 {
 		id, _ := g.request("save", 0)
-		g.answer(id, "p", 0, Full, Primary)
-		g.handle(Gone{id})
+		g.answer(id, "p", 0, QueueFull, Primary)
+		g.handle(RequestCanceled{id})
 	}
 	if n := count(); n > 20 {
 		t.Errorf("%d of 100 reads sent to a full primary", n)
@@ -136,7 +136,7 @@
 	g := newRig(t, nil)
 	id, acts := g.request("save", 0)
 	want(t, "first", sends(acts), []string{"p"})
-	acts = append(g.answer(id, "p", 0, Miss, Replica), g.advance(2*queueInterval)...)
+	acts = append(g.answer(id, "p", 0, Misdirected, Replica), g.advance(2*queueInterval)...)
 	second := sends(acts)
 	if len(second) != 1 || second[0] == "p" {
 		t.Fatalf("after a misdirected write: %q", second)
@@ -204,7 +204,7 @@
 	id, acts := g.request("save", 0)
 	for attempt, minDelay := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
 		want(t, "sent", sends(acts), []string{"p"})
-		acts = g.answer(id, "p", attempt, Full, Primary)
+		acts = g.answer(id, "p", attempt, QueueFull, Primary)
 		from := g.now
 		for len(sends(acts)) == 0 && g.now-from < time.Second {
 			acts = g.advance(queueInterval)
--- a/balance/clock_bounds_test.go
+++ b/balance/clock_bounds_test.go
@@ -27,7 +27,7 @@
 	if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 		t.Error("a bounded read was sent on a position of unknown age")
 	}
-	g.handle(ClockBounds{Known: true, Ages: 10 * time.Second, Most: 10 * time.Second})
+	g.handle(ClockBounds{Known: true, AgeOffset: 10 * time.Second, MaxOffset: 10 * time.Second})
 	if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 		t.Error("a bounded read was sent on a position that may be 10 s old")
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -74,7 +74,7 @@
 				result = TimedOut
 			}
 			f.schedule(f.now+ms, router, ProbeResult{Server: a.Server, Result: result, Took: ms})
-		case After:
+		case StartTimer:
 			f.schedule(f.now+a.Wait, router, Timer{a.Tag})
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 	begin := max(f.now, f.busyUntil[a.Server][first])
 	if begin-f.now > maxQueueTime {
-		return ms, Full
+		return ms, QueueFull
 	}
 	took := meanWork
 	if began := origin + coldAt; a.Server == cold && f.now >= began {
@@ -144,7 +144,7 @@
 // notNotified of the routers does not get the start from the list.
 func (f *fleet) run(load float64, class, host string, notNotified float64) {
 	const start, end = coldAt, 14 * time.Second
-	members := Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
+	members := Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
 	for i := range replicas {
 		members.List = append(members.List, Member{Server: fmt.Sprint("r", i), Weight: 1})
 	}
--- a/balance/elapsed_test.go
+++ b/balance/elapsed_test.go
@@ -25,8 +25,8 @@
 				t.Errorf("%s has a timeout above its latency target", c.id)
 			}
 		case Refuse:
-			if c.sent || a.Why != TooLate {
-				t.Errorf("%s is refused: %v", c.id, a.Why)
+			if c.sent || a.Reason != TooLate {
+				t.Errorf("%s is refused: %v", c.id, a.Reason)
 			}
 		default:
 			t.Errorf("%s: %v", c.id, acts)
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -18,12 +18,12 @@
 type Source int
 
 const (
-	FromAnswer   Source = iota // a complete answer of the member
-	FromPart                   // the part that arrived of an answer that broke off or could not be parsed
-	FromReport                 // a load report, where the answer itself stated no role
-	FromGossip                 // another router
-	FromHandover               // a previous process of this router
-	FromList                   // the member list
+	FromAnswer        Source = iota // a complete answer of the member
+	FromPartialAnswer               // the part that arrived of an answer that broke off or could not be parsed
+	FromReport                      // a load report, where the answer itself stated no role
+	FromGossip                      // another router
+	FromHandover                    // a previous process of this router
+	FromList                        // the member list
 )
 
 // String returns the name of the source as it appears in logs.
@@ -31,8 +31,8 @@
 	return [...]string{"answer", "part of an answer", "report", "gossip", "handover", "list"}[s]
 }
 
-// Made bounds the time at which a statement was made, by the router's clock.
-type Made struct {
+// TimeBounds bounds the time at which a statement was made, by the router's clock.
+type TimeBounds struct {
 	NotBefore, NotAfter time.Duration
 	Epoch               int // epoch of the clock that dated the statement; the router itself knows only one
 }
@@ -42,7 +42,7 @@
 	Source   Source
 	Role     Role          // Unknown if none was stated
 	Position time.Duration // position of the member's log; 0 if none was stated
-	Made     Made
+	StatedAt TimeBounds
 }
 
 // evidence is what is known about the role and the log of one member.
@@ -62,7 +62,7 @@
 // add records a statement that reached the router at now. A statement against reading from the member as the
 // primary counts from the latest time at which it may have been made, one for it from the earliest.
 func (e *evidence) add(now time.Duration, s Statement) {
-	if notAfter := cmp.Or(s.Made.NotAfter, now); s.Position > e.position {
+	if notAfter := cmp.Or(s.StatedAt.NotAfter, now); s.Position > e.position {
 		e.position, e.positionSource, e.positionNotAfter = s.Position, s.Source, notAfter
 	} else if s.Position == e.position {
 		e.positionNotAfter = max(e.positionNotAfter, notAfter) // the log does not move
@@ -70,11 +70,11 @@
 	e.statedRole = e.statedRole || s.Role != Unknown
 	switch s.Role {
 	case Primary:
-		if statedAt := min(s.Made.NotBefore, now); statedAt > e.primaryNotBefore {
+		if statedAt := min(s.StatedAt.NotBefore, now); statedAt > e.primaryNotBefore {
 			e.primaryNotBefore, e.primarySource = statedAt, s.Source
 		}
 	case Replica:
-		if statedAt := min(cmp.Or(s.Made.NotAfter, now), now); statedAt > e.replicaNotAfter {
+		if statedAt := min(cmp.Or(s.StatedAt.NotAfter, now), now); statedAt > e.replicaNotAfter {
 			e.replicaNotAfter, e.replicaSource = statedAt, s.Source
 		}
 	}
@@ -96,18 +96,18 @@
 
 // Grounds is the evidence on which an attempt is sent to a member.
 type Grounds struct {
-	Kind     GroundsKind
-	Source   Source        // source of that evidence
-	Position time.Duration // position of the member; 0 if unknown
-	Leads    time.Duration // with a statement of the primary: its earliest time
+	Kind             GroundsKind
+	Source           Source        // source of that evidence
+	Position         time.Duration // position of the member; 0 if unknown
+	PrimaryNotBefore time.Duration // with a statement of the primary: its earliest time
 	// SendBy is the time until which the evidence holds, so that the attempt must not be sent later; 0 means
 	// without limit. It was computed with the clock bounds of that time, whose offset for ages is kept here.
-	SendBy, Ages time.Duration
+	SendBy, AgeOffset time.Duration
 }
 
 // Expired reports whether the evidence no longer holds under the present clock bounds.
 func (g Grounds) Expired(now time.Duration, clock ClockBounds) bool {
-	return g.SendBy > 0 && (!clock.Known || now > g.SendBy-max(0, clock.Ages-g.Ages))
+	return g.SendBy > 0 && (!clock.Known || now > g.SendBy-max(0, clock.AgeOffset-g.AgeOffset))
 }
 
 // GroundsKind is the kind of evidence in Grounds.
@@ -115,10 +115,10 @@
 
 const (
 	// A write, or a read that any member may serve: the member itself refuses what it cannot serve.
-	NotNeeded  GroundsKind = iota
-	ByPosition             // a replica that has applied enough of the log
-	LeaderWord             // the member stated that it is the primary, and no later evidence contradicts it
-	Excused                // the list names it as the primary, and it has not stated its role to this router
+	NotNeeded        GroundsKind = iota
+	ByPosition                   // a replica that has applied enough of the log
+	PrimaryStatement             // the member stated that it is the primary, and no later evidence contradicts it
+	PresumedPrimary              // the list names it as the primary, and it has not stated its role to this router
 )
 
 // String returns the name of the kind as it appears in logs.
@@ -126,19 +126,19 @@
 	return [...]string{"not needed", "position", "leader's word", "list"}[k]
 }
 
-// RoleWords holds a member's last statements on its role as the host side reads them, before the router
+// RoleStatements holds a member's last statements on its role as the host side reads them, before the router
 // processes them. The zero value holds none.
-type RoleWords struct {
+type RoleStatements struct {
 	replicaAt     time.Duration // time of its last statement that it is not the primary; 0 if there was none
 	statedPrimary bool          // a complete answer has stated since then that it is the primary
 }
 
-// Leads records that a complete answer named the member as the primary.
-func (w *RoleWords) Leads() { w.statedPrimary = true }
+// StatedPrimary records that a complete answer named the member as the primary.
+func (w *RoleStatements) StatedPrimary() { w.statedPrimary = true }
 
-// Follows records the member's statement that it is not the primary. It reports whether that is new: the
+// StatedReplica records the member's statement that it is not the primary. It reports whether that is new: the
 // first such statement, or the first one since a statement to the contrary.
-func (w *RoleWords) Follows(now time.Duration) (isNew bool) {
+func (w *RoleStatements) StatedReplica(now time.Duration) (isNew bool) {
 	isNew = w.statedPrimary || w.replicaAt == 0
 	w.replicaAt, w.statedPrimary = now, false
 	return isNew
@@ -146,17 +146,17 @@
 
 // Refute reports whether the member has stated, since the decision to send an attempt, that it is not the
 // primary, and the attempt needs the primary.
-func (w *RoleWords) Refute(g Grounds) bool {
-	return g.NeedsLeader() && w.replicaAt > 0 && w.replicaAt >= g.Leads
+func (w *RoleStatements) Refute(g Grounds) bool {
+	return g.NeedsPrimary() && w.replicaAt > 0 && w.replicaAt >= g.PrimaryNotBefore
 }
 
-// NeedsLeader reports whether the grounds end with a statement of the member that it is a replica.
-func (g Grounds) NeedsLeader() bool { return g.Kind == LeaderWord || g.Kind == Excused }
+// NeedsPrimary reports whether the grounds end with a statement of the member that it is a replica.
+func (g Grounds) NeedsPrimary() bool { return g.Kind == PrimaryStatement || g.Kind == PresumedPrimary }
 
 // addStatement records a statement about m and updates the primary of its group.
 func (r *Router) addStatement(m *member, s Statement) {
 	before := m.evidence
-	if s.Position > r.latestPosition(cmp.Or(s.Made.NotAfter, r.now)) {
+	if s.Position > r.latestPosition(cmp.Or(s.StatedAt.NotAfter, r.now)) {
 		s.Position = 0 // a position in the future would later make stale data pass as fresh
 	}
 	m.evidence.add(r.now, s)
@@ -183,7 +183,7 @@
 	if g.primary == previous {
 		return
 	}
-	change := PrimaryChange{Group: g.id, Source: source, About: m.Server, Leads: after.primaryNotBefore, Follows: after.replicaNotAfter, Started: after.started}
+	change := PrimaryChange{Group: g.id, Source: source, Server: m.Server, PrimaryNotBefore: after.primaryNotBefore, ReplicaNotAfter: after.replicaNotAfter, Started: after.started}
 	if previous != nil {
 		change.From = previous.Server
 	}
@@ -201,8 +201,8 @@
 // maxChanges is the maximum number of changes kept for Changes, which the simulator never calls.
 const maxChanges = 100
 
-// Changes returns the changes of primaries since the last call.
-func (r *Router) Changes() []PrimaryChange {
+// PrimaryChanges returns the changes of primaries since the last call.
+func (r *Router) PrimaryChanges() []PrimaryChange {
 	out := r.changes
 	r.changes = nil
 	return out
@@ -246,45 +246,45 @@
 	}
 	switch {
 	case m == m.group.primary:
-		return Grounds{Kind: LeaderWord, Source: e.primarySource, Position: e.position, Leads: e.primaryNotBefore}
+		return Grounds{Kind: PrimaryStatement, Source: e.primarySource, Position: e.position, PrimaryNotBefore: e.primaryNotBefore}
 	case r.fresh(q, m):
 		g := Grounds{Kind: ByPosition, Source: e.positionSource, Position: e.position}
 		if q.class.bounded() {
-			g.SendBy, g.Ages = r.sendBy(q, m), r.clock.Ages
+			g.SendBy, g.AgeOffset = r.sendBy(q, m), r.clock.AgeOffset
 		}
 		return g
 	}
-	return Grounds{Kind: Excused, Source: FromList, Position: e.position}
+	return Grounds{Kind: PresumedPrimary, Source: FromList, Position: e.position}
 }
 
 // addOutcome records what the end of an attempt states. Of an incomplete answer, only a statement against
 // the member counts.
 func (r *Router) addOutcome(m *member, e Outcome) {
-	if e.Made == (Made{}) {
-		e.Made.NotBefore = r.now - e.Took
+	if e.StatedAt == (TimeBounds{}) {
+		e.StatedAt.NotBefore = r.now - e.Took
 		// A primary's position is the present; after a write it is that of the commit, rounded up.
 		if e.Role == Primary {
-			e.Made.NotBefore = max(e.Made.NotBefore, e.Position-r.clock.Most-slack)
+			e.StatedAt.NotBefore = max(e.StatedAt.NotBefore, e.Position-r.clock.MaxOffset-slack)
 		}
 	}
 	if !completeAnswer(e.Result) {
 		if e.Role == Replica {
-			r.addStatement(m, Statement{Source: FromPart, Role: Replica, Made: e.Made})
+			r.addStatement(m, Statement{Source: FromPartialAnswer, Role: Replica, StatedAt: e.StatedAt})
 		}
 		return
 	}
-	r.addStatement(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, Made: e.Made})
+	r.addStatement(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, StatedAt: e.StatedAt})
 	if e.Role != Unknown {
 		e.Report.Role = Unknown // the report that came with it is older
 	}
-	r.addReport(m, e.Made, e.Report)
+	r.addReport(m, e.StatedAt, e.Report)
 }
 
 // addReport records a load report, which states its own age.
-func (r *Router) addReport(m *member, made Made, report Report) {
-	if report.Has {
+func (r *Router) addReport(m *member, made TimeBounds, report Report) {
+	if report.Valid {
 		made.NotBefore = report.NotBefore
-		r.addStatement(m, Statement{Source: FromReport, Role: report.Role, Position: report.Position, Made: made})
+		r.addStatement(m, Statement{Source: FromReport, Role: report.Role, Position: report.Position, StatedAt: made})
 	}
 }
 
@@ -294,13 +294,13 @@
 	if !r.clock.Known {
 		return unreachablePosition
 	}
-	return at + r.clock.Most + slack
+	return at + r.clock.MaxOffset + slack
 }
 
 // onClockBounds applies new clock bounds. Positions that now turn out to lie in the future are dropped.
 func (r *Router) onClockBounds(e ClockBounds) {
 	first := e.Known && !r.clock.Known
-	narrower := first || e.Known && e.Most < r.clock.Most
+	narrower := first || e.Known && e.MaxOffset < r.clock.MaxOffset
 	if r.clock = e; !narrower {
 		return
 	}
@@ -334,16 +334,16 @@
 }
 
 // onPriorEvidence records what an earlier router knew about a member.
-func (r *Router) onPriorEvidence(e Inherited) {
+func (r *Router) onPriorEvidence(e PriorEvidence) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	if e.Leads > 0 {
-		r.addStatement(m, Statement{Source: FromHandover, Role: Primary, Made: Made{NotBefore: e.Leads}})
+	if e.PrimaryNotBefore > 0 {
+		r.addStatement(m, Statement{Source: FromHandover, Role: Primary, StatedAt: TimeBounds{NotBefore: e.PrimaryNotBefore}})
 	}
-	if e.Follows > 0 {
-		r.addStatement(m, Statement{Source: FromHandover, Role: Replica, Made: Made{NotAfter: e.Follows}})
+	if e.ReplicaNotAfter > 0 {
+		r.addStatement(m, Statement{Source: FromHandover, Role: Replica, StatedAt: TimeBounds{NotAfter: e.ReplicaNotAfter}})
 	}
 	r.addStatement(m, Statement{Source: FromHandover, Position: e.Position})
 	m.suspect = m.suspect || !e.Alive // it is probed before anything is sent to it
@@ -352,5 +352,5 @@
 
 // completeAnswer reports whether a result comes from a complete answer.
 func completeAnswer(x Result) bool {
-	return x == OK || x == Failed || x == Full || x == Miss || x == Stale
+	return x == OK || x == Failed || x == QueueFull || x == Misdirected || x == Stale
 }
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -11,13 +11,13 @@
 // The evidence about a member does not depend on the order in which statements arrive.
 func TestEvidenceIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		at := rapid.Custom(func(t *rapid.T) Made {
+		at := rapid.Custom(func(t *rapid.T) TimeBounds {
 			from := time.Duration(rapid.IntRange(1, 50).Draw(t, "from")) * ms
-			return Made{NotBefore: from, NotAfter: from + time.Duration(rapid.IntRange(0, 50).Draw(t, "width"))*ms}
+			return TimeBounds{NotBefore: from, NotAfter: from + time.Duration(rapid.IntRange(0, 50).Draw(t, "width"))*ms}
 		})
 		statement := rapid.Custom(func(t *rapid.T) Statement {
 			return Statement{Role: Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: time.Duration(rapid.IntRange(0, 100).Draw(t, "position")) * ms,
-				Made: at.Draw(t, "made")}
+				StatedAt: at.Draw(t, "made")}
 		})
 		list := rapid.SliceOfN(statement, 1, 8).Draw(t, "statements")
 		start := time.Duration(rapid.IntRange(0, 100).Draw(t, "start")) * ms
@@ -39,10 +39,10 @@
 func TestPrimaryStatementMustBeCertainlyNewer(t *testing.T) {
 	const now = origin
 	follows := func(from, to time.Duration) Statement {
-		return Statement{Role: Replica, Made: Made{NotBefore: now + from, NotAfter: now + to}}
+		return Statement{Role: Replica, StatedAt: TimeBounds{NotBefore: now + from, NotAfter: now + to}}
 	}
 	leads := func(from, to time.Duration) Statement {
-		return Statement{Role: Primary, Made: Made{NotBefore: now + from, NotAfter: now + to}}
+		return Statement{Role: Primary, StatedAt: TimeBounds{NotBefore: now + from, NotAfter: now + to}}
 	}
 	for name, c := range map[string]struct {
 		statements []Statement
@@ -133,7 +133,7 @@
 			g.setState("p", Primary, 0)
 			g.now += 50 * ms
 			// A router cannot tell how long the gossip message was on its way.
-			g.gossip("p", func(h *Heard) { h.At = g.now - 100*ms })
+			g.gossip("p", func(h *RemoteOutcome) { h.At = g.now - 100*ms })
 		}, ""},
 		"a partial answer states that it is a replica":   {func(g *rig) { g.partialAnswer("p", Replica) }, ""},
 		"a partial answer states that it is the primary": {func(g *rig) { g.partialAnswer("a", Primary) }, "p"},
@@ -153,15 +153,15 @@
 		}, "a"},
 		"an older report states that it is the primary": {func(g *rig) {
 			g.setState("a", Replica, 0)
-			g.handle(ProbeResult{Server: "a", Result: OK, Report: Report{Has: true, Role: Primary, Position: g.now - ms, NotBefore: g.now - ms}})
+			g.handle(ProbeResult{Server: "a", Result: OK, Report: Report{Valid: true, Role: Primary, Position: g.now - ms, NotBefore: g.now - ms}})
 		}, "p"},
 		"it is the primary, with an older report": {func(g *rig) {
-			g.handle(Outcome{ID: "none", Server: "a", Result: OK, Role: Primary, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now},
-				Report: Report{Has: true, Role: Replica, Position: g.now - ms, NotBefore: g.now - ms}})
+			g.handle(Outcome{ID: "none", Server: "a", Result: OK, Role: Primary, Position: g.now, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now},
+				Report: Report{Valid: true, Role: Replica, Position: g.now - ms, NotBefore: g.now - ms}})
 		}, "a"},
 		"it was removed long ago, after it had stated that it is a replica": {func(g *rig) {
 			g.setState("p", Replica, 0)
-			g.handle(Members{List: []Member{{Server: "p", State: Left}}})
+			g.handle(Members{List: []Member{{Server: "p", State: Removed}}})
 			g.now += 2 * forgetAfter
 			g.handle(Members{List: []Member{{Server: "a", Weight: 1}}})
 			if g.r.members["p"] != nil {
@@ -169,8 +169,8 @@
 			}
 			g.handle(Members{List: list()})
 		}, ""},
-		"an earlier router knew that it is a replica": {func(g *rig) { g.handle(Inherited{Server: "p", Follows: g.now - ms, Alive: true}) }, ""},
-		"an earlier router knew another primary":      {func(g *rig) { g.handle(Inherited{Server: "a", Leads: g.now - ms, Alive: true}) }, "a"},
+		"an earlier router knew that it is a replica": {func(g *rig) { g.handle(PriorEvidence{Server: "p", ReplicaNotAfter: g.now - ms, Alive: true}) }, ""},
+		"an earlier router knew another primary":      {func(g *rig) { g.handle(PriorEvidence{Server: "a", PrimaryNotBefore: g.now - ms, Alive: true}) }, "a"},
 		"the clock was wrong":                         {func(g *rig) { g.setState("p", Primary, 0); g.handle(ClockReplaced{}) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -190,12 +190,12 @@
 
 // report answers a probe with a report made now.
 func (g *rig) report(server string, role Role) {
-	g.handle(ProbeResult{Server: server, Result: OK, Report: Report{Has: true, Role: role, Position: g.now, NotBefore: g.now}})
+	g.handle(ProbeResult{Server: server, Result: OK, Report: Report{Valid: true, Role: role, Position: g.now, NotBefore: g.now}})
 }
 
 // partialAnswer breaks off an answer after its role.
 func (g *rig) partialAnswer(server string, role Role) {
-	g.handle(Outcome{ID: "none", Server: server, Result: Reset, Role: role, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now}})
+	g.handle(Outcome{ID: "none", Server: server, Result: Reset, Role: role, Position: g.now, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now}})
 }
 
 // An incomplete answer states no position.
@@ -213,14 +213,14 @@
 		{500 * ms, 500*ms - 146*ms}, // 354 ms; with a stall of 150 ms, 4 ms of the protocol's 50 ms of slack are used
 		{210 * ms, 210*ms - 71*ms},  // only a third of the bound is kept free
 	} {
-		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound = 150*ms, c.bound })
+		g := newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound = 150*ms, c.bound })
 		g.setState("a", Replica, c.usable)
 		_, acts := g.request("browse", 0)
 		s, ok := acts[len(acts)-1].(Send)
 		if !ok || s.Server != "a" || s.Grounds.Kind != ByPosition || s.Grounds.SendBy != g.now {
 			t.Errorf("with a position just inside the bound of %s: %+v", c.bound, acts)
 		}
-		g = newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound = 150*ms, c.bound })
+		g = newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound = 150*ms, c.bound })
 		g.setState("a", Replica, c.usable+ms)
 		if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("with a position just outside the bound: %+v", acts)
@@ -238,12 +238,12 @@
 		"its lag was large":           {300 * ms, 10 * ms, false},
 		"the group's log has stopped": {10 * ms, 400 * ms, false},
 	} {
-		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
+		g := newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
 		statedAt := g.now
 		g.setState("a", Replica, c.lag)
 		g.now = statedAt + 450*ms - c.lag // the position is 450 ms old
 		g.setState("b", Replica, 3*time.Second)
-		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.sinceMove, Made: Made{NotBefore: g.now - c.sinceMove, NotAfter: g.now}})
+		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.sinceMove, StatedAt: TimeBounds{NotBefore: g.now - c.sinceMove, NotAfter: g.now}})
 		_, acts := g.request("browse", 0)
 		if sent := slices.Contains(sends(acts), "a"); sent != c.sent {
 			t.Errorf("%s: sent %t, %v", name, sent, acts)
@@ -264,7 +264,7 @@
 	}
 	g := newRig(t, nil)
 	_, acts := g.request("own", 10*ms)
-	if got := send(acts); got.Kind != Excused || !got.NeedsLeader() {
+	if got := send(acts); got.Kind != PresumedPrimary || !got.NeedsPrimary() {
 		t.Errorf("before any statement: %+v", got)
 	}
 	_, acts = g.request("save", 0)
@@ -273,7 +273,7 @@
 	}
 	g.setState("p", Primary, 0)
 	_, acts = g.request("own", 10*ms)
-	if got := send(acts); got.Kind != LeaderWord || got.Leads != g.now || !got.NeedsLeader() {
+	if got := send(acts); got.Kind != PrimaryStatement || got.PrimaryNotBefore != g.now || !got.NeedsPrimary() {
 		t.Errorf("to the stated primary: %+v", got)
 	}
 	g.setState("a", Replica, 0)
@@ -289,17 +289,17 @@
 	for name, again := range map[string]func(g *rig){
 		"in its answer": func(g *rig) { g.setState("a", Replica, 310*ms) },
 		"in its report": func(g *rig) {
-			g.handle(ProbeResult{Server: "a", Result: OK, Made: Made{NotBefore: g.now, NotAfter: g.now},
-				Report: Report{Has: true, Role: Replica, Position: g.now - 310*ms}})
+			g.handle(ProbeResult{Server: "a", Result: OK, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now},
+				Report: Report{Valid: true, Role: Replica, Position: g.now - 310*ms}})
 		},
 	} {
-		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
+		g := newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
 		g.setState("a", Replica, 10*ms)
 		g.now += 300 * ms
 		again(g)
 		g.now += 140 * ms
 		g.setState("b", Replica, 3*time.Second)
-		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, Made: Made{NotBefore: g.now - 10*ms, NotAfter: g.now}})
+		g.r.addStatement(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, StatedAt: TimeBounds{NotBefore: g.now - 10*ms, NotAfter: g.now}})
 		if _, acts := g.request("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("%s: a read with a bound of 500 ms goes to a replica whose log stopped 450 ms ago, with no margin for a stall: %v", name, acts)
 		}
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -29,7 +29,7 @@
 // falling behind, it leaves a margin for a process that stalls between the decision and the send, as far as
 // the bound allows. If m keeps up and its log stops just then, the answer shows that: see Stale.
 func (r *Router) sendBy(q *request, m *member) time.Duration {
-	deadline := m.evidence.position - r.clock.Ages + q.class.Bound - slack
+	deadline := m.evidence.position - r.clock.AgeOffset + q.class.Bound - slack
 	if !r.keepsUp(q, m) {
 		deadline -= r.sendDelayMargin(q.class)
 	}
@@ -37,33 +37,33 @@
 }
 
 func (r *Router) sendDelayMargin(c *class) time.Duration {
-	return max(0, min(r.settings.HoldUp-sendDelaySlack, c.Bound/sendDelayDivisor))
+	return max(0, min(r.settings.MaxSendDelay-sendDelaySlack, c.Bound/sendDelayDivisor))
 }
 
 // keepsUp reports whether m's last known lag was small and the log of its group has moved recently. The
 // known position of m is then old only because m has not been heard from lately.
 func (r *Router) keepsUp(q *request, m *member) bool {
-	lag := m.evidence.positionNotAfter + r.clock.Ages - m.evidence.position
+	lag := m.evidence.positionNotAfter + r.clock.AgeOffset - m.evidence.position
 	return lag <= q.class.Bound/lagDivisor && r.age(m.group.newestPosition) <= q.class.Bound-slack-r.sendDelayMargin(q.class)
 }
 
 // Demand states what data a read's answer must be based on. The zero value demands nothing.
 type Demand struct {
-	Reach time.Duration // minimum position; 0 means any
-	Bound time.Duration // maximum age at the time when the query had been written; 0 means any
+	MinPosition time.Duration // minimum position; 0 means any
+	MaxAge      time.Duration // maximum age at the time when the query had been written; 0 means any
 }
 
-// Refuted reports whether the role and position that came with an answer prove that the read ran on data
+// Violated reports whether the role and position that came with an answer prove that the read ran on data
 // that violates the demand, so that the answer must not be served. A primary's data is always current. The
 // parameter written is the time at which the last byte of the query had been written.
-func (d Demand) Refuted(role Role, position, written time.Duration, clock ClockBounds) bool {
+func (d Demand) Violated(role Role, position, written time.Duration, clock ClockBounds) bool {
 	switch {
 	case role == Primary, position == 0:
 		return false
-	case d.Reach > 0 && position+slack < d.Reach:
+	case d.MinPosition > 0 && position+slack < d.MinPosition:
 		return true
 	}
-	return d.Bound > 0 && clock.Known && written+clock.Ages-position > d.Bound
+	return d.MaxAge > 0 && clock.Known && written+clock.AgeOffset-position > d.MaxAge
 }
 
 // demand returns the demand of q's class. Members that check reads themselves need no second check.
@@ -73,10 +73,10 @@
 		return d
 	}
 	if q.class.Need == Session {
-		d.Reach = q.lastWrite
+		d.MinPosition = q.lastWrite
 	}
 	if q.class.bounded() {
-		d.Bound = max(q.class.Bound, 1)
+		d.MaxAge = max(q.class.Bound, 1)
 	}
 	return d
 }
@@ -85,7 +85,7 @@
 func (r *Router) Stale(now time.Duration, e Outcome) bool {
 	q := r.requests[e.ID]
 	return q != nil && e.Result == OK &&
-		r.demand(q).Refuted(e.Role, e.Position, min(cmp.Or(e.Written, q.sentAt), now), r.clock)
+		r.demand(q).Violated(e.Role, e.Position, min(cmp.Or(e.Written, q.sentAt), now), r.clock)
 }
 
 // age returns how old a position is, without the protocol's slack for the uncertainty of the clock. Without
@@ -94,7 +94,7 @@
 	if !r.clock.Known {
 		return unreachablePosition
 	}
-	return r.now + r.clock.Ages - position
+	return r.now + r.clock.AgeOffset - position
 }
 
 // probeForPosition probes a replica for a fresh position, at most once per bound and less often if the replica
@@ -110,7 +110,7 @@
 		if m.probing && r.now-m.probedAt < queueInterval {
 			return r.clock.Known
 		}
-		if !m.probing && r.now-m.probedAt >= max(r.minBound, min((m.probedAt+r.clock.Ages-m.evidence.position)/4, time.Second)) {
+		if !m.probing && r.now-m.probedAt >= max(r.minBound, min((m.probedAt+r.clock.AgeOffset-m.evidence.position)/4, time.Second)) {
 			if drawn++; r.rng.IntN(drawn) == 0 {
 				next = m
 			}
@@ -127,9 +127,9 @@
 func (r *Router) lastWrite(e Request) time.Duration {
 	remembered := max(r.sessionWrites[e.Session], r.writeFloor)
 	switch {
-	case e.After > 0:
+	case e.SessionPosition > 0:
 		// A commit position is rounded up: a member that states the same one may lack the commit.
-		return max(remembered, e.After+slack)
+		return max(remembered, e.SessionPosition+slack)
 	case e.WriteAge > 0:
 		return max(remembered, r.now-e.WriteAge+slack)
 	}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -14,12 +14,12 @@
 		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, OverloadFactor: 2.5,
 		ColdShare: 0.25, ColdTime: 10 * time.Second,
 		Classes: []Class{
-			{Name: "browse", Need: Bounded, Bound: 200 * ms, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "own", Need: Session, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "any", Need: AnyData, Aim: 700 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "fresh", Need: Latest, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "save", Need: Write, Effect: Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 4, LateWorth: .5},
-			{Name: "keyed", Need: Write, Effect: Keyed, Scope: ScopeGroup, KeyTTL: 2 * time.Second, Aim: time.Second,
+			{Name: "browse", Need: Bounded, Bound: 200 * ms, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "own", Need: Session, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "any", Need: AnyData, LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "fresh", Need: Latest, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "save", Need: Write, Effect: Unsafe, LatencyTarget: time.Second, Deadline: 4 * time.Second, Worth: 4, LateWorth: .5},
+			{Name: "keyed", Need: Write, Effect: Keyed, Scope: ScopeGroup, KeyTTL: 2 * time.Second, LatencyTarget: time.Second,
 				Deadline: 4 * time.Second, Worth: 4, LateWorth: .5},
 		}}
 }
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	g := &rig{t: t, r: r, now: origin}
-	g.handle(Members{Whole: true, List: list()})
+	g.handle(Members{Snapshot: true, List: list()})
 	return g
 }
 
@@ -100,7 +100,7 @@
 
 // setState records a statement of a member about its role and lag.
 func (g *rig) setState(server string, role Role, behind time.Duration) {
-	g.r.addStatement(g.r.members[server], Statement{Role: role, Position: g.now - behind, Made: Made{NotBefore: g.now, NotAfter: g.now}})
+	g.r.addStatement(g.r.members[server], Statement{Role: role, Position: g.now - behind, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now}})
 }
 
 // answer ends an attempt.
--- a/balance/health.go
+++ b/balance/health.go
@@ -7,7 +7,7 @@
 // unresponsive reports whether m has attempts in flight and has been silent for longer than its answers
 // usually take.
 func (r *Router) unresponsive(m *member) bool {
-	return len(m.inFlight) > 0 && r.now-m.silentSince > max(minSilence, 2*m.inFlight[0].class.latency, m.inFlight[0].class.Aim/4)
+	return len(m.inFlight) > 0 && r.now-m.silentSince > max(minSilence, 2*m.inFlight[0].class.latency, m.inFlight[0].class.LatencyTarget/4)
 }
 
 // probe sends a probe to m unless one is in flight. It reports whether one is in flight now.
@@ -66,7 +66,7 @@
 	m.probing = false
 	if e.Result == OK || e.Result == Garbled {
 		r.recordAlive(m)
-		r.addReport(m, e.Made, e.Report)
+		r.addReport(m, e.StatedAt, e.Report)
 		m.suspect = false
 		m.reinstate()
 	} else if e.Result != NotSent { // this router itself lacked a connection
@@ -78,12 +78,12 @@
 
 // onRemoteOutcome handles an outcome that another router reported. It concerns a member, not a request. It does not
 // revive a member that was seen dead: only contact with this router shows that such a member has started.
-func (r *Router) onRemoteOutcome(e Heard) {
+func (r *Router) onRemoteOutcome(e RemoteOutcome) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	r.addStatement(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, Made: Made{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
+	r.addStatement(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, StatedAt: TimeBounds{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
 	switch {
 	case e.Result == NoConnection:
 		m.suspect = m.suspect || e.At > m.silentSince // it is probed before anything is sent to it
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -9,7 +9,7 @@
 	// A busy replica that still answers others must not be blacklisted; a silent one must.
 	for _, answers := range []bool{false, true} {
 		g := newRig(t, nil)
-		g.r.members["b"].State = Left
+		g.r.members["b"].State = Removed
 		id1, acts := g.request("any", 0)
 		want(t, "first", sends(acts), []string{"a"})
 		id2, _ := g.request("any", 0)
@@ -45,7 +45,7 @@
 
 func TestLastReplicaIsNotBlacklisted(t *testing.T) {
 	g := newRig(t, nil)
-	g.handle(Members{Whole: true, List: list()[:2]})
+	g.handle(Members{Snapshot: true, List: list()[:2]})
 	id, _ := g.request("any", 0)
 	g.answer(id, "a", 0, Failed, Replica)
 	if !g.r.available(g.r.members["a"]) {
@@ -111,7 +111,7 @@
 	}{{Reset, OK, true, true}, {Reset, Garbled, true, true}, {Reset, NotSent, true, true},
 		{NoConnection, NoConnection, true, false}, {Garbled, 0, false, true}} {
 		g := newRig(t, nil)
-		g.r.members["b"].State = Left
+		g.r.members["b"].State = Removed
 		id, _ := g.request("any", 0)
 		other, _ := g.request("any", 0)
 		asked := false
@@ -142,7 +142,7 @@
 		g := newRig(t, nil)
 		m := g.r.members["a"]
 		for range n {
-			g.r.members["b"].State = Left
+			g.r.members["b"].State = Removed
 			id, _ := g.request("any", 0)
 			g.r.members["b"].State = Active
 			to := sends(g.answer(id, "a", 0, Failed, Replica))
--- a/balance/heard_test.go
+++ b/balance/heard_test.go
@@ -6,8 +6,8 @@
 )
 
 // gossip sends the rig's router an outcome that another router reported.
-func (g *rig) gossip(server string, change func(*Heard)) []Action {
-	h := Heard{Server: server, Class: "browse", Result: OK, Took: 50 * ms, Role: Replica, Position: g.now - 10*ms, At: g.now - 5*ms}
+func (g *rig) gossip(server string, change func(*RemoteOutcome)) []Action {
+	h := RemoteOutcome{Server: server, Class: "browse", Result: OK, Took: 50 * ms, Role: Replica, Position: g.now - 10*ms, At: g.now - 5*ms}
 	if change != nil {
 		change(&h)
 	}
@@ -34,13 +34,13 @@
 func TestGossipRolesCountByTime(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		entries    []Heard
+		entries    []RemoteOutcome
 		wantTarget string // member that gets a write
 	}{
-		{"a new primary is reported", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}}, "a"},
-		{"the last answer of the old primary arrives after it", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "p", Role: Primary, At: origin + ms, NotBefore: origin + ms}}, "a"},
-		{"a statement older than this router's own evidence", []Heard{{Server: "a", Role: Primary, At: origin - ms, NotBefore: origin - ms}}, "p"},
-		{"the primary is deposed", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "a", Role: Replica, At: origin + 3*ms, NotAfter: origin + 3*ms},
+		{"a new primary is reported", []RemoteOutcome{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}}, "a"},
+		{"the last answer of the old primary arrives after it", []RemoteOutcome{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "p", Role: Primary, At: origin + ms, NotBefore: origin + ms}}, "a"},
+		{"a statement older than this router's own evidence", []RemoteOutcome{{Server: "a", Role: Primary, At: origin - ms, NotBefore: origin - ms}}, "p"},
+		{"the primary is deposed", []RemoteOutcome{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "a", Role: Replica, At: origin + 3*ms, NotAfter: origin + 3*ms},
 			{Server: "b", Role: Primary, At: origin + 4*ms, NotBefore: origin + 4*ms}}, "b"},
 	} {
 		g := newRig(t, nil)
@@ -60,7 +60,7 @@
 	g := newRig(t, nil)
 	g.gossip("a", nil)
 	g.now += 10 * ms
-	g.gossip("a", func(h *Heard) { h.Result, h.Position, h.Role, h.At = NoConnection, 0, Unknown, g.now })
+	g.gossip("a", func(h *RemoteOutcome) { h.Result, h.Position, h.Role, h.At = NoConnection, 0, Unknown, g.now })
 	g.setState("b", Replica, 0)
 	probed := false
 	for range 20 {
@@ -88,8 +88,8 @@
 		t.Error("a gossip entry revived a member that was seen dead")
 	}
 	g.now += time.Second
-	g.handle(ProbeResult{Server: "a", Result: OK, Report: Report{Has: true, Position: g.now}})
-	g.gossip("a", func(h *Heard) { h.Result, h.At = NoConnection, g.now+ms })
+	g.handle(ProbeResult{Server: "a", Result: OK, Report: Report{Valid: true, Position: g.now}})
+	g.gossip("a", func(h *RemoteOutcome) { h.Result, h.At = NoConnection, g.now+ms })
 	g.now += 10 * ms
 	g.gossip("a", nil) // other routers get answers again
 	if g.r.members["a"].suspect {
@@ -101,10 +101,10 @@
 	// With many groups, one full group made every router refuse reads for all the others, whose hosts were
 	// idle.
 	g := newRig(t, nil)
-	g.handle(Members{Whole: true, List: append(list(), Member{Server: "x", Group: 2, Weight: 1}, Member{Server: "y", Group: 2, Weight: 1})})
+	g.handle(Members{Snapshot: true, List: append(list(), Member{Server: "x", Group: 2, Weight: 1}, Member{Server: "y", Group: 2, Weight: 1})})
 	for range 40 {
 		g.now += 10 * ms
-		g.gossip("a", func(h *Heard) { h.Result = Full })
+		g.gossip("a", func(h *RemoteOutcome) { h.Result = QueueFull })
 		g.gossip("x", nil)
 	}
 	refused := map[int]int{}
@@ -161,7 +161,7 @@
 	// while the last old ones were overloaded.
 	count := func(old State) (n int) {
 		g := newRig(t, func(s *Settings) { s.OverloadFactor = 4 })
-		g.handle(Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
+		g.handle(Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
 			{Server: "b", Weight: 1, State: old}, {Server: "c", Weight: 1, State: old}, {Server: "n", Weight: 1, Started: g.now}}})
 		for range 400 {
 			id, acts := g.request("any", 0)
--- a/balance/hold_up_test.go
+++ b/balance/hold_up_test.go
@@ -16,7 +16,7 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			for age := 10 * ms; age < c.bound+100*ms; age += 10 * ms {
 				g := newRig(t, func(s *Settings) {
-					s.HoldUp, s.Classes[0].Bound, s.Classes[1].Bound, s.Probes = sendDelay, c.bound, c.bound, false
+					s.MaxSendDelay, s.Classes[0].Bound, s.Classes[1].Bound, s.Probes = sendDelay, c.bound, c.bound, false
 				})
 				g.setState("a", Replica, 0) // its log stalls from now on
 				position := g.now
--- a/balance/look.go
+++ b/balance/look.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Look calls see with the router's view of each member.
-func (r *Router) Look(now time.Duration, visit func(Seen)) {
+// Views calls see with the router's view of each member.
+func (r *Router) Views(now time.Duration, visit func(MemberView)) {
 	r.now = now
 	for _, m := range r.members {
-		visit(Seen{m.Server, m.group.id, m.limit, len(m.inFlight), r.warmUpWeight(m), r.accepts(m, false) && r.available(m),
+		visit(MemberView{m.Server, m.group.id, m.limit, len(m.inFlight), r.warmUpWeight(m), r.accepts(m, false) && r.available(m),
 			m == r.primaryOf(m.group), m.evidence.position > 0, m.evidence.primaryNotBefore, m.evidence.replicaNotAfter, m.evidence.position,
 			max(m.Started, m.restartedAt)})
 	}
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -35,7 +35,7 @@
 
 // onMembers applies a snapshot or a delta of the member list.
 func (r *Router) onMembers(e Members) {
-	if r.settings.Ask && !r.watching {
+	if r.settings.SubscribeToList && !r.watching {
 		r.watching = true
 		r.emit(Watch{})
 	}
@@ -46,7 +46,7 @@
 			entry.Weight = minWeight // a missing or invalid weight: drawn only if no member has a better one
 		}
 		m := r.members[entry.Server]
-		if m == nil && entry.State == Left {
+		if m == nil && entry.State == Removed {
 			continue
 		} else if m == nil {
 			g := r.group(entry.Group)
@@ -66,11 +66,11 @@
 		}
 	}
 	for _, m := range r.members {
-		if e.Whole && !listed[m.Server] {
-			r.setState(m, Left)
-			m.State = Left
+		if e.Snapshot && !listed[m.Server] {
+			r.setState(m, Removed)
+			m.State = Removed
 		}
-		if m.State != Left || r.accepts(m, true) || len(m.inFlight) > 0 || r.now-m.notifiedAt < forgetAfter {
+		if m.State != Removed || r.accepts(m, true) || len(m.inFlight) > 0 || r.now-m.notifiedAt < forgetAfter {
 			continue
 		}
 		// Removed members are dropped, as a fleet whose members are replaced again and again must not fill
@@ -119,7 +119,7 @@
 	if m.State == Draining {
 		return grace && r.now < cmp.Or(m.SendUntil, m.notifiedAt+r.settings.DrainGrace)-2*r.settings.Tick-queueInterval
 	}
-	return m.State == Active || m.State == Left && r.settings.DroppedStayOpen && !m.wasDraining
+	return m.State == Active || m.State == Removed && r.settings.DroppedStayOpen && !m.wasDraining
 }
 
 // recordAlive records a sign of life. If m had been seen dead, it has started since, and the list will state
--- a/balance/membership_test.go
+++ b/balance/membership_test.go
@@ -17,11 +17,11 @@
 }
 
 func TestWatchIsRepeatedAfterFailure(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Ask = true })
+	g := newRig(t, func(s *Settings) { s.SubscribeToList = true })
 	if _, ok := g.actions[0].(Watch); !ok {
 		t.Fatalf("first actions %v, want a Watch", g.actions)
 	}
-	a, ok := g.handle(ListLost{})[0].(After)
+	a, ok := g.handle(ListUnavailable{})[0].(StartTimer)
 	if !ok || a.Wait < time.Second {
 		t.Fatalf("a failed call is retried by %v, want a delay", g.actions)
 	}
@@ -53,7 +53,7 @@
 	g.now += time.Second
 	_, acts = g.request("fresh", 0)
 	want(t, "after the grace", sends(acts), nil)
-	g.handle(Members{Whole: true, List: list()[:2]})
+	g.handle(Members{Snapshot: true, List: list()[:2]})
 	for range 8 {
 		_, acts = g.request("any", 0)
 		if to := sends(acts); len(to) == 1 && to[0] == "b" {
@@ -64,7 +64,7 @@
 
 func TestDroppedStayOpen(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.DroppedStayOpen = true })
-	g.handle(Members{Whole: true, List: list()[:1]})
+	g.handle(Members{Snapshot: true, List: list()[:1]})
 	_, acts := g.request("any", 0)
 	if to := sends(acts); len(to) != 1 || to[0] == "p" {
 		t.Errorf("removed members may still be used, but sent to %q", to)
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -103,11 +103,11 @@
 	g.stallChance = []float64{0.03, 0.03, 0.5}[w.rng.IntN(3)]
 	g.maxRequestGap = []time.Duration{40 * ms, 60 * ms, 300 * ms, 900 * ms}[w.rng.IntN(4)]
 	g.settings = balance.Settings{Routers: 1, Tick: ms, TokensCarried: true, Probes: w.chance(0.8), Cancel: true, RetryAfter: true,
-		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, HoldUp: modelMaxSendDelay, OverloadFactor: 4, ColdShare: 0.25,
+		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, MaxSendDelay: modelMaxSendDelay, OverloadFactor: 4, ColdShare: 0.25,
 		ColdTime: 2 * time.Second, Classes: []balance.Class{
-			{Name: "view", Need: balance.Bounded, Bound: bound, Aim: 400 * ms, Deadline: 900 * ms, Worth: 1},
-			{Name: "own", Need: balance.Session, Aim: 400 * ms, Deadline: 900 * ms, Worth: 1},
-			{Name: "order", Need: balance.Write, Effect: balance.Unsafe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: .7}}}
+			{Name: "view", Need: balance.Bounded, Bound: bound, LatencyTarget: 400 * ms, Deadline: 900 * ms, Worth: 1},
+			{Name: "own", Need: balance.Session, LatencyTarget: 400 * ms, Deadline: 900 * ms, Worth: 1},
+			{Name: "order", Need: balance.Write, Effect: balance.Unsafe, LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: .7}}}
 	for _, h := range w.hosts {
 		g.list[h.id] = h.list
 	}
@@ -150,7 +150,7 @@
 	}
 	g.router, g.requests, g.bounds = r, map[string]*modelRequest{}, balance.ClockBounds{}
 	g.router.Handle(g.local(), g.bounds, nil)
-	list := balance.Members{Whole: true}
+	list := balance.Members{Snapshot: true}
 	for _, m := range g.list {
 		list.List = append(list.List, g.entry(m))
 	}
@@ -167,8 +167,8 @@
 func (g *modelGateway) entry(m balance.Member) balance.Member {
 	if m.Started > 0 {
 		started := g.local()
-		if b := g.clock.Bounds(); b.Told {
-			started = min(started, m.Started-b.At(g.local()).Least)
+		if b := g.clock.Bounds(); b.HasMin {
+			started = min(started, m.Started-b.At(g.local()).Min)
 		}
 		m.Started = started
 	}
@@ -187,9 +187,9 @@
 // replaceModule replaces the module; the process continues.
 func (g *modelGateway) replaceModule() {
 	g.w.logf("the module panics")
-	var evidence []balance.Inherited
-	g.router.Look(g.local(), func(s balance.Seen) {
-		evidence = append(evidence, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
+	var evidence []balance.PriorEvidence
+	g.router.Views(g.local(), func(s balance.MemberView) {
+		evidence = append(evidence, balance.PriorEvidence{Server: s.Server, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: true})
 	})
 	g.end()
 	g.start(true)
@@ -201,16 +201,16 @@
 // restart ends the process and starts the next one, with or without the handover state.
 func (g *modelGateway) restart(handover bool) {
 	g.w.logf("the process ends, handover: %t", handover)
-	var evidence []balance.Inherited
-	g.router.Look(g.local(), func(s balance.Seen) {
-		evidence = append(evidence, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable})
+	var evidence []balance.PriorEvidence
+	g.router.Views(g.local(), func(s balance.MemberView) {
+		evidence = append(evidence, balance.PriorEvidence{Server: s.Server, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: s.Usable})
 	})
 	g.end()
 	g.process++
 	g.replicaAt, g.falsePositionSent, g.stepHidden = nil, false, g.stepHidden && handover
 	b := g.clock.Bounds()
 	g.clock, g.epoch = fleetclock.New(g.local()), 0
-	if handover && b.Bounded && !b.Doubted {
+	if handover && b.HasMax && !b.Contradicted {
 		g.clock.Inherit(g.local(), b.At(g.local()))
 	}
 	if !handover {
@@ -268,7 +268,7 @@
 func (g *modelGateway) members(whole bool, list []balance.Member) {
 	list = slices.Clone(list)
 	g.post(func() {
-		e := balance.Members{Whole: whole}
+		e := balance.Members{Snapshot: whole}
 		for _, m := range list {
 			g.list[m.Server] = m
 			g.w.logf("list: %s primary %t started %t state %d", m.Server, m.Primary, m.Started > 0, m.State)
@@ -295,7 +295,7 @@
 			q.after = w.now - w.between(0, time.Second) // a commit that was made through another gateway
 		}
 		if q.after > 0 {
-			r.After = q.after
+			r.SessionPosition = q.after
 		}
 	}
 	for _, c := range g.settings.Classes {
@@ -325,14 +325,14 @@
 	g.read(g.w.between(5*ms, 1900*ms), func() {
 		b := g.clock.Bounds()
 		offset := b.At(g.local())
-		entry := balance.Heard{Server: h.id, Class: "view", Result: balance.OK, Took: 10 * ms, Source: balance.FromGossip, Position: s.position}
-		if b.Told {
-			entry.At = s.at - offset.Least
+		entry := balance.RemoteOutcome{Server: h.id, Class: "view", Result: balance.OK, Took: 10 * ms, Source: balance.FromGossip, Position: s.position}
+		if b.HasMin {
+			entry.At = s.at - offset.Min
 		}
 		if entry.Role = balance.Replica; s.primary {
 			entry.Role = balance.Unknown
-			if b.Bounded {
-				entry.Role, entry.NotBefore = balance.Primary, s.position-offset.Most
+			if b.HasMax {
+				entry.Role, entry.NotBefore = balance.Primary, s.position-offset.Max
 			}
 		}
 		g.handle(entry)
@@ -342,10 +342,10 @@
 // clockBounds returns the clock bounds that the module gets.
 func (g *modelGateway) clockBounds() balance.ClockBounds {
 	b := g.clock.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return balance.ClockBounds{}
 	}
-	return balance.ClockBounds{Known: true, Ages: (b.Ages(g.local()) + ms).Truncate(ms), Most: (b.At(g.local()).Most + ms).Truncate(ms)}
+	return balance.ClockBounds{Known: true, AgeOffset: (b.AgeOffset(g.local()) + ms).Truncate(ms), MaxOffset: (b.At(g.local()).Max + ms).Truncate(ms)}
 }
 
 // handle passes an event to the module and carries out its actions.
@@ -368,11 +368,11 @@
 			g.finished(a.ID)
 		case balance.Cancel:
 			if q := g.requests[a.ID]; q != nil && q.attempt != nil {
-				g.endAttempt(q.attempt, balance.Outcome{Result: balance.Cancelled})
+				g.endAttempt(q.attempt, balance.Outcome{Result: balance.Canceled})
 			}
 		case balance.Probe:
 			g.probe(a.Server)
-		case balance.After:
+		case balance.StartTimer:
 			router, tag := g.router, a.Tag
 			g.read(a.Wait, func() {
 				if g.router == router {
@@ -381,8 +381,8 @@
 			})
 		}
 	}
-	for _, c := range g.router.Changes() {
-		g.w.logf("module: primary %q, was %q, source %s about %s", c.To, c.From, c.Source, c.About)
+	for _, c := range g.router.PrimaryChanges() {
+		g.w.logf("module: primary %q, was %q, source %s about %s", c.To, c.From, c.Source, c.Server)
 	}
 }
 
@@ -424,7 +424,7 @@
 	case attempt.ended:
 		return
 	case now >= attempt.request.deadline, attempt.request.done, attempt.grounds.Expired(now, g.clockBounds()),
-		attempt.grounds.NeedsLeader() && g.replicaAt[attempt.server.id] > 0 && g.replicaAt[attempt.server.id] >= attempt.grounds.Leads:
+		attempt.grounds.NeedsPrimary() && g.replicaAt[attempt.server.id] > 0 && g.replicaAt[attempt.server.id] >= attempt.grounds.PrimaryNotBefore:
 		g.endAttempt(attempt, balance.Outcome{Result: balance.NotSent})
 		return
 	case !attempt.server.alive:
@@ -485,7 +485,7 @@
 	commit := time.Duration(0)
 	switch {
 	case attempt.request.class == "order" && !s.primary:
-		result = balance.Miss
+		result = balance.Misdirected
 	case attempt.request.class == "order":
 		commit = s.stated
 	}
@@ -510,7 +510,7 @@
 // answer handles the answer that the gateway reads.
 func (g *modelGateway) answer(attempt *modelAttempt, s modelState, result balance.Result, commit time.Duration, broken bool, stalledFor time.Duration) {
 	h, now := attempt.server, g.local()
-	outcome := balance.Outcome{Result: result, Written: attempt.sent, Made: balance.Made{NotBefore: attempt.sent, NotAfter: now}}
+	outcome := balance.Outcome{Result: result, Written: attempt.sent, StatedAt: balance.TimeBounds{NotBefore: attempt.sent, NotAfter: now}}
 	if !s.primary && !broken {
 		g.noteReplica(h)
 	}
@@ -537,7 +537,7 @@
 			g.w.logf("%s states a position that is too old", h.id)
 		}
 		if result == balance.OK {
-			observation.Present = position
+			observation.PrimaryPosition = position
 		}
 	}
 	if g.loadReports && h.report.at > 0 {
@@ -547,10 +547,10 @@
 	if g.loadReports && h.report.at > 0 {
 		outcome.Report = g.localReport(h.report, now)
 	}
-	if b := g.clock.Bounds(); s.primary && b.Bounded {
-		outcome.Made.NotBefore = max(outcome.Made.NotBefore, min(position-b.At(now).Most-ms, now))
+	if b := g.clock.Bounds(); s.primary && b.HasMax {
+		outcome.StatedAt.NotBefore = max(outcome.StatedAt.NotBefore, min(position-b.At(now).Max-ms, now))
 	}
-	outcome.Made.Epoch = g.clock.Epoch()
+	outcome.StatedAt.Epoch = g.clock.Epoch()
 	if result == balance.OK && !attempt.request.done {
 		outcome.ID, outcome.Server = attempt.request.id, attempt.server.id
 		g.check(attempt, s, stalledFor, outcome)
@@ -564,13 +564,13 @@
 // observe passes an observation of the fleet's clock to the process and checks that the resulting bounds
 // hold.
 func (g *modelGateway) observe(o fleetclock.Observation) {
-	if b := g.clock.Bounds(); g.stepHidden && o.Sent >= g.steppedAt && b.Bounded && o.Proves().Least > b.At(g.local()).Most {
+	if b := g.clock.Bounds(); g.stepHidden && o.Sent >= g.steppedAt && b.HasMax && o.OffsetInterval().Min > b.At(g.local()).Max {
 		g.stepHidden, g.stepShownAt = false, g.w.now
 		g.w.logf("%s shows the step", o.Host)
 	}
 	g.clock.Observe(o)
 	b, offset := g.clock.Bounds(), g.offset()
-	if i := b.At(g.local()); !g.stepHidden && (b.Told && i.Least > offset || b.Bounded && i.Most < offset) {
+	if i := b.At(g.local()); !g.stepHidden && (b.HasMin && i.Min > offset || b.HasMax && i.Max < offset) {
 		g.violations = append(g.violations, fmt.Sprintf("the offset of the fleet's clock is %s, outside the bounds %+v", offset, i))
 		g.w.logf("BROKEN: %s", g.violations[len(g.violations)-1])
 	}
@@ -586,7 +586,7 @@
 	g.replicaAt[h.id] = now
 	if isNew || g.w.chance(0.5) {
 		g.post(func() {
-			g.handle(balance.Heard{Server: h.id, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart, At: now, NotAfter: now})
+			g.handle(balance.RemoteOutcome{Server: h.id, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer, At: now, NotAfter: now})
 		})
 	}
 }
@@ -653,7 +653,7 @@
 		if g.router == router {
 			q := attempt.request
 			outcome.Final = q.done
-			if outcome.Made.Epoch != g.epoch && outcome.Made.Epoch != g.clock.Epoch() && outcome.Role == balance.Primary {
+			if outcome.StatedAt.Epoch != g.epoch && outcome.StatedAt.Epoch != g.clock.Epoch() && outcome.Role == balance.Primary {
 				outcome.Role = balance.Unknown
 			}
 			g.handle(outcome)
@@ -691,7 +691,7 @@
 	}
 	g.read(w.between(ms, 6*ms), func() {
 		now := g.local()
-		p := balance.ProbeResult{Server: server, Result: balance.OK, Made: balance.Made{NotBefore: sent, NotAfter: now}}
+		p := balance.ProbeResult{Server: server, Result: balance.OK, StatedAt: balance.TimeBounds{NotBefore: sent, NotAfter: now}}
 		if g.loadReports && s.at > 0 {
 			if !s.primary {
 				g.noteReplica(h)
@@ -699,7 +699,7 @@
 			g.observe(fleetclock.Observation{Host: h.id, Position: reportPosition(s), Sent: sent, Received: now})
 			p.Report = g.localReport(s, now)
 		}
-		p.Made.Epoch = g.clock.Epoch()
+		p.StatedAt.Epoch = g.clock.Epoch()
 		g.probed(p)
 	})
 }
@@ -710,11 +710,11 @@
 // localReport returns a load report as the host side passes it on.
 func (g *modelGateway) localReport(s modelState, now time.Duration) balance.Report {
 	position := reportPosition(s)
-	r := balance.Report{Has: true, Role: balance.Replica, Position: position}
+	r := balance.Report{Valid: true, Role: balance.Replica, Position: position}
 	if s.primary {
 		r.Role = balance.Unknown
-		if b := g.clock.Bounds(); b.Bounded {
-			r.Role, r.NotBefore = balance.Primary, position-b.At(now).Most
+		if b := g.clock.Bounds(); b.HasMax {
+			r.Role, r.NotBefore = balance.Primary, position-b.At(now).Max
 		}
 	}
 	return r
--- a/balance/model_world_test.go
+++ b/balance/model_world_test.go
@@ -339,7 +339,7 @@
 		return
 	}
 	w.logf("%s is removed from the list", h.id)
-	h.list.State = balance.Left
+	h.list.State = balance.Removed
 	w.sendList(h)
 	w.after(200*ms, func() {
 		w.skip(70 * time.Second)
--- a/balance/retune_test.go
+++ b/balance/retune_test.go
@@ -7,24 +7,24 @@
 
 // New settings apply to new requests; an open request keeps the class that it arrived with.
 func TestSettingsUpdate(t *testing.T) {
-	s := Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 300 * ms, Deadline: 900 * ms, Worth: 1},
-		{Name: "w", Need: Write, Effect: Unsafe, Aim: 500 * ms, Deadline: 3000 * ms, Worth: 1}}, MaxAttempts: 3, DrainGrace: 1000 * ms}
+	s := Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, LatencyTarget: 300 * ms, Deadline: 900 * ms, Worth: 1},
+		{Name: "w", Need: Write, Effect: Unsafe, LatencyTarget: 500 * ms, Deadline: 3000 * ms, Worth: 1}}, MaxAttempts: 3, DrainGrace: 1000 * ms}
 	r, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := 1000 * ms
-	r.Handle(at, Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
+	r.Handle(at, Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
 	if acts := r.Handle(at, Request{ID: "old", Class: "a", Deadline: at + 900*ms}, nil); len(acts) != 2 {
 		t.Fatalf("%v", acts)
 	}
 	old := r.requests["old"]
-	s.Classes = []Class{{Name: "a", Need: AnyData, Effect: Unsafe, Aim: 100 * ms, Deadline: 400 * ms, Worth: 1}, {Name: "n", Need: AnyData, Aim: ms, Deadline: ms}}
+	s.Classes = []Class{{Name: "a", Need: AnyData, Effect: Unsafe, LatencyTarget: 100 * ms, Deadline: 400 * ms, Worth: 1}, {Name: "n", Need: AnyData, LatencyTarget: ms, Deadline: ms}}
 	s, err = s.Checked()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Handle(at, Retune{s}, nil)
+	r.Handle(at, SettingsUpdate{s}, nil)
 	if r.requests["old"] != old || old.class.Effect != Safe || old.class.Deadline != 900*ms {
 		t.Errorf("the class of the open request became %+v", old.class.Class)
 	}
@@ -36,7 +36,7 @@
 		t.Errorf("a request of a removed class: %v", acts)
 	}
 	unchanged := r.cells[0].classes["a"]
-	r.Handle(at, Retune{s}, nil)
+	r.Handle(at, SettingsUpdate{s}, nil)
 	if r.cells[0].classes["a"] != unchanged {
 		t.Error("an unchanged class lost its statistics")
 	}
@@ -55,7 +55,7 @@
 			g.handle(Outcome{ID: id, Server: "p", Result: OK, Role: Primary, Position: g.now, Took: ms, Final: true})
 			s := settings()
 			s.TokensCarried, s.Probes = !carried, false
-			g.handle(Retune{s})
+			g.handle(SettingsUpdate{s})
 			g.now += time.Second // past the pin window, and no replica has stated a newer position
 			if _, acts := g.request("own", 0); len(sends(acts)) != 1 || sends(acts)[0] != "p" {
 				t.Errorf("a read of the session goes to %v, want the primary", sends(acts))
--- a/balance/router.go
+++ b/balance/router.go
@@ -214,11 +214,11 @@
 	switch e := ev.(type) {
 	case Members:
 		r.onMembers(e)
-	case ListLost:
-		r.emit(After{time.Second + time.Duration(r.rng.Int64N(int64(time.Second))), tagWatch})
+	case ListUnavailable:
+		r.emit(StartTimer{time.Second + time.Duration(r.rng.Int64N(int64(time.Second))), tagWatch})
 	case Cells:
 		r.onCells(e)
-	case Retune:
+	case SettingsUpdate:
 		r.applySettings(e.Settings)
 	case Request:
 		r.onRequest(e)
@@ -226,24 +226,24 @@
 		r.onOutcome(e)
 	case ProbeResult:
 		r.onProbe(e)
-	case Heard:
+	case RemoteOutcome:
 		r.onRemoteOutcome(e)
 	case ClockBounds:
 		r.onClockBounds(e)
 	case ClockReplaced:
 		r.onClockReplaced()
-	case Inherited:
+	case PriorEvidence:
 		r.onPriorEvidence(e)
 	case Timer:
 		r.onTimer(e.Tag)
-	case Gone:
+	case RequestCanceled:
 		if q := r.requests[e.ID]; q != nil {
 			r.finish(q)
 		}
-	case Ending:
+	case Shutdown:
 		for _, q := range r.requestsBySeq {
 			q.Deadline = min(q.Deadline, e.By)
-			r.emit(After{max(q.Deadline-r.now, 1), q.seq})
+			r.emit(StartTimer{max(q.Deadline-r.now, 1), q.seq})
 		}
 	}
 	acts, r.actions = r.actions, nil
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -36,10 +36,10 @@
 					l[i].Started = g.now - c.age
 				}
 				if strings.Contains(c.removed, l[i].Server) {
-					l[i].State = Left
+					l[i].State = Removed
 				}
 			}
-			g.handle(Members{Whole: true, List: l})
+			g.handle(Members{Snapshot: true, List: l})
 			_, acts := g.request(c.class, 0)
 			for _, s := range sends(append(acts, g.advance(300*ms)...)) {
 				if s == cold {
@@ -75,7 +75,7 @@
 		g := newSeededRig(t, seed)
 		l := list()
 		l[0].Started = g.now
-		g.handle(Members{Whole: true, List: l})
+		g.handle(Members{Snapshot: true, List: l})
 		_, acts := g.request("save", 0)
 		if len(sends(acts)) > 0 {
 			continue
