--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestNewNamesTheBadField(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"Classes":         func(s *Settings) { s.Classes = nil },
 		"DrainGrace":      func(s *Settings) { s.DrainGrace = -1 },
@@ -26,53 +26,53 @@
 }
 
 func TestMemoryStaysBounded(t *testing.T) {
-	// Replaced servers, ended requests and their timers must not pile up.
+	// Replaced servers, ended requests and their timers must not accumulate.
 	g := newRig(t, nil)
 	for i := range 50 {
 		l := list()
 		l[1].Server = fmt.Sprint("a", i)
-		g.do(Members{Snapshot: true, List: l})
+		g.handle(Members{Snapshot: true, List: l})
 		for range 10 {
-			id, acts := g.ask("any", 0)
+			id, acts := g.request("any", 0)
 			for _, s := range sends(acts) {
 				g.answer(id, s, 0, OK, Replica)
 			}
 		}
 		g.now += forgetAfter + time.Second
-		g.do(Timer{tagBeat})
+		g.handle(Timer{tagQueue})
 	}
-	n := len(g.r.reqs) + len(g.r.seqs)
+	n := len(g.r.requests) + len(g.r.requestsBySeq)
 	for _, gr := range g.r.groups {
 		n += len(gr.members) + len(gr.queued)
 	}
 	if n += len(g.r.members); n > 12 {
-		t.Errorf("%d records kept of 3 servers and no open request", n)
+		t.Errorf("%d records kept for 3 servers and no open request", n)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestDeterministicActions(t *testing.T) {
 	run := func() (all []Action) {
 		g := newRig(t, nil)
 		for i := range 300 {
 			g.now += 3 * ms
-			id, acts := g.ask([]string{"any", "browse", "own", "save"}[i%4], time.Duration(i)*ms)
+			id, acts := g.request([]string{"any", "browse", "own", "save"}[i%4], time.Duration(i)*ms)
 			all = append(all, acts...)
 			for _, s := range sends(acts) {
 				if i%5 != 0 {
 					all = append(all, g.answer(id, s, 0, OK, Unknown)...)
 				}
 			}
-			all = append(all, g.beat(beat)...)
+			all = append(all, g.advance(queueInterval)...)
 		}
 		return all
 	}
 	if !reflect.DeepEqual(run(), run()) {
-		t.Error("the same events and seed gave other actions")
+		t.Error("the same events and seed gave different actions")
 	}
 }
 
 func BenchmarkOrdinaryPath(b *testing.B) {
-	// One read and its answer at a router of a group of eight, among a hundred other members.
+	// One read and its answer at a router for a group of eight members, among a hundred other members.
 	s := settings()
 	r, _ := New(s, 1)
 	var l []Member
@@ -98,7 +98,7 @@
 	now, acts := origin, r.Handle(origin, Members{Snapshot: true, List: list()}, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		now += beat
-		acts = r.Handle(now, Timer{tagBeat}, acts[:0])
+		now += queueInterval
+		acts = r.Handle(now, Timer{tagQueue}, acts[:0])
 	}
 }
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-func TestWhereARequestGoes(t *testing.T) {
+func TestChoiceByNeed(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
-		age         time.Duration // of the session's write
-		a, b        time.Duration // how far the replicas are behind; negative: position unknown
-		to          string        // members that may be drawn
+		age         time.Duration // since the session's write
+		a, b        time.Duration // lag of the replicas; negative means that the position is unknown
+		to          string        // members that may be chosen
 	}{
 		{"write", "save", 0, 0, 0, "p"},
 		{"read that must be current", "fresh", 0, 0, 0, "p"},
 		{"session read in the pin window", "own", 100 * ms, 0, 0, "p"},
 		{"session read after it", "own", 400 * ms, 300 * ms, 500 * ms, "a"},
-		{"session read, none has the write", "own", 400 * ms, 500 * ms, 500 * ms, "p"},
+		{"session read, no replica has the write", "own", 400 * ms, 500 * ms, 500 * ms, "p"},
 		{"session read without a write", "own", 0, 9 * time.Second, -1, "ab"},
 		{"bounded read", "browse", 0, 100 * ms, 300 * ms, "a"},
 		{"bounded read at the bound counts as stale", "browse", 0, 200 * ms, 300 * ms, "p"},
@@ -33,11 +33,11 @@
 				g := newRig(t, func(s *Settings) { s.Probes = false })
 				for s, d := range map[string]time.Duration{"a": c.a, "b": c.b} {
 					if d >= 0 {
-						g.know(s, Replica, d)
+						g.setState(s, Replica, d)
 					}
 				}
 				for range 6 {
-					_, acts := g.ask(c.class, c.age)
+					_, acts := g.request(c.class, c.age)
 					for _, s := range sends(acts) {
 						seen[s] = true
 					}
@@ -55,8 +55,9 @@
 	}
 }
 
-func TestReadWaitsForAPositionAskedFor(t *testing.T) {
-	// Reported positions are old when they come; a read that found none in its bound would load the primary.
+func TestReadWaitsForProbedPosition(t *testing.T) {
+	// Reported positions are old when they arrive; a read that found no replica within its bound would load
+	// the primary.
 	for _, c := range []struct {
 		name   string
 		behind time.Duration
@@ -64,7 +65,7 @@
 	}{{"in the bound", 100 * ms, "ab"}, {"far behind", 900 * ms, "p"}} {
 		g := newRig(t, nil)
 		g.now += time.Second
-		_, acts := g.ask("browse", 0)
+		_, acts := g.request("browse", 0)
 		for range 4 {
 			i := slices.IndexFunc(acts, func(a Action) bool { _, ok := a.(Probe); return ok })
 			if i < 0 {
@@ -72,7 +73,7 @@
 			}
 			p := acts[i].(Probe)
 			g.now += ms
-			acts = g.do(ProbeResult{Server: p.Server, Result: OK, Report: Report{Valid: true, Position: g.now - c.behind}})
+			acts = g.handle(ProbeResult{Server: p.Server, Result: OK, Report: Report{Valid: true, Position: g.now - c.behind}})
 		}
 		if to := sends(acts); len(to) != 1 || !strings.Contains(c.to, to[0]) {
 			t.Errorf("%s: sent to %q, want one of %s", c.name, to, c.to)
@@ -80,135 +81,136 @@
 	}
 }
 
-func TestFallbackReadsLeaveAFullPrimaryByChance(t *testing.T) {
-	// While replicas lag, reads fall back; hundreds of routers with one such read each filled the primary.
+func TestFallbackReadsAreShedAtFullPrimary(t *testing.T) {
+	// While replicas lag, reads fall back to the primary; hundreds of routers with one such read each
+	// overloaded it.
 	g := newRig(t, func(s *Settings) { s.Probes = false })
-	g.know("p", Primary, 0)
+	g.setState("p", Primary, 0)
 	count := func() (n int) {
 		for range 100 {
 			g.now += 10 * ms
-			id, acts := g.ask("browse", 0)
+			id, acts := g.request("browse", 0)
 			n += len(sends(acts))
-			g.do(RequestCanceled{id})
+			g.handle(RequestCanceled{id})
 			g.answer(id, "p", 0, Canceled, Primary)
 		}
 		return n
 	}
 	if n := count(); n < 90 {
-		t.Errorf("%d of 100 reads sent to a primary that is well", n)
+		t.Errorf("%d of 100 reads sent to a healthy primary", n)
 	}
 	for range 12 {
-		id, _ := g.ask("save", 0)
+		id, _ := g.request("save", 0)
 		g.answer(id, "p", 0, QueueFull, Primary)
-		g.do(RequestCanceled{id})
+		g.handle(RequestCanceled{id})
 	}
 	if n := count(); n > 20 {
 		t.Errorf("%d of 100 reads sent to a full primary", n)
 	}
 	for range 40 {
 		g.now += 20 * ms
-		id, _ := g.ask("save", 0)
+		id, _ := g.request("save", 0)
 		g.answer(id, "p", 0, OK, Primary)
 	}
 	if n := count(); n < 90 {
-		t.Errorf("%d of 100 reads sent after it recovered", n)
+		t.Errorf("%d of 100 reads sent after the primary recovered", n)
 	}
 }
 
-func TestDrawFollowsWeight(t *testing.T) {
+func TestReplicaChoiceByWeight(t *testing.T) {
 	g := newRig(t, nil)
 	g.r.members["b"].Weight = 3
 	n := map[string]int{}
 	for range 4000 {
-		id, acts := g.ask("any", 0)
+		id, acts := g.request("any", 0)
 		to := sends(acts)[0]
 		n[to]++
 		g.answer(id, to, 0, OK, Replica)
 	}
 	if share := float64(n["b"]) / 4000; math.Abs(share-0.75) > 0.03 {
-		t.Errorf("the member of weight 3 of 4 got %.3f of the draws", share)
+		t.Errorf("the member with weight 3 of 4 got %.3f of the reads", share)
 	}
 }
 
-func TestMissMovesAWriteOn(t *testing.T) {
+func TestMisdirectedWriteIsRetriedElsewhere(t *testing.T) {
 	g := newRig(t, nil)
-	id, acts := g.ask("save", 0)
+	id, acts := g.request("save", 0)
 	want(t, "first", sends(acts), []string{"p"})
-	acts = append(g.answer(id, "p", 0, Misdirected, Replica), g.beat(2*beat)...)
+	acts = append(g.answer(id, "p", 0, Misdirected, Replica), g.advance(2*queueInterval)...)
 	second := sends(acts)
 	if len(second) != 1 || second[0] == "p" {
-		t.Fatalf("after the miss: %q", second)
+		t.Fatalf("after a misdirected write: %q", second)
 	}
 	g.answer(id, second[0], 1, OK, Primary)
-	_, acts = g.ask("save", 0)
+	_, acts = g.request("save", 0)
 	want(t, "next write", sends(acts), second)
 }
 
-func TestOneWriteScoutsForThePrimary(t *testing.T) {
-	// Herds of writes at replicas use up attempts and work while a group has no primary.
+func TestOneWriteSearchesForPrimary(t *testing.T) {
+	// Many writes sent to replicas use up attempts and host work while a group has no primary.
 	g := newRig(t, nil)
 	for _, s := range []string{"p", "a", "b"} {
-		g.know(s, Replica, 0)
+		g.setState(s, Replica, 0)
 	}
 	sent := 0
 	for range 20 {
-		_, acts := g.ask("save", 0)
+		_, acts := g.request("save", 0)
 		sent += len(sends(acts))
 	}
 	if sent != 1 {
-		t.Fatalf("%d writes sent into a group without a primary, want one scout", sent)
+		t.Fatalf("%d writes sent into a group without a primary, want 1", sent)
 	}
 }
 
 func TestSessionMemory(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.TokensCarried = false })
-	for i := range sessionLimit + 10 {
+	for i := range maxSessions + 10 {
 		g.now += ms
-		g.r.remember(fmt.Sprint("s", i), g.now)
+		g.r.rememberWrite(fmt.Sprint("s", i), g.now)
 	}
-	if n := len(g.r.sessions); n > sessionLimit {
+	if n := len(g.r.sessionWrites); n > maxSessions {
 		t.Errorf("%d sessions kept", n)
 	}
-	if got := g.r.wrote(Request{Session: "s5"}); got < origin+5*ms {
-		t.Errorf("a forgotten session's floor %v lies below its write", got)
+	if got := g.r.lastWrite(Request{Session: "s5"}); got < origin+5*ms {
+		t.Errorf("the floor %v of a forgotten session is below its write", got)
 	}
-	last := fmt.Sprint("s", sessionLimit+9)
-	if got := g.r.wrote(Request{Session: last}); got != g.now {
-		t.Errorf("last session remembered as %v, want %v", got, g.now)
+	last := fmt.Sprint("s", maxSessions+9)
+	if got := g.r.lastWrite(Request{Session: last}); got != g.now {
+		t.Errorf("last write of the newest session is %v, want %v", got, g.now)
 	}
 }
 
-func TestUnprovenMembersGetNoUnqualifiedRead(t *testing.T) {
+func TestLatestReadNeedsPrimary(t *testing.T) {
 	g := newRig(t, nil)
-	g.know("p", Replica, 0) // the listed primary answered as a replica
-	_, acts := g.ask("fresh", 0)
-	want(t, "no known primary", sends(append(acts, g.beat(500*ms)...)), nil)
+	g.setState("p", Replica, 0) // the listed primary answered as a replica
+	_, acts := g.request("fresh", 0)
+	want(t, "no known primary", sends(append(acts, g.advance(500*ms)...)), nil)
 }
 
-func TestMembersThatCheckReadsNeedNoProof(t *testing.T) {
+func TestMembersWithChecksNeedNoPosition(t *testing.T) {
 	for _, c := range []struct {
 		checks Checks
 		to     int
 	}{{ChecksNone, 0}, {ChecksRefuse, 1}, {ChecksWait, 1}} {
 		g := newRig(t, func(s *Settings) { s.Checks = c.checks })
-		if _, acts := g.ask("browse", 0); len(sends(acts)) != c.to {
+		if _, acts := g.request("browse", 0); len(sends(acts)) != c.to {
 			t.Errorf("checks %v: %d sends with no position known, want %d", c.checks, len(sends(acts)), c.to)
 		}
 	}
 }
 
-func TestAFullPrimaryIsNotAskedAgainAtOnce(t *testing.T) {
+func TestFullPrimaryBackoff(t *testing.T) {
 	g := newRig(t, nil)
-	id, acts := g.ask("save", 0)
-	for try, least := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
+	id, acts := g.request("save", 0)
+	for attempt, minDelay := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
 		want(t, "sent", sends(acts), []string{"p"})
-		acts = g.answer(id, "p", try, QueueFull, Primary)
+		acts = g.answer(id, "p", attempt, QueueFull, Primary)
 		from := g.now
 		for len(sends(acts)) == 0 && g.now-from < time.Second {
-			acts = g.beat(beat)
+			acts = g.advance(queueInterval)
 		}
-		if g.now-from < least {
-			t.Errorf("try %d: again after %v", try, g.now-from)
+		if g.now-from < minDelay {
+			t.Errorf("attempt %d: retried after %v", attempt, g.now-from)
 		}
 	}
 }
--- a/balance/even_test.go
+++ b/balance/even_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Reads spread more evenly than by chance: a replica is drawn less, the more of its limit is out. Drawn by size alone ten reads
-// differ by 2.5 between two replicas in the mean.
-func TestTheDrawIsEven(t *testing.T) {
+// Reads are spread more evenly than at random, as a replica is drawn less the more of its limit is in
+// flight. Drawn by weight alone, ten reads differ by 2.5 between two replicas on average.
+func TestReplicaChoiceIsEven(t *testing.T) {
 	const seeds, reads = 300, 10
 	sum := 0.0
 	for seed := range uint64(seeds) {
@@ -21,9 +21,9 @@
 		for i := range reads {
 			r.Handle(at, Request{ID: fmt.Sprint(i), Class: "a", Deadline: at + 9000*ms}, nil)
 		}
-		q, s := len(r.members["q"].out), len(r.members["s"].out)
+		q, s := len(r.members["q"].inFlight), len(r.members["s"].inFlight)
 		if q+s != reads {
-			t.Fatalf("%d and %d of %d reads are out at the replicas", q, s, reads)
+			t.Fatalf("%d and %d of %d reads are in flight at the replicas", q, s, reads)
 		}
 		sum += math.Abs(float64(q - s))
 	}
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -1,11 +1,12 @@
 package balance
 
-// Evidence of roles and positions: what answers, reports, other routers, the list and an earlier process said of members, and since
-// when it was true at the earliest and at the latest. This file alone writes it and says who may be read from as a primary, and on
-// what grounds. docs/freshness.md has the table of sources.
+// Evidence of roles and positions: what answers, reports, other routers, the list and a previous process
+// stated about members, with bounds of the time at which each statement was made. Only this file changes the
+// evidence and decides which member may be read from as the primary, and on what grounds. docs/freshness.md
+// has the table of sources.
 //
-// What is kept of a member is a maximum over all that was said, so that the order in which statements come does not matter: older
-// news never takes the place of newer.
+// The evidence about a member is a maximum over all statements, so that the order in which they arrive does
+// not matter: an older statement never replaces a newer one.
 
 import (
 	"cmp"
@@ -13,232 +14,242 @@
 	"time"
 )
 
-// Source is who made a statement.
+// Source is the origin of a statement.
 type Source int
 
 const (
-	FromAnswer        Source = iota // an answer of the member's, whole
-	FromPartialAnswer               // the part that came of an answer which broke off, or which can't be read otherwise
-	FromReport                      // a load report that came without a role beside it
+	FromAnswer        Source = iota // a complete answer of the member
+	FromPartialAnswer               // the part that arrived of an answer that broke off or could not be parsed
+	FromReport                      // a load report, where the answer itself stated no role
 	FromGossip                      // another router
-	FromHandover                    // an earlier process of this router
-	FromList                        // the list of servers
+	FromHandover                    // a previous process of this router
+	FromList                        // the member list
 )
 
-// String is the source in a word.
+// String returns the name of the source as it appears in logs.
 func (s Source) String() string {
 	return [...]string{"answer", "part of an answer", "report", "gossip", "handover", "list"}[s]
 }
 
-// TimeBounds bounds when a statement was made, by the router's clock.
+// TimeBounds bounds the time at which a statement was made, by the router's clock.
 type TimeBounds struct {
 	NotBefore, NotAfter time.Duration
-	Epoch               int // of the clock by which it was dated; the router itself knows one only
+	Epoch               int // epoch of the clock that dated the statement; the router itself knows only one
 }
 
-// Statement is what a source said of a member.
+// Statement is what a source stated about a member.
 type Statement struct {
 	Source   Source
-	Role     Role          // Unknown: nothing was said of it
-	Position time.Duration // that its log had reached; 0: not told
+	Role     Role          // Unknown if none was stated
+	Position time.Duration // position of the member's log; 0 if none was stated
 	StatedAt TimeBounds
 }
 
-// evidence is what is known of one member's role and log.
+// evidence is what is known about the role and the log of one member.
 type evidence struct {
-	position     time.Duration // highest that was told: it never goes back
-	positionFrom Source
-	positionAt   time.Duration // when that was told last, at the latest
-	leads        time.Duration // the newest word that it is the primary was made no earlier; 0: there was none
-	leadsFrom    Source
-	follows      time.Duration // the newest word that it is none was made no later; 0: there was none
-	followsFrom  Source
-	told         bool          // it has told its role at any time
-	started      time.Duration // its process started no later, by the list; 0: long ago
+	position         time.Duration // highest position stated; a position never decreases
+	positionSource   Source
+	positionNotAfter time.Duration // latest time of the last statement of that position
+	// Earliest time of the newest statement that it is the primary; 0 if there was none.
+	primaryNotBefore time.Duration
+	primarySource    Source
+	replicaNotAfter  time.Duration // latest time of the newest statement that it is a replica; 0 if there was none
+	replicaSource    Source
+	statedRole       bool          // it has ever stated its role
+	started          time.Duration // latest start time of its process, by the list; 0 if long ago
 }
 
-// add takes a statement that reached the router at a time. Words against being read from bind as if they had been made as late as
-// possible, words for it as if they had been made as early as possible.
+// add records a statement that reached the router at now. A statement against reading from the member as the
+// primary counts from the latest time at which it may have been made, one for it from the earliest.
 func (e *evidence) add(now time.Duration, s Statement) {
-	if told := cmp.Or(s.StatedAt.NotAfter, now); s.Position > e.position {
-		e.position, e.positionFrom, e.positionAt = s.Position, s.Source, told
+	if notAfter := cmp.Or(s.StatedAt.NotAfter, now); s.Position > e.position {
+		e.position, e.positionSource, e.positionNotAfter = s.Position, s.Source, notAfter
 	} else if s.Position == e.position {
-		e.positionAt = max(e.positionAt, told) // its log stands still
+		e.positionNotAfter = max(e.positionNotAfter, notAfter) // the log does not move
 	}
-	e.told = e.told || s.Role != Unknown
+	e.statedRole = e.statedRole || s.Role != Unknown
 	switch s.Role {
 	case Primary:
-		if made := min(s.StatedAt.NotBefore, now); made > e.leads {
-			e.leads, e.leadsFrom = made, s.Source
+		if statedAt := min(s.StatedAt.NotBefore, now); statedAt > e.primaryNotBefore {
+			e.primaryNotBefore, e.primarySource = statedAt, s.Source
 		}
 	case Replica:
-		if made := min(cmp.Or(s.StatedAt.NotAfter, now), now); made > e.follows {
-			e.follows, e.followsFrom = made, s.Source
+		if statedAt := min(cmp.Or(s.StatedAt.NotAfter, now), now); statedAt > e.replicaNotAfter {
+			e.replicaNotAfter, e.replicaSource = statedAt, s.Source
 		}
 	}
 }
 
-// start takes the time at which the member's process started at the latest. Who starts goes on as a replica.
+// start records the latest time at which the member's process started. A new process starts as a replica.
 func (e *evidence) start(at time.Duration) { e.started = max(e.started, at) }
 
-// leading says that its newest word is that it is the primary: one made, for certain, after all that speaks against it.
-func (e *evidence) leading() bool { return e.leads > max(e.follows, e.started) }
+// isPrimary reports whether the newest statement that the member is the primary was certainly made after all
+// evidence against it.
+func (e *evidence) isPrimary() bool { return e.primaryNotBefore > max(e.replicaNotAfter, e.started) }
 
-// silent says that it has never told its role.
-func (e *evidence) silent() bool { return !e.told }
+// neverStatedRole reports whether the member has never stated its role.
+func (e *evidence) neverStatedRole() bool { return !e.statedRole }
 
-// clockReplaced drops what was dated by a clock that was wrong. Positions stay: they are by the fleet's own.
-func (e *evidence) clockReplaced() { e.leads, e.started = 0, 0 }
+// clockReplaced drops the times that were dated by a wrong clock. Positions stay, as they are readings of
+// the fleet's clock.
+func (e *evidence) clockReplaced() { e.primaryNotBefore, e.started = 0, 0 }
 
-// Grounds say on what evidence an attempt goes to a member.
+// Grounds is the evidence on which an attempt is sent to a member.
 type Grounds struct {
 	Kind             GroundsKind
-	Source           Source        // of that evidence
-	Position         time.Duration // the member's, as far as it is known; 0: it is not
-	PrimaryNotBefore time.Duration // with LeaderWord: the word was made no earlier
-	// SendBy is when the evidence no longer holds, so that the attempt must not begin later; 0: it holds for good. It moves with the
-	// bounds of the clock, which then had data so much older by Ages.
+	Source           Source        // source of that evidence
+	Position         time.Duration // position of the member; 0 if unknown
+	PrimaryNotBefore time.Duration // with a statement of the primary: its earliest time
+	// SendBy is the time until which the evidence holds, so that the attempt must not be sent later; 0 means
+	// without limit. It was computed with the clock bounds of that time, whose offset for ages is kept here.
 	SendBy, AgeOffset time.Duration
 }
 
-// Expired says that the evidence does not hold any more, by the bounds of the clock as they are now.
+// Expired reports whether the evidence no longer holds under the present clock bounds.
 func (g Grounds) Expired(now time.Duration, clock ClockBounds) bool {
 	return g.SendBy > 0 && (!clock.Known || now > g.SendBy-max(0, clock.AgeOffset-g.AgeOffset))
 }
 
-// GroundsKind is a kind of Grounds.
+// GroundsKind is the kind of evidence in Grounds.
 type GroundsKind int
 
 const (
-	NotNeeded        GroundsKind = iota // a write, or a read that any member may serve: the member itself turns away what it can't
-	ByPosition                          // a replica that has applied the log far enough
-	PrimaryStatement                    // the member said that it is the primary, and nothing later speaks against it
-	PresumedPrimary                     // the list names it, and it has told this router nothing of its role
+	// A write, or a read that any member may serve: the member itself refuses what it cannot serve.
+	NotNeeded        GroundsKind = iota
+	ByPosition                   // a replica that has applied enough of the log
+	PrimaryStatement             // the member stated that it is the primary, and no later evidence contradicts it
+	PresumedPrimary              // the list names it as the primary, and it has not stated its role to this router
 )
 
-// String is the kind in a word or two.
+// String returns the name of the kind as it appears in logs.
 func (k GroundsKind) String() string {
 	return [...]string{"not needed", "position", "leader's word", "list"}[k]
 }
 
-// RoleStatements are a member's last words on its role as a host side reads them, before the router gets to them. The zero value has none.
+// RoleStatements holds a member's last statements on its role as the host side reads them, before the router
+// processes them. The zero value holds none.
 type RoleStatements struct {
-	follows time.Duration // when it last said that it is no primary; 0: it never did
-	leads   bool          // it has said since, in a whole answer, that it is
+	replicaAt     time.Duration // time of its last statement that it is not the primary; 0 if there was none
+	statedPrimary bool          // a complete answer has stated since then that it is the primary
 }
 
-// StatedPrimary notes that a whole answer named the member the primary.
-func (w *RoleStatements) StatedPrimary() { w.leads = true }
+// StatedPrimary records that a complete answer named the member as the primary.
+func (w *RoleStatements) StatedPrimary() { w.statedPrimary = true }
 
-// StatedReplica notes that the member said that it is no primary. news: it had not, or has said otherwise since.
-func (w *RoleStatements) StatedReplica(now time.Duration) (news bool) {
-	news = w.leads || w.follows == 0
-	w.follows, w.leads = now, false
-	return news
+// StatedReplica records the member's statement that it is not the primary. It reports whether that is new: the
+// first such statement, or the first one since a statement to the contrary.
+func (w *RoleStatements) StatedReplica(now time.Duration) (isNew bool) {
+	isNew = w.statedPrimary || w.replicaAt == 0
+	w.replicaAt, w.statedPrimary = now, false
+	return isNew
 }
 
-// Refute says that the member has told, since an attempt was decided on, that it is not the primary that the attempt needs.
+// Refute reports whether the member has stated, since the decision to send an attempt, that it is not the
+// primary, and the attempt needs the primary.
 func (w *RoleStatements) Refute(g Grounds) bool {
-	return g.NeedsPrimary() && w.follows > 0 && w.follows >= g.PrimaryNotBefore
+	return g.NeedsPrimary() && w.replicaAt > 0 && w.replicaAt >= g.PrimaryNotBefore
 }
 
-// NeedsPrimary says that a word of the member's that it follows takes the grounds away.
+// NeedsPrimary reports whether the grounds end with a statement of the member that it is a replica.
 func (g Grounds) NeedsPrimary() bool { return g.Kind == PrimaryStatement || g.Kind == PresumedPrimary }
 
-// learn takes a statement on m, and notes who is its group's primary now.
-func (r *Router) learn(m *member, s Statement) {
+// addStatement records a statement about m and updates the primary of its group.
+func (r *Router) addStatement(m *member, s Statement) {
 	before := m.evidence
 	if s.Position > r.latestPosition(cmp.Or(s.StatedAt.NotAfter, r.now)) {
-		s.Position = 0 // from the future: it would pass stale data as fresh once that has come
+		s.Position = 0 // a position in the future would later make stale data pass as fresh
 	}
 	m.evidence.add(r.now, s)
-	m.group.newest = max(m.group.newest, s.Position)
-	r.noteRole(m, s.Source, before)
+	m.group.newestPosition = max(m.group.newestPosition, s.Position)
+	r.updatePrimary(m, s.Source, before)
 }
 
-// learnStart takes a start that the list tells.
-func (r *Router) learnStart(m *member, at time.Duration) {
+// addStart records a start time from the list.
+func (r *Router) addStart(m *member, at time.Duration) {
 	before := m.evidence
 	m.evidence.start(at)
-	r.noteRole(m, FromList, before)
+	r.updatePrimary(m, FromList, before)
 }
 
-// noteRole finds the group's primary anew after evidence on m has changed, and reports a change of who it is.
-func (r *Router) noteRole(m *member, source Source, before evidence) {
+// updatePrimary updates the primary of the group after evidence about m has changed, and records a change of the
+// primary.
+func (r *Router) updatePrimary(m *member, source Source, before evidence) {
 	after := m.evidence
-	if after.leads == before.leads && after.follows == before.follows && after.started == before.started {
+	if after.primaryNotBefore == before.primaryNotBefore && after.replicaNotAfter == before.replicaNotAfter && after.started == before.started {
 		return
 	}
-	g, was := m.group, m.group.primary
-	g.primary = g.newestLeader()
-	if g.primary == was {
+	g, previous := m.group, m.group.primary
+	g.primary = g.newestPrimary()
+	if g.primary == previous {
 		return
 	}
-	x := PrimaryChange{Group: g.id, Source: source, Server: m.Server, PrimaryNotBefore: after.leads, ReplicaNotAfter: after.follows, Started: after.started}
-	if was != nil {
-		x.From = was.Server
+	change := PrimaryChange{Group: g.id, Source: source, Server: m.Server, PrimaryNotBefore: after.primaryNotBefore, ReplicaNotAfter: after.replicaNotAfter, Started: after.started}
+	if previous != nil {
+		change.From = previous.Server
 	}
 	if g.primary != nil {
-		x.To = g.primary.Server
+		change.To = g.primary.Server
 	}
-	if len(r.changes) < changesMost {
-		r.changes = append(r.changes, x)
+	if len(r.changes) < maxChanges {
+		r.changes = append(r.changes, change)
 	}
 }
 
-// noBound is a position that none reaches.
-const noBound = time.Duration(math.MaxInt64 / 2)
+// unreachablePosition is a position that no log reaches.
+const unreachablePosition = time.Duration(math.MaxInt64 / 2)
 
-// changesMost is how many changes are kept for who asks for them; the simulator never does.
-const changesMost = 100
+// maxChanges is the maximum number of changes kept for Changes, which the simulator never calls.
+const maxChanges = 100
 
-// PrimaryChanges gives what has changed since the last call, of who counts as a group's primary.
+// PrimaryChanges returns the changes of primaries since the last call.
 func (r *Router) PrimaryChanges() []PrimaryChange {
 	out := r.changes
 	r.changes = nil
 	return out
 }
 
-// newestLeader is the member with the newest word that it is the primary, if that still stands. Where it does not, no older word of
-// another member takes its place: that one had been replaced before.
-func (g *group) newestLeader() *member {
+// newestPrimary returns the member with the newest statement that it is the primary, or nil if that statement
+// is contradicted. It does not fall back to an older statement of another member, as that member had been
+// replaced before.
+func (g *group) newestPrimary() *member {
 	var newest *member
 	for _, m := range g.members {
-		if m.evidence.leads > 0 && (newest == nil || m.evidence.leads > newest.evidence.leads) {
+		if m.evidence.primaryNotBefore > 0 && (newest == nil || m.evidence.primaryNotBefore > newest.evidence.primaryNotBefore) {
 			newest = m
 		}
 	}
-	if newest == nil || newest.evidence.leads < g.ledBefore || !newest.evidence.leading() {
+	if newest == nil || newest.evidence.primaryNotBefore < g.forgottenPrimaryAt || !newest.evidence.isPrimary() {
 		return nil
 	}
 	return newest
 }
 
-// primaryOf is the member that last said it is the primary, else the one that the list names as long as it has not told its role.
+// primaryOf returns the member that last stated it is the primary, or else the member that the list names,
+// as long as that one has not stated its role. It returns nil if there is neither.
 func (r *Router) primaryOf(g *group) *member {
 	if g.primary != nil {
 		return g.primary
 	}
 	for _, m := range g.members {
-		if m.Primary && m.evidence.silent() && !m.relisted && r.accepts(m, true) {
+		if m.Primary && m.evidence.neverStatedRole() && !m.mayHaveStatedRole && r.accepts(m, true) {
 			return m
 		}
 	}
 	return nil
 }
 
-// grounds says on what evidence q may be sent to m now.
+// grounds returns the evidence on which q may be sent to m now.
 func (r *Router) grounds(q *request, m *member) Grounds {
 	e := &m.evidence
-	if q.cls.Need == Write || r.anyMember(q) {
+	if q.class.Need == Write || r.needsNoProof(q) {
 		return Grounds{Kind: NotNeeded, Position: e.position}
 	}
 	switch {
 	case m == m.group.primary:
-		return Grounds{Kind: PrimaryStatement, Source: e.leadsFrom, Position: e.position, PrimaryNotBefore: e.leads}
+		return Grounds{Kind: PrimaryStatement, Source: e.primarySource, Position: e.position, PrimaryNotBefore: e.primaryNotBefore}
 	case r.fresh(q, m):
-		g := Grounds{Kind: ByPosition, Source: e.positionFrom, Position: e.position}
-		if q.cls.bounded() {
+		g := Grounds{Kind: ByPosition, Source: e.positionSource, Position: e.position}
+		if q.class.bounded() {
 			g.SendBy, g.AgeOffset = r.sendBy(q, m), r.clock.AgeOffset
 		}
 		return g
@@ -246,44 +257,47 @@
 	return Grounds{Kind: PresumedPrimary, Source: FromList, Position: e.position}
 }
 
-// learnOutcome takes what an attempt told. Of an answer that did not come whole only what speaks against the member counts.
-func (r *Router) learnOutcome(m *member, e Outcome) {
+// addOutcome records what the end of an attempt states. Of an incomplete answer, only a statement against
+// the member counts.
+func (r *Router) addOutcome(m *member, e Outcome) {
 	if e.StatedAt == (TimeBounds{}) {
 		e.StatedAt.NotBefore = r.now - e.Took
-		if e.Role == Primary { // its position is the present; of a write, its commit, rounded up
+		// A primary's position is the present; after a write it is that of the commit, rounded up.
+		if e.Role == Primary {
 			e.StatedAt.NotBefore = max(e.StatedAt.NotBefore, e.Position-r.clock.MaxOffset-slack)
 		}
 	}
-	if !wholeAnswer(e.Result) {
+	if !completeAnswer(e.Result) {
 		if e.Role == Replica {
-			r.learn(m, Statement{Source: FromPartialAnswer, Role: Replica, StatedAt: e.StatedAt})
+			r.addStatement(m, Statement{Source: FromPartialAnswer, Role: Replica, StatedAt: e.StatedAt})
 		}
 		return
 	}
-	r.learn(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, StatedAt: e.StatedAt})
+	r.addStatement(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, StatedAt: e.StatedAt})
 	if e.Role != Unknown {
-		e.Report.Role = Unknown // the report beside it is older
+		e.Report.Role = Unknown // the report that came with it is older
 	}
-	r.learnReport(m, e.StatedAt, e.Report)
+	r.addReport(m, e.StatedAt, e.Report)
 }
 
-// learnReport takes a load report, which says itself how old it is.
-func (r *Router) learnReport(m *member, made TimeBounds, rep Report) {
-	if rep.Valid {
-		made.NotBefore = rep.NotBefore
-		r.learn(m, Statement{Source: FromReport, Role: rep.Role, Position: rep.Position, StatedAt: made})
+// addReport records a load report, which states its own age.
+func (r *Router) addReport(m *member, made TimeBounds, report Report) {
+	if report.Valid {
+		made.NotBefore = report.NotBefore
+		r.addStatement(m, Statement{Source: FromReport, Role: report.Role, Position: report.Position, StatedAt: made})
 	}
 }
 
-// latestPosition is the latest position that a log may have had at a time; without bounds it may be any.
+// latestPosition returns the highest position that a log may have had at a time. Without clock bounds that
+// is any position.
 func (r *Router) latestPosition(at time.Duration) time.Duration {
 	if !r.clock.Known {
-		return noBound
+		return unreachablePosition
 	}
 	return at + r.clock.MaxOffset + slack
 }
 
-// onClockBounds takes how the clock stands. A position that turns out to lie in the future was none.
+// onClockBounds applies new clock bounds. Positions that now turn out to lie in the future are dropped.
 func (r *Router) onClockBounds(e ClockBounds) {
 	first := e.Known && !r.clock.Known
 	narrower := first || e.Known && e.MaxOffset < r.clock.MaxOffset
@@ -296,47 +310,47 @@
 		}
 	}
 	for _, g := range r.groups {
-		if g.newest > r.latestPosition(r.now) {
-			g.newest = 0
+		if g.newestPosition > r.latestPosition(r.now) {
+			g.newestPosition = 0
 		}
 	}
 	if first {
 		for _, g := range r.groups {
-			r.release(g)
+			r.sendQueued(g)
 		}
 	}
 }
 
-// onClockReplaced forgets what was dated by a clock that was wrong.
+// onClockReplaced drops evidence that was dated by a wrong clock.
 func (r *Router) onClockReplaced() {
 	for _, m := range r.members {
 		before := m.evidence
 		m.evidence.clockReplaced()
-		r.noteRole(m, FromAnswer, before)
+		r.updatePrimary(m, FromAnswer, before)
 	}
 	for _, g := range r.groups {
-		g.ledBefore = 0
+		g.forgottenPrimaryAt = 0
 	}
 }
 
-// onInherited takes what an earlier router knew of a member.
-func (r *Router) onInherited(e PriorEvidence) {
+// onPriorEvidence records what an earlier router knew about a member.
+func (r *Router) onPriorEvidence(e PriorEvidence) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
 	if e.PrimaryNotBefore > 0 {
-		r.learn(m, Statement{Source: FromHandover, Role: Primary, StatedAt: TimeBounds{NotBefore: e.PrimaryNotBefore}})
+		r.addStatement(m, Statement{Source: FromHandover, Role: Primary, StatedAt: TimeBounds{NotBefore: e.PrimaryNotBefore}})
 	}
 	if e.ReplicaNotAfter > 0 {
-		r.learn(m, Statement{Source: FromHandover, Role: Replica, StatedAt: TimeBounds{NotAfter: e.ReplicaNotAfter}})
+		r.addStatement(m, Statement{Source: FromHandover, Role: Replica, StatedAt: TimeBounds{NotAfter: e.ReplicaNotAfter}})
 	}
-	r.learn(m, Statement{Source: FromHandover, Position: e.Position})
-	m.suspect = m.suspect || !e.Alive // a probe comes before what is sent
-	r.release(m.group)
+	r.addStatement(m, Statement{Source: FromHandover, Position: e.Position})
+	m.suspect = m.suspect || !e.Alive // it is probed before anything is sent to it
+	r.sendQueued(m.group)
 }
 
-// wholeAnswer says that a result is told by an answer that came whole.
-func wholeAnswer(x Result) bool {
+// completeAnswer reports whether a result comes from a complete answer.
+func completeAnswer(x Result) bool {
 	return x == OK || x == Failed || x == QueueFull || x == Misdirected || x == Stale
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -24,15 +24,16 @@
 		}}
 }
 
-// rig drives one router by hand.
+// rig drives one router step by step.
 type rig struct {
-	t    *testing.T
-	r    *Router
-	now  time.Duration
-	acts []Action
-	n    int
+	t       *testing.T
+	r       *Router
+	now     time.Duration
+	actions []Action
+	n       int
 }
 
+// newRig returns a rig with a primary p and two replicas a and b.
 func newRig(t *testing.T, change func(*Settings)) *rig {
 	t.Helper()
 	s := settings()
@@ -44,12 +45,12 @@
 		t.Fatal(err)
 	}
 	g := &rig{t: t, r: r, now: origin}
-	g.do(Members{Snapshot: true, List: list()})
+	g.handle(Members{Snapshot: true, List: list()})
 	return g
 }
 
-// seeded is a rig of the usual settings that has no list yet.
-func seeded(t *testing.T, seed int) *rig {
+// newSeededRig returns a rig with the default settings and without a member list.
+func newSeededRig(t *testing.T, seed int) *rig {
 	r, err := New(settings(), uint64(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -57,11 +58,11 @@
 	return &rig{t: t, r: r, now: origin}
 }
 
-// firstSent wants the first action to be a Send of id.
-func firstSent(t *testing.T, acts []Action, id, why string) {
+// requireFirstSend requires the first action to be a Send of the request id.
+func requireFirstSend(t *testing.T, acts []Action, id, why string) {
 	t.Helper()
 	if s, ok := acts[0].(Send); !ok || s.ID != id {
-		t.Errorf("first released: %v, want %s", acts[0], why)
+		t.Errorf("first action %v, want %s", acts[0], why)
 	}
 }
 
@@ -70,39 +71,44 @@
 		{Server: "b", Weight: 1}}
 }
 
-func (g *rig) do(e Event) []Action {
-	g.acts = g.r.Handle(g.now, e, nil)
-	return g.acts
+// handle passes an event to the router and returns its actions.
+func (g *rig) handle(e Event) []Action {
+	g.actions = g.r.Handle(g.now, e, nil)
+	return g.actions
 }
 
-func (g *rig) ask(class string, age time.Duration) (string, []Action) {
+// request sends a request of a class whose session last wrote the given time ago.
+func (g *rig) request(class string, age time.Duration) (string, []Action) {
 	g.n++
 	id := fmt.Sprint("q", g.n)
 	life := 2 * time.Second
 	if c := g.r.cells[0].classes[class]; c != nil {
 		life = c.Deadline
 	}
-	return id, g.do(Request{ID: id, Class: class, Session: "s", Deadline: g.now + life, WriteAge: age})
+	return id, g.handle(Request{ID: id, Class: class, Session: "s", Deadline: g.now + life, WriteAge: age})
 }
 
-// beat lets time pass in steps, so that what waits is looked at.
-func (g *rig) beat(d time.Duration) []Action {
+// advance advances the clock in steps of queueInterval, so that queued requests are tried again.
+func (g *rig) advance(d time.Duration) []Action {
 	var all []Action
 	for end := g.now + d; g.now < end; {
-		g.now += beat
-		all = append(all, g.do(Timer{tagBeat})...)
+		g.now += queueInterval
+		all = append(all, g.handle(Timer{tagQueue})...)
 	}
 	return all
 }
 
-func (g *rig) know(server string, role Role, behind time.Duration) {
-	g.r.learn(g.r.members[server], Statement{Role: role, Position: g.now - behind, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now}})
+// setState records a statement of a member about its role and lag.
+func (g *rig) setState(server string, role Role, behind time.Duration) {
+	g.r.addStatement(g.r.members[server], Statement{Role: role, Position: g.now - behind, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now}})
 }
 
+// answer ends an attempt.
 func (g *rig) answer(id, server string, try int, res Result, role Role) []Action {
-	return g.do(Outcome{ID: id, Server: server, Attempt: try, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
+	return g.handle(Outcome{ID: id, Server: server, Attempt: try, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
 }
 
+// sends returns the servers of the Send actions.
 func sends(acts []Action) (to []string) {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
@@ -112,6 +118,7 @@
 	return to
 }
 
+// finals returns the final answers among the actions.
 func finals(acts []Action) (out []string) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -124,6 +131,7 @@
 	return out
 }
 
+// want requires got to equal wanted.
 func want(t *testing.T, what string, got, wanted []string) {
 	t.Helper()
 	if strings.Join(got, " ") != strings.Join(wanted, " ") {
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,86 +1,92 @@
 package balance
 
-// Which members are set aside, and the probes that bring them back.
+// Health: which members are blacklisted, and the probes that end a blacklisting.
 
 import "cmp"
 
-// unresponsive says that m has work out and has been silent for longer than its answers usually take.
+// unresponsive reports whether m has attempts in flight and has been silent for longer than its answers
+// usually take.
 func (r *Router) unresponsive(m *member) bool {
-	return len(m.out) > 0 && r.now-m.silentSince > max(silentFloor, 2*m.out[0].cls.took, m.out[0].cls.LatencyTarget/4)
+	return len(m.inFlight) > 0 && r.now-m.silentSince > max(minSilence, 2*m.inFlight[0].class.latency, m.inFlight[0].class.LatencyTarget/4)
 }
 
-func (r *Router) probe(m *member) bool { // says whether one is out
-	if !m.probeOut && r.s.Probes {
-		m.probeOut, m.probedAt = true, r.now
-		r.do(Probe{m.Server})
+// probe sends a probe to m unless one is in flight. It reports whether one is in flight now.
+func (r *Router) probe(m *member) bool {
+	if !m.probing && r.settings.Probes {
+		m.probing, m.probedAt = true, r.now
+		r.emit(Probe{m.Server})
 	}
-	return m.probeOut
+	return m.probing
 }
 
-// blacklist sets aside m and takes back what may be tried elsewhere. A good probe ends that, but not after a
-// time-out: members that take requests and never answer them answer probes. They stay away longer each time.
+// blacklist excludes m for a while and cancels attempts that may be retried elsewhere. A good probe ends the
+// blacklisting, but not one after a timeout: members that accept requests and never answer them do answer
+// probes. Those stay blacklisted for longer each time.
 func (r *Router) blacklist(m *member, timedOut bool) {
-	m.downUntil, m.suspect = r.now+blacklistFor, true
+	m.blacklistedUntil, m.suspect = r.now+blacklistDuration, true
 	if timedOut {
 		m.timeouts = min(m.timeouts+1, 3)
-		m.downUntil = r.now + blacklistFor<<(m.timeouts-1)
+		m.blacklistedUntil = r.now + blacklistDuration<<(m.timeouts-1)
 	}
-	for _, q := range m.out {
-		if !q.done && q.cls.Effect != Unsafe {
-			r.withdraw(q)
+	for _, q := range m.inFlight {
+		if !q.done && q.class.Effect != Unsafe {
+			r.cancelAttempt(q)
 		}
 	}
 }
 
-// reinstate ends a blacklisting, but for one after a time-out.
+// reinstate ends a blacklisting, except after a timeout.
 func (m *member) reinstate() {
 	if m.timeouts == 0 {
-		m.downUntil = 0
+		m.blacklistedUntil = 0
 	}
 }
 
-// canBlacklist says that half of the replicas are left without m: what shows on most is not one member's fault.
+// canBlacklist reports whether at least half of the other replicas are available. A fault that shows on most
+// replicas is not the fault of one member.
 func (r *Router) canBlacklist(m *member) bool {
-	n, left, primary := 0, 0, r.primaryOf(m.group)
+	others, usable, primary := 0, 0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
 		if o == m || o == primary || !r.accepts(o, false) {
 			continue
 		}
-		if n++; r.alive(o) {
-			left++
+		if others++; r.available(o) {
+			usable++
 		}
 	}
-	return left > 0 && 2*left >= n
+	return usable > 0 && 2*usable >= others
 }
 
+// onProbe handles the end of a probe.
 func (r *Router) onProbe(e ProbeResult) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	m.probeOut = false
+	m.probing = false
 	if e.Result == OK || e.Result == Garbled {
-		r.noteAlive(m)
-		r.learnReport(m, e.StatedAt, e.Report)
+		r.recordAlive(m)
+		r.addReport(m, e.StatedAt, e.Report)
 		m.suspect = false
 		m.reinstate()
-	} else if e.Result != NotSent { // that is this router's own lack of a connection
+	} else if e.Result != NotSent { // this router itself lacked a connection
 		m.dead = true
 		r.blacklist(m, false)
 	}
-	r.release(m.group)
+	r.sendQueued(m.group)
 }
 
-// onHeard takes what another router tells: of a member, not a request. The dead show their start here.
-func (r *Router) onHeard(e RemoteOutcome) {
+// onRemoteOutcome handles an outcome that another router reported. It concerns a member, not a request. It does not
+// revive a member that was seen dead: only contact with this router shows that such a member has started.
+func (r *Router) onRemoteOutcome(e RemoteOutcome) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	r.learn(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, StatedAt: TimeBounds{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
+	r.addStatement(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, StatedAt: TimeBounds{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
 	switch {
 	case e.Result == NoConnection:
-		m.suspect = m.suspect || e.At > m.silentSince // a probe comes before what is sent
+		m.suspect = m.suspect || e.At > m.silentSince // it is probed before anything is sent to it
 	case e.Result != TimedOut && e.Result != Reset && e.At > m.silentSince && !m.dead:
 		m.silentSince, m.aliveAt, m.suspect = e.At, max(m.aliveAt, e.At), false
 		if e.Result == OK {
@@ -90,5 +96,5 @@
 	if cls := r.cells[0].classes[e.Class]; cls != nil {
 		r.adjustLimit(m, r.cells[0], cls, e.Result, e.Took, true)
 	}
-	r.release(m.group)
+	r.sendQueued(m.group)
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,22 +1,23 @@
 package balance
 
-// Slow start: what a member that has just started may be sent.
+// Slow start: how much is sent to a member whose process has just started.
 
-// warmth is the least part of its capacity that m has, by the start that was told or that this router saw.
-func (r *Router) warmth(m *member) float64 {
-	start := max(m.Started, m.revived)
+// warmUpWeight returns the minimum fraction of its capacity that m has, by its listed or observed start.
+func (r *Router) warmUpWeight(m *member) float64 {
+	start := max(m.Started, m.restartedAt)
 	age := r.now - start
-	if start == 0 || age >= r.s.ColdTime {
+	if start == 0 || age >= r.settings.ColdTime {
 		return 1
 	}
-	return r.s.ColdShare + (1-r.s.ColdShare)*float64(age)/float64(r.s.ColdTime)
+	return r.settings.ColdShare + (1-r.settings.ColdShare)*float64(age)/float64(r.settings.ColdTime)
 }
 
-// admit keeps a cold member's budget: of requests that come to m with the given chance so many pass that its
-// part of the group's traffic is its part of the capacity, times the margin: at each router, so in sum. A request draws once, so
-// that asking again is no further chance.
-func (r *Router) admit(q *request, m *member, chance, share float64) bool {
-	w := r.warmth(m)
+// admitCold enforces the budget of a cold member. Of the requests that choose m with the given chance, it admits
+// so many that m's share of the group's traffic is its fraction of the capacity, times a margin. As every
+// router does so, the sum holds as well. Each request draws its random number once, so that asking again
+// gives it no further chance.
+func (r *Router) admitCold(q *request, m *member, chance, share float64) bool {
+	w := r.warmUpWeight(m)
 	if w == 1 {
 		return true
 	}
@@ -26,12 +27,12 @@
 	return q.coldDraw*chance <= w*share*r.coldFactor()
 }
 
-// coldFactor is how many times the least part of its capacity a cold member may be sent.
+// coldFactor returns by how much a cold member may be sent more than its minimum capacity.
 func (r *Router) coldFactor() float64 {
-	factor := r.s.OverloadFactor
+	factor := r.settings.OverloadFactor
 	if factor == 0 {
 		return 1
 	}
-	spare := max(coldSpare, min(1, coldSpareRouters/float64(r.s.Routers)))
-	return min(coldMargin*factor, 1+spare*(factor-1))
+	spare := max(coldFactorSpare, min(1, coldSpareRouters/float64(r.settings.Routers)))
+	return min(coldFactorMargin*factor, 1+spare*(factor-1))
 }
