--- a/internal/control/budget/budget.go
+++ b/internal/control/budget/budget.go
@@ -1,7 +1,8 @@
-// Package budget shares a bounded number of bytes among messages that come slowly. Each says at its head how much it will need
-// at most, and takes that piece by piece as it comes. A piece is granted only if all messages that have begun can still come
-// to their end in some order, each giving back what it held before the next one needs it (the banker's rule). So messages may
-// need far more together than there is, and still never wait for each other for ever. It does no I/O and has no clock.
+// Package budget shares a limited number of bytes among messages that are received slowly. Each message
+// states in its header the maximum that it needs, and allocates that piece by piece as it arrives. A piece is
+// granted only if all open messages can still complete in some order, where each releases its bytes before
+// the next one needs them (the banker's algorithm). Messages may therefore need far more in total than is
+// available without a deadlock. The package does no I/O and does not read a clock.
 package budget
 
 import (
@@ -9,32 +10,34 @@
 	"slices"
 )
 
-// Holding is what one message holds.
+// Holding is the allocation of one message.
 type Holding struct {
-	need, held int64
-	whole      bool // it needs no more, and gives all back in bounded time
+	need, held int64 // in bytes
+	whole      bool  // the message needs no more bytes and releases all of them within a limited time
 }
 
-// Held is how much it holds.
+// Held returns the number of bytes that the message holds.
 func (h *Holding) Held() int64 { return h.held }
 
-// Budget is not safe for concurrent use.
+// Budget is a number of bytes that is shared among messages. It is not safe for concurrent use.
 type Budget struct {
-	total, used int64
+	total, used int64 // in bytes
 	open        []*Holding
-	order       []*Holding // scratch
+	order       []*Holding // buffer that safe reuses
 }
 
-// New makes a budget of so many bytes.
+// New returns a budget of total bytes.
 func New(total int64) *Budget { return &Budget{total: total} }
 
-// Used is how much is held.
+// Used returns the number of bytes that all messages hold.
 func (b *Budget) Used() int64 { return b.used }
 
-// Resize changes the total. What is held stays; a smaller total grants nothing until enough has been given back.
+// Resize changes the total. Bytes that are held stay allocated. After a reduction nothing is granted until
+// enough bytes have been released.
 func (b *Budget) Resize(total int64) { b.total = total }
 
-// Open begins a message that will need so much at most; nil: more than there ever is.
+// Open starts a message that needs at most the given number of bytes. It returns nil if that is more than the
+// total.
 func (b *Budget) Open(need int64) *Holding {
 	if need < 0 || need > b.total {
 		return nil
@@ -44,7 +47,8 @@
 	return h
 }
 
-// Take grants a message n bytes more, or not yet. What goes beyond its need is never granted.
+// Take allocates n more bytes to a message and reports whether they were granted. If not, the caller may try
+// again later, but bytes beyond the message's stated need are never granted.
 func (b *Budget) Take(h *Holding, n int64) bool {
 	if n <= 0 {
 		return true
@@ -62,7 +66,8 @@
 	return false
 }
 
-// Raise lets a message need more than it said, if all can still come to their end then.
+// Raise increases the stated need of a message if all open messages can still complete, and reports whether
+// it did.
 func (b *Budget) Raise(h *Holding, need int64) bool {
 	old := h.need
 	if need <= old || need > b.total {
@@ -75,7 +80,8 @@
 	return false
 }
 
-// safe says whether all can come to their end: who needs least more goes first, as what it then gives back helps the others.
+// safe reports whether all open messages can complete. It checks them in the order of their remaining need,
+// the smallest first, because the bytes that a completed message releases are available to the others.
 func (b *Budget) safe() bool {
 	free := b.total - b.used
 	b.order = b.order[:0]
@@ -96,10 +102,10 @@
 	return true
 }
 
-// Whole says that a message has come to its end and needs no more.
+// Whole marks a message as complete, so that it needs no more bytes.
 func (b *Budget) Whole(h *Holding) { h.whole, h.need = true, h.held }
 
-// Close gives back all that a message held. Closing twice changes nothing.
+// Close releases all bytes of a message. Closing it again has no effect.
 func (b *Budget) Close(h *Holding) {
 	i := slices.Index(b.open, h)
 	if i < 0 {
--- a/internal/control/budget/budget_test.go
+++ b/internal/control/budget/budget_test.go
@@ -9,34 +9,35 @@
 func TestTakeKeepsAWayOut(t *testing.T) {
 	b := New(10)
 	if b.Open(11) != nil {
-		t.Error("a message that can never be held is begun")
+		t.Error("a message that exceeds the total is opened")
 	}
 	x, y := b.Open(6), b.Open(6)
 	if !b.Take(x, 5) || !b.Take(y, 4) {
-		t.Fatal("what leaves the first its rest is not granted")
+		t.Fatal("bytes are not granted although the first message can still complete")
 	}
 	if b.Take(y, 1) {
-		t.Fatal("the last byte that the first needs is given to the second")
+		t.Fatal("the last byte that the first message needs is granted to the second")
 	}
 	if b.Raise(x, 8) || b.Raise(x, 11) || !b.Raise(x, 6) {
-		t.Fatal("a need is raised that leaves no way out, or one is not that does")
+		t.Fatal("an increase that can deadlock is granted, or one that cannot is denied")
 	}
 	if !b.Take(x, 1) || b.Take(x, 1) {
-		t.Fatal("the first does not get what it needs, and no more")
+		t.Fatal("the first message is not granted exactly what it needs")
 	}
 	if b.Take(y, 2) {
-		t.Fatal("more than there is")
+		t.Fatal("more bytes are granted than are free")
 	}
 	b.Whole(x)
 	b.Close(x)
 	b.Close(x)
 	if !b.Take(y, 2) || b.Used() != 6 {
-		t.Fatalf("the second does not get what the first gave back; %d used", b.Used())
+		t.Fatalf("the second message is not granted what the first released; %d used", b.Used())
 	}
 }
 
-// Any number of messages, taking pieces in any order, all come to their end, and never hold more than there is. With the
-// guard out (safe always true) this fails: half-read messages wait for each other.
+// Any number of messages that allocate pieces in any order must all complete, and never hold more than the
+// total. Without the check (if safe always returned true) this test fails, because partly read messages wait
+// for each other.
 func TestAllComeToTheirEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := int64(rapid.IntRange(1, 50).Draw(t, "total"))
@@ -66,7 +67,7 @@
 		}
 		for rounds := 0; len(open) > 0; rounds++ {
 			if rounds > 2*begun*int(total)+2 {
-				t.Fatalf("%d messages wait for each other", len(open))
+				t.Fatalf("%d messages are deadlocked", len(open))
 			}
 			kept := open[:0]
 			for _, m := range open {
@@ -81,7 +82,7 @@
 			open = kept
 		}
 		if ended != begun || b.Used() != 0 {
-			t.Fatalf("%d of %d ended, %d held", ended, begun, b.Used())
+			t.Fatalf("%d of %d messages completed, %d bytes held", ended, begun, b.Used())
 		}
 	})
 }
--- a/internal/control/draining/draining.go
+++ b/internal/control/draining/draining.go
@@ -1,21 +1,24 @@
-// Package draining knows until when a gateway may send new requests to hosts that drain or are gone. It does no I/O and has no
-// clock.
+// Package draining computes until when a gateway may send new requests to hosts that drain or were removed.
+// It does no I/O and does not read a clock.
 //
-// The grace of a drain runs from when discovery wrote the change to the gateway. The gateway reads its clock later than that: it
-// may be held up for HoldUp between the arrival of the list and the reading, and once more between its last look at the clock
-// and the first byte that it sends. Both are kept free at the end of the grace, so that a short grace ends at once.
+// The grace of a drain starts when discovery writes the drain notification to the gateway. The gateway reads
+// its clock later than that: it may be stalled for up to the maximum send delay between the arrival of the
+// endpoint list and the reading of the clock, and again between the last reading of the clock and the first
+// byte that it sends. Both delays are subtracted from the grace, so that a short grace ends at once.
 //
-// A host keeps the time of its first notification while it goes from draining to gone. It is forgotten when the host serves again. The list
-// of another agent of discovery may be behind that of the agent which told the drain, so its word that the host serves ends nothing, unless
-// it tells a later start, or is the one that told the drain last, in a list that is no older.
+// A host keeps the time of its first notification while its state changes from draining to removed. The time
+// is dropped when the host serves again. The list of another discovery agent may lag behind that of the agent
+// that notified about the drain. A statement of another agent that the host serves therefore does not end the
+// drain, unless it has a later start time of the host. A statement of the agent that sent the last
+// notification ends it if its list is not older.
 package draining
 
 import "time"
 
-// HoldUp is how long a gateway may be held up between reading its clock and acting on what it read, by the platform's word.
+// HoldUp is the maximum time between reading the clock and acting on it, as guaranteed by the platform.
 const HoldUp = 150 * time.Millisecond
 
-// State is a host's state on the list.
+// State is the state of a host in the endpoint list.
 type State int
 
 // States of hosts.
@@ -35,61 +38,64 @@
 	return "gone"
 }
 
-// Open is the bound of a host that anything may go to.
+// Open is the deadline of a host that accepts new requests without a time limit.
 const Open = time.Duration(0)
 
-// Bound says until when new requests may be sent to a host.
+// Bound is the time until which new requests may be sent to a host.
 type Bound struct {
 	Server string
-	By     time.Duration // by the gateway's clock; Open: there is no bound
+	By     time.Duration // on the gateway's clock, or Open if there is no limit
 }
 
-// Rules are the settings that bound drains.
+// Rules are the settings for hosts that drain or were removed.
 type Rules struct {
-	Grace time.Duration // from the notification on
-	// DroppedStayOpen: a host that went without having been listed as draining is not bound.
+	Grace time.Duration // since the notification
+	// DroppedStayOpen excludes hosts that were removed without having been listed as draining from the time
+	// limit.
 	DroppedStayOpen bool
 }
 
-// Word is what a list tells of a host.
+// Word is the statement of an endpoint list about a host.
 type Word struct {
 	Server string
 	State  State
 	At     time.Duration // when the list arrived
-	// Since is when the gateway, or an earlier process of it, was notified, if that is known to be earlier; 0: it is not.
+	// Since is when the gateway, or an old process of it, was notified earlier than At, or 0 if it was not.
 	Since time.Duration
-	// Agent of discovery that told it; "": not known, and its word that a host serves ends no drain.
+	// Agent is the discovery agent that sent the list, or "" if it is not known. A list of an unknown agent
+	// never ends a drain.
 	Agent    string
 	Revision int64 // of the agent's list
-	// Unlisted says that the host is gone only in that a whole list lacks it. A list that is behind may not have it yet.
+	// Unlisted marks a host that counts as removed only because it is absent from a snapshot. A snapshot that
+	// lags may not contain the host yet.
 	Unlisted bool
-	Started  time.Duration // the host's start as lists tell it, by the fleet's clock; 0: long ago, or not told
+	Started  time.Duration // start time of the host on the fleet's clock, or 0 if it is long ago or not known
 }
 
 type host struct {
 	state      State
 	notifiedAt time.Duration
-	drained    bool   // it was listed as draining
-	agent      string // that told so last
-	revision   int64  // of its list
-	started    time.Duration
+	drained    bool          // it was listed as draining
+	agent      string        // agent of the last notification that the host drains or was removed
+	revision   int64         // of that agent's list
+	started    time.Duration // latest start time that was stated, on the fleet's clock
 }
 
-// endedBy says that a host which serves by this word does so after the drain: the word is later than what told the drain.
+// endedBy reports whether w, a statement that the host serves, is newer than the notification of the drain.
 func (h host) endedBy(w Word) bool {
 	return w.Agent != "" && (w.Agent == h.agent && w.Revision >= h.revision || w.Started > h.started)
 }
 
-// Tracker is the state of all hosts that drain or are gone. It is not safe for concurrent use.
+// Tracker holds the state of all hosts that drain or were removed. It is not safe for concurrent use.
 type Tracker struct {
 	rules Rules
 	hosts map[string]host
 }
 
-// New makes a tracker that knows of no host.
+// New returns a tracker without hosts.
 func New(rules Rules) *Tracker { return &Tracker{rules: rules, hosts: map[string]host{}} }
 
-// Set takes what a list tells of a host, and gives the host's bound.
+// Set handles the statement of an endpoint list about a host and returns the time limit for the host.
 func (t *Tracker) Set(w Word) Bound {
 	h, known := t.hosts[w.Server]
 	if w.State == Serving {
@@ -112,17 +118,18 @@
 	return Bound{Server: w.Server, By: t.by(h)}
 }
 
-// State gives the state that holds of a host.
+// State returns the current state of a host.
 func (t *Tracker) State(server string) State { return t.hosts[server].state }
 
-// ToldBy gives the agent of discovery that told last that a host drains or is gone, and the revision of its list; "": it serves, or the agent
-// is not known.
+// ToldBy returns the discovery agent that last notified that a host drains or was removed, and the revision
+// of its list. The agent is "" if the host serves or the agent is not known.
 func (t *Tracker) ToldBy(server string) (agent string, revision int64) {
 	h := t.hosts[server]
 	return h.agent, h.revision
 }
 
-// Retune puts other rules in force, also for hosts that were notified before, and gives the bounds that hold now.
+// Retune applies new rules, also to hosts with an earlier notification, and returns the resulting time
+// limits. It returns nil if the rules have not changed.
 func (t *Tracker) Retune(rules Rules) []Bound {
 	if rules == t.rules {
 		return nil
@@ -135,7 +142,7 @@
 	return bounds
 }
 
-// Until gives a host's bound.
+// Until returns the time limit for a host, or Open if there is none.
 func (t *Tracker) Until(server string) time.Duration {
 	h, known := t.hosts[server]
 	if !known {
@@ -144,19 +151,21 @@
 	return t.by(h)
 }
 
-// NotifiedAt says when the gateway was first notified that a host drains or is gone; not ok: it serves.
+// NotifiedAt returns when the gateway was first notified that a host drains or was removed. ok is false if it
+// serves.
 func (t *Tracker) NotifiedAt(server string) (at time.Duration, ok bool) {
 	h, ok := t.hosts[server]
 	return h.notifiedAt, ok
 }
 
-// Forget drops a host that is gone for good.
+// Forget drops a host that was removed permanently.
 func (t *Tracker) Forget(server string) { delete(t.hosts, server) }
 
 func (t *Tracker) by(h host) time.Duration {
 	if h.state == Gone && t.rules.DroppedStayOpen && !h.drained {
 		return Open
 	}
-	// Never Open: a time before the clock's first reading is as good as any that is over.
+	// 0 would mean Open. Any time in the past gives the same result, so 1 is used for times before the
+	// clock's start.
 	return max(h.notifiedAt+t.rules.Grace-2*HoldUp, 1)
 }
--- a/internal/control/draining/draining_test.go
+++ b/internal/control/draining/draining_test.go
@@ -20,18 +20,18 @@
 		rules   Rules
 		changes []change
 	}{
-		"a host that serves":                {Rules{Grace: time.Second}, []change{{start, 0, Serving, Open}}},
-		"the grace less both hold-ups":      {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}}},
-		"a grace that two hold-ups take up": {Rules{Grace: 200 * ms}, []change{{start, 0, Draining, start - 100*ms}}},
-		"listed again":                      {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Draining, start + 700*ms}}},
-		"from draining to gone":             {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Gone, start + 700*ms}}},
-		"back in service, and drained anew": {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms},
+		"serving host":                       {Rules{Grace: time.Second}, []change{{start, 0, Serving, Open}}},
+		"grace minus two send delays":        {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}}},
+		"grace shorter than two send delays": {Rules{Grace: 200 * ms}, []change{{start, 0, Draining, start - 100*ms}}},
+		"draining in a second list":          {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Draining, start + 700*ms}}},
+		"from draining to removed":           {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Gone, start + 700*ms}}},
+		"back in service and drained again": {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms},
 			{start + 500*ms, 0, Serving, Open}, {start + 600*ms, 0, Draining, start + 1300*ms}}},
-		"notified by an earlier process":    {Rules{Grace: time.Second}, []change{{start, start - 400*ms, Draining, start + 300*ms}}},
-		"dropped where that is not binding": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Gone, Open}}},
-		"dropped after a drain there": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Draining, start + 700*ms},
+		"notified in the old process":  {Rules{Grace: time.Second}, []change{{start, start - 400*ms, Draining, start + 300*ms}}},
+		"removed without a time limit": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Gone, Open}}},
+		"removed after a drain": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Draining, start + 700*ms},
 			{start + 100*ms, 0, Gone, start + 700*ms}}},
-		"a clock that has just started": {Rules{}, []change{{100 * ms, 0, Gone, 1}}},
+		"clock that has just started": {Rules{}, []change{{100 * ms, 0, Gone, 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(c.rules)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Another grace holds for hosts that were notified before, whether it is shorter or longer.
+// A new grace, shorter or longer, also applies to hosts with an earlier notification.
 func TestRetuneMovesTheBoundsOfNotifiedHosts(t *testing.T) {
 	const start = 10 * time.Second
 	tracker := New(Rules{Grace: time.Second})
@@ -60,11 +60,12 @@
 		}
 	}
 	if got := tracker.Retune(Rules{Grace: 3 * time.Second}); got != nil {
-		t.Errorf("the same rules move bounds: %v", got)
+		t.Errorf("unchanged rules move bounds: %v", got)
 	}
 }
 
-// Of two agents of discovery either may be behind the other.
+// The list of either discovery agent may lag behind that of the other, so only a newer statement may end a
+// drain.
 func TestOnlyALaterWordEndsADrain(t *testing.T) {
 	const start = 10 * time.Second
 	drain := Word{State: Draining, Agent: "a", Revision: 43, Started: 7}
@@ -73,16 +74,16 @@
 		serves Word
 		want   State
 	}{
-		"the agent that told it":             {[]Word{drain}, Word{Agent: "a", Revision: 43, Started: 7}, Serving},
-		"an older list of the same agent":    {[]Word{drain}, Word{Agent: "a", Revision: 42, Started: 7}, Draining},
-		"another agent":                      {[]Word{drain}, Word{Agent: "b", Started: 7}, Draining},
-		"another agent, of an earlier start": {[]Word{drain}, Word{Agent: "b", Started: 3}, Draining},
-		"another agent, of a later start":    {[]Word{drain}, Word{Agent: "b", Started: 8}, Serving},
-		"an agent that told it too":          {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "b"}, Serving},
-		"an agent that told it before":       {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "a"}, Draining},
-		"an agent whose list lacked it":      {[]Word{drain, {State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b", Started: 7}, Gone},
-		"a list that had lacked it only":     {[]Word{{State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b"}, Serving},
-		"nobody that is known":               {[]Word{{State: Draining}}, Word{}, Draining},
+		"agent that notified":                  {[]Word{drain}, Word{Agent: "a", Revision: 43, Started: 7}, Serving},
+		"older list of the same agent":         {[]Word{drain}, Word{Agent: "a", Revision: 42, Started: 7}, Draining},
+		"another agent":                        {[]Word{drain}, Word{Agent: "b", Started: 7}, Draining},
+		"another agent, earlier start":         {[]Word{drain}, Word{Agent: "b", Started: 3}, Draining},
+		"another agent, later start":           {[]Word{drain}, Word{Agent: "b", Started: 8}, Serving},
+		"agent that notified last of two":      {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "b"}, Serving},
+		"agent that notified first of two":     {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "a"}, Draining},
+		"agent whose snapshot lacked the host": {[]Word{drain, {State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b", Started: 7}, Gone},
+		"only absent from an earlier snapshot": {[]Word{{State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b"}, Serving},
+		"unknown agent":                        {[]Word{{State: Draining}}, Word{}, Draining},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(Rules{Grace: time.Second})
--- a/internal/control/fleetclock/doubt.go
+++ b/internal/control/fleetclock/doubt.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// repeating is how many answers of a host that is the only one to answer have to agree to settle a doubt; of two hosts one each is
-	// enough.
+	// repeating is how many answers of the same host have to agree to end a contradiction if no other host
+	// answers. Of two hosts, one answer each is enough.
 	repeating = 3
-	// freshMost bounds the answers that are remembered while they do not agree.
+	// freshMost is the maximum number of answers that are kept while they do not agree.
 	freshMost = 16
 )
 
-// doubt is an interval that was contradicted, or was never known.
+// doubt is the state of an estimate whose interval was contradicted or was never known.
 type doubt struct {
-	known Interval // as it was when the doubt began, widened since; empty where there was none
-	hull  Interval // of what was known and what contradicts it
-	at    time.Duration
-	began time.Duration // answers to queries sent before say nothing new
-	fresh []witness     // of the present, since; each independent of the others
+	known Interval      // interval before the contradiction, widened by drift; zero if there was none
+	hull  Interval      // smallest interval that includes known and all answers that contradict it
+	at    time.Duration // local time for which known and hull hold
+	began time.Duration // local time of the first contradiction; answers to queries sent earlier are not counted
+	fresh []witness     // primaries' answers to queries sent since began, each independent of the others
 }
 
-// unknown says that no interval was known before.
+// unknown reports whether no interval was known before.
 func (d *doubt) unknown() bool { return d.began == -unbounded }
 
-// widen takes in what an answer says against the hull.
+// widen extends the hull to include an answer that contradicts it.
 func (d *doubt) widen(w witness) Change {
 	if d.unknown() {
 		return Nothing
@@ -35,7 +35,8 @@
 	return Contradicted
 }
 
-// agreed takes a primary's answer to a query sent since the doubt began, and gives answers that settle it: nil, there are not enough.
+// agreed adds a primary's answer to a query that was sent since the contradiction began. It returns the
+// answers that end the contradiction, or nil if there are not enough.
 func (d *doubt) agreed(w witness) []witness {
 	if w.interval.Most >= unbounded || w.sent < d.began {
 		return nil
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// independentOf gives the answers kept that are independent of one more, the newest last.
+// independentOf returns the kept answers that are independent of w, the newest last.
 func (d *doubt) independentOf(w witness) (out []witness) {
 	for _, o := range d.fresh {
 		if independent(o, w) {
@@ -60,7 +61,7 @@
 	return out
 }
 
-// keep remembers an answer. What is assumed stays; of answers the oldest makes room.
+// keep stores an answer. If there are too many it drops the oldest one, but never the assumed witness.
 func (d *doubt) keep(w witness) {
 	d.fresh = append(d.fresh, w)
 	if len(d.fresh) <= freshMost {
@@ -73,8 +74,8 @@
 	d.fresh = append(d.fresh[:oldest:oldest], d.fresh[oldest+1:]...)
 }
 
-// settling gives an answer with an earlier one of another host that agrees with it, or with earlier ones of its own host; nil: there are
-// not enough.
+// settling returns w together with an earlier answer of another host that agrees with it, or with enough
+// earlier answers of the same host. It returns nil if there are not enough.
 func settling(earlier []witness, w witness) []witness {
 	own := []witness{w}
 	for i := len(earlier) - 1; i >= 0; i-- {
--- a/internal/control/fleetclock/fleetclock.go
+++ b/internal/control/fleetclock/fleetclock.go
@@ -1,22 +1,26 @@
-// Package fleetclock bounds how far this machine's clock is off the fleet's. It does no I/O and has no clock.
+// Package fleetclock estimates the offset of the fleet's clock from the local clock as an interval. It does
+// no I/O and does not read a clock.
 //
-// Positions of logs and starts of hosts are readings of the fleet's clock. A process reads its machine's wall clock once, when it
-// starts, and that may just have been stepped, by a tenth of a second or by an hour. So the offset is an interval, and each use takes
-// the end that is safe for it: data is at least as old as Most makes it, a host has started at the latest when Least says.
+// Replay positions and start times of hosts are readings of the fleet's clock. A process reads its machine's
+// wall clock once, when it starts, and that clock may just have been stepped, by a tenth of a second or by an
+// hour. The offset is therefore kept as an interval, and each caller uses the end that is safe for it: the
+// maximum for the age of data, which is then not underestimated, and the minimum for the latest time at which
+// a host can have started.
 //
-// Only round trips prove:
+// Only round trips bound the offset:
 //
-//   - No position is ahead of the fleet's clock when it is read: each answer of any host bounds the offset from below, however old the
-//     position in it is.
-//   - A primary's own position is the fleet's time while it made its answer, after the query was sent: an answer that holds role and
-//     position bounds the offset from above too. A position that is kept and repeated (a load report, gossip) never does.
+//   - No position is ahead of the fleet's clock when it is read. Every answer of any host is therefore a
+//     lower bound, however old the position in it is.
+//   - A primary's own position is the fleet's time at which it answered, and it answered after the query was
+//     sent. An answer with both role and position is therefore an upper bound too. A position that is stored
+//     and repeated (in a load report or in gossip) never is.
 //
-// Single answers may be wrong. A bound is therefore the looser of two that independent answers prove, and what contradicts the interval
-// puts it in doubt: until independent answers to later queries agree, both ends are the safe ones of what was known and what
-// contradicts it. The machine's own clock, as it was read at the start, counts as one more witness, for an offset of nothing, until tighter
-// bounds of answers take its place.
+// A single answer may be wrong. A bound is therefore the looser of the two bounds that independent answers
+// prove. If an answer contradicts the interval, the interval is widened to include both until independent
+// answers to later queries agree. The local clock, as read at the start, counts as one more witness, for an
+// offset of zero, until tighter bounds from answers replace it.
 //
-// Clocks drift apart: bounds widen with time until answers renew them.
+// Clocks drift apart, so the bounds widen with time until answers renew them.
 package fleetclock
 
 import (
@@ -25,27 +29,30 @@
 )
 
 const (
-	// rounding is by how much a position may be off in either direction: replicas' are rounded down, commits up, to milliseconds.
+	// rounding is the maximum error of a position in either direction: positions are in milliseconds, those
+	// of replicas rounded down and those of commits rounded up.
 	rounding = time.Millisecond
-	// presentAge is by how much a primary's position may be older than its answer: a host reads its clock once for all that it does
-	// in a moment.
+	// presentAge is the maximum age of a primary's position in its answer. A host reads its clock once for
+	// all work that it does at about the same time.
 	presentAge = 5 * time.Millisecond
-	// driftPart bounds the drift of two machines' clocks: one part in so many. Time services slew by half of it at most.
+	// driftPart is the inverse of the maximum drift between the clocks of two machines. Time services slew a
+	// clock by at most half of that rate.
 	driftPart = 1000
-	// AgeSlack is the part of the protocol's 50 ms of slack that data may be older than its position tells because it is not known
-	// exactly how this clock stands. The rest is left for the way of a send.
+	// AgeSlack is the part of the protocol's 50 ms of slack on the age of data that covers the uncertainty of
+	// the offset. The rest covers the delay of a send.
 	AgeSlack = 45 * time.Millisecond
-	// unbounded is an end of which nothing is known.
+	// unbounded stands for a missing bound.
 	unbounded = time.Duration(math.MaxInt64 / 4)
 )
 
-// drift is by how much clocks may have drifted apart in so long.
+// drift returns how far two clocks may drift apart within t.
 func drift(t time.Duration) time.Duration { return t / driftPart }
 
-// Interval is what the fleet's clock shows more than this machine's: at least Least and at most Most.
+// Interval bounds the offset of the fleet's clock from the local clock: the fleet's time minus the local
+// time.
 type Interval struct{ Least, Most time.Duration }
 
-// Width is how much is not known.
+// Width returns the length of the interval.
 func (i Interval) Width() time.Duration { return i.Most - i.Least }
 
 func (i Interval) intersects(o Interval) bool { return i.Least <= o.Most && o.Least <= i.Most }
@@ -58,7 +65,7 @@
 	return Interval{min(i.Least, o.Least), max(i.Most, o.Most)}
 }
 
-// after is the interval as it is so much later.
+// after returns the interval widened by the drift that is possible within t.
 func (i Interval) after(t time.Duration) Interval {
 	if i.Least > -unbounded {
 		i.Least -= drift(t)
@@ -69,48 +76,50 @@
 	return i
 }
 
-// Observation is what one whole answer of a host tells. All that it holds is one observation.
+// Observation holds the evidence of one complete answer of a host. All positions of one answer form one
+// observation.
 type Observation struct {
 	Host     string
-	Position time.Duration // the highest in the answer, by the fleet's clock; 0: there is none
-	// Present is the position that the host told beside its role as the primary, in the answer of a query that it ran; 0: it did not.
+	Position time.Duration // highest position in the answer, on the fleet's clock, or 0 if there is none
+	// Present is the position that a primary stated together with its role in the answer to a query that it
+	// executed, or 0 if the answer has none.
 	Present        time.Duration
-	Sent, Received time.Duration // the query's sending and the answer's reading, by this machine's clock
+	Sent, Received time.Duration // when the query was sent and the answer was read, on the local clock
 }
 
-// Proves is what the answer proves of the offset, as of its reading.
+// Proves returns the interval that the answer proves for the offset at the time when it was read.
 func (o Observation) Proves() Interval {
 	i := Interval{max(o.Position, o.Present) - rounding - o.Received, unbounded}
 	if o.Present > 0 {
 		i.Most = o.Present + rounding + presentAge - o.Sent + drift(o.Received-o.Sent)
 	}
-	if i.Most < i.Least { // it contradicts itself: its present is no bound
+	if i.Most < i.Least { // the answer contradicts itself, so that it gives no upper bound
 		i.Most = unbounded
 	}
 	return i
 }
 
-// Change says what an observation did to an estimate.
+// Change is the effect of an observation on an estimate.
 type Change int
 
-// Changes of an estimate.
+// Effects of an observation.
 const (
 	Nothing      Change = iota
 	Narrowed            // a bound moved
-	Contradicted        // the answer contradicts what is known, or the contradiction before it: both ends are the safe ones
-	Settled             // answers agree: the interval is known for the first time, or as it was before a contradiction
-	Replaced            // answers agree on another interval than the one known before
+	Contradicted        // the answer contradicts the interval, which was widened to include it
+	Settled             // answers agree: the interval is known for the first time, or confirmed after a contradiction
+	Replaced            // answers agree on an interval that does not overlap the one known before
 )
 
-// Estimate is what is known of the offset. It is not safe for concurrent use.
+// Estimate is the current estimate of the offset. It is not safe for concurrent use.
 type Estimate struct {
-	least side // lower bounds, as negative values
-	most  side // upper bounds; none before the first agreement
-	doubt *doubt
+	least side   // lower bounds, negated
+	most  side   // upper bounds; empty before answers agree for the first time
+	doubt *doubt // nil while the interval is known and not contradicted
 	epoch int
 }
 
-// New makes an estimate for a machine's clock that shows a time now. Nothing but that is known yet.
+// New returns an estimate that knows only that the local clock shows now.
 func New(now time.Duration) *Estimate {
 	own := witness{assumed: true, sent: now, received: now}
 	e := &Estimate{doubt: &doubt{hull: Interval{-unbounded, unbounded}, fresh: []witness{own}, began: -unbounded}}
@@ -118,7 +127,8 @@
 	return e
 }
 
-// Inherit takes the interval that an earlier process on this machine knew, in terms of this process's clock.
+// Inherit sets the interval to the one that the old process on this machine knew, converted to the clock of
+// this process.
 func (e *Estimate) Inherit(now time.Duration, known Interval) {
 	earlier := witness{assumed: true, sent: now, received: now, interval: known}
 	e.least, e.most, e.doubt = side{}, side{}, nil
@@ -126,10 +136,11 @@
 	e.most.twice(earlier.most())
 }
 
-// Epoch counts how often an interval that was known has been replaced: what was dated by it does not hold any more.
+// Epoch returns how often a known interval has been replaced. Times that were converted in an earlier epoch
+// are invalid.
 func (e *Estimate) Epoch() int { return e.epoch }
 
-// Observe takes an answer.
+// Observe adds an answer to the estimate.
 func (e *Estimate) Observe(o Observation) Change {
 	if o.Position <= 0 && o.Present <= 0 || o.Received < o.Sent {
 		return Nothing
@@ -146,7 +157,7 @@
 	return e.narrow(w)
 }
 
-// narrow takes an answer that agrees with what is known.
+// narrow adds an answer that agrees with the known interval.
 func (e *Estimate) narrow(w witness) Change {
 	before := e.Bounds()
 	e.addLeast(w)
@@ -165,7 +176,7 @@
 	return Narrowed
 }
 
-// settle takes an answer while the interval is in doubt, or not known yet.
+// settle adds an answer while the interval is contradicted or not known yet.
 func (e *Estimate) settle(w witness) Change {
 	change := e.doubt.widen(w)
 	if e.doubt.unknown() {
@@ -179,21 +190,21 @@
 	return change
 }
 
-// conclude ends a doubt with the answers that agree.
+// conclude ends a contradiction, or the time before the interval is known, with the answers that agree.
 func (e *Estimate) conclude(agreed []witness) Change {
 	ended, now := e.doubt, agreed[len(agreed)-1].received
 	e.doubt = nil
 	change := Settled
 	switch {
 	case ended.unknown():
-		if !agreed[0].assumed { // the machine's clock is off
+		if !agreed[0].assumed { // the local clock is wrong
 			e.least = side{}
 		}
 	case !ended.known.after(now - ended.at).intersects(common(agreed, now)):
 		change, e.least, e.most = Replaced, side{}, side{}
 		e.epoch++
 	}
-	if agreed[0].assumed { // the machine's clock need not be right for later answers
+	if agreed[0].assumed { // no later answer may have to rely on the local clock alone
 		w := agreed[1]
 		e.addLeast(w)
 		if least, ok := e.least.bound(); ok {
@@ -209,7 +220,7 @@
 	return change
 }
 
-// Bounds are what is known, until the next change.
+// Bounds returns the current bounds, which hold until the next change.
 func (e *Estimate) Bounds() Bounds {
 	if e.doubt != nil && !e.doubt.unknown() {
 		i := e.doubt.hull.after(-e.doubt.at)
@@ -227,30 +238,31 @@
 	return b
 }
 
-// Bounds are an interval that widens with time.
+// Bounds is an interval that widens with time.
 type Bounds struct {
-	least, most time.Duration // as they would have been when the machine's clock showed 0
-	Bounded     bool          // there is an upper end
-	Told        bool          // there is a lower end
-	Doubted     bool          // an answer contradicts what was known, and it is not settled which is right
+	least, most time.Duration // extrapolated to when the local clock showed 0
+	Bounded     bool          // there is an upper bound
+	Told        bool          // there is a lower bound
+	Doubted     bool          // an answer contradicts the interval, and later answers have not yet agreed
 }
 
-// At is the interval when this machine's clock shows a time.
+// At returns the interval at the local time now.
 func (b Bounds) At(now time.Duration) Interval {
 	return Interval{b.least, b.most}.after(now)
 }
 
-// Predates says that a primary's position shows, as the clock is known and not doubted, that its answer was made before the query was
-// sent by more than so much.
+// Predates reports whether the primary's position in o proves that its answer is older than the query by more
+// than the given margin. It reports false if the offset is contradicted or not known on both sides.
 func (b Bounds) Predates(o Observation, by time.Duration) bool {
 	return b.Told && b.Bounded && !b.Doubted && o.Present > 0 && o.Proves().Most+by < b.At(o.Received).Least
 }
 
-// Width is how much is not known, as of the last change.
+// Width returns the length of the interval without the drift since the last change.
 func (b Bounds) Width() time.Duration { return b.most - b.least }
 
-// Ages is what has to be added to the age of a position as this machine's clock makes it: no data is then older than it seems by more
-// than AgeSlack. It is of use only where there is an upper end.
+// Ages returns the correction to add to the age of a position that was computed with the local clock. No data
+// is then older than its computed age by more than AgeSlack. The result is meaningful only if there is an
+// upper bound.
 func (b Bounds) Ages(now time.Duration) time.Duration {
 	i := b.At(now)
 	return max(i.Least, i.Most-AgeSlack)
--- a/internal/control/fleetclock/fleetclock_test.go
+++ b/internal/control/fleetclock/fleetclock_test.go
@@ -12,7 +12,8 @@
 	start = 1000 * time.Hour
 )
 
-// play is a fleet whose clock shows so much more than the machine's, as the estimate comes to know of it.
+// play simulates a fleet whose clock is ahead of the local clock by offset, and feeds its answers to an
+// estimate.
 type play struct {
 	*Estimate
 	now, offset time.Duration
@@ -20,13 +21,14 @@
 
 func newPlay(offset time.Duration) *play { return &play{New(start), start, offset} }
 
-// present is an answer that a primary made in the middle of 10 ms.
+// present observes an answer that a primary made in the middle of a round trip of 10 ms.
 func (p *play) present(host string) Change {
 	p.now += apart + 10*ms
 	return p.Observe(Observation{Host: host, Present: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
 }
 
-// position is an answer of a host whose log is behind by a lag; below 0, ahead.
+// position observes an answer of a host whose replay position lags. A negative lag is a position in the
+// future.
 func (p *play) position(host string, lag time.Duration) Change {
 	p.now += apart + 10*ms
 	return p.Observe(Observation{Host: host, Position: p.now - lag + p.offset, Sent: p.now - 10*ms, Received: p.now})
@@ -53,9 +55,9 @@
 		p := newPlay(offset)
 		p.present("a")
 		p.present("a")
-		p.check(t, "two of one", false)
+		p.check(t, "two answers of one host", false)
 		p.present("a")
-		p.check(t, "three of one", true)
+		p.check(t, "three answers of one host", true)
 		p = newPlay(offset)
 		p.present("a")
 		p.present("b")
@@ -69,7 +71,7 @@
 		p.position("a", 2500*ms)
 		p.position("b", 2500*ms)
 	}
-	p.check(t, "at a start", false)
+	p.check(t, "before an answer of a primary", false)
 	p.present("a")
 	p.check(t, "known", true)
 	before := p.Bounds().At(p.now).Most
@@ -78,17 +80,17 @@
 		p.position("b", 2500*ms)
 	}
 	if most := p.Bounds().At(p.now).Most; most < before {
-		t.Errorf("repeated old positions lower the upper end from %s to %s", before, most)
+		t.Errorf("repeated old positions lower the upper bound from %s to %s", before, most)
 	}
 }
 
 func TestAnswersThatOverlapAreOneWitness(t *testing.T) {
 	p := newPlay(2 * time.Second)
 	p.now += 500 * ms
-	for _, host := range []string{"a", "b", "c", "a", "b"} { // held, and read together
+	for _, host := range []string{"a", "b", "c", "a", "b"} { // delayed, and read together
 		p.Observe(Observation{Host: host, Present: p.now - 480*ms + p.offset, Sent: p.now - 500*ms, Received: p.now})
 	}
-	p.check(t, "flushed together", false)
+	p.check(t, "answers that arrived together", false)
 }
 
 func TestAContradictionTakesTheSafeEndsUntilAnswersAgree(t *testing.T) {
@@ -103,9 +105,9 @@
 		wrong   func(p *play) Change
 		bounded bool
 	}{
-		"a position ahead":   {func(p *play) Change { return p.position("c", -time.Second) }, false},
-		"a present too late": {func(p *play) Change { p.offset = time.Second; defer func() { p.offset = 0 }(); return p.present("a") }, true},
-		"a present too old":  {func(p *play) Change { p.offset = -time.Second; defer func() { p.offset = 0 }(); return p.present("a") }, true},
+		"position in the future":      {func(p *play) Change { return p.position("c", -time.Second) }, false},
+		"primary's position too high": {func(p *play) Change { p.offset = time.Second; defer func() { p.offset = 0 }(); return p.present("a") }, true},
+		"primary's position too old":  {func(p *play) Change { p.offset = -time.Second; defer func() { p.offset = 0 }(); return p.present("a") }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := settled()
@@ -114,12 +116,12 @@
 			}
 			p.check(t, "contradicted", c.bounded)
 			if b := p.Bounds(); !b.Doubted || b.At(p.now).Width() < 900*ms {
-				t.Errorf("the safe ends are %+v", b.At(p.now))
+				t.Errorf("the interval is not marked as contradicted or does not include both: %+v", b.At(p.now))
 			}
 			epoch := p.Epoch()
 			p.present("a")
 			if !p.Bounds().Doubted {
-				t.Error("one answer settles it")
+				t.Error("a single answer ended the contradiction")
 			}
 			if got := p.present("b"); got != Settled || p.Epoch() != epoch || p.Bounds().Doubted {
 				t.Errorf("change %d, epoch %d, %+v", got, p.Epoch(), p.Bounds())
@@ -140,11 +142,11 @@
 		p.Observe(Observation{Host: host, Present: p.now - 5*ms, Sent: sent, Received: p.now})
 	}
 	if !p.Bounds().Doubted {
-		t.Error("settled")
+		t.Error("answers to earlier queries ended the contradiction")
 	}
-	p.present("b") // agrees with a's, and is independent of it
+	p.present("b") // agrees with the answer of host a and is independent of it
 	if !p.Bounds().Doubted {
-		t.Error("settled by one answer since and one from before")
+		t.Error("one answer to a later query and one to an earlier query ended the contradiction")
 	}
 }
 
@@ -160,7 +162,7 @@
 	}
 	p.check(t, "contradicted twice", true)
 	if least := p.Bounds().At(p.now).Least; least > 0 {
-		t.Errorf("what was known first is given up: at least %s", least)
+		t.Errorf("the interval does not include the one known first: its minimum is %s", least)
 	}
 }
 
@@ -187,26 +189,26 @@
 	width := p.Bounds().At(p.now).Width()
 	p.now += 100 * time.Second
 	if got := p.Bounds().At(p.now).Width(); got < width+200*ms {
-		t.Errorf("after 100 s %s, before %s", got, width)
+		t.Errorf("the width is %s after 100 s, and was %s before", got, width)
 	}
-	p.offset = 90 * ms // it drifts
+	p.offset = 90 * ms // the clock has drifted
 	p.present("a")
 	p.present("b")
 	p.check(t, "drifted", true)
 	if got := p.Bounds().At(p.now).Width(); got > 150*ms {
-		t.Errorf("renewed, but %s wide", got)
+		t.Errorf("the width is %s after new answers", got)
 	}
 }
 
 func TestBeforeAHostHasToldNothingBoundsAStart(t *testing.T) {
-	p := newPlay(-time.Hour) // a host that has just started seems to have started an hour ago
+	p := newPlay(-time.Hour) // by the local clock, a host that has just started seems to have started an hour ago
 	if p.Bounds().Told {
-		t.Error("the machine's clock is believed of starts")
+		t.Error("the local clock alone gives a lower bound")
 	}
 	p.position("a", 10*ms)
 	p.check(t, "one host", false)
 	if !p.Bounds().Told {
-		t.Error("one host's answer says nothing of starts")
+		t.Error("the answer of one host gives no lower bound")
 	}
 }
 
@@ -214,7 +216,7 @@
 	p := newPlay(time.Hour)
 	p.Inherit(p.now, Interval{time.Hour - ms, time.Hour + ms})
 	p.check(t, "handed over", true)
-	p.offset = time.Hour + 300*ms // it was wrong
+	p.offset = time.Hour + 300*ms // the interval that was handed over is wrong
 	p.present("a")
 	p.check(t, "contradicted", true)
 	p.present("b")
@@ -231,9 +233,9 @@
 	}
 }
 
-// Whatever the answers take, whoever lags and whatever old position is repeated, the offset lies inside the bounds: also with one
-// answer that is wrong by any amount, where the machine's clock is right or the interval is known, and with drift at the rate that is
-// allowed for.
+// The offset must lie within the bounds for any round-trip times, lags and repeated old positions, and with
+// drift at the permitted rate. One answer may also be wrong by any amount, if the local clock is right or the
+// interval is known.
 func TestTheOffsetLiesInsideTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, least, most time.Duration) time.Duration {
@@ -250,7 +252,7 @@
 		e, now := New(start), start
 		fleet := func(at time.Duration) time.Duration { return at + offset + (at-start)/1_000_000*rate }
 		for n := range 40 {
-			sent := now + draw("pause", -200*ms, 2*time.Second) // others are still out
+			sent := now + draw("pause", -200*ms, 2*time.Second) // negative: sent while earlier queries are in flight
 			made := sent + draw("work", 0, 300*ms)
 			received := max(now, made+draw("way back", 0, 400*ms))
 			now = received
@@ -267,7 +269,7 @@
 			e.Observe(o)
 			b, truth := e.Bounds(), fleet(now)-now
 			if i := b.At(now); b.Told && i.Least > truth || b.Bounded && i.Most < truth {
-				t.Fatalf("answer %d: the offset %s lies outside of %+v", n, truth, i)
+				t.Fatalf("answer %d: the offset %s lies outside %+v", n, truth, i)
 			}
 		}
 	})
@@ -286,24 +288,24 @@
 
 func TestABusyHostSettlesTheClock(t *testing.T) {
 	for name, before := range map[string]func(p *play){
-		"at a start":            func(*play) {},
+		"at the start":          func(*play) {},
 		"after a contradiction": func(p *play) { p.Inherit(p.now, Interval{-ms, ms}) },
 	} {
 		p := newPlay(300 * ms)
 		before(p)
-		for range 10_000 { // 40 queries are out at any time
+		for range 10_000 { // 40 queries are in flight at any time
 			p.now += ms
 			p.Observe(Observation{Host: "a", Present: p.now - 20*ms + p.offset, Sent: p.now - 40*ms, Received: p.now})
 		}
 		if b := p.Bounds(); !b.Bounded || b.Doubted {
-			t.Errorf("%s: after 10 s of answers of one host bounded %t, doubted %t", name, b.Bounded, b.Doubted)
+			t.Errorf("%s: after 10 s of answers of one host bounded %t, contradicted %t", name, b.Bounded, b.Doubted)
 		}
 		p.check(t, name, true)
 	}
 }
 
 func TestAPositionThatIsToldAgainIsOneWitness(t *testing.T) {
-	for name, hosts := range map[string][]string{"of one host": {"a", "a", "a"}, "of two hosts that stopped together": {"a", "b", "a"}} {
+	for name, hosts := range map[string][]string{"one host": {"a", "a", "a"}, "two hosts that stopped at the same time": {"a", "b", "a"}} {
 		for _, known := range []bool{false, true} {
 			p := newPlay(0)
 			if known {
@@ -318,7 +320,7 @@
 			}
 			p.now += 10 * ms
 			if i := p.Bounds().At(p.now); i.Most < 0 {
-				t.Errorf("%s, known %t: a primary that stands still sets the clock to %+v", name, known, i)
+				t.Errorf("%s, known %t: repeating an old position moves the interval to %+v", name, known, i)
 			}
 		}
 	}
@@ -334,14 +336,14 @@
 	for range 3 {
 		p.now += apart + 10*ms
 		p.Observe(Observation{Host: "a", Present: old, Sent: p.now - 10*ms, Received: p.now})
-		p.check(t, "a position that stands still", true)
+		p.check(t, "a position that does not advance", true)
 	}
 }
 
 func TestAnAnswerAllowsForRoundingAndForAClockThatWasReadBefore(t *testing.T) {
 	for _, told := range []time.Duration{-5*ms - ms, ms} {
 		if i := (Observation{Host: "a", Present: start + told, Sent: start, Received: start}).Proves(); i.Least > 0 || i.Most < 0 {
-			t.Errorf("a present told as %s proves %+v where the clock is right", told, i)
+			t.Errorf("a primary's position that is off by %s proves %+v, which excludes the offset 0", told, i)
 		}
 	}
 }
@@ -351,7 +353,7 @@
 	p.present("a")
 	p.present("b")
 	p.now += apart + 10*ms
-	p.offset = time.Second // it told its present before the clock was set, and its report after
+	p.offset = time.Second // the host's clock was set between its primary's position and its load report
 	p.Observe(Observation{Host: "a", Present: p.now - 5*ms, Position: p.now + p.offset, Sent: p.now - 10*ms, Received: p.now})
 	p.check(t, "contradicted", false)
 }
@@ -361,7 +363,7 @@
 		e := New(start)
 		e.Inherit(start, Interval{-ms, most})
 		if got := e.Bounds().Ages(start); got != want {
-			t.Errorf("with an upper end of %s a position's age is moved by %s, want %s", most, got, want)
+			t.Errorf("with an upper bound of %s the correction of ages is %s, want %s", most, got, want)
 		}
 	}
 }
--- a/internal/control/fleetclock/witness.go
+++ b/internal/control/fleetclock/witness.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// witness is an answer, or something assumed, that speaks for an interval.
+// witness is an independent measurement of the offset: an answer, or an assumption.
 type witness struct {
 	host           string
-	assumed        bool // no answer: it counts until answers do without it
-	sent, received time.Duration
-	interval       Interval // as of received
+	assumed        bool          // an assumption, not an answer; it is used until enough answers agree without it
+	sent, received time.Duration // on the local clock
+	interval       Interval      // at the time received
 }
 
-// apart is the least time between two round trips that count as independent: by then a primary whose position stands still tells one
-// that contradicts the first.
+// apart is the minimum time between two round trips that count as independent. After that time, the answer of
+// a primary whose position does not advance contradicts its earlier one.
 const apart = 2 * presentAge
 
-// independent says that one cause can hardly have made both wrong: their round trips lie apart. Answers that were held and came together
-// are one.
+// independent reports whether a single fault is unlikely to have made both witnesses wrong, as their round
+// trips do not overlap and lie far enough apart. Answers that were delayed and arrived together count as one
+// witness.
 func independent(a, b witness) bool {
 	if a.assumed || b.assumed {
 		return a.assumed != b.assumed
@@ -23,8 +24,9 @@
 	return a.received+apart <= b.sent || b.received+apart <= a.sent
 }
 
-// standStill says that two answers contradict each other as those of a position that is told again do: the later one proves less. Then
-// both may be wrong.
+// standStill reports whether two answers contradict each other in the way that a repeated, outdated position
+// does: the upper bound of the later one lies below the lower bound of the earlier one. Both may be wrong
+// then.
 func standStill(a, b witness) bool {
 	if a.assumed || b.assumed {
 		return false
@@ -35,13 +37,14 @@
 	return b.interval.Most < a.at(b.received).Least
 }
 
-// at is the witness's interval at a time.
+// at returns the interval of the witness at the local time t.
 func (w witness) at(t time.Duration) Interval { return w.interval.after(t - w.received) }
 
 func (w witness) least() bound { return bound{w, -(w.interval.Least + drift(w.received))} }
 func (w witness) most() bound  { return bound{w, w.interval.Most - drift(w.received)} }
 
-// common is what all witnesses allow at a time; its ends cross where they do not agree.
+// common returns the intersection of the intervals of all witnesses at a local time. Its minimum is above its
+// maximum if they do not agree.
 func common(all []witness, at time.Duration) Interval {
 	out := Interval{-unbounded, unbounded}
 	for _, w := range all {
@@ -50,20 +53,22 @@
 	return out
 }
 
-// bound is one that a witness proves. A lower bound is kept as its negative, so that less is tighter for both.
+// bound is a lower or an upper bound that a witness proves. Lower bounds are negated, so that the smaller
+// value is the tighter one for both.
 type bound struct {
 	by    witness
-	value time.Duration // as it would have been when the machine's clock showed 0
+	value time.Duration // extrapolated to when the local clock showed 0
 }
 
-// side is the tightest pair of bounds in one direction that two independent witnesses prove: the looser one holds also if one of them
-// is wrong. There is a single one until a second is told.
+// side is the tightest pair of bounds in one direction that two independent witnesses prove. The looser bound
+// of the pair holds even if one of the witnesses is wrong. There is only one bound until a second witness is
+// observed.
 type side struct {
 	bounds [2]bound
 	count  int
 }
 
-// add takes a bound in where that makes the pair tighter.
+// add puts a bound into the pair if that makes the pair tighter.
 func (s *side) add(b bound) {
 	best := *s
 	for _, o := range s.bounds[:s.count] {
@@ -77,13 +82,14 @@
 	*s = best
 }
 
-// twice makes a bound both of the pair: it was proven by two witnesses, and no single answer to come moves it.
+// twice sets both bounds of the pair to b, which two witnesses have proven, so that no single later answer
+// moves it.
 func (s *side) twice(b bound) {
 	b.by = witness{assumed: true}
 	*s = side{[2]bound{b, b}, 2}
 }
 
-// tighter says that a pair proves more than what there is.
+// tighter reports whether s is a tighter pair than another one.
 func (s *side) tighter(than *side) bool {
 	if than.count < 2 {
 		return true
@@ -94,7 +100,8 @@
 
 func (s *side) looser() time.Duration { return max(s.bounds[0].value, s.bounds[1].value) }
 
-// bound is the one that holds even if one witness is wrong; not ok: there are not two yet.
+// bound returns the bound that holds even if one witness is wrong. ok is false if there are not two bounds
+// yet.
 func (s *side) bound() (value time.Duration, ok bool) {
 	if s.count < 2 {
 		return 0, false
--- a/internal/control/listwatch/listwatch_test.go
+++ b/internal/control/listwatch/listwatch_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// step is Step at a time, with what it says to begin and drop in words.
+// step calls Step and describes the calls to start and to cancel as text.
 func step(w *Watch, now time.Duration) (said []string, next time.Duration) {
 	begin, drop, next := w.Step(now)
 	for _, id := range drop {
@@ -33,7 +33,7 @@
 	answer := func(id int, revision int64, use bool) func(*Watch, time.Duration) {
 		return func(w *Watch, now time.Duration) {
 			if got := w.Answered(now, id, revision); got != use {
-				t.Errorf("the answer of call %d is used: %t", id, got)
+				t.Errorf("the answer to call %d: use is %t", id, got)
 			}
 		}
 	}
@@ -46,47 +46,47 @@
 	first := event{0, nil, []string{"call 1 a after 41 wait 0s"}}
 	watching := []event{first, {0, answer(1, 42, true), []string{"call 2 a after 42 wait 1s"}}}
 	for name, events := range map[string][]event{
-		"an answered call is followed by a watch": watching,
-		"a silent watch goes on beside another call, whose answer ends it": append(slices.Clone(watching),
+		"answered call is followed by a watch": watching,
+		"silent watch continues until a parallel call is answered": append(slices.Clone(watching),
 			event{2199 * ms, nil, nil},
 			event{2200 * ms, nil, []string{"call 3 a after 42 wait 0s"}},
 			event{2300 * ms, answer(3, 43, true), []string{"drop 2", "call 4 a after 43 wait 1s"}}),
-		"a slow answer of a call that another was begun beside is used": append(slices.Clone(watching),
+		"slow answer of a silent call is used": append(slices.Clone(watching),
 			event{2200 * ms, nil, []string{"call 3 a after 42 wait 0s"}},
 			event{2500 * ms, answer(2, 43, true), []string{"drop 3", "call 4 a after 43 wait 1s"}}),
-		"the oldest silent call stays while others are replaced": append(slices.Clone(watching),
+		"oldest silent call is kept and others are replaced": append(slices.Clone(watching),
 			event{2200 * ms, nil, []string{"call 3 a after 42 wait 0s"}},
 			event{4300 * ms, nil, []string{"call 4 a after 42 wait 0s"}},
 			event{6400 * ms, nil, []string{"drop 3", "call 5 a after 42 wait 0s"}},
 			event{6500 * ms, answer(2, 43, true), []string{"drop 4", "drop 5", "call 6 a after 43 wait 1s"}}),
-		"a broken connection is followed by a call that does not wait": append(slices.Clone(watching),
+		"failed connection is followed by a call without wait": append(slices.Clone(watching),
 			event{500 * ms, fail(2, Broken), nil},
 			event{600 * ms, nil, []string{"call 3 a after 42 wait 0s"}}),
-		"a move to the same address changes nothing": append(slices.Clone(watching), event{100 * ms, move("a"), nil}),
-		"a move asks for the whole list, and takes the old agent's answers until that comes": append(slices.Clone(watching),
+		"move to the same address has no effect": append(slices.Clone(watching), event{100 * ms, move("a"), nil}),
+		"move asks for a snapshot and uses the old agent's answers until then": append(slices.Clone(watching),
 			event{100 * ms, move("b"), []string{"call 3 b after -1 wait 0s"}},
 			event{200 * ms, answer(2, 43, true), nil},
 			event{300 * ms, answer(3, 7, true), []string{"call 4 b after 7 wait 1s"}}),
-		"a series of moves starves no call": append(slices.Clone(watching),
+		"series of moves cancels no call": append(slices.Clone(watching),
 			event{100 * ms, move("b"), []string{"call 3 b after -1 wait 0s"}},
 			event{200 * ms, move("a"), []string{"call 4 a after -1 wait 0s"}},
 			event{300 * ms, move("b"), nil},
 			event{400 * ms, answer(3, 7, true), []string{"drop 2", "drop 4", "call 5 b after 7 wait 1s"}}),
-		"changes that an agent tells once it was left and asked again do not stand for its whole list": append(slices.Clone(watching),
+		"delta from before a move there and back is not taken for a snapshot": append(slices.Clone(watching),
 			event{100 * ms, move("b"), []string{"call 3 b after -1 wait 0s"}},
 			event{200 * ms, move("a"), []string{"call 4 a after -1 wait 0s"}},
 			event{300 * ms, answer(3, 7, true), nil},
 			event{400 * ms, answer(2, 43, true), nil},
 			event{500 * ms, answer(4, 43, true), []string{"call 5 a after 43 wait 1s"}}),
-		"what an old agent says after the new one has answered is not used": append(slices.Clone(watching),
+		"answer of the old agent is not used after one of the new agent": append(slices.Clone(watching),
 			event{100 * ms, move("b"), []string{"call 3 b after -1 wait 0s"}},
 			event{300 * ms, answer(3, 7, true), []string{"drop 2", "call 4 b after 7 wait 1s"}},
 			event{400 * ms, answer(2, 43, false), nil}),
-		"a lower revision is asked about again, and taken if a whole list says so too": append(slices.Clone(watching),
+		"lower revision is used after a snapshot confirms it": append(slices.Clone(watching),
 			event{100 * ms, answer(2, 3, false), nil},
 			event{200 * ms, nil, []string{"call 3 a after -1 wait 0s"}},
 			event{300 * ms, answer(3, 4, true), []string{"call 4 a after 4 wait 1s"}}),
-		"a lower revision that came late is not used": append(slices.Clone(watching),
+		"outdated lower revision is not used": append(slices.Clone(watching),
 			event{100 * ms, answer(2, 3, false), nil},
 			event{200 * ms, nil, []string{"call 3 a after -1 wait 0s"}},
 			event{300 * ms, answer(3, 42, true), []string{"call 4 a after 42 wait 1s"}}),
@@ -102,24 +102,24 @@
 					t.Fatalf("at %s: %s", e.at, diff)
 				}
 				if next <= e.at {
-					t.Fatalf("at %s it is to be asked again at %s", e.at, next)
+					t.Fatalf("at %s the next step is due at %s, which is not later", e.at, next)
 				}
 			}
 		})
 	}
 }
 
-// agent is discovery with faults that a seed draws, on a virtual clock.
+// agent simulates discovery with random faults, on a virtual clock.
 type agent struct {
 	rng     *rand.Rand
-	reached time.Duration // when it can be reached for good
+	reached time.Duration // from then on the agent can always be reached
 	latency time.Duration // of each answer
-	refuse  int           // calls in a row that it turns away
-	refused time.Duration // how long it may take to do so
-	breaks  int           // connections that break then
+	refuse  int           // calls in a row that the agent rejects
+	refused time.Duration // maximum time until it rejects a call
+	breaks  int           // connections that fail after reachableFrom
 }
 
-// fate is what becomes of a call: when it ends, and how; never: it does not.
+// fate returns when a call ends, or never if it does not, and with which result.
 func (a *agent) fate(now time.Duration, c Call) (at time.Duration, failed bool, why Failure) {
 	if now == 0 {
 		return now + a.latency, false, 0
@@ -131,15 +131,15 @@
 		case 1:
 			at := now + time.Duration(a.rng.Int64N(int64(1900*ms)))
 			if a.refuse = min(a.refuse, 1); at >= a.reached-longestPause {
-				a.refuse = 0 // that was the one
+				a.refuse = 0 // this rejection counts for those after reachableFrom
 			}
 			return at, true, Busy
-		case 2: // answered, before the change
+		case 2: // answered before the change
 			if at := now + c.Wait + a.latency; at < a.reached {
 				return at, false, 0
 			}
 		}
-		return never, false, 0 // silent, also after the return
+		return never, false, 0 // silent, even after the agent can be reached
 	}
 	switch {
 	case a.breaks > 0:
@@ -149,17 +149,18 @@
 		a.refuse--
 		return now + time.Duration(a.rng.Int64N(int64(a.refused))), true, Busy
 	}
-	return now + a.latency, false, 0 // there is news: it does not wait
+	return now + a.latency, false, 0 // there is a change, so that the call does not wait
 }
 
-// knownAfter plays a watch before an agent, and says how long after it could be reached an answer came that was asked for since.
+// knownAfter simulates a watch and an agent. It returns the time from when the agent can be reached to the
+// answer to a call that was started since then.
 func knownAfter(seed uint64, moves bool) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	a := &agent{rng: rng, reached: 10*time.Second + time.Duration(rng.Int64N(int64(10*time.Second))), refuse: rng.IntN(3),
 		breaks: rng.IntN(3)}
 	a.refused = 1900 * ms / time.Duration(max(a.refuse, 1))
 	if a.latency = time.Duration(rng.Int64N(int64(1500 * ms))); a.refuse > 0 {
-		a.latency /= 2 // slow or crowded, not both in full
+		a.latency /= 2 // an agent that rejects calls is not also slow to the full extent
 	}
 	type event struct {
 		at     time.Duration
@@ -208,9 +209,10 @@
 	return never
 }
 
-// A change is known within 6 s of when discovery had it and could be reached: whatever became of the calls before, with answers
-// that take up to 1.5 s, or one call turned away after up to 1.9 s, or two in a row after up to 0.95 s, where none was before, and answers that
-// take up to 0.75 s; and two broken connections.
+// The gateway must know a change within 6 s after discovery has it and can be reached, whatever happened to
+// earlier calls, and with up to two failed connections. Either answers take up to 1.5 s, or they take up to
+// 0.75 s and one call is rejected after up to 1.9 s, or two in a row after up to 0.95 s each, if no call was
+// rejected before.
 func TestAChangeIsKnownInTime(t *testing.T) {
 	for _, moves := range []bool{false, true} {
 		most, by := time.Duration(0), uint64(0)
@@ -220,18 +222,18 @@
 			}
 		}
 		if most > 6*time.Second {
-			t.Errorf("moves: %t, seed %d: known %s after discovery could be reached", moves, by, most)
+			t.Errorf("moves: %t, seed %d: the change is known %s after discovery can be reached", moves, by, most)
 		}
-		t.Logf("moves: %t: known after %s at most (seed %d)", moves, most, by)
+		t.Logf("moves: %t: the change is known after at most %s (seed %d)", moves, most, by)
 	}
 }
 
-// line is a service that takes calls in turn, holds so many, and gives up those that have waited too long.
+// line simulates a service with a queue of limited length. It rejects calls that have waited too long.
 type line struct {
-	each, patience time.Duration
-	holds          int
+	each, patience time.Duration // time to serve a call; maximum time in the queue
+	holds          int           // maximum length of the queue
 	calls          []waiting
-	free           time.Duration // when the next is served
+	free           time.Duration // when the next call is served
 }
 
 type waiting struct {
@@ -239,7 +241,8 @@
 	at      time.Duration
 }
 
-// served gives the calls that are answered by now; too late ones cost their turn all the same.
+// served returns the calls that are answered by now and those that have waited too long, which take as much
+// of the service's time.
 func (l *line) served(now time.Duration) (ok, late []waiting) {
 	for len(l.calls) > 0 && l.free <= now {
 		c := l.calls[0]
@@ -255,7 +258,8 @@
 	return ok, late
 }
 
-// answered says how many gateways that all start at once have been answered after a while.
+// answered returns how many gateways have been answered within a time if all start at once. Hasty gateways do
+// not pause after a rejection.
 func answered(gateways int, within time.Duration, hasty bool) int {
 	const tick = 10 * ms
 	l := &line{each: 140 * ms, patience: 2 * time.Second, holds: 20}
@@ -263,7 +267,7 @@
 	for i := range all {
 		all[i] = New("a", Whole, uint64(i))
 	}
-	retry := make([]time.Duration, gateways) // of hasty ones, which come back at once
+	retry := make([]time.Duration, gateways) // next calls of hasty gateways
 	for now := time.Duration(0); now < within; now += tick {
 		ok, late := l.served(now)
 		for _, c := range ok {
@@ -294,19 +298,21 @@
 	return len(done)
 }
 
-// A release starts most of a fleet at once. With pauses all are answered; coming back at once most never are.
+// A release starts most gateways of a fleet at once. With pauses, discovery answers all of them. If rejected
+// gateways retried at once, most would never be answered.
 func TestALineDrains(t *testing.T) {
 	for _, n := range []int{36, 80} {
 		if got := answered(n, time.Minute, false); got != n {
-			t.Errorf("%d of %d gateways have a list after a minute", got, n)
+			t.Errorf("%d of %d gateways have a list after one minute", got, n)
 		}
 		if got := answered(n, time.Minute, true); got > n/2 {
-			t.Errorf("coming back at once %d of %d have one: this line shows nothing", got, n)
+			t.Errorf("%d of %d gateways have a list without pauses: the simulated load is too low for this test", got, n)
 		}
 	}
 }
 
-// The change comes just when a call has begun that is turned away as late as calls are, and so is the next one.
+// The change happens just after the start of a call that is rejected as late as the protocol permits, and so
+// is the next call.
 func TestTwoCallsTurnedAwayInARowLeaveTimeForAThird(t *testing.T) {
 	for seed := range uint64(1000) {
 		w := New("a", 41, seed)
@@ -319,12 +325,12 @@
 			_, _, began = w.Step(began + refusedWithin)
 		}
 		if began > knownWithin {
-			t.Fatalf("seed %d: the third begins %s after the first", seed, began)
+			t.Fatalf("seed %d: the third call starts %s after the first", seed, began)
 		}
 	}
 }
 
-// The first pause of a row is short, the next is long; neither is the same everywhere.
+// After the first rejection in a row the pause is short, after the next one long. Both are random.
 func TestPausesDiffer(t *testing.T) {
 	bounds := [][2]time.Duration{{shortestPause, shortestPause + firstSpread}, {longestPause - pauseSpread, longestPause}}
 	seen := map[time.Duration]bool{}
@@ -336,13 +342,13 @@
 			w.Failed(now, begin[0].ID, Busy)
 			_, _, next := w.Step(now)
 			if pause := next - now; pause < b[0] || pause > b[1] {
-				t.Fatalf("seed %d: %s after a call that was turned away", seed, pause)
+				t.Fatalf("seed %d: a pause of %s after a rejected call", seed, pause)
 			}
 			now = next
 			seen[now] = true
 		}
 	}
 	if len(seen) < 1800 {
-		t.Errorf("only %d pauses of 2000 differ", len(seen))
+		t.Errorf("only %d of 2000 pauses differ", len(seen))
 	}
 }
--- a/internal/control/listwatch/older_list_test.go
+++ b/internal/control/listwatch/older_list_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// movedBesideASilentCall is a watch whose call 1 at address a is silent, that has moved to b, and that has used what call 2 at a answered.
+// movedBesideASilentCall returns a watch whose call 1 to address a is silent, that has moved to address b,
+// and that has used the answer to call 2 to address a.
 func movedBesideASilentCall(t *testing.T, revision int64) (w *Watch, now time.Duration) {
 	t.Helper()
 	w = New("a", revision, 1)
 	step(w, 0)
-	step(w, crowdedSilentAfter) // call 2 begins beside it
+	step(w, crowdedSilentAfter) // call 2 starts in parallel
 	now = crowdedSilentAfter + 10*ms
 	w.Move(now, "b")
 	step(w, now)
 	if !w.Answered(now, 2, 43) {
-		t.Fatal("the newest list of the last address is not used")
+		t.Fatal("the newest list of the previous address is not used")
 	}
 	return w, now
 }
@@ -38,18 +39,18 @@
 }
 
 func TestAnOlderWholeListThatWasAskedForBeforeIsNotTakenForANewCount(t *testing.T) {
-	w, now := movedBesideASilentCall(t, Whole) // call 2 asks for the whole list too
+	w, now := movedBesideASilentCall(t, Whole) // call 2 asks for a snapshot too
 	w.Move(now, "a")
 	begun, _, _ := w.Step(now)
 	if w.Answered(now+ms, begun[0].ID, 42) {
 		t.Error("a list of revision 42 is used after one of revision 43 of the same address")
 	}
 	if w.Answered(now+2*ms, 1, 42) {
-		t.Error("an answer to a call of before is taken for the agent's word that it counts anew")
+		t.Error("the answer to an earlier call is taken as proof that the agent has reset its revisions")
 	}
 	again, _, _ := w.Step(now + ms + soon + 2*ms)
 	if len(again) != 1 || !w.Answered(now+2*soon, again[0].ID, 3) {
-		t.Errorf("the agent counts anew, and its whole list is not used: %+v", again)
+		t.Errorf("the agent has reset its revisions, and its snapshot is not used: %+v", again)
 	}
 }
 
@@ -64,7 +65,7 @@
 		w.Move(now, fmt.Sprint("a", i+1))
 	}
 	if w.Step(1000 * 100 * ms); len(w.used) > maxCalls+1 {
-		t.Errorf("%d addresses are kept", len(w.used))
+		t.Errorf("the state of %d addresses is kept", len(w.used))
 	}
 }
 
@@ -72,7 +73,7 @@
 	w := New("a", 41, 1)
 	begun, _, _ := w.Step(0)
 	if w.Answered(ms, begun[0].ID, 3) {
-		t.Fatal("an answer of a lower revision is used at once")
+		t.Fatal("an answer with a lower revision is used at once")
 	}
 	w.Move(2*ms, "b")
 	w.Step(2 * ms)
@@ -81,6 +82,6 @@
 	w.Move(4*ms, "b")
 	w.Step(4 * ms)
 	if len(begun) != 1 || !w.Answered(5*ms, begun[0].ID, 3) {
-		t.Errorf("the whole list that says so too is not used: %+v", begun)
+		t.Errorf("the snapshot that confirms the lower revision is not used: %+v", begun)
 	}
 }
--- a/internal/control/reload/need_test.go
+++ b/internal/control/reload/need_test.go
@@ -14,7 +14,7 @@
 	loose.Need, loose.Bound = balance.AnyData, 0
 	v.Take(0, balance.Settings{Classes: []balance.Class{loose}})
 	if got := v.InForce().Classes[0]; got.Need != balance.Bounded || got.Bound != view.Bound {
-		t.Errorf("before the new settings bind a read may be served from data of any age: %+v", got)
+		t.Errorf("a read may be served from data of any age before the new settings are binding: %+v", got)
 	}
 }
 
@@ -48,7 +48,7 @@
 			t.Errorf("from need %d to %d: a bound of %s", c.old, c.new, got.Bound)
 		}
 		if v.Settle(time.Second); v.InForce().Classes[0].Need != c.new {
-			t.Errorf("from need %d to %d: after the grace %d", c.old, c.new, v.InForce().Classes[0].Need)
+			t.Errorf("from need %d to %d: %d after the grace period", c.old, c.new, v.InForce().Classes[0].Need)
 		}
 	}
 }
--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -1,11 +1,11 @@
-// Package reload says which version of the settings is in force from when, while staff change them under load. Versions
-// come whole; it does no I/O and has no clock.
+// Package reload computes the settings in force while they are updated under load. Each version is a complete
+// set of settings. The package does no I/O and does not read a clock.
 //
-// New settings are binding some time after they were given, and what was sent under the old ones still arrives until then.
-// So for a grace both hold: a class that appears is in use at once, one that vanishes is still taken, and of one that
-// changes the stricter word counts, whether the old or the new one says it. After the grace the newest version holds alone.
-// A request keeps the class that it came with; only limits on what is done for it (attempts, the end of a drain) are always
-// those of now.
+// New settings become binding some time after they were received, and requests sent under the old settings
+// still arrive until then. During this grace period both versions apply: a new class can be used at once, a
+// removed class is still accepted, and for a changed class the stricter value applies, whether it is the old
+// or the new one. After the grace period only the newest version applies. A request keeps the class with
+// which it arrived, while limits on its handling (attempts, the end of a drain) are always the current ones.
 package reload
 
 import (
@@ -17,23 +17,24 @@
 	"yokemast/balance"
 )
 
-// Versions is the settings of one gateway over time. It is not safe for concurrent use.
+// Versions holds the versions of one gateway's settings that may apply. It is not safe for concurrent use.
 type Versions struct {
 	grace   time.Duration
 	inForce balance.Settings
-	next    *balance.Settings // alone in force from settleAt on
+	next    *balance.Settings // newest version, which alone applies from settle on, or nil if inForce is the newest
 	settle  time.Duration
 }
 
-// New starts with the settings that the gateway was started with. A version is binding a grace after it was taken.
+// New returns the versions of a gateway that starts with the settings s. A later version becomes binding
+// after the grace period that starts when it is received.
 func New(s balance.Settings, grace time.Duration) *Versions {
 	return &Versions{grace: grace, inForce: s}
 }
 
-// InForce gives the settings that hold.
+// InForce returns the settings that apply.
 func (v *Versions) InForce() balance.Settings { return v.inForce }
 
-// Take takes a version that makes sense. changed says that what is in force is now another.
+// Take adds a version, which must be valid. It reports whether the version differs from the newest one.
 func (v *Versions) Take(now time.Duration, s balance.Settings) (changed bool) {
 	if newest := v.next; newest == nil && reflect.DeepEqual(v.inForce, s) || newest != nil && reflect.DeepEqual(*newest, s) {
 		return false
@@ -43,10 +44,10 @@
 	return true
 }
 
-// Due says when the newest version is to hold alone; not ok: it does.
+// Due returns the end of the grace period of the newest version. ok is false if it has already been settled.
 func (v *Versions) Due() (at time.Duration, ok bool) { return v.settle, v.next != nil }
 
-// Settle puts the newest version in force alone, if its time has come; changed says that it did.
+// Settle puts the newest version alone into force if its grace period has ended, and reports whether it did.
 func (v *Versions) Settle(now time.Duration) (changed bool) {
 	if v.next == nil || now < v.settle {
 		return false
@@ -55,7 +56,7 @@
 	return true
 }
 
-// both gives settings under which neither the old nor the new ones are broken.
+// both returns settings that comply with the old and with the new ones.
 func both(old, s balance.Settings) balance.Settings {
 	s.MaxAttempts = min(old.MaxAttempts, s.MaxAttempts)
 	s.MaxRetryAfter = min(old.MaxRetryAfter, s.MaxRetryAfter)
@@ -66,9 +67,9 @@
 	s.ColdTime = max(old.ColdTime, s.ColdTime)
 	s.Probes, s.Cancel = old.Probes && s.Probes, old.Cancel && s.Cancel
 	s.DroppedStayOpen = old.DroppedStayOpen && s.DroppedStayOpen
-	s.TokensCarried = old.TokensCarried && s.TokensCarried // else what the sessions write is remembered
+	s.TokensCarried = old.TokensCarried && s.TokensCarried // without tokens the gateway keeps the positions of sessions' writes
 	if old.Checks == balance.ChecksNone {
-		s.Checks = balance.ChecksNone // no member is trusted to check a read that did not before
+		s.Checks = balance.ChecksNone // do not rely on members to check reads if they did not before
 	}
 	s.Classes = slices.Clone(s.Classes)
 	for _, o := range old.Classes {
@@ -82,17 +83,18 @@
 	return s
 }
 
-// stricter gives the class under which no promise of either is broken.
+// stricter returns a class that keeps the guarantees of both versions of a class.
 func stricter(old, c balance.Class) balance.Class {
-	c.Effect = max(old.Effect, c.Effect) // safe, keyed, unsafe
-	c.Scope = max(old.Scope, c.Scope)    // all, zone, group
+	c.Effect = max(old.Effect, c.Effect) // in the order safe, keyed, unsafe
+	c.Scope = max(old.Scope, c.Scope)    // in the order all, zone, group
 	c.KeyTTL = min(old.KeyTTL, c.KeyTTL)
 	c.Deadline = min(old.Deadline, c.Deadline)
 	c.Need, c.Bound = needs(old, c)
 	return c
 }
 
-// needs gives how current data has to be to be so for both classes. A write's need goes with no read's: the new one holds.
+// needs returns how current data must be to satisfy both classes. The need of a write cannot be combined with
+// that of a read, so the new one applies if either class is a write.
 func needs(old, c balance.Class) (balance.Need, time.Duration) {
 	switch {
 	case old.Need == balance.Write || c.Need == balance.Write || old.Need == balance.AnyData:
@@ -106,7 +108,7 @@
 	switch {
 	case old.Need == balance.Bounded && c.Need == balance.Bounded:
 		return balance.Bounded, bound
-	case bound == 0: // the present, of which a bound of a session's reads can't tell
+	case bound == 0: // a session read with bound 0 has no bound at all, so only Latest is as strict
 		return balance.Latest, 0
 	case bound == unbounded:
 		return balance.Session, 0
@@ -114,10 +116,10 @@
 	return balance.Session, bound
 }
 
-// unbounded is longer than any bound.
+// unbounded exceeds any bound on the age of data.
 const unbounded = time.Duration(math.MaxInt64)
 
-// boundOf is how old data may be for a class of bounded or session reads.
+// boundOf returns the maximum age of data for a class of bounded or session reads.
 func boundOf(c balance.Class) time.Duration {
 	if c.Need == balance.Session && c.Bound == 0 {
 		return unbounded
--- a/internal/control/reload/reload_test.go
+++ b/internal/control/reload/reload_test.go
@@ -35,33 +35,33 @@
 func TestWhatIsInForce(t *testing.T) {
 	v := New(settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms)), grace)
 	if v.Take(0, settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms))) {
-		t.Error("the same again is a change")
+		t.Error("an identical version is reported as a change")
 	}
 	if !v.Take(1000*ms, settings(3, class("a", balance.Unsafe, 300*ms), class("c", balance.Safe, 100*ms))) {
-		t.Error("another version is no change")
+		t.Error("a different version is not reported as a change")
 	}
 	want := settings(3, class("a", balance.Unsafe, 300*ms), class("c", balance.Safe, 100*ms), class("b", balance.Safe, 500*ms))
 	if d := cmp.Diff(want, v.InForce()); d != "" {
-		t.Errorf("in the grace: %s", d)
+		t.Errorf("in the grace period: %s", d)
 	}
 	if v.Settle(2199*ms) || !v.Settle(2200*ms) || v.Settle(2200*ms) {
-		t.Error("it does not settle once, after the grace")
+		t.Error("the version is not settled exactly once, at the end of the grace period")
 	}
 	if got := names(v.InForce()); !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("after the grace: %q", got)
+		t.Errorf("after the grace period: %q", got)
 	}
-	// What grows laxer holds from the end of the grace on.
+	// A less strict value applies from the end of the grace period.
 	v.Take(3000*ms, settings(9, class("a", balance.Safe, 900*ms), class("c", balance.Safe, 100*ms)))
 	if a := v.InForce().Classes[0]; a.Effect != balance.Unsafe || a.Bound != 300*ms || v.InForce().MaxAttempts != 3 {
-		t.Errorf("in the grace the laxer word holds: %+v", a)
+		t.Errorf("the less strict value applies in the grace period: %+v", a)
 	}
 	v.Settle(4200 * ms)
 	if a := v.InForce().Classes[0]; a.Effect != balance.Safe || a.Bound != 900*ms || v.InForce().MaxAttempts != 9 {
-		t.Errorf("after the grace: %+v", a)
+		t.Errorf("after the grace period: %+v", a)
 	}
 }
 
-// older is how old the data of a class's reads may be, but for what their session wrote.
+// older returns the maximum age of data for a class of reads, apart from the writes of their own session.
 func older(c balance.Class) time.Duration {
 	switch {
 	case c.Need == balance.Latest:
@@ -72,8 +72,8 @@
 	return c.Bound
 }
 
-// Whatever versions come at whatever times, what is in force breaks none that a request may have been sent under: those
-// that held within the last grace, and the newest.
+// For any versions at any times, the settings in force must comply with every version under which a request
+// may have been sent: those that applied within the last grace period, and the newest.
 func TestNoVersionIsBroken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) balance.Settings {
@@ -104,18 +104,18 @@
 			}
 			newest := len(history) - 1
 			for i, h := range history {
-				// A version binds until a grace after the one behind it was told.
+				// A version is binding until a grace period after its successor was received.
 				if i < newest && history[i+1].at+grace <= now {
 					continue
 				}
 				for _, c := range h.s.Classes {
 					j := slices.IndexFunc(v.InForce().Classes, func(o balance.Class) bool { return o.Name == c.Name })
 					if j < 0 {
-						t.Fatalf("class %s of a version told at %s is not taken at %s", c.Name, h.at, now)
+						t.Fatalf("class %s of a version received at %s is not accepted at %s", c.Name, h.at, now)
 					}
 					if o := v.InForce().Classes[j]; o.Effect < c.Effect || older(o) > older(c) || o.Deadline > c.Deadline ||
 						c.Need == balance.Session && o.Need != balance.Session && o.Need != balance.Latest {
-						t.Fatalf("%+v is laxer than %+v, told at %s, now %s", o, c, h.at, now)
+						t.Fatalf("%+v is less strict than %+v, received at %s, now %s", o, c, h.at, now)
 					}
 				}
 				if v.InForce().MaxAttempts > h.s.MaxAttempts {
@@ -124,7 +124,7 @@
 			}
 			if at, ok := v.Due(); !ok || at <= now {
 				if v.Settle(now); !cmp.Equal(v.InForce(), history[newest].s) {
-					t.Fatal("after the grace not the newest version holds alone")
+					t.Fatal("the settings after the grace period are not those of the newest version")
 				}
 			}
 		}
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -1,15 +1,16 @@
-// Package service says what a gateway's process owes whom: whether it says yes to the front, keeps its clients' connections,
-// passes them on to the process that follows it, and when it ends. One machine takes every word on that (the start, a drain
-// and its end, SIGTERM, an heir), so that no two parts can believe different things. It does no I/O and has no clock: now and
-// events in, a View out.
+// Package service is the state machine for the lifecycle of a gateway process: whether the process reports
+// ready to the load balancer in front of it, keeps the connections of its clients, passes them to a new
+// process, and when it exits. All events that affect these (start, drain and resume, SIGTERM, hot restart)
+// are handled here, so that all parts of the process act on the same state. The package does no I/O and does
+// not read a clock: its inputs are events and the time, its output is a View.
 //
 //	          Ready           Drain             Terminate
 //	Starting -------> Serving <-----> Draining -----------> Ending
 //	                            Resume          (from any)
 //
-// An heir is a second process of the same gateway, started to follow this one. It comes, is ready or is lost in any phase;
-// from when it is ready it gets the clients, and this process keeps only what it has taken. To the heir this process is its
-// elder.
+// In a hot restart, a new process of the same gateway is started to replace this one, the old process. The
+// new process may connect, become ready or be lost in any phase. Once it is ready it takes over the clients,
+// and the old process only completes the requests that it has accepted.
 package service
 
 import (
@@ -18,125 +19,130 @@
 	"time"
 )
 
-// Phase is what the process is at.
+// Phase is the phase of the lifecycle of the process.
 type Phase int
 
 const (
-	Starting Phase = iota // not ready yet: the front has to wait
+	Starting Phase = iota // not ready yet
 	Serving
-	Draining // staff sent the clients away; it may be taken back
-	Ending   // SIGTERM came; nothing takes that back
+	Draining // an operator drains the gateway; Resume ends the drain
+	Ending   // SIGTERM was received; the shutdown cannot be undone
 )
 
 var phases = [...]string{"starting", "serving", "draining", "ending"}
 
 func (p Phase) String() string { return phases[p] }
 
-// Heir is how far the process that follows this one is.
+// Heir is the state of the new process of a hot restart.
 type Heir int
 
 const (
 	None Heir = iota
-	Came      // it runs and shares the limits
-	Took      // it is ready and takes the clients
+	Came      // the new process runs and shares the limits with this one
+	Took      // the new process is ready and takes over the clients
 )
 
 var heirs = [...]string{"none", "came", "took"}
 
 func (h Heir) String() string { return heirs[h] }
 
-// Event is what happens to the process.
+// Event is an event in the lifecycle of the process.
 type Event int
 
 const (
-	Ready     Event = iota // it knows enough to serve
-	Drain                  // staff send the clients away
-	Resume                 // and take them back
+	Ready     Event = iota // the process has the state that it needs to serve
+	Drain                  // an operator starts a drain
+	Resume                 // an operator ends the drain
 	Terminate              // SIGTERM
 	HeirCame
 	HeirReady
-	HeirLost   // it died, or never became ready
-	ElderFound // this process is to follow another
-	ElderGone  // which has ended
+	HeirLost   // the new process died or did not become ready
+	ElderFound // this process is the new process of a hot restart
+	ElderGone  // the old process has exited
 )
 
 var events = [...]string{"ready", "drain", "resume", "terminate", "heir came", "heir ready", "heir lost", "elder found", "elder gone"}
 
 func (e Event) String() string { return events[e] }
 
-// Times are the platform's, as durations from the event that they count from. All are above 0.
+// Times are the time limits that the platform sets, as durations since the event that each refers to. All are
+// above 0.
 type Times struct {
-	// FrontAway is how long after a no the front still opens connections: 0.2 s, and the tenth between two questions.
+	// FrontAway is how long after the process stops reporting ready the load balancer still opens connections
+	// to it: 0.2 s, plus the tenth of a second between two of its readiness probes.
 	FrontAway time.Duration
-	// LastAnswer is how long after SIGTERM the last answer is due, Shed (before it) when connections are ended between
-	// requests, End (after it) when the process must have ended.
+	// Shed, LastAnswer and End are durations since SIGTERM, in this order: when to close connections between
+	// requests, when the last answer is due, and when the process must have exited.
 	Shed, LastAnswer, End time.Duration
-	// Accept is how long after SIGTERM, at the least, new connections are taken: for 0.2 to 0.4 s they keep coming.
+	// Accept is how long after SIGTERM new connections are accepted at least. Clients keep connecting for 0.2
+	// to 0.4 s.
 	Accept time.Duration
-	// Linger is how long a process whose heir took the clients stays, for the heir's death, before it ends by itself. The
-	// platform's SIGTERM comes within 6 s.
+	// Linger is how long the old process stays after the new process has taken over the clients, in case the
+	// new process dies, before it exits without SIGTERM. The platform sends SIGTERM within 6 s.
 	Linger time.Duration
 }
 
-// View is what holds from now on.
+// View is the behavior that the state of the process requires from now on.
 type View struct {
 	Phase  Phase
 	Heir   Heir
-	Yes    bool          // the front's question is answered with yes, and staff's too
-	Accept bool          // new connections are taken
-	Shed   bool          // connections are ended as soon as they are between requests
-	Pass   bool          // to the heir, in place of ending them
-	Shared bool          // two processes have the limits of one
-	Last   time.Duration // when the last answer is due; 0: no such time
-	Idle   bool          // nothing more is to come: the process ends once it has answered all that it took
-	Over   bool          // the process ends, whatever it holds
-	Next   time.Duration // when the view changes by itself; 0: it does not
+	Yes    bool          // the process answers readiness probes and operators with ready
+	Accept bool          // new connections are accepted
+	Shed   bool          // connections are closed as soon as they are between requests
+	Pass   bool          // connections are passed to the new process instead of being closed
+	Shared bool          // two processes share the limits of one gateway
+	Last   time.Duration // when the last answer is due, or 0 if there is no deadline
+	Idle   bool          // no new requests are expected: the process exits once it has answered all that it accepted
+	Over   bool          // the process exits now, even with unanswered requests
+	Next   time.Duration // when the view changes without an event, or 0 if it does not
 }
 
-// ErrEnding says that a process that ends can't be taken back into service.
-var ErrEnding = errors.New("the process is ending")
+// ErrEnding is returned if a process that shuts down is to resume service.
+var ErrEnding = errors.New("the process is shutting down")
 
-// State is one process. It is not safe for concurrent use.
+// State is the lifecycle state of one process. It is not safe for concurrent use.
 type State struct {
 	times Times
-	next  Times // of the newest settings, in force alone from settleAt on
-	// settleAt is 0 where the newest times are in force alone.
+	next  Times // of the newest settings, which replace times at settleAt
+	// settleAt is 0 if the newest settings are already in times.
 	settleAt time.Duration
 	phase    Phase
-	ready    bool // it was, once
+	ready    bool // the process has been ready
 	heir     Heir
-	elder    bool
-	since    time.Duration // of the drain
-	endAt    time.Duration // when SIGTERM came
-	tookAt   time.Duration // when the heir took the clients
-	drained  bool          // SIGTERM found it draining
+	elder    bool          // an old process is running
+	since    time.Duration // start of the drain
+	endAt    time.Duration // when SIGTERM was received
+	tookAt   time.Duration // when the new process took over the clients
+	drained  bool          // the process was draining when SIGTERM was received
 }
 
-// New makes the state of a process that starts.
+// New returns the state of a process that starts.
 func New(t Times) *State { return &State{times: t} }
 
-// Retime changes the platform's times to those of new settings, which bind from a time on. Until then SIGKILL may come by the old or the new
-// ones, so that the earlier hold; and so for good where SIGTERM comes by then.
+// Retime changes the time limits to those of new settings, which the platform applies from binds on. Until
+// then SIGKILL may come by the old or the new settings, so the earlier time limits apply. They stay in force
+// if SIGTERM is received before binds.
 func (s *State) Retime(now time.Duration, t Times, binds time.Duration) {
 	s.settle(now)
 	s.times = s.times.earlier(t)
 	s.next, s.settleAt = t, binds
 }
 
-// settle puts the newest times in force alone, if their time has come.
+// settle replaces the time limits by the newest ones if settleAt has passed.
 func (s *State) settle(now time.Duration) {
 	if s.phase != Ending && s.settleAt > 0 && now >= s.settleAt {
 		s.times, s.settleAt = s.next, 0
 	}
 }
 
-// earlier gives times by which everything that the end asks for is done by either.
+// earlier returns o with the earlier of both time limits for each step of a shutdown.
 func (t Times) earlier(o Times) Times {
 	o.Shed, o.LastAnswer, o.End = min(t.Shed, o.Shed), min(t.LastAnswer, o.LastAnswer), min(t.End, o.End)
 	return o
 }
 
-// Handle takes an event. An event that changes nothing is no error; one that can't be followed is.
+// Handle applies an event. An event that changes nothing is not an error. It returns an error if the event is
+// unknown or is not possible in the current phase.
 func (s *State) Handle(now time.Duration, e Event) error {
 	s.settle(now)
 	switch e {
@@ -145,7 +151,7 @@
 			s.phase = Serving
 		}
 	case Drain:
-		// A process that starts is told to drain before it was ever ready: it must not say yes then.
+		// A process may be drained before it has been ready. It must not report ready then.
 		if s.phase == Starting || s.phase == Serving {
 			s.phase, s.since = Draining, now
 		}
@@ -183,11 +189,12 @@
 	return nil
 }
 
-// View says what holds at a time.
+// View returns the behavior that is required at the time now.
 func (s *State) View(now time.Duration) View {
-	// Before it is ready a process takes clients who then wait for it, but not while its elder serves them.
+	// A process accepts clients before it is ready, and they wait for it, unless the old process still serves
+	// them.
 	v := View{Phase: s.phase, Heir: s.heir, Yes: s.phase == Serving, Accept: s.ready || !s.elder, Shared: s.heir != None || s.elder}
-	next := func(at time.Duration) bool { // says whether the time has come, and notes it as the next otherwise
+	next := func(at time.Duration) bool { // reports whether the time has passed, and records it as a coming change otherwise
 		if now >= at {
 			return true
 		}
@@ -198,11 +205,12 @@
 	}
 	switch s.phase {
 	case Draining:
-		// Before the front has noticed, those sent away would only come back.
+		// Until the load balancer has noticed the drain, clients whose connections are closed would reconnect
+		// here.
 		v.Shed = next(s.since + s.times.FrontAway)
 	case Ending:
-		// Without an heir nobody takes this gateway's place so soon: clients are served as before, on the connections that
-		// they have, and the front's question as well.
+		// Without a new process, no other one replaces this gateway so soon. Clients are served as before on
+		// their existing connections, and readiness probes are answered as before.
 		v.Yes = s.ready && !s.drained
 		v.Last = s.endAt + s.times.LastAnswer
 		shed := next(s.endAt + s.times.Shed)
--- a/internal/control/service/service_test.go
+++ b/internal/control/service/service_test.go
@@ -27,45 +27,45 @@
 	}{
 		"starting": {nil, on, View{Accept: true}},
 		"serving":  {[]step{{0, Ready, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
-		"told to drain before it was ready": {[]step{{0, Drain, false}, {1 * ms, Ready, false}}, 100 * ms,
+		"drained before ready": {[]step{{0, Drain, false}, {1 * ms, Ready, false}}, 100 * ms,
 			View{Phase: Draining, Accept: true, Next: 350 * ms}},
-		"a drain says no at once and keeps connections until the front has noticed": {[]step{{0, Ready, false}, {on, Drain, false}},
+		"drain fails readiness at once and keeps connections until the load balancer notices": {[]step{{0, Ready, false}, {on, Drain, false}},
 			on, View{Phase: Draining, Accept: true, Next: on + 350*ms}},
-		"then it ends them": {[]step{{0, Ready, false}, {on, Drain, false}}, on + 350*ms,
+		"drain closes connections after that": {[]step{{0, Ready, false}, {on, Drain, false}}, on + 350*ms,
 			View{Phase: Draining, Accept: true, Shed: true}},
-		"on twice counts from the first": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 300*ms, Drain, false}}, on + 350*ms,
+		"second drain does not restart the time": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 300*ms, Drain, false}}, on + 350*ms,
 			View{Phase: Draining, Accept: true, Shed: true}},
-		"off in the middle": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 100*ms, Resume, false}}, on + 350*ms,
+		"resume during a drain": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 100*ms, Resume, false}}, on + 350*ms,
 			View{Phase: Serving, Yes: true, Accept: true}},
-		"off without on":              {[]step{{0, Ready, false}, {on, Resume, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
-		"on and off before ready":     {[]step{{0, Drain, false}, {1 * ms, Resume, false}}, on, View{Accept: true}},
-		"off before ready":            {[]step{{0, Resume, false}}, on, View{Accept: true}},
-		"starting after an elder":     {[]step{{0, ElderFound, false}}, on, View{Shared: true}},
-		"ready after an elder":        {[]step{{0, ElderFound, false}, {0, Ready, false}}, on, View{Phase: Serving, Yes: true, Accept: true, Shared: true}},
-		"the elder is gone":           {[]step{{0, ElderFound, false}, {0, Ready, false}, {0, ElderGone, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
-		"the elder dies before":       {[]step{{0, ElderFound, false}, {0, ElderGone, false}}, on, View{Accept: true}},
-		"SIGTERM before it was ready": {[]step{{on, Terminate, false}}, on, View{Phase: Ending, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"off after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Resume, true}}, on + ms,
+		"resume without a drain":         {[]step{{0, Ready, false}, {on, Resume, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
+		"drain and resume before ready":  {[]step{{0, Drain, false}, {1 * ms, Resume, false}}, on, View{Accept: true}},
+		"resume before ready":            {[]step{{0, Resume, false}}, on, View{Accept: true}},
+		"starting beside an old process": {[]step{{0, ElderFound, false}}, on, View{Shared: true}},
+		"ready beside an old process":    {[]step{{0, ElderFound, false}, {0, Ready, false}}, on, View{Phase: Serving, Yes: true, Accept: true, Shared: true}},
+		"old process exits after ready":  {[]step{{0, ElderFound, false}, {0, Ready, false}, {0, ElderGone, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
+		"old process exits before ready": {[]step{{0, ElderFound, false}, {0, ElderGone, false}}, on, View{Accept: true}},
+		"SIGTERM before ready":           {[]step{{on, Terminate, false}}, on, View{Phase: Ending, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
+		"resume after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Resume, true}}, on + ms,
 			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"SIGTERM serves on": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 2949*ms,
+		"serving after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 2949*ms,
 			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"then it ends connections": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 2950*ms,
+		"closing connections after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 2950*ms,
 			View{Phase: Ending, Yes: true, Shed: true, Idle: true, Last: on + 3550*ms, Next: on + 3620*ms}},
-		"and then itself": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 3620*ms,
+		"exit after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 3620*ms,
 			View{Phase: Ending, Yes: true, Shed: true, Idle: true, Over: true, Last: on + 3550*ms}},
-		"SIGTERM while drained": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 400*ms, Terminate, false}}, on + 400*ms,
+		"SIGTERM during a drain": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 400*ms, Terminate, false}}, on + 400*ms,
 			View{Phase: Ending, Accept: true, Shed: true, Last: on + 3950*ms, Next: on + 3350*ms}},
-		"a drain after SIGTERM changes nothing": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Drain, false}}, on + ms,
+		"drain after SIGTERM has no effect": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Drain, false}}, on + ms,
 			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"an heir shares the limits": {[]step{{0, Ready, false}, {on, HeirCame, false}}, on,
+		"new process shares the limits": {[]step{{0, Ready, false}, {on, HeirCame, false}}, on,
 			View{Phase: Serving, Heir: Came, Yes: true, Accept: true, Shared: true}},
-		"a ready heir gets the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}}, on,
+		"ready new process takes over the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}}, on,
 			View{Phase: Serving, Heir: Took, Yes: true, Shed: true, Pass: true, Shared: true, Next: on + 10*time.Second}},
-		"an heir that dies gives them back": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}, {on + ms, HeirLost, false}},
+		"lost new process returns the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}, {on + ms, HeirLost, false}},
 			on + ms, View{Phase: Serving, Yes: true, Accept: true}},
-		"SIGTERM with an heir ends as soon as all is answered": {[]step{{0, Ready, false}, {0, HeirReady, false}, {on, Terminate, false}}, on,
+		"SIGTERM with a new process exits once all requests are answered": {[]step{{0, Ready, false}, {0, HeirReady, false}, {on, Terminate, false}}, on,
 			View{Phase: Ending, Heir: Took, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"nobody sends SIGTERM": {[]step{{0, Ready, false}, {0, HeirReady, false}}, 10 * time.Second,
+		"no SIGTERM after the takeover": {[]step{{0, Ready, false}, {0, HeirReady, false}}, 10 * time.Second,
 			View{Phase: Serving, Heir: Took, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// After SIGTERM new connections keep coming for a while, however short the deadlines.
+// Clients keep connecting for a while after SIGTERM, however short the deadlines are.
 func TestConnectionsAreTakenAsLongAsTheyCome(t *testing.T) {
 	s := New(Times{FrontAway: 350 * ms, Shed: 250 * ms, Accept: 450 * ms, LastAnswer: 850 * ms, End: 920 * ms, Linger: 10 * time.Second})
 	_ = s.Handle(0, Ready)
@@ -97,7 +97,7 @@
 	}
 }
 
-// SIGKILL may come by the old settings or by the new ones, as long as these do not bind.
+// SIGKILL may come by the old or by the new settings until the new ones are binding.
 func TestTheEndKeepsTheEarlierOfTheTimesThatMayHold(t *testing.T) {
 	at := func(last time.Duration) Times {
 		return Times{Shed: last - 600*ms, LastAnswer: last, End: last + 70*ms, Accept: 450 * ms, Linger: 10 * time.Second}
@@ -110,15 +110,15 @@
 		after     []retime
 		want      time.Duration
 	}{
-		"longer, not yet":                     {[]retime{{0, longer}}, binds - ms, nil, old},
-		"longer, once they bind":              {[]retime{{0, longer}}, binds, nil, longer},
-		"shorter, at once":                    {[]retime{{0, shorter}}, ms, nil, shorter},
-		"shorter and longer in a row":         {[]retime{{0, shorter}, {ms, longer}}, binds, nil, shorter},
-		"shorter and longer, once they bind":  {[]retime{{0, shorter}, {ms, longer}}, binds + ms, nil, longer},
-		"shorter, which bound before longer":  {[]retime{{0, shorter}, {binds, longer}}, binds + ms, nil, shorter},
-		"longer after SIGTERM":                {nil, 0, []retime{{ms, longer}}, old},
-		"shorter after SIGTERM":               {nil, 0, []retime{{ms, shorter}}, shorter},
-		"longer after SIGTERM, however later": {[]retime{{0, longer}}, ms, []retime{{binds + ms, longer}}, old},
+		"longer, before it binds":            {[]retime{{0, longer}}, binds - ms, nil, old},
+		"longer, once it binds":              {[]retime{{0, longer}}, binds, nil, longer},
+		"shorter, at once":                   {[]retime{{0, shorter}}, ms, nil, shorter},
+		"shorter and longer in a row":        {[]retime{{0, shorter}, {ms, longer}}, binds, nil, shorter},
+		"shorter and longer, once both bind": {[]retime{{0, shorter}, {ms, longer}}, binds + ms, nil, longer},
+		"shorter, which bound before longer": {[]retime{{0, shorter}, {binds, longer}}, binds + ms, nil, shorter},
+		"longer after SIGTERM":               {nil, 0, []retime{{ms, longer}}, old},
+		"shorter after SIGTERM":              {nil, 0, []retime{{ms, shorter}}, shorter},
+		"longer after SIGTERM, bound later":  {[]retime{{0, longer}}, ms, []retime{{binds + ms, longer}}, old},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New(at(old))
@@ -129,7 +129,7 @@
 			for _, r := range c.after {
 				s.Retime(r.now, at(r.last), r.now+binds)
 			}
-			_ = s.Handle(2*binds, Resume) // changes nothing, whenever it comes
+			_ = s.Handle(2*binds, Resume) // must have no effect at any time
 			if v := s.View(c.terminate + ms); v.Last != c.terminate+c.want {
 				t.Errorf("the last answer is due %s after SIGTERM, want %s", v.Last-c.terminate, c.want)
 			}
@@ -137,7 +137,7 @@
 	}
 }
 
-// Whatever comes in whatever order, the view keeps what is owed.
+// The view must keep its guarantees for any sequence of events.
 func TestViewKeepsItsWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := New(times), time.Duration(0)
@@ -156,21 +156,21 @@
 			}
 			switch {
 			case before.Phase == Ending && v.Phase != Ending:
-				t.Fatal("a process that ends was taken back")
+				t.Fatal("a shutdown was undone")
 			case v.Phase == Draining && v.Yes:
-				t.Fatal("yes while draining")
+				t.Fatal("ready while draining")
 			case v.Phase == Draining && now >= drainedAt+times.FrontAway && !v.Shed:
-				t.Fatal("a drain keeps connections")
+				t.Fatal("a drain does not close connections")
 			case v.Phase == Ending && now >= endAt+times.End && !v.Over:
-				t.Fatal("it does not end in time")
+				t.Fatal("the process does not exit in time")
 			case v.Phase != Ending && v.Over:
-				t.Fatal("it ends without SIGTERM")
+				t.Fatal("the process exits without SIGTERM")
 			case v.Next != 0 && v.Next <= now:
-				t.Fatal("the next change lies in the past")
+				t.Fatal("the next change is not in the future")
 			case v.Next != 0 && cmp.Equal(before, v) && cmp.Equal(v, s.View(v.Next)):
-				t.Fatal("nothing changes at the time named")
+				t.Fatal("the view does not change at the time that it gives")
 			case v.Pass && v.Accept:
-				t.Fatal("two processes accept")
+				t.Fatal("two processes accept connections")
 			}
 		}
 	})
--- a/internal/control/waits/waits.go
+++ b/internal/control/waits/waits.go
@@ -1,54 +1,63 @@
-// Package waits tells, from how long a client says it will wait, how long it has been at a request already. It does no I/O
-// and has no clock.
+// Package waits estimates how long a client has already spent on earlier attempts of a request. The estimate
+// is derived from the time that the client states it will wait for the current attempt. The package does no
+// I/O and does not read a clock.
 //
-// What a class is given up after is a client's wait over all of its tries together, and what an answer is worth counts from
-// the first. Its first try waits for a time that its program fixes, at most that; a later one waits no longer than what is
-// left. So a try that waits for less than first tries do comes from a client that has been at it for the class's time less the
-// wait. Of a later try that waits for as long as a first nothing can be told.
+// The deadline of a class limits the time that a client spends on all attempts of a request together, and the
+// worth of an answer depends on the time since the first attempt. On its first attempt, a client waits for a
+// time that its program fixes, at most the deadline. On a client retry it waits at most for the rest of the
+// deadline. An attempt with a shorter wait than first attempts is therefore a client retry, and the client
+// has already spent the deadline minus the wait. Nothing can be derived from a retry that waits as long as a
+// first attempt.
 //
-// How long first tries wait is not in the settings. They are known by their number: of a client's tries the first is one in a
-// few, and all of a program's wait equally long, while what is left of a wait is spread. There may be a program so rare that its
-// first tries look like later ones. It must not be turned away for that where nothing is wrong: no more tries are taken for
-// later ones than tries that went unserved can have brought.
+// The settings do not contain the wait of first attempts. It is detected by frequency: one in a few attempts
+// of a client is the first, and all first attempts of a program wait equally long, while the waits of retries
+// are spread. A program may be so rare that its first attempts look like retries. Its requests must not be
+// refused for that while there are no failures, so no more attempts are classified as retries than unserved
+// attempts can have caused.
 package waits
 
 import "time"
 
 const (
-	// buckets is into how many parts a class's time is divided. Neighbours count together.
+	// buckets is the number of parts into which the deadline of a class is divided. Adjacent buckets are
+	// counted together.
 	buckets = 128
-	// firstTryPart is the part of a class's tries, one in so many, from which on a wait is one of first tries: a client comes
-	// again up to three times, and there may be clients of other programs. firstTryLeast is how many tries it must be, too.
+	// firstTryPart is the inverse of the minimum share of a class's attempts that makes a wait one of first
+	// attempts: a client retries up to three times, and there may be clients of other programs. firstTryLeast
+	// is the minimum number of attempts with that wait.
 	firstTryPart, firstTryLeast = 5, 3
-	// rememberedTries is how many tries count: half of them are forgotten when there are more.
+	// rememberedTries is the maximum number of attempts in a histogram. All counts are halved when there are
+	// more.
 	rememberedTries = 512
-	// retriesMost is how many later tries a client makes at most for one that went unserved, and expectedMost how many are expected at
-	// a time: what a burst of failures made likely must not count against clients that come long after it.
+	// retriesMost is the maximum number of client retries for one unserved attempt. expectedMost limits the
+	// retries that are expected at a time, as a burst of failures must not affect clients that send requests
+	// long after it.
 	retriesMost, expectedMost = 3, 512
 )
 
-// Waits is what one gateway has seen of its clients. It is not safe for concurrent use.
+// Waits holds the waits that one gateway has observed. It is not safe for concurrent use.
 type Waits struct{ classes map[string]*histogram }
 
-// histogram counts the waits of one class.
+// histogram counts attempts of one class by wait.
 type histogram struct {
-	giveUp   time.Duration
-	expected int // later tries that may come
+	giveUp   time.Duration // deadline of the class
+	expected int           // client retries that unserved attempts may still cause
 	total    int
-	counts   [buckets + 2]int // one empty at each end
+	counts   [buckets + 2]int // with an empty bucket at each end
 }
 
-// New makes one that has seen nothing.
+// New returns a Waits without observations.
 func New() *Waits { return &Waits{classes: map[string]*histogram{}} }
 
-// Try takes a try of a class: its client waits for so long, and giveUp is the class's time in all. It gives how long the client
-// has been at it; 0 for a first try, and where that can't be told.
+// Try records an attempt of a class, whose client waits for the given time, and returns how long the client
+// has already spent on earlier attempts. It returns 0 for a first attempt and where the time cannot be
+// derived. giveUp is the deadline of the class.
 func (w *Waits) Try(class string, giveUp, wait time.Duration) time.Duration {
 	if wait <= 0 || giveUp <= 0 {
 		return 0
 	}
 	s := w.classes[class]
-	if s == nil || s.giveUp != giveUp { // a class of new settings
+	if s == nil || s.giveUp != giveUp { // new class, or new deadline after a settings update
 		s = &histogram{giveUp: giveUp}
 		w.classes[class] = s
 	}
@@ -66,8 +75,9 @@
 	return 0
 }
 
-// Unserved says that a try of a class has ended without being served: refused, failed, or left by its client. Not to be said
-// of what Try gave a time for, whose client is counted already.
+// Unserved records that an attempt of a class has ended without being served: refused, failed, or canceled by
+// the client. It must not be called for an attempt that was classified as a client retry, since the retries
+// of that client are already counted.
 func (w *Waits) Unserved(class string) {
 	if s := w.classes[class]; s != nil {
 		s.expected = min(s.expected+retriesMost, expectedMost)
@@ -85,5 +95,5 @@
 	s.counts[i]++
 }
 
-// near is how many tries wait for about as long as bucket i has it.
+// near returns the number of attempts in bucket i and its two neighbors.
 func (s *histogram) near(i int) int { return s.counts[i-1] + s.counts[i] + s.counts[i+1] }
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -9,12 +9,12 @@
 
 const ms = time.Millisecond
 
-// play lets n clients of a program come that wait for so long at first; of each the first tries come, and a part of them
-// comes again after a while, with what is left.
+// play simulates n clients of a program whose first attempts wait for the time first. If again returns a time
+// above 0 for a client, the client retries after it with the rest of the deadline.
 func play(w *Waits, n int, first time.Duration, again func(i int) time.Duration) (told []time.Duration) {
 	for i := range n {
 		if w.Try("view", 750*ms, first) != 0 {
-			told = append(told, -1) // a first try, taken for a later one
+			told = append(told, -1) // a first attempt that is classified as a retry
 		}
 		w.Unserved("view")
 		if after := again(i); after > 0 {
@@ -33,7 +33,7 @@
 		}
 	}
 	if got := w.Try("view", 750*ms, 450*ms); got != 0 {
-		t.Errorf("a try that may be a first is taken for one of a client that is at it for %v", got)
+		t.Errorf("an attempt that may be the first is classified as a retry after %v", got)
 	}
 }
 
@@ -47,11 +47,11 @@
 		w.Unserved("view")
 	}
 	if got := w.Try("order", 0, ms); got != 0 {
-		t.Errorf("a class without a time: %v", got)
+		t.Errorf("a class without a deadline: %v", got)
 	}
 }
 
-// Two programs whose first tries wait for different times: none of both is taken for later ones.
+// First attempts of two programs with different waits must not be classified as retries.
 func TestFirstTriesOfTwoPrograms(t *testing.T) {
 	w := New()
 	for range 200 {
@@ -64,7 +64,8 @@
 	}
 }
 
-// A program too rare to be known: where nothing goes unserved its tries are taken for what they are.
+// The first attempts of a program too rare to be detected must not be classified as retries while all
+// attempts are served.
 func TestARareProgramIsServedWhereNothingIsWrong(t *testing.T) {
 	w := New()
 	for i := range 5000 {
@@ -73,13 +74,13 @@
 			wait = 320 * ms
 		}
 		if got := w.Try("view", 750*ms, wait); got != 0 {
-			t.Fatalf("try %d: %v", i, got)
+			t.Fatalf("attempt %d: %v", i, got)
 		}
 	}
 }
 
-// Whatever clients come and whatever becomes of them: no more tries are taken for later ones than went unserved can have
-// brought, and what is told is the class's time less the wait.
+// For any clients and any results, no more attempts may be classified as retries than unserved attempts can
+// have caused, and the estimate must be the deadline of the class minus the wait.
 func TestNoMoreLaterTriesThanCanBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, allowed, told := New(), 0, 0
@@ -96,7 +97,7 @@
 				allowed += retriesMost
 			}
 			if told > allowed {
-				t.Fatalf("%d later tries after %d that can be", told, allowed)
+				t.Fatalf("%d attempts classified as retries, at most %d can be", told, allowed)
 			}
 		}
 	})
@@ -105,12 +106,12 @@
 func TestOldTriesAreForgotten(t *testing.T) {
 	w := New()
 	play(w, 2*rememberedTries, 700*ms, func(int) time.Duration { return 0 })
-	told := play(w, 4*rememberedTries, 320*ms, func(int) time.Duration { return 0 }) // the program has changed
+	told := play(w, 4*rememberedTries, 320*ms, func(int) time.Duration { return 0 }) // the program's wait has changed
 	if n := len(told); n > rememberedTries {
-		t.Errorf("%d first tries of the new program are taken for later ones", n)
+		t.Errorf("%d first attempts with the new wait are classified as retries", n)
 	}
 	if s := w.classes["view"]; s.total > rememberedTries || s.expected > expectedMost {
-		t.Errorf("it remembers %d tries and expects %d", s.total, s.expected)
+		t.Errorf("the histogram holds %d attempts and expects %d retries", s.total, s.expected)
 	}
 }
 
