--- a/internal/control/budget/budget.go
+++ b/internal/control/budget/budget.go
@@ -13,7 +13,7 @@
 // Holding is the allocation of one message.
 type Holding struct {
 	need, held int64 // in bytes
-	whole      bool  // the message needs no more bytes and releases all of them within a limited time
+	complete   bool  // the message needs no more bytes and releases all of them within a limited time
 }
 
 // Held returns the number of bytes that the message holds.
@@ -86,7 +86,7 @@
 	free := b.total - b.used
 	b.order = b.order[:0]
 	for _, h := range b.open {
-		if h.whole {
+		if h.complete {
 			free += h.held
 		} else {
 			b.order = append(b.order, h)
@@ -103,7 +103,7 @@
 }
 
 // Whole marks a message as complete, so that it needs no more bytes.
-func (b *Budget) Whole(h *Holding) { h.whole, h.need = true, h.held }
+func (b *Budget) Whole(h *Holding) { h.complete, h.need = true, h.held }
 
 // Close releases all bytes of a message. Closing it again has no effect.
 func (b *Budget) Close(h *Holding) {
--- a/internal/control/budget/budget_test.go
+++ b/internal/control/budget/budget_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTakeKeepsAWayOut(t *testing.T) {
+func TestTakeAvoidsDeadlock(t *testing.T) {
 	b := New(10)
 	if b.Open(11) != nil {
 		t.Error("a message that exceeds the total is opened")
@@ -38,7 +38,7 @@
 // Any number of messages that allocate pieces in any order must all complete, and never hold more than the
 // total. Without the check (if safe always returned true) this test fails, because partly read messages wait
 // for each other.
-func TestAllComeToTheirEnd(t *testing.T) {
+func TestAllMessagesComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := int64(rapid.IntRange(1, 50).Draw(t, "total"))
 		b := New(total)
--- a/internal/control/draining/draining.go
+++ b/internal/control/draining/draining.go
@@ -73,16 +73,17 @@
 }
 
 type host struct {
-	state      State
-	notifiedAt time.Duration
-	drained    bool          // it was listed as draining
-	agent      string        // agent of the last notification that the host drains or was removed
-	revision   int64         // of that agent's list
-	started    time.Duration // latest start time that was stated, on the fleet's clock
+	state       State
+	notifiedAt  time.Duration
+	wasDraining bool          // it was listed as draining
+	agent       string        // agent of the last notification that the host drains or was removed
+	revision    int64         // of that agent's list
+	started     time.Duration // latest start time that was stated, on the fleet's clock
 }
 
-// endedBy reports whether w, a statement that the host serves, is newer than the notification of the drain.
-func (h host) endedBy(w Word) bool {
+// drainEndedBy reports whether w, a statement that the host serves, is newer than the notification of the
+// drain.
+func (h host) drainEndedBy(w Word) bool {
 	return w.Agent != "" && (w.Agent == h.agent && w.Revision >= h.revision || w.Started > h.started)
 }
 
@@ -99,7 +100,7 @@
 func (t *Tracker) Set(w Word) Bound {
 	h, known := t.hosts[w.Server]
 	if w.State == Serving {
-		if !known || h.endedBy(w) {
+		if !known || h.drainEndedBy(w) {
 			delete(t.hosts, w.Server)
 		}
 		return Bound{Server: w.Server, By: t.Until(w.Server)}
@@ -113,9 +114,9 @@
 	if !known || !w.Unlisted {
 		h.agent, h.revision = w.Agent, w.Revision
 	}
-	h.state, h.drained, h.started = w.State, h.drained || w.State == Draining, max(h.started, w.Started)
+	h.state, h.wasDraining, h.started = w.State, h.wasDraining || w.State == Draining, max(h.started, w.Started)
 	t.hosts[w.Server] = h
-	return Bound{Server: w.Server, By: t.by(h)}
+	return Bound{Server: w.Server, By: t.sendUntil(h)}
 }
 
 // State returns the current state of a host.
@@ -137,7 +138,7 @@
 	t.rules = rules
 	bounds := make([]Bound, 0, len(t.hosts))
 	for server, h := range t.hosts {
-		bounds = append(bounds, Bound{Server: server, By: t.by(h)})
+		bounds = append(bounds, Bound{Server: server, By: t.sendUntil(h)})
 	}
 	return bounds
 }
@@ -148,7 +149,7 @@
 	if !known {
 		return Open
 	}
-	return t.by(h)
+	return t.sendUntil(h)
 }
 
 // NotifiedAt returns when the gateway was first notified that a host drains or was removed. ok is false if it
@@ -161,8 +162,8 @@
 // Forget drops a host that was removed permanently.
 func (t *Tracker) Forget(server string) { delete(t.hosts, server) }
 
-func (t *Tracker) by(h host) time.Duration {
-	if h.state == Gone && t.rules.DroppedStayOpen && !h.drained {
+func (t *Tracker) sendUntil(h host) time.Duration {
+	if h.state == Gone && t.rules.DroppedStayOpen && !h.wasDraining {
 		return Open
 	}
 	// 0 would mean Open. Any time in the past gives the same result, so 1 is used for times before the
--- a/internal/control/draining/draining_test.go
+++ b/internal/control/draining/draining_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func TestBounds(t *testing.T) {
+func TestTimeLimits(t *testing.T) {
 	type change struct {
 		at, since time.Duration
 		state     State
@@ -49,7 +49,7 @@
 }
 
 // A new grace, shorter or longer, also applies to hosts with an earlier notification.
-func TestRetuneMovesTheBoundsOfNotifiedHosts(t *testing.T) {
+func TestNewRulesApplyToNotifiedHosts(t *testing.T) {
 	const start = 10 * time.Second
 	tracker := New(Rules{Grace: time.Second})
 	tracker.Set(Word{Server: "s", State: Draining, At: start, Agent: "a"})
@@ -66,7 +66,7 @@
 
 // The list of either discovery agent may lag behind that of the other, so only a newer statement may end a
 // drain.
-func TestOnlyALaterWordEndsADrain(t *testing.T) {
+func TestOnlyNewerStatementEndsDrain(t *testing.T) {
 	const start = 10 * time.Second
 	drain := Word{State: Draining, Agent: "a", Revision: 43, Started: 7}
 	for name, c := range map[string]struct {
--- a/internal/control/fleetclock/fleetclock.go
+++ b/internal/control/fleetclock/fleetclock.go
@@ -32,12 +32,12 @@
 	// rounding is the maximum error of a position in either direction: positions are in milliseconds, those
 	// of replicas rounded down and those of commits rounded up.
 	rounding = time.Millisecond
-	// presentAge is the maximum age of a primary's position in its answer. A host reads its clock once for
-	// all work that it does at about the same time.
-	presentAge = 5 * time.Millisecond
-	// driftPart is the inverse of the maximum drift between the clocks of two machines. Time services slew a
-	// clock by at most half of that rate.
-	driftPart = 1000
+	// maxPositionAge is the maximum age of a primary's position in its answer. A host reads its clock once
+	// for all work that it does at about the same time.
+	maxPositionAge = 5 * time.Millisecond
+	// driftDivisor is the inverse of the maximum drift between the clocks of two machines. Time services slew
+	// a clock by at most half of that rate.
+	driftDivisor = 1000
 	// AgeSlack is the part of the protocol's 50 ms of slack on the age of data that covers the uncertainty of
 	// the offset. The rest covers the delay of a send.
 	AgeSlack = 45 * time.Millisecond
@@ -46,7 +46,7 @@
 )
 
 // drift returns how far two clocks may drift apart within t.
-func drift(t time.Duration) time.Duration { return t / driftPart }
+func drift(t time.Duration) time.Duration { return t / driftDivisor }
 
 // Interval bounds the offset of the fleet's clock from the local clock: the fleet's time minus the local
 // time.
@@ -91,7 +91,7 @@
 func (o Observation) Proves() Interval {
 	i := Interval{max(o.Position, o.Present) - rounding - o.Received, unbounded}
 	if o.Present > 0 {
-		i.Most = o.Present + rounding + presentAge - o.Sent + drift(o.Received-o.Sent)
+		i.Most = o.Present + rounding + maxPositionAge - o.Sent + drift(o.Received-o.Sent)
 	}
 	if i.Most < i.Least { // the answer contradicts itself, so that it gives no upper bound
 		i.Most = unbounded
@@ -113,17 +113,17 @@
 
 // Estimate is the current estimate of the offset. It is not safe for concurrent use.
 type Estimate struct {
-	least side   // lower bounds, negated
-	most  side   // upper bounds; empty before answers agree for the first time
-	doubt *doubt // nil while the interval is known and not contradicted
-	epoch int
+	lower         boundPair      // lower bounds, negated
+	upper         boundPair      // upper bounds; empty before answers agree for the first time
+	contradiction *contradiction // nil while the interval is known and not contradicted
+	epoch         int
 }
 
 // New returns an estimate that knows only that the local clock shows now.
 func New(now time.Duration) *Estimate {
 	own := witness{assumed: true, sent: now, received: now}
-	e := &Estimate{doubt: &doubt{hull: Interval{-unbounded, unbounded}, fresh: []witness{own}, began: -unbounded}}
-	e.addLeast(own)
+	e := &Estimate{contradiction: &contradiction{hull: Interval{-unbounded, unbounded}, witnesses: []witness{own}, began: -unbounded}}
+	e.addLower(own)
 	return e
 }
 
@@ -131,9 +131,9 @@
 // this process.
 func (e *Estimate) Inherit(now time.Duration, known Interval) {
 	earlier := witness{assumed: true, sent: now, received: now, interval: known}
-	e.least, e.most, e.doubt = side{}, side{}, nil
-	e.least.twice(earlier.least())
-	e.most.twice(earlier.most())
+	e.lower, e.upper, e.contradiction = boundPair{}, boundPair{}, nil
+	e.lower.setBoth(earlier.lower())
+	e.upper.setBoth(earlier.upper())
 }
 
 // Epoch returns how often a known interval has been replaced. Times that were converted in an earlier epoch
@@ -146,12 +146,12 @@
 		return Nothing
 	}
 	w := witness{host: o.Host, sent: o.Sent, received: o.Received, interval: o.Proves()}
-	if e.doubt != nil {
+	if e.contradiction != nil {
 		return e.settle(w)
 	}
 	known := e.Bounds().At(w.received)
 	if !known.intersects(w.interval) {
-		e.doubt = &doubt{known: known, hull: known.hull(w.interval), at: w.received, began: w.received}
+		e.contradiction = &contradiction{known: known, hull: known.hull(w.interval), at: w.received, began: w.received}
 		return Contradicted
 	}
 	return e.narrow(w)
@@ -160,16 +160,16 @@
 // narrow adds an answer that agrees with the known interval.
 func (e *Estimate) narrow(w witness) Change {
 	before := e.Bounds()
-	e.addLeast(w)
+	e.addLower(w)
 	if w.interval.Most < unbounded {
-		e.most.add(w.most())
+		e.upper.add(w.upper())
 	}
-	return e.since(before)
+	return e.changeSince(before)
 }
 
-func (e *Estimate) addLeast(w witness) { e.least.add(w.least()) }
+func (e *Estimate) addLower(w witness) { e.lower.add(w.lower()) }
 
-func (e *Estimate) since(before Bounds) Change {
+func (e *Estimate) changeSince(before Bounds) Change {
 	if e.Bounds() == before {
 		return Nothing
 	}
@@ -178,87 +178,87 @@
 
 // settle adds an answer while the interval is contradicted or not known yet.
 func (e *Estimate) settle(w witness) Change {
-	change := e.doubt.widen(w)
-	if e.doubt.unknown() {
+	change := e.contradiction.widen(w)
+	if e.contradiction.unknown() {
 		before := e.Bounds()
-		e.addLeast(w)
-		change = e.since(before)
+		e.addLower(w)
+		change = e.changeSince(before)
 	}
-	if agreed := e.doubt.agreed(w); agreed != nil {
-		return e.conclude(agreed)
+	if agreed := e.contradiction.agreement(w); agreed != nil {
+		return e.resolve(agreed)
 	}
 	return change
 }
 
-// conclude ends a contradiction, or the time before the interval is known, with the answers that agree.
-func (e *Estimate) conclude(agreed []witness) Change {
-	ended, now := e.doubt, agreed[len(agreed)-1].received
-	e.doubt = nil
+// resolve ends a contradiction, or the time before the interval is known, with the answers that agree.
+func (e *Estimate) resolve(agreed []witness) Change {
+	ended, now := e.contradiction, agreed[len(agreed)-1].received
+	e.contradiction = nil
 	change := Settled
 	switch {
 	case ended.unknown():
 		if !agreed[0].assumed { // the local clock is wrong
-			e.least = side{}
+			e.lower = boundPair{}
 		}
 	case !ended.known.after(now - ended.at).intersects(common(agreed, now)):
-		change, e.least, e.most = Replaced, side{}, side{}
+		change, e.lower, e.upper = Replaced, boundPair{}, boundPair{}
 		e.epoch++
 	}
 	if agreed[0].assumed { // no later answer may have to rely on the local clock alone
 		w := agreed[1]
-		e.addLeast(w)
-		if least, ok := e.least.bound(); ok {
-			e.least.twice(bound{value: least})
+		e.addLower(w)
+		if lower, ok := e.lower.bound(); ok {
+			e.lower.setBoth(bound{value: lower})
 		}
-		e.most.twice(bound{value: max(w.most().value, agreed[0].most().value)})
+		e.upper.setBoth(bound{value: max(w.upper().value, agreed[0].upper().value)})
 		return change
 	}
 	for _, w := range agreed {
-		e.addLeast(w)
-		e.most.add(w.most())
+		e.addLower(w)
+		e.upper.add(w.upper())
 	}
 	return change
 }
 
 // Bounds returns the current bounds, which hold until the next change.
 func (e *Estimate) Bounds() Bounds {
-	if e.doubt != nil && !e.doubt.unknown() {
-		i := e.doubt.hull.after(-e.doubt.at)
-		return Bounds{least: i.Least, most: i.Most, Bounded: i.Most < unbounded, Told: true, Doubted: true}
+	if e.contradiction != nil && !e.contradiction.unknown() {
+		i := e.contradiction.hull.after(-e.contradiction.at)
+		return Bounds{min: i.Least, max: i.Most, Bounded: i.Most < unbounded, Told: true, Doubted: true}
 	}
-	least, told := e.least.bound()
-	most, bounded := e.most.bound()
-	b := Bounds{least: -unbounded, most: unbounded, Bounded: bounded, Told: told}
-	if told {
-		b.least = -least
+	lower, hasLower := e.lower.bound()
+	upper, hasUpper := e.upper.bound()
+	b := Bounds{min: -unbounded, max: unbounded, Bounded: hasUpper, Told: hasLower}
+	if hasLower {
+		b.min = -lower
 	}
-	if bounded {
-		b.most = most
+	if hasUpper {
+		b.max = upper
 	}
 	return b
 }
 
 // Bounds is an interval that widens with time.
 type Bounds struct {
-	least, most time.Duration // extrapolated to when the local clock showed 0
-	Bounded     bool          // there is an upper bound
-	Told        bool          // there is a lower bound
-	Doubted     bool          // an answer contradicts the interval, and later answers have not yet agreed
+	min, max time.Duration // extrapolated to when the local clock showed 0
+	Bounded  bool          // there is an upper bound
+	Told     bool          // there is a lower bound
+	Doubted  bool          // an answer contradicts the interval, and later answers have not yet agreed
 }
 
 // At returns the interval at the local time now.
 func (b Bounds) At(now time.Duration) Interval {
-	return Interval{b.least, b.most}.after(now)
+	return Interval{b.min, b.max}.after(now)
 }
 
 // Predates reports whether the primary's position in o proves that its answer is older than the query by more
 // than the given margin. It reports false if the offset is contradicted or not known on both sides.
-func (b Bounds) Predates(o Observation, by time.Duration) bool {
-	return b.Told && b.Bounded && !b.Doubted && o.Present > 0 && o.Proves().Most+by < b.At(o.Received).Least
+func (b Bounds) Predates(o Observation, margin time.Duration) bool {
+	return b.Told && b.Bounded && !b.Doubted && o.Present > 0 && o.Proves().Most+margin < b.At(o.Received).Least
 }
 
 // Width returns the length of the interval without the drift since the last change.
-func (b Bounds) Width() time.Duration { return b.most - b.least }
+func (b Bounds) Width() time.Duration { return b.max - b.min }
 
 // Ages returns the correction to add to the age of a position that was computed with the local clock. No data
 // is then older than its computed age by more than AgeSlack. The result is meaningful only if there is an
--- a/internal/control/fleetclock/fleetclock_test.go
+++ b/internal/control/fleetclock/fleetclock_test.go
@@ -12,29 +12,29 @@
 	start = 1000 * time.Hour
 )
 
-// play simulates a fleet whose clock is ahead of the local clock by offset, and feeds its answers to an
+// simulation simulates a fleet whose clock is ahead of the local clock by offset, and feeds its answers to an
 // estimate.
-type play struct {
+type simulation struct {
 	*Estimate
 	now, offset time.Duration
 }
 
-func newPlay(offset time.Duration) *play { return &play{New(start), start, offset} }
+func newSimulation(offset time.Duration) *simulation { return &simulation{New(start), start, offset} }
 
 // present observes an answer that a primary made in the middle of a round trip of 10 ms.
-func (p *play) present(host string) Change {
-	p.now += apart + 10*ms
+func (p *simulation) present(host string) Change {
+	p.now += minSeparation + 10*ms
 	return p.Observe(Observation{Host: host, Present: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
 }
 
 // position observes an answer of a host whose replay position lags. A negative lag is a position in the
 // future.
-func (p *play) position(host string, lag time.Duration) Change {
-	p.now += apart + 10*ms
+func (p *simulation) position(host string, lag time.Duration) Change {
+	p.now += minSeparation + 10*ms
 	return p.Observe(Observation{Host: host, Position: p.now - lag + p.offset, Sent: p.now - 10*ms, Received: p.now})
 }
 
-func (p *play) check(t *testing.T, what string, bounded bool) {
+func (p *simulation) check(t *testing.T, what string, bounded bool) {
 	t.Helper()
 	b := p.Bounds()
 	if i := b.At(p.now); b.Bounded != bounded || b.Told && i.Least > p.offset || bounded && i.Most < p.offset {
@@ -42,31 +42,31 @@
 	}
 }
 
-func TestAFirstAnswerIsEnoughWhereTheMachinesClockAgrees(t *testing.T) {
+func TestFirstAnswerSettlesCorrectLocalClock(t *testing.T) {
 	for offset, enough := range map[time.Duration]bool{0: true, 4 * ms: true, -4 * ms: true, 20 * ms: false, 300 * ms: false, -300 * ms: false, time.Hour: false} {
-		p := newPlay(offset)
+		p := newSimulation(offset)
 		p.present("a")
 		p.check(t, offset.String(), enough)
 	}
 }
 
-func TestAClockThatIsOffIsKnownFromTwoHostsOrThreeAnswersOfOne(t *testing.T) {
+func TestWrongLocalClockNeedsTwoHostsOrThreeAnswers(t *testing.T) {
 	for _, offset := range []time.Duration{20 * ms, 300 * ms, -300 * ms, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		p := newPlay(offset)
+		p := newSimulation(offset)
 		p.present("a")
 		p.present("a")
 		p.check(t, "two answers of one host", false)
 		p.present("a")
 		p.check(t, "three answers of one host", true)
-		p = newPlay(offset)
+		p = newSimulation(offset)
 		p.present("a")
 		p.present("b")
 		p.check(t, "two hosts", true)
 	}
 }
 
-func TestAReportThatIsKeptNeverBoundsFromAbove(t *testing.T) {
-	p := newPlay(0)
+func TestStoredPositionsNeverBoundFromAbove(t *testing.T) {
+	p := newSimulation(0)
 	for range 20 {
 		p.position("a", 2500*ms)
 		p.position("b", 2500*ms)
@@ -79,13 +79,13 @@
 		p.position("a", 2500*ms)
 		p.position("b", 2500*ms)
 	}
-	if most := p.Bounds().At(p.now).Most; most < before {
-		t.Errorf("repeated old positions lower the upper bound from %s to %s", before, most)
+	if upper := p.Bounds().At(p.now).Most; upper < before {
+		t.Errorf("repeated old positions lower the upper bound from %s to %s", before, upper)
 	}
 }
 
-func TestAnswersThatOverlapAreOneWitness(t *testing.T) {
-	p := newPlay(2 * time.Second)
+func TestOverlappingAnswersCountAsOneWitness(t *testing.T) {
+	p := newSimulation(2 * time.Second)
 	p.now += 500 * ms
 	for _, host := range []string{"a", "b", "c", "a", "b"} { // delayed, and read together
 		p.Observe(Observation{Host: host, Present: p.now - 480*ms + p.offset, Sent: p.now - 500*ms, Received: p.now})
@@ -93,21 +93,29 @@
 	p.check(t, "answers that arrived together", false)
 }
 
-func TestAContradictionTakesTheSafeEndsUntilAnswersAgree(t *testing.T) {
-	settled := func() *play {
-		p := newPlay(0)
+func TestContradictionWidensInterval(t *testing.T) {
+	settled := func() *simulation {
+		p := newSimulation(0)
 		p.present("a")
 		p.present("b")
 		p.check(t, "settled", true)
 		return p
 	}
 	for name, c := range map[string]struct {
-		wrong   func(p *play) Change
+		wrong   func(p *simulation) Change
 		bounded bool
 	}{
-		"position in the future":      {func(p *play) Change { return p.position("c", -time.Second) }, false},
-		"primary's position too high": {func(p *play) Change { p.offset = time.Second; defer func() { p.offset = 0 }(); return p.present("a") }, true},
-		"primary's position too old":  {func(p *play) Change { p.offset = -time.Second; defer func() { p.offset = 0 }(); return p.present("a") }, true},
+		"position in the future": {func(p *simulation) Change { return p.position("c", -time.Second) }, false},
+		"primary's position too high": {func(p *simulation) Change {
+			p.offset = time.Second
+			defer func() { p.offset = 0 }()
+			return p.present("a")
+		}, true},
+		"primary's position too old": {func(p *simulation) Change {
+			p.offset = -time.Second
+			defer func() { p.offset = 0 }()
+			return p.present("a")
+		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := settled()
@@ -131,8 +139,8 @@
 	}
 }
 
-func TestAnswersToQueriesFromBeforeAContradictionDoNotSettleIt(t *testing.T) {
-	p := newPlay(0)
+func TestEarlierQueriesDoNotSettleContradiction(t *testing.T) {
+	p := newSimulation(0)
 	p.present("a")
 	p.present("b")
 	p.position("c", -time.Second)
@@ -150,8 +158,8 @@
 	}
 }
 
-func TestALaterContradictionWidensTheDoubt(t *testing.T) {
-	p := newPlay(0)
+func TestSecondContradictionWidensFurther(t *testing.T) {
+	p := newSimulation(0)
 	p.present("a")
 	p.present("b")
 	p.offset = 300 * ms
@@ -161,14 +169,14 @@
 		t.Errorf("change %d", got)
 	}
 	p.check(t, "contradicted twice", true)
-	if least := p.Bounds().At(p.now).Least; least > 0 {
-		t.Errorf("the interval does not include the one known first: its minimum is %s", least)
+	if lower := p.Bounds().At(p.now).Least; lower > 0 {
+		t.Errorf("the interval does not include the one known first: its minimum is %s", lower)
 	}
 }
 
-func TestAClockThatIsSteppedIsKnownAgain(t *testing.T) {
+func TestSteppedClockReplacesInterval(t *testing.T) {
 	for _, step := range []time.Duration{300 * ms, -300 * ms, time.Hour, -time.Hour} {
-		p := newPlay(0)
+		p := newSimulation(0)
 		p.present("a")
 		p.present("b")
 		p.offset = step
@@ -182,8 +190,8 @@
 	}
 }
 
-func TestBoundsWidenUntilAnswersRenewThem(t *testing.T) {
-	p := newPlay(0)
+func TestBoundsWidenWithDrift(t *testing.T) {
+	p := newSimulation(0)
 	p.present("a")
 	p.present("b")
 	width := p.Bounds().At(p.now).Width()
@@ -200,8 +208,8 @@
 	}
 }
 
-func TestBeforeAHostHasToldNothingBoundsAStart(t *testing.T) {
-	p := newPlay(-time.Hour) // by the local clock, a host that has just started seems to have started an hour ago
+func TestNoLowerBoundBeforeFirstAnswer(t *testing.T) {
+	p := newSimulation(-time.Hour) // by the local clock, a host that has just started seems to have started an hour ago
 	if p.Bounds().Told {
 		t.Error("the local clock alone gives a lower bound")
 	}
@@ -212,8 +220,8 @@
 	}
 }
 
-func TestAnIntervalIsHandedOver(t *testing.T) {
-	p := newPlay(time.Hour)
+func TestInheritedInterval(t *testing.T) {
+	p := newSimulation(time.Hour)
 	p.Inherit(p.now, Interval{time.Hour - ms, time.Hour + ms})
 	p.check(t, "handed over", true)
 	p.offset = time.Hour + 300*ms // the interval that was handed over is wrong
@@ -224,7 +232,7 @@
 	p.check(t, "replaced", true)
 }
 
-func TestWhatMakesNoSenseIsNotTaken(t *testing.T) {
+func TestInvalidObservationsAreIgnored(t *testing.T) {
 	e := New(start)
 	for _, o := range []Observation{{Host: "a", Sent: start, Received: start + ms}, {Host: "a", Present: start, Sent: start + ms, Received: start}} {
 		if got := e.Observe(o); got != Nothing {
@@ -236,35 +244,35 @@
 // The offset must lie within the bounds for any round-trip times, lags and repeated old positions, and with
 // drift at the permitted rate. One answer may also be wrong by any amount, if the local clock is right or the
 // interval is known.
-func TestTheOffsetLiesInsideTheBounds(t *testing.T) {
+func TestOffsetWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(name string, least, most time.Duration) time.Duration {
-			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
+		draw := func(name string, lower, upper time.Duration) time.Duration {
+			return time.Duration(rapid.Int64Range(int64(lower), int64(upper)).Draw(t, name))
 		}
-		offset, rate, wrong := time.Duration(0), draw("drift", -1000, 1000), -1
-		off := rapid.Bool().Draw(t, "off")
-		if off {
+		offset, rate, wrongAnswer := time.Duration(0), draw("drift", -1000, 1000), -1
+		wrongLocalClock := rapid.Bool().Draw(t, "off")
+		if wrongLocalClock {
 			offset = draw("offset", -time.Second, time.Second)
 		}
 		if rapid.Bool().Draw(t, "one is wrong") {
-			wrong, rate = rapid.IntRange(0, 39).Draw(t, "wrong answer"), rate/2
+			wrongAnswer, rate = rapid.IntRange(0, 39).Draw(t, "wrong answer"), rate/2
 		}
 		e, now := New(start), start
 		fleet := func(at time.Duration) time.Duration { return at + offset + (at-start)/1_000_000*rate }
 		for n := range 40 {
 			sent := now + draw("pause", -200*ms, 2*time.Second) // negative: sent while earlier queries are in flight
-			made := sent + draw("work", 0, 300*ms)
-			received := max(now, made+draw("way back", 0, 400*ms))
+			answered := sent + draw("work", 0, 300*ms)
+			received := max(now, answered+draw("way back", 0, 400*ms))
 			now = received
 			o := Observation{Host: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host"), Sent: sent, Received: received}
-			told := fleet(made)
-			if n == wrong && (!off || e.Bounds().Bounded) {
-				told += draw("wrong by", -time.Hour, time.Hour)
+			position := fleet(answered)
+			if n == wrongAnswer && (!wrongLocalClock || e.Bounds().Bounded) {
+				position += draw("wrong by", -time.Hour, time.Hour)
 			}
 			if rapid.Bool().Draw(t, "primary") {
-				o.Present = told.Truncate(ms)
+				o.Present = position.Truncate(ms)
 			} else {
-				o.Position = (told - draw("lag", 0, 3*time.Second)).Truncate(ms)
+				o.Position = (position - draw("lag", 0, 3*time.Second)).Truncate(ms)
 			}
 			e.Observe(o)
 			b, truth := e.Bounds(), fleet(now)-now
@@ -275,8 +283,8 @@
 	})
 }
 
-func TestOneWrongAnswerMovesNoBoundWhereTheMachinesClockIsOffAndTheFirstAnswerWasSlow(t *testing.T) {
-	p := newPlay(300 * ms)
+func TestOneWrongAnswerMovesNoBoundAfterSlowAnswer(t *testing.T) {
+	p := newSimulation(300 * ms)
 	p.now += 400 * ms
 	p.Observe(Observation{Host: "a", Present: p.now - 400*ms + p.offset, Sent: p.now - 400*ms, Received: p.now})
 	p.check(t, "a slow first answer", true)
@@ -286,12 +294,12 @@
 	p.check(t, "one wrong answer", true)
 }
 
-func TestABusyHostSettlesTheClock(t *testing.T) {
-	for name, before := range map[string]func(p *play){
-		"at the start":          func(*play) {},
-		"after a contradiction": func(p *play) { p.Inherit(p.now, Interval{-ms, ms}) },
+func TestOverlappingAnswersOfOneHostSettleClock(t *testing.T) {
+	for name, before := range map[string]func(p *simulation){
+		"at the start":          func(*simulation) {},
+		"after a contradiction": func(p *simulation) { p.Inherit(p.now, Interval{-ms, ms}) },
 	} {
-		p := newPlay(300 * ms)
+		p := newSimulation(300 * ms)
 		before(p)
 		for range 10_000 { // 40 queries are in flight at any time
 			p.now += ms
@@ -304,10 +312,10 @@
 	}
 }
 
-func TestAPositionThatIsToldAgainIsOneWitness(t *testing.T) {
+func TestRepeatedPositionIsOneWitness(t *testing.T) {
 	for name, hosts := range map[string][]string{"one host": {"a", "a", "a"}, "two hosts that stopped at the same time": {"a", "b", "a"}} {
 		for _, known := range []bool{false, true} {
-			p := newPlay(0)
+			p := newSimulation(0)
 			if known {
 				p.present("a")
 				p.present("b")
@@ -326,44 +334,44 @@
 	}
 }
 
-func TestAPositionThatStandsStillMovesNoBoundOfAWideInterval(t *testing.T) {
-	p := newPlay(0)
+func TestRepeatedPositionMovesNoBoundOfWideInterval(t *testing.T) {
+	p := newSimulation(0)
 	p.now += 400 * ms
 	p.Observe(Observation{Host: "a", Present: p.now - 400*ms, Sent: p.now - 400*ms, Received: p.now})
 	p.check(t, "a slow first answer", true)
 	old := p.now
 	p.now += 100 * ms
 	for range 3 {
-		p.now += apart + 10*ms
+		p.now += minSeparation + 10*ms
 		p.Observe(Observation{Host: "a", Present: old, Sent: p.now - 10*ms, Received: p.now})
 		p.check(t, "a position that does not advance", true)
 	}
 }
 
-func TestAnAnswerAllowsForRoundingAndForAClockThatWasReadBefore(t *testing.T) {
-	for _, told := range []time.Duration{-5*ms - ms, ms} {
-		if i := (Observation{Host: "a", Present: start + told, Sent: start, Received: start}).Proves(); i.Least > 0 || i.Most < 0 {
-			t.Errorf("a primary's position that is off by %s proves %+v, which excludes the offset 0", told, i)
+func TestAnswerAllowsForRoundingAndPositionAge(t *testing.T) {
+	for _, deviation := range []time.Duration{-5*ms - ms, ms} {
+		if i := (Observation{Host: "a", Present: start + deviation, Sent: start, Received: start}).Proves(); i.Least > 0 || i.Most < 0 {
+			t.Errorf("a primary's position that is off by %s proves %+v, which excludes the offset 0", deviation, i)
 		}
 	}
 }
 
-func TestAnAnswerThatContradictsItselfBoundsNothingFromAbove(t *testing.T) {
-	p := newPlay(0)
+func TestSelfContradictoryAnswerGivesNoUpperBound(t *testing.T) {
+	p := newSimulation(0)
 	p.present("a")
 	p.present("b")
-	p.now += apart + 10*ms
+	p.now += minSeparation + 10*ms
 	p.offset = time.Second // the host's clock was set between its primary's position and its load report
 	p.Observe(Observation{Host: "a", Present: p.now - 5*ms, Position: p.now + p.offset, Sent: p.now - 10*ms, Received: p.now})
 	p.check(t, "contradicted", false)
 }
 
-func TestDataIsAsOldAsTheUpperEndMakesItLessTheSlack(t *testing.T) {
-	for most, want := range map[time.Duration]time.Duration{10 * ms: -ms, 100 * ms: 55 * ms} {
+func TestAgeCorrection(t *testing.T) {
+	for upper, want := range map[time.Duration]time.Duration{10 * ms: -ms, 100 * ms: 55 * ms} {
 		e := New(start)
-		e.Inherit(start, Interval{-ms, most})
+		e.Inherit(start, Interval{-ms, upper})
 		if got := e.Bounds().Ages(start); got != want {
-			t.Errorf("with an upper bound of %s the correction of ages is %s, want %s", most, got, want)
+			t.Errorf("with an upper bound of %s the correction of ages is %s, want %s", upper, got, want)
 		}
 	}
 }
--- a/internal/control/fleetclock/witness.go
+++ b/internal/control/fleetclock/witness.go
@@ -10,9 +10,9 @@
 	interval       Interval      // at the time received
 }
 
-// apart is the minimum time between two round trips that count as independent. After that time, the answer of
-// a primary whose position does not advance contradicts its earlier one.
-const apart = 2 * presentAge
+// minSeparation is the minimum time between two round trips that count as independent. After that time, the
+// answer of a primary whose position does not advance contradicts its earlier one.
+const minSeparation = 2 * maxPositionAge
 
 // independent reports whether a single fault is unlikely to have made both witnesses wrong, as their round
 // trips do not overlap and lie far enough apart. Answers that were delayed and arrived together count as one
@@ -21,13 +21,13 @@
 	if a.assumed || b.assumed {
 		return a.assumed != b.assumed
 	}
-	return a.received+apart <= b.sent || b.received+apart <= a.sent
+	return a.received+minSeparation <= b.sent || b.received+minSeparation <= a.sent
 }
 
-// standStill reports whether two answers contradict each other in the way that a repeated, outdated position
-// does: the upper bound of the later one lies below the lower bound of the earlier one. Both may be wrong
-// then.
-func standStill(a, b witness) bool {
+// repeatsPosition reports whether two answers contradict each other in the way that a repeated, outdated
+// position does: the upper bound of the later one lies below the lower bound of the earlier one. Both may be
+// wrong then.
+func repeatsPosition(a, b witness) bool {
 	if a.assumed || b.assumed {
 		return false
 	}
@@ -40,8 +40,8 @@
 // at returns the interval of the witness at the local time t.
 func (w witness) at(t time.Duration) Interval { return w.interval.after(t - w.received) }
 
-func (w witness) least() bound { return bound{w, -(w.interval.Least + drift(w.received))} }
-func (w witness) most() bound  { return bound{w, w.interval.Most - drift(w.received)} }
+func (w witness) lower() bound { return bound{w, -(w.interval.Least + drift(w.received))} }
+func (w witness) upper() bound { return bound{w, w.interval.Most - drift(w.received)} }
 
 // common returns the intersection of the intervals of all witnesses at a local time. Its minimum is above its
 // maximum if they do not agree.
@@ -56,53 +56,53 @@
 // bound is a lower or an upper bound that a witness proves. Lower bounds are negated, so that the smaller
 // value is the tighter one for both.
 type bound struct {
-	by    witness
-	value time.Duration // extrapolated to when the local clock showed 0
+	source witness
+	value  time.Duration // extrapolated to when the local clock showed 0
 }
 
-// side is the tightest pair of bounds in one direction that two independent witnesses prove. The looser bound
-// of the pair holds even if one of the witnesses is wrong. There is only one bound until a second witness is
-// observed.
-type side struct {
+// boundPair is the tightest pair of bounds in one direction that two independent witnesses prove. The looser
+// bound of the pair holds even if one of the witnesses is wrong. There is only one bound until a second
+// witness is observed.
+type boundPair struct {
 	bounds [2]bound
 	count  int
 }
 
 // add puts a bound into the pair if that makes the pair tighter.
-func (s *side) add(b bound) {
+func (s *boundPair) add(b bound) {
 	best := *s
 	for _, o := range s.bounds[:s.count] {
-		if pair := (side{[2]bound{o, b}, 2}); independent(o.by, b.by) && !standStill(o.by, b.by) && pair.tighter(&best) {
+		if pair := (boundPair{[2]bound{o, b}, 2}); independent(o.source, b.source) && !repeatsPosition(o.source, b.source) && pair.tighter(&best) {
 			best = pair
 		}
 	}
 	if best.count == 0 || best.count == 1 && b.value < best.bounds[0].value {
-		best = side{[2]bound{b}, 1}
+		best = boundPair{[2]bound{b}, 1}
 	}
 	*s = best
 }
 
-// twice sets both bounds of the pair to b, which two witnesses have proven, so that no single later answer
+// setBoth sets both bounds of the pair to b, which two witnesses have proven, so that no single later answer
 // moves it.
-func (s *side) twice(b bound) {
-	b.by = witness{assumed: true}
-	*s = side{[2]bound{b, b}, 2}
+func (s *boundPair) setBoth(b bound) {
+	b.source = witness{assumed: true}
+	*s = boundPair{[2]bound{b, b}, 2}
 }
 
 // tighter reports whether s is a tighter pair than another one.
-func (s *side) tighter(than *side) bool {
-	if than.count < 2 {
+func (s *boundPair) tighter(other *boundPair) bool {
+	if other.count < 2 {
 		return true
 	}
-	x, y := s.looser(), than.looser()
-	return x < y || x == y && min(s.bounds[0].value, s.bounds[1].value) < min(than.bounds[0].value, than.bounds[1].value)
+	x, y := s.looser(), other.looser()
+	return x < y || x == y && min(s.bounds[0].value, s.bounds[1].value) < min(other.bounds[0].value, other.bounds[1].value)
 }
 
-func (s *side) looser() time.Duration { return max(s.bounds[0].value, s.bounds[1].value) }
+func (s *boundPair) looser() time.Duration { return max(s.bounds[0].value, s.bounds[1].value) }
 
 // bound returns the bound that holds even if one witness is wrong. ok is false if there are not two bounds
 // yet.
-func (s *side) bound() (value time.Duration, ok bool) {
+func (s *boundPair) bound() (value time.Duration, ok bool) {
 	if s.count < 2 {
 		return 0, false
 	}
--- a/internal/control/listwatch/listwatch_test.go
+++ b/internal/control/listwatch/listwatch_test.go
@@ -13,15 +13,15 @@
 const ms = time.Millisecond
 
 // step calls Step and describes the calls to start and to cancel as text.
-func step(w *Watch, now time.Duration) (said []string, next time.Duration) {
+func step(w *Watch, now time.Duration) (out []string, next time.Duration) {
 	begin, drop, next := w.Step(now)
 	for _, id := range drop {
-		said = append(said, fmt.Sprint("drop ", id))
+		out = append(out, fmt.Sprint("drop ", id))
 	}
 	for _, c := range begin {
-		said = append(said, fmt.Sprintf("call %d %s after %d wait %s", c.ID, c.Address, c.Revision, c.Wait))
+		out = append(out, fmt.Sprintf("call %d %s after %d wait %s", c.ID, c.Address, c.Revision, c.Wait))
 	}
-	return said, next
+	return out, next
 }
 
 func TestCalls(t *testing.T) {
@@ -97,8 +97,8 @@
 				if e.do != nil {
 					e.do(w, e.at)
 				}
-				said, next := step(w, e.at)
-				if diff := cmp.Diff(e.want, said); diff != "" {
+				got, next := step(w, e.at)
+				if diff := cmp.Diff(e.want, got); diff != "" {
 					t.Fatalf("at %s: %s", e.at, diff)
 				}
 				if next <= e.at {
@@ -111,55 +111,55 @@
 
 // agent simulates discovery with random faults, on a virtual clock.
 type agent struct {
-	rng     *rand.Rand
-	reached time.Duration // from then on the agent can always be reached
-	latency time.Duration // of each answer
-	refuse  int           // calls in a row that the agent rejects
-	refused time.Duration // maximum time until it rejects a call
-	breaks  int           // connections that fail after reachableFrom
+	rng               *rand.Rand
+	reachableFrom     time.Duration // from then on the agent can always be reached
+	latency           time.Duration // of each answer
+	rejections        int           // calls in a row that the agent rejects
+	maxRejectTime     time.Duration // maximum time until it rejects a call
+	brokenConnections int           // connections that fail after reachableFrom
 }
 
-// fate returns when a call ends, or never if it does not, and with which result.
-func (a *agent) fate(now time.Duration, c Call) (at time.Duration, failed bool, why Failure) {
+// result returns when a call ends, or never if it does not, and with which result.
+func (a *agent) result(now time.Duration, c Call) (at time.Duration, failed bool, reason Failure) {
 	if now == 0 {
 		return now + a.latency, false, 0
 	}
-	if now < a.reached {
+	if now < a.reachableFrom {
 		switch a.rng.IntN(5) {
 		case 0:
 			return now + time.Duration(a.rng.Int64N(int64(20*ms))), true, Broken
 		case 1:
 			at := now + time.Duration(a.rng.Int64N(int64(1900*ms)))
-			if a.refuse = min(a.refuse, 1); at >= a.reached-longestPause {
-				a.refuse = 0 // this rejection counts for those after reachableFrom
+			if a.rejections = min(a.rejections, 1); at >= a.reachableFrom-maxPause {
+				a.rejections = 0 // this rejection counts for those after reachableFrom
 			}
 			return at, true, Busy
 		case 2: // answered before the change
-			if at := now + c.Wait + a.latency; at < a.reached {
+			if at := now + c.Wait + a.latency; at < a.reachableFrom {
 				return at, false, 0
 			}
 		}
 		return never, false, 0 // silent, even after the agent can be reached
 	}
 	switch {
-	case a.breaks > 0:
-		a.breaks--
+	case a.brokenConnections > 0:
+		a.brokenConnections--
 		return now + 5*ms, true, Broken
-	case a.refuse > 0:
-		a.refuse--
-		return now + time.Duration(a.rng.Int64N(int64(a.refused))), true, Busy
+	case a.rejections > 0:
+		a.rejections--
+		return now + time.Duration(a.rng.Int64N(int64(a.maxRejectTime))), true, Busy
 	}
 	return now + a.latency, false, 0 // there is a change, so that the call does not wait
 }
 
-// knownAfter simulates a watch and an agent. It returns the time from when the agent can be reached to the
+// changeDelay simulates a watch and an agent. It returns the time from when the agent can be reached to the
 // answer to a call that was started since then.
-func knownAfter(seed uint64, moves bool) time.Duration {
+func changeDelay(seed uint64, moves bool) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	a := &agent{rng: rng, reached: 10*time.Second + time.Duration(rng.Int64N(int64(10*time.Second))), refuse: rng.IntN(3),
-		breaks: rng.IntN(3)}
-	a.refused = 1900 * ms / time.Duration(max(a.refuse, 1))
-	if a.latency = time.Duration(rng.Int64N(int64(1500 * ms))); a.refuse > 0 {
+	a := &agent{rng: rng, reachableFrom: 10*time.Second + time.Duration(rng.Int64N(int64(10*time.Second))), rejections: rng.IntN(3),
+		brokenConnections: rng.IntN(3)}
+	a.maxRejectTime = 1900 * ms / time.Duration(max(a.rejections, 1))
+	if a.latency = time.Duration(rng.Int64N(int64(1500 * ms))); a.rejections > 0 {
 		a.latency /= 2 // an agent that rejects calls is not also slow to the full extent
 	}
 	type event struct {
@@ -175,11 +175,11 @@
 		moveAt = 0
 	}
 	revision := int64(41)
-	for now := time.Duration(0); now < a.reached+time.Minute; {
+	for now := time.Duration(0); now < a.reachableFrom+time.Minute; {
 		begin, drop, next := w.Step(now)
 		events = slices.DeleteFunc(events, func(e event) bool { return slices.Contains(drop, e.call.ID) })
 		for _, c := range begin {
-			at, failed, why := a.fate(now, c)
+			at, failed, why := a.result(now, c)
 			events = append(events, event{at, c, now, failed, why})
 		}
 		for _, e := range events {
@@ -202,8 +202,8 @@
 			continue
 		}
 		revision++
-		if w.Answered(now, e.call.ID, revision) && e.began >= a.reached {
-			return now - a.reached
+		if w.Answered(now, e.call.ID, revision) && e.began >= a.reachableFrom {
+			return now - a.reachableFrom
 		}
 	}
 	return never
@@ -213,56 +213,56 @@
 // earlier calls, and with up to two failed connections. Either answers take up to 1.5 s, or they take up to
 // 0.75 s and one call is rejected after up to 1.9 s, or two in a row after up to 0.95 s each, if no call was
 // rejected before.
-func TestAChangeIsKnownInTime(t *testing.T) {
+func TestChangeIsKnownWithinLimit(t *testing.T) {
 	for _, moves := range []bool{false, true} {
-		most, by := time.Duration(0), uint64(0)
+		longest, bySeed := time.Duration(0), uint64(0)
 		for seed := range uint64(20000) {
-			if got := knownAfter(seed, moves); got > most {
-				most, by = got, seed
+			if got := changeDelay(seed, moves); got > longest {
+				longest, bySeed = got, seed
 			}
 		}
-		if most > 6*time.Second {
-			t.Errorf("moves: %t, seed %d: the change is known %s after discovery can be reached", moves, by, most)
+		if longest > 6*time.Second {
+			t.Errorf("moves: %t, seed %d: the change is known %s after discovery can be reached", moves, bySeed, longest)
 		}
-		t.Logf("moves: %t: the change is known after at most %s (seed %d)", moves, most, by)
+		t.Logf("moves: %t: the change is known after at most %s (seed %d)", moves, longest, bySeed)
 	}
 }
 
-// line simulates a service with a queue of limited length. It rejects calls that have waited too long.
-type line struct {
-	each, patience time.Duration // time to serve a call; maximum time in the queue
-	holds          int           // maximum length of the queue
-	calls          []waiting
-	free           time.Duration // when the next call is served
+// queue simulates a service with a queue of limited length. It rejects calls that have waited too long.
+type queue struct {
+	serviceTime, maxWait time.Duration // time to serve a call; maximum time in the queue
+	capacity             int           // maximum length of the queue
+	calls                []queuedCall
+	nextServed           time.Duration // when the next call is served
 }
 
-type waiting struct {
-	who, id int
-	at      time.Duration
+type queuedCall struct {
+	gateway, id int
+	at          time.Duration
 }
 
 // served returns the calls that are answered by now and those that have waited too long, which take as much
 // of the service's time.
-func (l *line) served(now time.Duration) (ok, late []waiting) {
-	for len(l.calls) > 0 && l.free <= now {
+func (l *queue) served(now time.Duration) (ok, late []queuedCall) {
+	for len(l.calls) > 0 && l.nextServed <= now {
 		c := l.calls[0]
 		l.calls = l.calls[1:]
-		if l.free-c.at > l.patience {
+		if l.nextServed-c.at > l.maxWait {
 			late = append(late, c)
 		} else {
 			ok = append(ok, c)
 		}
-		l.free += l.each
+		l.nextServed += l.serviceTime
 	}
-	l.free = max(l.free, now)
+	l.nextServed = max(l.nextServed, now)
 	return ok, late
 }
 
-// answered returns how many gateways have been answered within a time if all start at once. Hasty gateways do
-// not pause after a rejection.
-func answered(gateways int, within time.Duration, hasty bool) int {
+// answeredGateways returns how many gateways have been answered within a time if all start at once. Hasty
+// gateways do not pause after a rejection.
+func answeredGateways(gateways int, within time.Duration, hasty bool) int {
 	const tick = 10 * ms
-	l := &line{each: 140 * ms, patience: 2 * time.Second, holds: 20}
+	l := &queue{serviceTime: 140 * ms, maxWait: 2 * time.Second, capacity: 20}
 	all, done := make([]*Watch, gateways), map[int]bool{}
 	for i := range all {
 		all[i] = New("a", Whole, uint64(i))
@@ -271,27 +271,27 @@
 	for now := time.Duration(0); now < within; now += tick {
 		ok, late := l.served(now)
 		for _, c := range ok {
-			done[c.who] = true
+			done[c.gateway] = true
 		}
 		for _, c := range late {
-			all[c.who].Failed(now, c.id, Busy)
-			retry[c.who] = now + soon
+			all[c.gateway].Failed(now, c.id, Busy)
+			retry[c.gateway] = now + maxBackoff
 		}
-		for who, w := range all {
-			if done[who] {
+		for gateway, w := range all {
+			if done[gateway] {
 				continue
 			}
-			if hasty && retry[who] > 0 && now >= retry[who] {
-				w.next, retry[who] = now, 0
+			if hasty && retry[gateway] > 0 && now >= retry[gateway] {
+				w.nextCall, retry[gateway] = now, 0
 			}
 			begin, _, _ := w.Step(now)
 			for _, c := range begin {
-				if len(l.calls) >= l.holds {
+				if len(l.calls) >= l.capacity {
 					w.Failed(now, c.ID, Busy)
-					retry[who] = now + soon
+					retry[gateway] = now + maxBackoff
 					continue
 				}
-				l.calls = append(l.calls, waiting{who, c.ID, now})
+				l.calls = append(l.calls, queuedCall{gateway, c.ID, now})
 			}
 		}
 	}
@@ -300,12 +300,12 @@
 
 // A release starts most gateways of a fleet at once. With pauses, discovery answers all of them. If rejected
 // gateways retried at once, most would never be answered.
-func TestALineDrains(t *testing.T) {
+func TestPausesLetQueueDrain(t *testing.T) {
 	for _, n := range []int{36, 80} {
-		if got := answered(n, time.Minute, false); got != n {
+		if got := answeredGateways(n, time.Minute, false); got != n {
 			t.Errorf("%d of %d gateways have a list after one minute", got, n)
 		}
-		if got := answered(n, time.Minute, true); got > n/2 {
+		if got := answeredGateways(n, time.Minute, true); got > n/2 {
 			t.Errorf("%d of %d gateways have a list without pauses: the simulated load is too low for this test", got, n)
 		}
 	}
@@ -313,7 +313,7 @@
 
 // The change happens just after the start of a call that is rejected as late as the protocol permits, and so
 // is the next call.
-func TestTwoCallsTurnedAwayInARowLeaveTimeForAThird(t *testing.T) {
+func TestTwoRejectionsLeaveTimeForThirdCall(t *testing.T) {
 	for seed := range uint64(1000) {
 		w := New("a", 41, seed)
 		begun, _, _ := w.Step(0)
@@ -321,18 +321,18 @@
 		began := time.Duration(0)
 		for range 2 {
 			begun, _, _ = w.Step(began)
-			w.Failed(began+refusedWithin, begun[0].ID, Busy)
-			_, _, began = w.Step(began + refusedWithin)
+			w.Failed(began+maxRejectTime, begun[0].ID, Busy)
+			_, _, began = w.Step(began + maxRejectTime)
 		}
-		if began > knownWithin {
+		if began > maxChainTime {
 			t.Fatalf("seed %d: the third call starts %s after the first", seed, began)
 		}
 	}
 }
 
 // After the first rejection in a row the pause is short, after the next one long. Both are random.
-func TestPausesDiffer(t *testing.T) {
-	bounds := [][2]time.Duration{{shortestPause, shortestPause + firstSpread}, {longestPause - pauseSpread, longestPause}}
+func TestPausesAreRandom(t *testing.T) {
+	bounds := [][2]time.Duration{{minPause, minPause + firstPauseSpread}, {maxPause - pauseSpread, maxPause}}
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(1000) {
 		w, now := New("a", Whole, seed), time.Duration(0)
--- a/internal/control/listwatch/older_list_test.go
+++ b/internal/control/listwatch/outdated_list_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// movedBesideASilentCall returns a watch whose call 1 to address a is silent, that has moved to address b,
+// moveWithSilentCall returns a watch whose call 1 to address a is silent, that has moved to address b,
 // and that has used the answer to call 2 to address a.
-func movedBesideASilentCall(t *testing.T, revision int64) (w *Watch, now time.Duration) {
+func moveWithSilentCall(t *testing.T, revision int64) (w *Watch, now time.Duration) {
 	t.Helper()
 	w = New("a", revision, 1)
 	step(w, 0)
-	step(w, crowdedSilentAfter) // call 2 starts in parallel
-	now = crowdedSilentAfter + 10*ms
+	step(w, queuedSilentAfter) // call 2 starts in parallel
+	now = queuedSilentAfter + 10*ms
 	w.Move(now, "b")
 	step(w, now)
 	if !w.Answered(now, 2, 43) {
@@ -22,15 +22,15 @@
 	return w, now
 }
 
-func TestAnOlderListOfTheLastAddressIsNotUsedAfterANewerOne(t *testing.T) {
-	w, now := movedBesideASilentCall(t, 41)
+func TestOutdatedListOfPreviousAddressIsNotUsed(t *testing.T) {
+	w, now := moveWithSilentCall(t, 41)
 	if w.Answered(now+ms, 1, 42) {
 		t.Error("a list of revision 42 is used after one of revision 43 of the same address")
 	}
 }
 
-func TestAnOlderListIsNotUsedAfterAMoveThereAndBack(t *testing.T) {
-	w, now := movedBesideASilentCall(t, 41)
+func TestOutdatedListIsNotUsedAfterMoveAndBack(t *testing.T) {
+	w, now := moveWithSilentCall(t, 41)
 	w.Move(now, "a")
 	step(w, now)
 	if w.Answered(now+ms, 1, 42) {
@@ -38,8 +38,8 @@
 	}
 }
 
-func TestAnOlderWholeListThatWasAskedForBeforeIsNotTakenForANewCount(t *testing.T) {
-	w, now := movedBesideASilentCall(t, Whole) // call 2 asks for a snapshot too
+func TestOutdatedSnapshotIsNoRevisionReset(t *testing.T) {
+	w, now := moveWithSilentCall(t, Whole) // call 2 asks for a snapshot too
 	w.Move(now, "a")
 	begun, _, _ := w.Step(now)
 	if w.Answered(now+ms, begun[0].ID, 42) {
@@ -48,13 +48,13 @@
 	if w.Answered(now+2*ms, 1, 42) {
 		t.Error("the answer to an earlier call is taken as proof that the agent has reset its revisions")
 	}
-	again, _, _ := w.Step(now + ms + soon + 2*ms)
-	if len(again) != 1 || !w.Answered(now+2*soon, again[0].ID, 3) {
+	again, _, _ := w.Step(now + ms + maxBackoff + 2*ms)
+	if len(again) != 1 || !w.Answered(now+2*maxBackoff, again[0].ID, 3) {
 		t.Errorf("the agent has reset its revisions, and its snapshot is not used: %+v", again)
 	}
 }
 
-func TestWhatWasUsedOfOtherAddressesIsForgotten(t *testing.T) {
+func TestStateOfOtherAddressesIsPruned(t *testing.T) {
 	w := New("a0", 41, 1)
 	for i := range 1000 {
 		now := time.Duration(i) * 100 * ms
@@ -64,12 +64,12 @@
 		}
 		w.Move(now, fmt.Sprint("a", i+1))
 	}
-	if w.Step(1000 * 100 * ms); len(w.used) > maxCalls+1 {
-		t.Errorf("the state of %d addresses is kept", len(w.used))
+	if w.Step(1000 * 100 * ms); len(w.addresses) > maxCalls+1 {
+		t.Errorf("the state of %d addresses is kept", len(w.addresses))
 	}
 }
 
-func TestMovesThereAndBackDoNotHideThatAnAgentCountsAnew(t *testing.T) {
+func TestMovesDoNotHideRevisionReset(t *testing.T) {
 	w := New("a", 41, 1)
 	begun, _, _ := w.Step(0)
 	if w.Answered(ms, begun[0].ID, 3) {
--- a/internal/control/reload/need_test.go
+++ b/internal/control/reload/need_test.go
@@ -7,7 +7,7 @@
 	"yokemast/balance"
 )
 
-func TestAReadKeepsTheBoundOfTheOldSettingsUntilTheNewOnesBind(t *testing.T) {
+func TestOldBoundAppliesUntilNewSettingsBind(t *testing.T) {
 	view := balance.Class{Name: "view", Need: balance.Bounded, Bound: 200 * time.Millisecond}
 	v := New(balance.Settings{Classes: []balance.Class{view}}, time.Second)
 	loose := view
@@ -20,7 +20,7 @@
 
 const bound = 200 * time.Millisecond
 
-func TestOfTwoNeedsBothHold(t *testing.T) {
+func TestStrictestNeed(t *testing.T) {
 	for _, c := range []struct{ old, new, want balance.Need }{
 		{balance.Session, balance.AnyData, balance.Session},
 		{balance.AnyData, balance.Session, balance.Session},
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestWhatOneVersionDoesNotAllowIsNotTakenUntilTheNewOneBinds(t *testing.T) {
+func TestPermissionsNeedBothVersions(t *testing.T) {
 	lax, strict := balance.Settings{DroppedStayOpen: true, TokensCarried: true}, balance.Settings{}
 	for _, c := range []struct{ old, new balance.Settings }{{lax, strict}, {strict, lax}} {
 		v := New(c.old, time.Second)
--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -19,10 +19,10 @@
 
 // Versions holds the versions of one gateway's settings that may apply. It is not safe for concurrent use.
 type Versions struct {
-	grace   time.Duration
-	inForce balance.Settings
-	next    *balance.Settings // newest version, which alone applies from settle on, or nil if inForce is the newest
-	settle  time.Duration
+	grace    time.Duration
+	inForce  balance.Settings
+	next     *balance.Settings // newest version, which alone applies from settleAt on, or nil if inForce is the newest
+	settleAt time.Duration
 }
 
 // New returns the versions of a gateway that starts with the settings s. A later version becomes binding
@@ -39,25 +39,25 @@
 	if newest := v.next; newest == nil && reflect.DeepEqual(v.inForce, s) || newest != nil && reflect.DeepEqual(*newest, s) {
 		return false
 	}
-	v.inForce = both(v.inForce, s)
-	v.next, v.settle = &s, now+v.grace
+	v.inForce = combine(v.inForce, s)
+	v.next, v.settleAt = &s, now+v.grace
 	return true
 }
 
 // Due returns the end of the grace period of the newest version. ok is false if it has already been settled.
-func (v *Versions) Due() (at time.Duration, ok bool) { return v.settle, v.next != nil }
+func (v *Versions) Due() (at time.Duration, ok bool) { return v.settleAt, v.next != nil }
 
 // Settle puts the newest version alone into force if its grace period has ended, and reports whether it did.
 func (v *Versions) Settle(now time.Duration) (changed bool) {
-	if v.next == nil || now < v.settle {
+	if v.next == nil || now < v.settleAt {
 		return false
 	}
 	v.inForce, v.next = *v.next, nil
 	return true
 }
 
-// both returns settings that comply with the old and with the new ones.
-func both(old, s balance.Settings) balance.Settings {
+// combine returns settings that comply with the old and with the new ones.
+func combine(old, s balance.Settings) balance.Settings {
 	s.MaxAttempts = min(old.MaxAttempts, s.MaxAttempts)
 	s.MaxRetryAfter = min(old.MaxRetryAfter, s.MaxRetryAfter)
 	s.RetryAfter = old.RetryAfter && s.RetryAfter
@@ -89,13 +89,13 @@
 	c.Scope = max(old.Scope, c.Scope)    // in the order all, zone, group
 	c.KeyTTL = min(old.KeyTTL, c.KeyTTL)
 	c.Deadline = min(old.Deadline, c.Deadline)
-	c.Need, c.Bound = needs(old, c)
+	c.Need, c.Bound = strictestNeed(old, c)
 	return c
 }
 
-// needs returns how current data must be to satisfy both classes. The need of a write cannot be combined with
-// that of a read, so the new one applies if either class is a write.
-func needs(old, c balance.Class) (balance.Need, time.Duration) {
+// strictestNeed returns how current data must be to satisfy both classes. The need of a write cannot be
+// combined with that of a read, so the new one applies if either class is a write.
+func strictestNeed(old, c balance.Class) (balance.Need, time.Duration) {
 	switch {
 	case old.Need == balance.Write || c.Need == balance.Write || old.Need == balance.AnyData:
 		return c.Need, c.Bound
@@ -104,7 +104,7 @@
 	case old.Need == balance.Latest || c.Need == balance.Latest:
 		return balance.Latest, 0
 	}
-	bound := min(boundOf(old), boundOf(c))
+	bound := min(maxAge(old), maxAge(c))
 	switch {
 	case old.Need == balance.Bounded && c.Need == balance.Bounded:
 		return balance.Bounded, bound
@@ -119,8 +119,8 @@
 // unbounded exceeds any bound on the age of data.
 const unbounded = time.Duration(math.MaxInt64)
 
-// boundOf returns the maximum age of data for a class of bounded or session reads.
-func boundOf(c balance.Class) time.Duration {
+// maxAge returns the maximum age of data for a class of bounded or session reads.
+func maxAge(c balance.Class) time.Duration {
 	if c.Need == balance.Session && c.Bound == 0 {
 		return unbounded
 	}
--- a/internal/control/reload/reload_test.go
+++ b/internal/control/reload/reload_test.go
@@ -32,7 +32,7 @@
 	return out
 }
 
-func TestWhatIsInForce(t *testing.T) {
+func TestGracePeriod(t *testing.T) {
 	v := New(settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms)), grace)
 	if v.Take(0, settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms))) {
 		t.Error("an identical version is reported as a change")
@@ -61,8 +61,9 @@
 	}
 }
 
-// older returns the maximum age of data for a class of reads, apart from the writes of their own session.
-func older(c balance.Class) time.Duration {
+// maxDataAge returns the maximum age of data for a class of reads, apart from the writes of their own
+// session.
+func maxDataAge(c balance.Class) time.Duration {
 	switch {
 	case c.Need == balance.Latest:
 		return 0
@@ -74,7 +75,7 @@
 
 // For any versions at any times, the settings in force must comply with every version under which a request
 // may have been sent: those that applied within the last grace period, and the newest.
-func TestNoVersionIsBroken(t *testing.T) {
+func TestSettingsComplyWithAllVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) balance.Settings {
 			s := settings(rapid.IntRange(1, 10).Draw(t, label+" attempts"))
@@ -113,7 +114,7 @@
 					if j < 0 {
 						t.Fatalf("class %s of a version received at %s is not accepted at %s", c.Name, h.at, now)
 					}
-					if o := v.InForce().Classes[j]; o.Effect < c.Effect || older(o) > older(c) || o.Deadline > c.Deadline ||
+					if o := v.InForce().Classes[j]; o.Effect < c.Effect || maxDataAge(o) > maxDataAge(c) || o.Deadline > c.Deadline ||
 						c.Need == balance.Session && o.Need != balance.Session && o.Need != balance.Latest {
 						t.Fatalf("%+v is less strict than %+v, received at %s, now %s", o, c, h.at, now)
 					}
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -33,18 +33,18 @@
 
 func (p Phase) String() string { return phases[p] }
 
-// Heir is the state of the new process of a hot restart.
-type Heir int
+// NewProcess is the state of the new process of a hot restart.
+type NewProcess int
 
 const (
-	None Heir = iota
-	Came      // the new process runs and shares the limits with this one
-	Took      // the new process is ready and takes over the clients
+	None      NewProcess = iota
+	Connected            // the new process runs and shares the limits with this one
+	TookOver             // the new process is ready and takes over the clients
 )
 
-var heirs = [...]string{"none", "came", "took"}
+var newProcessStates = [...]string{"none", "came", "took"}
 
-func (h Heir) String() string { return heirs[h] }
+func (h NewProcess) String() string { return newProcessStates[h] }
 
 // Event is an event in the lifecycle of the process.
 type Event int
@@ -85,7 +85,7 @@
 // View is the behavior that the state of the process requires from now on.
 type View struct {
 	Phase  Phase
-	Heir   Heir
+	Heir   NewProcess
 	Yes    bool          // the process answers readiness probes and operators with ready
 	Accept bool          // new connections are accepted
 	Shed   bool          // connections are closed as soon as they are between requests
@@ -97,23 +97,23 @@
 	Next   time.Duration // when the view changes without an event, or 0 if it does not
 }
 
-// ErrEnding is returned if a process that shuts down is to resume service.
-var ErrEnding = errors.New("the process is shutting down")
+// ErrShuttingDown is returned if a process that shuts down is to resume service.
+var ErrShuttingDown = errors.New("the process is shutting down")
 
 // State is the lifecycle state of one process. It is not safe for concurrent use.
 type State struct {
-	times Times
-	next  Times // of the newest settings, which replace times at settleAt
+	times     Times
+	nextTimes Times // of the newest settings, which replace times at settleAt
 	// settleAt is 0 if the newest settings are already in times.
-	settleAt time.Duration
-	phase    Phase
-	ready    bool // the process has been ready
-	heir     Heir
-	elder    bool          // an old process is running
-	since    time.Duration // start of the drain
-	endAt    time.Duration // when SIGTERM was received
-	tookAt   time.Duration // when the new process took over the clients
-	drained  bool          // the process was draining when SIGTERM was received
+	settleAt     time.Duration
+	phase        Phase
+	ready        bool // the process has been ready
+	newProcess   NewProcess
+	oldProcess   bool          // an old process is running
+	drainStart   time.Duration // start of the drain
+	terminatedAt time.Duration // when SIGTERM was received
+	takenOverAt  time.Duration // when the new process took over the clients
+	wasDraining  bool          // the process was draining when SIGTERM was received
 }
 
 // New returns the state of a process that starts.
@@ -125,13 +125,13 @@
 func (s *State) Retime(now time.Duration, t Times, binds time.Duration) {
 	s.settle(now)
 	s.times = s.times.earlier(t)
-	s.next, s.settleAt = t, binds
+	s.nextTimes, s.settleAt = t, binds
 }
 
 // settle replaces the time limits by the newest ones if settleAt has passed.
 func (s *State) settle(now time.Duration) {
 	if s.phase != Ending && s.settleAt > 0 && now >= s.settleAt {
-		s.times, s.settleAt = s.next, 0
+		s.times, s.settleAt = s.nextTimes, 0
 	}
 }
 
@@ -153,12 +153,12 @@
 	case Drain:
 		// A process may be drained before it has been ready. It must not report ready then.
 		if s.phase == Starting || s.phase == Serving {
-			s.phase, s.since = Draining, now
+			s.phase, s.drainStart = Draining, now
 		}
 	case Resume:
 		switch s.phase {
 		case Ending:
-			return ErrEnding
+			return ErrShuttingDown
 		case Draining:
 			if s.phase = Serving; !s.ready {
 				s.phase = Starting
@@ -166,23 +166,23 @@
 		}
 	case Terminate:
 		if s.phase != Ending {
-			s.drained = s.phase == Draining
-			s.phase, s.endAt = Ending, now
+			s.wasDraining = s.phase == Draining
+			s.phase, s.terminatedAt = Ending, now
 		}
 	case HeirCame:
-		if s.heir == None {
-			s.heir = Came
+		if s.newProcess == None {
+			s.newProcess = Connected
 		}
 	case HeirReady:
-		if s.heir != Took {
-			s.heir, s.tookAt = Took, now
+		if s.newProcess != TookOver {
+			s.newProcess, s.takenOverAt = TookOver, now
 		}
 	case HeirLost:
-		s.heir = None
+		s.newProcess = None
 	case ElderFound:
-		s.elder = true
+		s.oldProcess = true
 	case ElderGone:
-		s.elder = false
+		s.oldProcess = false
 	default:
 		return fmt.Errorf("service: unknown event %d", e)
 	}
@@ -193,7 +193,7 @@
 func (s *State) View(now time.Duration) View {
 	// A process accepts clients before it is ready, and they wait for it, unless the old process still serves
 	// them.
-	v := View{Phase: s.phase, Heir: s.heir, Yes: s.phase == Serving, Accept: s.ready || !s.elder, Shared: s.heir != None || s.elder}
+	v := View{Phase: s.phase, Heir: s.newProcess, Yes: s.phase == Serving, Accept: s.ready || !s.oldProcess, Shared: s.newProcess != None || s.oldProcess}
 	next := func(at time.Duration) bool { // reports whether the time has passed, and records it as a coming change otherwise
 		if now >= at {
 			return true
@@ -207,22 +207,22 @@
 	case Draining:
 		// Until the load balancer has noticed the drain, clients whose connections are closed would reconnect
 		// here.
-		v.Shed = next(s.since + s.times.FrontAway)
+		v.Shed = next(s.drainStart + s.times.FrontAway)
 	case Ending:
 		// Without a new process, no other one replaces this gateway so soon. Clients are served as before on
 		// their existing connections, and readiness probes are answered as before.
-		v.Yes = s.ready && !s.drained
-		v.Last = s.endAt + s.times.LastAnswer
-		shed := next(s.endAt + s.times.Shed)
-		v.Shed = shed || s.drained && next(s.since+s.times.FrontAway)
-		v.Accept = !shed || !next(s.endAt+s.times.Accept)
+		v.Yes = s.ready && !s.wasDraining
+		v.Last = s.terminatedAt + s.times.LastAnswer
+		shed := next(s.terminatedAt + s.times.Shed)
+		v.Shed = shed || s.wasDraining && next(s.drainStart+s.times.FrontAway)
+		v.Accept = !shed || !next(s.terminatedAt+s.times.Accept)
 		v.Idle = !v.Accept
-		v.Over = next(s.endAt + s.times.End)
+		v.Over = next(s.terminatedAt + s.times.End)
 	}
-	if s.heir == Took {
+	if s.newProcess == TookOver {
 		v.Accept, v.Shed, v.Pass = false, true, true
 		v.Idle = s.phase == Ending
-		if s.phase != Ending && next(s.tookAt+s.times.Linger) {
+		if s.phase != Ending && next(s.takenOverAt+s.times.Linger) {
 			v.Idle = true
 		}
 	}
--- a/internal/control/service/service_test.go
+++ b/internal/control/service/service_test.go
@@ -13,12 +13,12 @@
 var times = Times{FrontAway: 350 * ms, Accept: 450 * ms, Shed: 2950 * ms, LastAnswer: 3550 * ms, End: 3620 * ms, Linger: 10 * time.Second}
 
 type step struct {
-	at  time.Duration
-	ev  Event
-	bad bool
+	at      time.Duration
+	event   Event
+	wantErr bool
 }
 
-func TestWhatHolds(t *testing.T) {
+func TestView(t *testing.T) {
 	const on = 1000 * ms
 	for name, c := range map[string]struct {
 		steps []step
@@ -58,21 +58,21 @@
 		"drain after SIGTERM has no effect": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Drain, false}}, on + ms,
 			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
 		"new process shares the limits": {[]step{{0, Ready, false}, {on, HeirCame, false}}, on,
-			View{Phase: Serving, Heir: Came, Yes: true, Accept: true, Shared: true}},
+			View{Phase: Serving, Heir: Connected, Yes: true, Accept: true, Shared: true}},
 		"ready new process takes over the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}}, on,
-			View{Phase: Serving, Heir: Took, Yes: true, Shed: true, Pass: true, Shared: true, Next: on + 10*time.Second}},
+			View{Phase: Serving, Heir: TookOver, Yes: true, Shed: true, Pass: true, Shared: true, Next: on + 10*time.Second}},
 		"lost new process returns the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}, {on + ms, HeirLost, false}},
 			on + ms, View{Phase: Serving, Yes: true, Accept: true}},
 		"SIGTERM with a new process exits once all requests are answered": {[]step{{0, Ready, false}, {0, HeirReady, false}, {on, Terminate, false}}, on,
-			View{Phase: Ending, Heir: Took, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true, Last: on + 3550*ms, Next: on + 2950*ms}},
+			View{Phase: Ending, Heir: TookOver, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true, Last: on + 3550*ms, Next: on + 2950*ms}},
 		"no SIGTERM after the takeover": {[]step{{0, Ready, false}, {0, HeirReady, false}}, 10 * time.Second,
-			View{Phase: Serving, Heir: Took, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true}},
+			View{Phase: Serving, Heir: TookOver, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New(times)
 			for _, st := range c.steps {
-				if err := s.Handle(st.at, st.ev); (err != nil) != st.bad {
-					t.Fatalf("%s at %s: %v", st.ev, st.at, err)
+				if err := s.Handle(st.at, st.event); (err != nil) != st.wantErr {
+					t.Fatalf("%s at %s: %v", st.event, st.at, err)
 				}
 			}
 			if d := cmp.Diff(c.want, s.View(c.at)); d != "" {
@@ -83,7 +83,7 @@
 }
 
 // Clients keep connecting for a while after SIGTERM, however short the deadlines are.
-func TestConnectionsAreTakenAsLongAsTheyCome(t *testing.T) {
+func TestAcceptAfterTerminate(t *testing.T) {
 	s := New(Times{FrontAway: 350 * ms, Shed: 250 * ms, Accept: 450 * ms, LastAnswer: 850 * ms, End: 920 * ms, Linger: 10 * time.Second})
 	_ = s.Handle(0, Ready)
 	_ = s.Handle(0, Terminate)
@@ -98,7 +98,7 @@
 }
 
 // SIGKILL may come by the old or by the new settings until the new ones are binding.
-func TestTheEndKeepsTheEarlierOfTheTimesThatMayHold(t *testing.T) {
+func TestShutdownUsesEarlierTimes(t *testing.T) {
 	at := func(last time.Duration) Times {
 		return Times{Shed: last - 600*ms, LastAnswer: last, End: last + 70*ms, Accept: 450 * ms, Linger: 10 * time.Second}
 	}
@@ -138,7 +138,7 @@
 }
 
 // The view must keep its guarantees for any sequence of events.
-func TestViewKeepsItsWord(t *testing.T) {
+func TestViewInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := New(times), time.Duration(0)
 		var drainedAt, endAt time.Duration
--- a/internal/control/waits/waits.go
+++ b/internal/control/waits/waits.go
@@ -22,17 +22,17 @@
 	// buckets is the number of parts into which the deadline of a class is divided. Adjacent buckets are
 	// counted together.
 	buckets = 128
-	// firstTryPart is the inverse of the minimum share of a class's attempts that makes a wait one of first
-	// attempts: a client retries up to three times, and there may be clients of other programs. firstTryLeast
-	// is the minimum number of attempts with that wait.
-	firstTryPart, firstTryLeast = 5, 3
-	// rememberedTries is the maximum number of attempts in a histogram. All counts are halved when there are
+	// firstAttemptDivisor is the inverse of the minimum share of a class's attempts that makes a wait one of
+	// first attempts: a client retries up to three times, and there may be clients of other programs.
+	// minFirstAttempts is the minimum number of attempts with that wait.
+	firstAttemptDivisor, minFirstAttempts = 5, 3
+	// maxAttempts is the maximum number of attempts in a histogram. All counts are halved when there are
 	// more.
-	rememberedTries = 512
-	// retriesMost is the maximum number of client retries for one unserved attempt. expectedMost limits the
-	// retries that are expected at a time, as a burst of failures must not affect clients that send requests
-	// long after it.
-	retriesMost, expectedMost = 3, 512
+	maxAttempts = 512
+	// maxRetries is the maximum number of client retries for one unserved attempt. maxExpectedRetries limits
+	// the retries that are expected at a time, as a burst of failures must not affect clients that send
+	// requests long after it.
+	maxRetries, maxExpectedRetries = 3, 512
 )
 
 // Waits holds the waits that one gateway has observed. It is not safe for concurrent use.
@@ -40,36 +40,36 @@
 
 // histogram counts attempts of one class by wait.
 type histogram struct {
-	giveUp   time.Duration // deadline of the class
-	expected int           // client retries that unserved attempts may still cause
-	total    int
-	counts   [buckets + 2]int // with an empty bucket at each end
+	deadline        time.Duration // deadline of the class
+	expectedRetries int           // client retries that unserved attempts may still cause
+	total           int
+	counts          [buckets + 2]int // with an empty bucket at each end
 }
 
-// New returns a Waits without observations.
+// New returns an estimator without observations.
 func New() *Waits { return &Waits{classes: map[string]*histogram{}} }
 
 // Try records an attempt of a class, whose client waits for the given time, and returns how long the client
 // has already spent on earlier attempts. It returns 0 for a first attempt and where the time cannot be
-// derived. giveUp is the deadline of the class.
-func (w *Waits) Try(class string, giveUp, wait time.Duration) time.Duration {
-	if wait <= 0 || giveUp <= 0 {
+// derived. deadline is that of the class.
+func (w *Waits) Try(class string, deadline, wait time.Duration) time.Duration {
+	if wait <= 0 || deadline <= 0 {
 		return 0
 	}
-	s := w.classes[class]
-	if s == nil || s.giveUp != giveUp { // new class, or new deadline after a settings update
-		s = &histogram{giveUp: giveUp}
-		w.classes[class] = s
+	h := w.classes[class]
+	if h == nil || h.deadline != deadline { // new class, or new deadline after a settings update
+		h = &histogram{deadline: deadline}
+		w.classes[class] = h
 	}
-	i := 1 + int(min(wait, giveUp-1)*buckets/giveUp)
-	s.add(i)
-	if s.expected == 0 || s.near(i)*firstTryPart >= s.total {
+	i := 1 + int(min(wait, deadline-1)*buckets/deadline)
+	h.add(i)
+	if h.expectedRetries == 0 || h.near(i)*firstAttemptDivisor >= h.total {
 		return 0
 	}
 	for j := buckets; j > i+1; j-- {
-		if n := s.near(j); n >= firstTryLeast && n*firstTryPart >= s.total {
-			s.expected--
-			return giveUp - wait
+		if n := h.near(j); n >= minFirstAttempts && n*firstAttemptDivisor >= h.total {
+			h.expectedRetries--
+			return deadline - wait
 		}
 	}
 	return 0
@@ -79,21 +79,21 @@
 // the client. It must not be called for an attempt that was classified as a client retry, since the retries
 // of that client are already counted.
 func (w *Waits) Unserved(class string) {
-	if s := w.classes[class]; s != nil {
-		s.expected = min(s.expected+retriesMost, expectedMost)
+	if h := w.classes[class]; h != nil {
+		h.expectedRetries = min(h.expectedRetries+maxRetries, maxExpectedRetries)
 	}
 }
 
-func (s *histogram) add(i int) {
-	if s.total++; s.total > rememberedTries {
-		s.total = 0
-		for j := range s.counts {
-			s.counts[j] /= 2
-			s.total += s.counts[j]
+func (h *histogram) add(i int) {
+	if h.total++; h.total > maxAttempts {
+		h.total = 0
+		for j := range h.counts {
+			h.counts[j] /= 2
+			h.total += h.counts[j]
 		}
 	}
-	s.counts[i]++
+	h.counts[i]++
 }
 
 // near returns the number of attempts in bucket i and its two neighbors.
-func (s *histogram) near(i int) int { return s.counts[i-1] + s.counts[i] + s.counts[i+1] }
+func (h *histogram) near(i int) int { return h.counts[i-1] + h.counts[i] + h.counts[i+1] }
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -9,25 +9,25 @@
 
 const ms = time.Millisecond
 
-// play simulates n clients of a program whose first attempts wait for the time first. If again returns a time
-// above 0 for a client, the client retries after it with the rest of the deadline.
-func play(w *Waits, n int, first time.Duration, again func(i int) time.Duration) (told []time.Duration) {
+// simulate simulates n clients of a program whose first attempts wait for the time first. If again returns a
+// time above 0 for a client, the client retries after it with the rest of the deadline.
+func simulate(w *Waits, n int, first time.Duration, retryAfter func(i int) time.Duration) (estimates []time.Duration) {
 	for i := range n {
 		if w.Try("view", 750*ms, first) != 0 {
-			told = append(told, -1) // a first attempt that is classified as a retry
+			estimates = append(estimates, -1) // a first attempt that is classified as a retry
 		}
 		w.Unserved("view")
-		if after := again(i); after > 0 {
-			told = append(told, w.Try("view", 750*ms, min(first, 750*ms-after)))
+		if after := retryAfter(i); after > 0 {
+			estimates = append(estimates, w.Try("view", 750*ms, min(first, 750*ms-after)))
 		}
 	}
-	return told
+	return estimates
 }
 
-func TestALaterTryTellsHowLongItsClientHasBeenAtIt(t *testing.T) {
+func TestRetryGivesElapsedTime(t *testing.T) {
 	w := New()
-	play(w, 20, 450*ms, func(int) time.Duration { return 0 })
-	for i, got := range play(w, 100, 450*ms, func(i int) time.Duration { return time.Duration(330+i*4) * ms }) {
+	simulate(w, 20, 450*ms, func(int) time.Duration { return 0 })
+	for i, got := range simulate(w, 100, 450*ms, func(i int) time.Duration { return time.Duration(330+i*4) * ms }) {
 		if want := time.Duration(330+i*4) * ms; got != want {
 			t.Fatalf("client %d: %v, want %v", i, got, want)
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestNothingIsToldBeforeFirstTriesAreKnown(t *testing.T) {
+func TestNoEstimateBeforeFirstAttemptsAreKnown(t *testing.T) {
 	w := New()
 	w.Unserved("view")
 	for _, wait := range []time.Duration{450 * ms, 200 * ms, 0, -ms, 450 * ms} {
@@ -52,7 +52,7 @@
 }
 
 // First attempts of two programs with different waits must not be classified as retries.
-func TestFirstTriesOfTwoPrograms(t *testing.T) {
+func TestFirstAttemptsOfTwoPrograms(t *testing.T) {
 	w := New()
 	for range 200 {
 		for _, wait := range []time.Duration{700 * ms, 700 * ms, 320 * ms} {
@@ -66,7 +66,7 @@
 
 // The first attempts of a program too rare to be detected must not be classified as retries while all
 // attempts are served.
-func TestARareProgramIsServedWhereNothingIsWrong(t *testing.T) {
+func TestRareProgramIsNoRetryWithoutFailures(t *testing.T) {
 	w := New()
 	for i := range 5000 {
 		wait := 700 * ms
@@ -81,9 +81,9 @@
 
 // For any clients and any results, no more attempts may be classified as retries than unserved attempts can
 // have caused, and the estimate must be the deadline of the class minus the wait.
-func TestNoMoreLaterTriesThanCanBe(t *testing.T) {
+func TestNoMoreRetriesThanPossible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, allowed, told := New(), 0, 0
+		w, allowed, retries := New(), 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "tries") {
 			wait := time.Duration(rapid.IntRange(-10, 900).Draw(t, "wait")) * ms
 			got := w.Try("view", 750*ms, wait)
@@ -91,33 +91,33 @@
 			case got != 0 && got != 750*ms-wait:
 				t.Fatalf("wait %v: %v", wait, got)
 			case got != 0:
-				told++
+				retries++
 			case rapid.Bool().Draw(t, "unserved"):
 				w.Unserved("view")
-				allowed += retriesMost
+				allowed += maxRetries
 			}
-			if told > allowed {
-				t.Fatalf("%d attempts classified as retries, at most %d can be", told, allowed)
+			if retries > allowed {
+				t.Fatalf("%d attempts classified as retries, at most %d can be", retries, allowed)
 			}
 		}
 	})
 }
 
-func TestOldTriesAreForgotten(t *testing.T) {
+func TestOldAttemptsAreForgotten(t *testing.T) {
 	w := New()
-	play(w, 2*rememberedTries, 700*ms, func(int) time.Duration { return 0 })
-	told := play(w, 4*rememberedTries, 320*ms, func(int) time.Duration { return 0 }) // the program's wait has changed
-	if n := len(told); n > rememberedTries {
+	simulate(w, 2*maxAttempts, 700*ms, func(int) time.Duration { return 0 })
+	estimates := simulate(w, 4*maxAttempts, 320*ms, func(int) time.Duration { return 0 }) // the program's wait has changed
+	if n := len(estimates); n > maxAttempts {
 		t.Errorf("%d first attempts with the new wait are classified as retries", n)
 	}
-	if s := w.classes["view"]; s.total > rememberedTries || s.expected > expectedMost {
-		t.Errorf("the histogram holds %d attempts and expects %d retries", s.total, s.expected)
+	if s := w.classes["view"]; s.total > maxAttempts || s.expectedRetries > maxExpectedRetries {
+		t.Errorf("the histogram holds %d attempts and expects %d retries", s.total, s.expectedRetries)
 	}
 }
 
 func BenchmarkTry(b *testing.B) {
 	w := New()
-	play(w, 100, 450*ms, func(i int) time.Duration { return time.Duration(330+i*4) * ms })
+	simulate(w, 100, 450*ms, func(i int) time.Duration { return time.Duration(330+i*4) * ms })
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		w.Unserved("view")
