--- a/internal/control/fleetclock/contradiction.go
+++ b/internal/control/fleetclock/contradiction.go
@@ -12,48 +12,50 @@
 
 // contradiction is the state of an estimate whose interval was contradicted or was never known.
 type contradiction struct {
-	known     Interval      // interval before the contradiction, widened by drift; zero if there was none
-	hull      Interval      // smallest interval that includes known and all answers that contradict it
-	at        time.Duration // local time for which known and hull hold
-	began     time.Duration // local time of the first contradiction; answers to queries sent earlier are not counted
-	witnesses []witness     // primaries' answers to queries sent since began, each independent of the others
+	known Interval      // interval before the contradiction, widened by drift; zero if there was none
+	hull  Interval      // smallest interval that includes known and all answers that contradict it
+	at    time.Duration // local time for which known and hull hold
+	// start is the local time of the first contradiction, or -unbounded if no interval was known before.
+	// Answers to queries that were sent earlier are not counted.
+	start     time.Duration
+	witnesses []witness // primaries' answers to queries sent since start, each independent of the others
 }
 
 // unknown reports whether no interval was known before.
-func (d *contradiction) unknown() bool { return d.began == -unbounded }
+func (c *contradiction) unknown() bool { return c.start == -unbounded }
 
 // widen extends the hull to include an answer that contradicts it.
-func (d *contradiction) widen(w witness) Change {
-	if d.unknown() {
+func (c *contradiction) widen(w witness) Change {
+	if c.unknown() {
 		return Nothing
 	}
-	now := d.hull.after(w.received - d.at)
-	if now.intersects(w.interval) {
+	hull := c.hull.after(w.received - c.at)
+	if hull.intersects(w.interval) {
 		return Nothing
 	}
-	d.hull, d.known, d.at = now.hull(w.interval), d.known.after(w.received-d.at), w.received
+	c.hull, c.known, c.at = hull.hull(w.interval), c.known.after(w.received-c.at), w.received
 	return Contradicted
 }
 
 // agreement adds a primary's answer to a query that was sent since the contradiction began. It returns the
 // answers that end the contradiction, or nil if there are not enough.
-func (d *contradiction) agreement(w witness) []witness {
-	if w.interval.Most >= unbounded || w.sent < d.began {
+func (c *contradiction) agreement(w witness) []witness {
+	if w.interval.Most >= unbounded || w.sent < c.start {
 		return nil
 	}
-	earlier := d.independentOf(w)
-	if settled := agreeingWitnesses(earlier, w); settled != nil {
-		return settled
+	earlier := c.independentOf(w)
+	if agreed := agreeingWitnesses(earlier, w); agreed != nil {
+		return agreed
 	}
-	if len(earlier) == len(d.witnesses) {
-		d.add(w)
+	if len(earlier) == len(c.witnesses) {
+		c.add(w)
 	}
 	return nil
 }
 
 // independentOf returns the kept answers that are independent of w, the newest last.
-func (d *contradiction) independentOf(w witness) (out []witness) {
-	for _, o := range d.witnesses {
+func (c *contradiction) independentOf(w witness) (out []witness) {
+	for _, o := range c.witnesses {
 		if independent(o, w) {
 			out = append(out, o)
 		}
@@ -62,16 +64,16 @@
 }
 
 // add stores an answer. If there are too many it drops the oldest one, but never the assumed witness.
-func (d *contradiction) add(w witness) {
-	d.witnesses = append(d.witnesses, w)
-	if len(d.witnesses) <= maxWitnesses {
+func (c *contradiction) add(w witness) {
+	c.witnesses = append(c.witnesses, w)
+	if len(c.witnesses) <= maxWitnesses {
 		return
 	}
 	oldest := 0
-	if d.witnesses[0].assumed {
+	if c.witnesses[0].assumed {
 		oldest = 1
 	}
-	d.witnesses = append(d.witnesses[:oldest:oldest], d.witnesses[oldest+1:]...)
+	c.witnesses = append(c.witnesses[:oldest:oldest], c.witnesses[oldest+1:]...)
 }
 
 // agreeingWitnesses returns w together with an earlier answer of another host that agrees with it, or with
--- a/internal/control/fleetclock/fleetclock.go
+++ b/internal/control/fleetclock/fleetclock.go
@@ -122,7 +122,7 @@
 // New returns an estimate that knows only that the local clock shows now.
 func New(now time.Duration) *Estimate {
 	own := witness{assumed: true, sent: now, received: now}
-	e := &Estimate{contradiction: &contradiction{hull: Interval{-unbounded, unbounded}, witnesses: []witness{own}, began: -unbounded}}
+	e := &Estimate{contradiction: &contradiction{hull: Interval{-unbounded, unbounded}, witnesses: []witness{own}, start: -unbounded}}
 	e.addLower(own)
 	return e
 }
@@ -151,7 +151,7 @@
 	}
 	known := e.Bounds().At(w.received)
 	if !known.intersects(w.interval) {
-		e.contradiction = &contradiction{known: known, hull: known.hull(w.interval), at: w.received, began: w.received}
+		e.contradiction = &contradiction{known: known, hull: known.hull(w.interval), at: w.received, start: w.received}
 		return Contradicted
 	}
 	return e.narrow(w)
@@ -192,15 +192,15 @@
 
 // resolve ends a contradiction, or the time before the interval is known, with the answers that agree.
 func (e *Estimate) resolve(agreed []witness) Change {
-	ended, now := e.contradiction, agreed[len(agreed)-1].received
+	resolved, now := e.contradiction, agreed[len(agreed)-1].received
 	e.contradiction = nil
 	change := Settled
 	switch {
-	case ended.unknown():
+	case resolved.unknown():
 		if !agreed[0].assumed { // the local clock is wrong
 			e.lower = boundPair{}
 		}
-	case !ended.known.after(now - ended.at).intersects(common(agreed, now)):
+	case !resolved.known.after(now - resolved.at).intersects(common(agreed, now)):
 		change, e.lower, e.upper = Replaced, boundPair{}, boundPair{}
 		e.epoch++
 	}
@@ -224,31 +224,31 @@
 func (e *Estimate) Bounds() Bounds {
 	if e.contradiction != nil && !e.contradiction.unknown() {
 		i := e.contradiction.hull.after(-e.contradiction.at)
-		return Bounds{min: i.Least, max: i.Most, Bounded: i.Most < unbounded, Told: true, Doubted: true}
+		return Bounds{lower: i.Least, upper: i.Most, Bounded: i.Most < unbounded, Told: true, Doubted: true}
 	}
 	lower, hasLower := e.lower.bound()
 	upper, hasUpper := e.upper.bound()
-	b := Bounds{min: -unbounded, max: unbounded, Bounded: hasUpper, Told: hasLower}
+	b := Bounds{lower: -unbounded, upper: unbounded, Bounded: hasUpper, Told: hasLower}
 	if hasLower {
-		b.min = -lower
+		b.lower = -lower
 	}
 	if hasUpper {
-		b.max = upper
+		b.upper = upper
 	}
 	return b
 }
 
 // Bounds is an interval that widens with time.
 type Bounds struct {
-	min, max time.Duration // extrapolated to when the local clock showed 0
-	Bounded  bool          // there is an upper bound
-	Told     bool          // there is a lower bound
-	Doubted  bool          // an answer contradicts the interval, and later answers have not yet agreed
+	lower, upper time.Duration // extrapolated to when the local clock showed 0
+	Bounded      bool          // there is an upper bound
+	Told         bool          // there is a lower bound
+	Doubted      bool          // an answer contradicts the interval, and later answers have not yet agreed
 }
 
 // At returns the interval at the local time now.
 func (b Bounds) At(now time.Duration) Interval {
-	return Interval{b.min, b.max}.after(now)
+	return Interval{b.lower, b.upper}.after(now)
 }
 
 // Predates reports whether the primary's position in o proves that its answer is older than the query by more
@@ -258,7 +258,7 @@
 }
 
 // Width returns the length of the interval without the drift since the last change.
-func (b Bounds) Width() time.Duration { return b.max - b.min }
+func (b Bounds) Width() time.Duration { return b.upper - b.lower }
 
 // Ages returns the correction to add to the age of a position that was computed with the local clock. No data
 // is then older than its computed age by more than AgeSlack. The result is meaningful only if there is an
--- a/internal/control/listwatch/listwatch_test.go
+++ b/internal/control/listwatch/listwatch_test.go
@@ -37,8 +37,8 @@
 			}
 		}
 	}
-	fail := func(id int, why Failure) func(*Watch, time.Duration) {
-		return func(w *Watch, now time.Duration) { w.Failed(now, id, why) }
+	fail := func(id int, reason Failure) func(*Watch, time.Duration) {
+		return func(w *Watch, now time.Duration) { w.Failed(now, id, reason) }
 	}
 	move := func(address string) func(*Watch, time.Duration) {
 		return func(w *Watch, now time.Duration) { w.Move(now, address) }
@@ -167,7 +167,7 @@
 		call   Call
 		began  time.Duration
 		failed bool
-		why    Failure
+		reason Failure
 	}
 	w, events, addresses := New("a0", 41, seed), []event{}, 0
 	moveAt := never
@@ -179,8 +179,8 @@
 		begin, drop, next := w.Step(now)
 		events = slices.DeleteFunc(events, func(e event) bool { return slices.Contains(drop, e.call.ID) })
 		for _, c := range begin {
-			at, failed, why := a.result(now, c)
-			events = append(events, event{at, c, now, failed, why})
+			at, failed, reason := a.result(now, c)
+			events = append(events, event{at, c, now, failed, reason})
 		}
 		for _, e := range events {
 			next = min(next, e.at)
@@ -198,7 +198,7 @@
 		e := events[i]
 		events = slices.Delete(events, i, i+1)
 		if e.failed {
-			w.Failed(now, e.call.ID, e.why)
+			w.Failed(now, e.call.ID, e.reason)
 			continue
 		}
 		revision++
@@ -243,18 +243,18 @@
 
 // served returns the calls that are answered by now and those that have waited too long, which take as much
 // of the service's time.
-func (l *queue) served(now time.Duration) (ok, late []queuedCall) {
-	for len(l.calls) > 0 && l.nextServed <= now {
-		c := l.calls[0]
-		l.calls = l.calls[1:]
-		if l.nextServed-c.at > l.maxWait {
+func (q *queue) served(now time.Duration) (ok, late []queuedCall) {
+	for len(q.calls) > 0 && q.nextServed <= now {
+		c := q.calls[0]
+		q.calls = q.calls[1:]
+		if q.nextServed-c.at > q.maxWait {
 			late = append(late, c)
 		} else {
 			ok = append(ok, c)
 		}
-		l.nextServed += l.serviceTime
+		q.nextServed += q.serviceTime
 	}
-	l.nextServed = max(l.nextServed, now)
+	q.nextServed = max(q.nextServed, now)
 	return ok, late
 }
 
@@ -262,14 +262,14 @@
 // gateways do not pause after a rejection.
 func answeredGateways(gateways int, within time.Duration, hasty bool) int {
 	const tick = 10 * ms
-	l := &queue{serviceTime: 140 * ms, maxWait: 2 * time.Second, capacity: 20}
+	q := &queue{serviceTime: 140 * ms, maxWait: 2 * time.Second, capacity: 20}
 	all, done := make([]*Watch, gateways), map[int]bool{}
 	for i := range all {
 		all[i] = New("a", Whole, uint64(i))
 	}
 	retry := make([]time.Duration, gateways) // next calls of hasty gateways
 	for now := time.Duration(0); now < within; now += tick {
-		ok, late := l.served(now)
+		ok, late := q.served(now)
 		for _, c := range ok {
 			done[c.gateway] = true
 		}
@@ -286,12 +286,12 @@
 			}
 			begin, _, _ := w.Step(now)
 			for _, c := range begin {
-				if len(l.calls) >= l.capacity {
+				if len(q.calls) >= q.capacity {
 					w.Failed(now, c.ID, Busy)
 					retry[gateway] = now + maxBackoff
 					continue
 				}
-				l.calls = append(l.calls, queuedCall{gateway, c.ID, now})
+				q.calls = append(q.calls, queuedCall{gateway, c.ID, now})
 			}
 		}
 	}
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -44,7 +44,7 @@
 
 var newProcessStates = [...]string{"none", "came", "took"}
 
-func (h NewProcess) String() string { return newProcessStates[h] }
+func (p NewProcess) String() string { return newProcessStates[p] }
 
 // Event is an event in the lifecycle of the process.
 type Event int
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -110,8 +110,8 @@
 	if n := len(estimates); n > maxAttempts {
 		t.Errorf("%d first attempts with the new wait are classified as retries", n)
 	}
-	if s := w.classes["view"]; s.total > maxAttempts || s.expectedRetries > maxExpectedRetries {
-		t.Errorf("the histogram holds %d attempts and expects %d retries", s.total, s.expectedRetries)
+	if h := w.classes["view"]; h.total > maxAttempts || h.expectedRetries > maxExpectedRetries {
+		t.Errorf("the histogram holds %d attempts and expects %d retries", h.total, h.expectedRetries)
 	}
 }
 
