--- a/internal/control/budget/budget.go
+++ b/internal/control/budget/budget.go
@@ -36,8 +36,8 @@
 // enough bytes have been released.
 func (b *Budget) Resize(total int64) { b.total = total }
 
-// Open starts a message that needs at most the given number of bytes. It returns nil if that is more than the
-// total.
+// Open starts a message that needs at most the given number of bytes. It returns nil if that is negative or
+// more than the total.
 func (b *Budget) Open(need int64) *Holding {
 	if need < 0 || need > b.total {
 		return nil
--- a/internal/control/listwatch/listwatch.go
+++ b/internal/control/listwatch/listwatch.go
@@ -88,6 +88,7 @@
 	Busy                  // discovery rejected the call
 )
 
+// activeCall is a call in flight.
 type activeCall struct {
 	Call
 	began      time.Duration // start of the call, or noTime if the call is superseded
@@ -183,7 +184,8 @@
 		return !w.answered && w.acceptRevision(c.Call, revision)
 	}
 	w.failures = 0
-	if latency := now - c.began - c.Wait; latency >= 0 { // an answer before the end of the wait says nothing about the latency
+	// An answer before the end of the wait says nothing about the latency.
+	if latency := now - c.began - c.Wait; latency >= 0 {
 		w.latency = max(latency, w.latency*3/4)
 	}
 	if !w.acceptRevision(c.Call, revision) {
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -74,8 +74,8 @@
 	// Shed, LastAnswer and End are durations since SIGTERM, in this order: when to close connections between
 	// requests, when the last answer is due, and when the process must have exited.
 	Shed, LastAnswer, End time.Duration
-	// Accept is how long after SIGTERM new connections are accepted at least. Clients keep connecting for 0.2
-	// to 0.4 s.
+	// Accept is the minimum time after SIGTERM for which new connections are accepted. Clients keep connecting
+	// for 0.2 to 0.4 s.
 	Accept time.Duration
 	// Linger is how long the old process stays after the new process has taken over the clients, in case the
 	// new process dies, before it exits without SIGTERM. The platform sends SIGTERM within 6 s.
