--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// rig drives one door by hand.
+// rig drives a Door with a clock under the test's control.
 type rig struct {
 	*Door
 	now time.Duration
@@ -25,7 +25,7 @@
 	return g.n, g.Arrive(g.now, g.n, from)
 }
 
-// asks has a connection ask and get its answer.
+// asks simulates a request and its answer on a connection.
 func (g *rig) asks(id ID) {
 	g.Begins(g.now, id)
 	g.Rests(g.now, id)
@@ -37,13 +37,13 @@
 	return l
 }
 
-func TestOrderOfGivingWay(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(g *rig) (gives ID)
 		why  Reason
 	}{
-		{"one that says nothing, before an idle one", func(g *rig) ID {
+		{"a silent connection before an idle one", func(g *rig) ID {
 			a, _ := g.come("x")
 			g.asks(a)
 			g.now += 5 * time.Second
@@ -53,7 +53,7 @@
 			g.come("x")
 			return b
 		}, SilentGaveWay},
-		{"the silent one of the source with most places", func(g *rig) ID {
+		{"the silent connection of the source with most connections", func(g *rig) ID {
 			g.come("small")
 			g.now += 50 * ms
 			b, _ := g.come("large")
@@ -62,7 +62,7 @@
 			g.now += 150 * ms
 			return b
 		}, SilentGaveWay},
-		{"one that asked once, before one that asks again", func(g *rig) ID {
+		{"a connection with one request before one with more", func(g *rig) ID {
 			var ids []ID
 			for range 4 {
 				id, _ := g.come("x")
@@ -73,12 +73,12 @@
 			g.now += 3 * time.Second
 			return ids[1]
 		}, IdleGaveWay},
-		{"of the idle, one that is not likely to ask again soon", func(g *rig) ID {
+		{"the idle connection that is less likely to send a request soon", func(g *rig) ID {
 			g.come("y")
 			g.come("y")
 			var ids []ID
 			for _, from := range []string{"often", "seldom"} {
-				g.come(from) // heard of for the first time: not learnt alone
+				g.come(from) // a source gets its own histogram with its second connection
 				g.Gone(g.now, g.n)
 				id, _ := g.come(from)
 				ids = append(ids, id)
@@ -97,7 +97,7 @@
 			}
 			g.asks(ids[0])
 			g.asks(ids[1])
-			g.now += 2100 * ms // the one asks every 2.2 s, the other every 4.4 s
+			g.now += 2100 * ms // one source sends a request every 2.2 s, the other every 4.4 s
 			return ids[1]
 		}, IdleGaveWay},
 	} {
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestNobodyAtWorkGivesWay(t *testing.T) {
+func TestBusyConnectionsAreNotEvicted(t *testing.T) {
 	g := newRig(small())
 	for range 4 {
 		id, _ := g.come("x")
@@ -119,15 +119,15 @@
 	for i := range 5 {
 		_, v := g.come("y")
 		if v.Taken || len(v.Ends) > 0 || v.Held != (i < 2) || v.After < 200*ms || v.After > 300*ms {
-			t.Errorf("newcomer %d: %+v", i, v)
+			t.Errorf("new connection %d: verdict %+v", i, v)
 		}
 	}
 	if g.Ended[NoPlace] != 2 || g.Ended[NoRoom] != 3 {
-		t.Errorf("by reason: %v", g.Ended)
+		t.Errorf("closed and refused by reason: %v", g.Ended)
 	}
 }
 
-func TestPressureShortensTheWait(t *testing.T) {
+func TestPressureShortensIdleTimeout(t *testing.T) {
 	l := DefaultLimits(100)
 	l.KeepIdle = 10
 	g := newRig(l)
@@ -137,11 +137,11 @@
 	}
 	g.now += time.Second
 	if ends := g.Tick(g.now, 100); len(ends) != 0 || g.Pressure() != 0 {
-		t.Errorf("half full, after a second: %d are ended, pressure %v", len(ends), g.Pressure())
+		t.Errorf("half of the places used, idle for 1 s: %d closed, pressure %v", len(ends), g.Pressure())
 	}
 	g.now += time.Second
 	if ends := g.Tick(g.now, 100); len(ends) != 40 || ends[0].Reason != IdleTooLong {
-		t.Errorf("half full, after two: %d are ended", len(ends))
+		t.Errorf("half of the places used, idle for 2 s: %d closed", len(ends))
 	}
 	for range 70 {
 		id, _ := g.come("x")
@@ -149,22 +149,22 @@
 	}
 	g.now += 260 * ms
 	if g.Pressure() != 1 {
-		t.Errorf("pressure %v at %d places", g.Pressure(), g.held())
+		t.Errorf("pressure %v with %d connections", g.Pressure(), g.held())
 	}
 	ends := g.Tick(g.now, 100)
 	if len(ends) == 0 || ends[0].Reason != IdleUnderStress {
-		t.Errorf("nearly full: %+v are ended", ends)
+		t.Errorf("near the connection limit: closed %+v", ends)
 	}
-	// Down again only when there are clearly fewer.
+	// The pressure ends only when the number of connections has fallen to Low.
 	if g.held() >= 65 {
-		t.Errorf("%d are left", g.held())
+		t.Errorf("%d connections remain", g.held())
 	}
 	if g.Pressure() != 0 {
-		t.Errorf("pressure %v at %d places", g.Pressure(), g.held())
+		t.Errorf("pressure %v with %d connections", g.Pressure(), g.held())
 	}
 }
 
-func TestTheShareOfClientsWithRequestsIsPressureToo(t *testing.T) {
+func TestConnectionsWithRequestsCausePressure(t *testing.T) {
 	l := DefaultLimits(1000)
 	l.Share, l.KeepIdle = 40, 5
 	g := newRig(l)
@@ -174,11 +174,11 @@
 	}
 	g.now += 300 * ms
 	if ends := g.Tick(g.now, 100); len(ends) == 0 || g.Ended[IdleUnderStress] == 0 {
-		t.Errorf("with 36 of 40 nobody is ended")
+		t.Errorf("no connection closed with 36 of 40 connections that have sent a request")
 	}
 }
 
-func TestLimitsBelowWhatIsOpen(t *testing.T) {
+func TestLimitsLoweredBelowOpenConnections(t *testing.T) {
 	g := newRig(DefaultLimits(50))
 	var ids []ID
 	for range 50 {
@@ -188,18 +188,18 @@
 	}
 	g.SetLimits(small())
 	if _, v := g.come("x"); v.Taken || v.Held {
-		t.Errorf("a newcomer: %+v", v)
+		t.Errorf("new connection above the limit: verdict %+v", v)
 	}
 	for _, id := range ids[:47] {
 		g.Gone(g.now, id)
 	}
 	if _, v := g.come("x"); !v.Taken {
-		t.Errorf("once there is room: %+v", v)
+		t.Errorf("new connection after others have closed: verdict %+v", v)
 	}
 }
 
-// TestPropertyDoor drives a door by anything in any order: it never has more than its places, nobody at work is ended, each end
-// is told once, and its counts hold.
+// TestPropertyDoor calls a Door in random order. The number of connections never exceeds the limit, no connection with an open
+// request is closed, each connection is closed once, and the counts are consistent.
 func TestPropertyDoor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := DefaultLimits(rapid.IntRange(1, 10).Draw(t, "places"))
@@ -209,14 +209,14 @@
 		ended := func(ends []End) {
 			for _, e := range ends {
 				if s, ok := state[e.ID]; !ok || s == AtWork || s == Leaving {
-					t.Fatalf("%d is ended, it is %v", e.ID, s)
+					t.Fatalf("connection %d closed in state %v", e.ID, s)
 				}
 				state[e.ID] = Leaving
 			}
 		}
 		pick := func(t *rapid.T) ID { return ID(rapid.IntRange(1, int(g.n)+1).Draw(t, "id")) }
 		t.Repeat(map[string]func(*rapid.T){
-			"come": func(t *rapid.T) {
+			"arrive": func(t *rapid.T) {
 				id, v := g.come(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"))
 				ended(v.Ends)
 				switch {
@@ -226,27 +226,27 @@
 					state[id] = Leaving
 				}
 			},
-			"begins": func(t *rapid.T) {
+			"request starts": func(t *rapid.T) {
 				id := pick(t)
 				g.Begins(g.now, id)
 				if s, ok := state[id]; ok && s != Leaving {
 					state[id] = AtWork
 				}
 			},
-			"rests": func(t *rapid.T) {
+			"requests done": func(t *rapid.T) {
 				id := pick(t)
 				g.Rests(g.now, id)
 				if state[id] == AtWork {
 					state[id] = Idle
 				}
 			},
-			"leaves": func(t *rapid.T) {
+			"start closing": func(t *rapid.T) {
 				id := pick(t)
 				if g.Leaves(g.now, id) {
 					state[id] = Leaving
 				}
 			},
-			"gone": func(t *rapid.T) {
+			"closed": func(t *rapid.T) {
 				id := pick(t)
 				g.Gone(g.now, id)
 				delete(state, id)
@@ -263,15 +263,15 @@
 				}
 				for s, n := range g.Counts() {
 					if counts[s] != n {
-						t.Fatalf("%d are %v, %d are counted", counts[s], s, n)
+						t.Fatalf("%d connections are %v, the counter is %d", counts[s], s, n)
 					}
 				}
 				if g.held() > l.Places || len(g.conns) > l.Places+l.Overflow+l.Places {
-					t.Fatalf("%d have a place, %d there are", g.held(), len(g.conns))
+					t.Fatalf("%d connections are served, %d exist", g.held(), len(g.conns))
 				}
 				for name, n := range per {
 					if g.sources[name].held != n {
-						t.Fatalf("%s holds %d, %d are counted", name, n, g.sources[name].held)
+						t.Fatalf("source %s has %d connections, the counter is %d", name, n, g.sources[name].held)
 					}
 				}
 			},
@@ -279,7 +279,7 @@
 	})
 }
 
-func TestManySourcesTakeLittleMemory(t *testing.T) {
+func TestMemoryOfManySourcesIsBounded(t *testing.T) {
 	g := newRig(DefaultLimits(100))
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -295,11 +295,11 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 1<<20 {
-		t.Errorf("the heap grew by %d bytes", grown)
+		t.Errorf("the heap grew by %d bytes after 200,000 sources", grown)
 	}
 }
 
-// many has 100,000 connections of 1,000 sources, most of them idle.
+// many returns a rig with 100,000 connections of 1,000 sources, most of them idle.
 func many() *rig {
 	g := newRig(DefaultLimits(100_000))
 	for i := range 100_000 {
--- a/internal/control/admission/door.go
+++ b/internal/control/admission/door.go
@@ -1,16 +1,20 @@
-// Package admission decides who of the clients' connections has a place: whether a newcomer is taken, who gives way to it, and
-// who is ended for having had nothing open for too long. It has no I/O and no clock: the caller tells what connections do and
-// carries out what it answers. Nothing here walks over all connections: each act costs the logarithm of their number.
+// Package admission decides which client connections are served: whether a new connection is accepted, which
+// connection is evicted for it, and which are closed because they were idle for too long. It does no I/O and
+// reads no clock: the caller reports what connections do and carries out the decisions. No operation iterates
+// over all connections; each takes logarithmic time.
 //
-// The order of giving way, first to last:
+// Connections are evicted in this order:
 //
-//  1. connections that have said nothing for longer than SilentFor, of the source with most places first, longest first;
-//  2. idle ones that have asked once at most, of the source with most places first, longest first;
-//  3. idle ones that have asked before and are not likely to ask again soon, as their source's pauses tell, longest first;
-//  4. other idle ones, longest first.
+//  1. connections that have sent nothing for longer than SilentFor, of the source with most connections first,
+//     longest first;
+//  2. idle ones with at most one request, of the source with most connections first, longest first;
+//  3. idle ones with more requests that are unlikely to send another one soon, judged by the times between the
+//     requests of their source, longest idle first;
+//  4. other idle ones, longest idle first.
 //
-// Never one whose request has begun to come or has no answer. Idle means nothing open for the time that the pressure allows:
-// MayClose without pressure, down to SoonClose when places run short.
+// A connection is never evicted while it receives a request or waits for an answer. A connection counts as
+// idle after having no open request for a time that depends on the pressure: from MayClose without pressure
+// down to SoonClose near the limit.
 package admission
 
 import (
@@ -19,35 +23,36 @@
 	"github.com/tidwall/btree"
 )
 
-// Limits are the figures of a door.
+// Limits configures a Door.
 type Limits struct {
-	Places    int           // connections served at a time
-	Overflow  int           // beyond them, on their way out
-	Share     int           // connections that clients with requests can hold among them; 0: no such limit
-	KeepIdle  int           // connections that may stay for long with nothing open
-	SilentFor time.Duration // a connection that has said nothing for longer gives way
-	MayClose  time.Duration // an idle one may be ended after as long
-	SoonClose time.Duration // the same under full pressure; at most MayClose
-	Low, High float64       // parts of Places or Share: pressure rises from none at Low to full at High
-	ComeBack  time.Duration // when those turned away shall come again, spread over half as much more
-	Sources   int           // of which pauses are learnt one by one; others are learnt together
+	Places    int           // maximum number of connections served
+	Overflow  int           // maximum number of further connections that are being closed
+	Share     int           // maximum number of connections that have sent a request, or 0 for no such limit; only sets the pressure
+	KeepIdle  int           // no connection is closed for being idle while at most this many are open
+	SilentFor time.Duration // a connection that has sent nothing for longer may be evicted
+	MayClose  time.Duration // idle timeout without pressure
+	SoonClose time.Duration // idle timeout under full pressure, at most MayClose
+	Low, High float64       // fractions of Places or Share: pressure rises from 0 at Low to 1 at High
+	ComeBack  time.Duration // minimum retryAfter of refused clients; up to half of it is added to spread retries
+	Sources   int           // number of sources whose request intervals are tracked separately; all others share one record
 }
 
-// DefaultLimits are those of a gateway with so many places; what depends on descriptors is left to the caller.
+// DefaultLimits returns the limits for a gateway with that many places. The caller sets those that depend on
+// descriptors.
 func DefaultLimits(places int) Limits {
 	return Limits{Places: places, Overflow: 24, SilentFor: 100 * time.Millisecond, MayClose: 2 * time.Second,
 		SoonClose: 250 * time.Millisecond, Low: 0.65, High: 0.75, ComeBack: 200 * time.Millisecond, Sources: 64}
 }
 
-// State is what a connection is doing.
+// State is the state of a connection.
 type State int
 
 // States of a connection.
 const (
-	Newcomer State = iota // it has said nothing yet
-	Idle                  // it has asked, and nothing is open
-	AtWork                // a request has begun to come, or has no answer
-	Leaving               // it is on its way out
+	Newcomer State = iota // no request yet
+	Idle                  // at least one request, none open
+	AtWork                // a request is being received or waits for its answer
+	Leaving               // being closed
 	states
 )
 
@@ -55,17 +60,17 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Reason says why a connection is ended or turned away.
+// Reason is why a connection is closed or refused.
 type Reason int
 
 // Reasons.
 const (
-	SilentGaveWay   Reason = iota // it had said nothing, and another came
-	IdleGaveWay                   // it was idle, and another came
-	IdleTooLong                   // it was idle where many are
-	IdleUnderStress               // it was idle for a shorter time, as places run short
-	NoPlace                       // a newcomer, and nobody could give way
-	NoRoom                        // a newcomer, and too many are on their way out
+	SilentGaveWay   Reason = iota // evicted without having sent a request
+	IdleGaveWay                   // evicted while idle
+	IdleTooLong                   // idle timeout without pressure
+	IdleUnderStress               // idle timeout that is shortened by pressure
+	NoPlace                       // refused: the connection limit is reached and no connection can be evicted
+	NoRoom                        // refused: too many connections are being closed
 	reasons
 )
 
@@ -73,81 +78,83 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// ID is the caller's number of a connection; unique as long as it is there.
+// ID identifies a connection. The caller assigns it; it must be unique among open connections.
 type ID uint64
 
-// conn is one connection.
+// conn is the record of a connection.
 type conn struct {
 	id    ID
 	from  *source
 	state State
-	since time.Duration // of the state
-	asked int           // requests so far
+	since time.Duration // when it entered its state
+	asked int           // number of requests
 }
 
-// End says that a connection is to be ended.
+// End tells the caller to close a connection.
 type End struct {
 	ID     ID
 	Reason Reason
 }
 
-// Verdict is what becomes of a newcomer.
+// Verdict is the decision on a new connection.
 type Verdict struct {
-	Taken  bool          // it is served
-	Held   bool          // not taken, but there is room to tell it so; otherwise it is closed at once
-	After  time.Duration // not taken: when it shall come again
-	Reason Reason        // not taken
-	Ends   []End         // those that give way
+	Taken  bool          // whether the connection is served
+	Held   bool          // if not taken: whether it stays open until the refusal is sent, or else is closed at once
+	After  time.Duration // if not taken: retryAfter
+	Reason Reason        // if not taken: why
+	Ends   []End         // connections to close to make room
 }
 
-// source is where connections come from: an address, a user, a tenant.
+// source is where connections come from, such as an address, a user or a tenant.
 type source struct {
 	name   string
-	held   int // without those leaving
-	all    int // with them
+	held   int // connections that are not being closed
+	all    int // all connections
 	pauses *pauses
-	silent *btree.BTreeG[*conn] // newcomers, longest first
-	once   *btree.BTreeG[*conn] // idle, asked once at most
+	silent *btree.BTreeG[*conn] // connections without a request, longest first
+	once   *btree.BTreeG[*conn] // idle connections with at most one request, longest first
 }
 
+// older orders connections by the time at which they entered their state.
 func older(a, b *conn) bool {
 	return a.since < b.since || a.since == b.since && a.id < b.id
 }
 
-// heavier puts the source with most places first.
+// heavier orders sources by their number of connections, the largest first.
 func heavier(a, b *source) bool {
 	return a.held > b.held || a.held == b.held && a.name < b.name
 }
 
-// Door is not safe for concurrent use.
+// Door decides on the connections of one gateway. It is not safe for concurrent use.
 type Door struct {
 	limits  Limits
 	conns   map[ID]*conn
 	sources map[string]*source
-	heavy   *btree.BTreeG[*source] // those with somebody who can give way at once: a newcomer or one that asked once
-	idle    *btree.BTreeG[*conn]   // all that are idle, longest first
+	heavy   *btree.BTreeG[*source] // sources with a connection that is silent or has sent one request, largest first
+	idle    *btree.BTreeG[*conn]   // all idle connections, longest first
 	counts  [states]int
 	learnt  *learnt
-	pressed bool
-	spread  uint64
-	Ended   [reasons]uint64 // by reason
+	pressed bool            // whether the pressure has reached High and not yet fallen to Low
+	spread  uint64          // state of the random number generator of comeBack
+	Ended   [reasons]uint64 // closed and refused connections by reason
 }
 
-// New makes a door.
+// New returns a Door without connections.
 func New(l Limits) *Door {
 	return &Door{limits: l, conns: map[ID]*conn{}, sources: map[string]*source{}, learnt: newLearnt(max(1, l.Sources)),
 		heavy: btree.NewBTreeGOptions(heavier, btree.Options{NoLocks: true}),
 		idle:  btree.NewBTreeGOptions(older, btree.Options{NoLocks: true})}
 }
 
-// SetLimits takes other limits, below what is open too: nothing new is taken until as many have gone.
+// SetLimits changes the limits. If more connections are open than they allow, new ones are refused until
+// enough have closed.
 func (d *Door) SetLimits(l Limits) { d.limits = l }
 
-// held is how many have a place.
+// held returns the number of connections that are not being closed.
 func (d *Door) held() int { return len(d.conns) - d.counts[Leaving] }
 
-// Pressure says how short places are: 0, not at all, to 1. It goes up as soon as places run short and down only when there are
-// clearly more again.
+// Pressure returns how close the number of connections is to the limits, from 0 to 1. It rises as soon as the
+// number reaches High and returns to 0 only when it has fallen to Low.
 func (d *Door) Pressure() float64 {
 	used := float64(d.held()) / float64(max(1, d.limits.Places))
 	if d.limits.Share > 0 {
@@ -165,11 +172,12 @@
 	return min(1, max(0, (used-d.limits.Low)/max(d.limits.High-d.limits.Low, 1e-9)))
 }
 
-// limit is for how long a connection has to have been idle before it can be ended.
+// limit returns the current idle timeout.
 func (d *Door) limit() time.Duration {
 	return d.limits.MayClose - time.Duration(d.Pressure()*float64(d.limits.MayClose-d.limits.SoonClose))
 }
 
+// source returns the source of that name and creates it if necessary.
 func (d *Door) source(name string) *source {
 	s := d.sources[name]
 	if s == nil {
@@ -181,7 +189,7 @@
 	return s
 }
 
-// Arrive takes a newcomer from a source, or turns it away. What is told to it is told at once.
+// Arrive decides on a new connection of a source. A refusal must be sent at once.
 func (d *Door) Arrive(now time.Duration, id ID, from string) (v Verdict) {
 	if d.held() >= d.limits.Places {
 		if c, reason := d.gives(now); c != nil {
@@ -213,13 +221,14 @@
 	return v
 }
 
-// comeBack spreads those turned away over half as much more, so that they do not come again together.
+// comeBack returns the retryAfter of a refused client. It adds a random part of up to half of the minimum, so
+// that clients refused at the same time do not retry together.
 func (d *Door) comeBack() time.Duration {
 	d.spread = d.spread*6364136223846793005 + 1442695040888963407
 	return d.limits.ComeBack + time.Duration(d.spread>>33)%(d.limits.ComeBack/2+1)
 }
 
-// gives chooses who gives way to a newcomer; nil: nobody.
+// gives chooses the connection to evict for a new one, or nil if none can be evicted.
 func (d *Door) gives(now time.Duration) (c *conn, reason Reason) {
 	d.heavy.Scan(func(s *source) bool {
 		if x, ok := s.silent.Min(); ok && now-x.since >= d.limits.SilentFor {
@@ -243,10 +252,11 @@
 	return d.spared(now, limit), IdleGaveWay
 }
 
-// looks bounds how many idle ones are asked whether they will come again.
+// looks is the maximum number of idle connections that spared compares.
 const looks = 8
 
-// spared chooses among the idle: of the first few the one that is least likely to ask again soon.
+// spared returns, of the first connections that have been idle longest, the one that is least likely to send
+// a request soon. It returns nil if none has been idle for limit.
 func (d *Door) spared(now, limit time.Duration) (c *conn) {
 	least, n := 2.0, 0
 	d.idle.Scan(func(x *conn) bool {
@@ -262,7 +272,7 @@
 	return c
 }
 
-// Tick ends connections that have been idle for too long where many are there, most of them at a time.
+// Tick closes up to most connections whose idle timeout has passed, as long as more than KeepIdle are open.
 func (d *Door) Tick(now time.Duration, most int) (out []End) {
 	limit := d.limit()
 	reason := IdleTooLong
@@ -282,13 +292,14 @@
 	return out
 }
 
+// end starts to close a connection.
 func (d *Door) end(now time.Duration, c *conn, reason Reason) End {
 	d.Ended[reason]++
 	d.move(now, c, Leaving)
 	return End{c.id, reason}
 }
 
-// move brings a connection from one state to another.
+// move changes the state of a connection and updates the indexes and counts.
 func (d *Door) move(now time.Duration, c *conn, to State) {
 	s := c.from
 	d.heavy.Delete(s)
@@ -326,7 +337,7 @@
 	}
 }
 
-// Begins says that a request has begun to come on a connection.
+// Begins reports that a request has begun to arrive on a connection.
 func (d *Door) Begins(now time.Duration, id ID) {
 	c := d.conns[id]
 	if c == nil || c.state == Leaving || c.state == AtWork {
@@ -340,14 +351,15 @@
 	c.asked = asked
 }
 
-// Rests says that nothing is open on a connection any more.
+// Rests reports that a connection has no open request any more.
 func (d *Door) Rests(now time.Duration, id ID) {
 	if c := d.conns[id]; c != nil && c.state == AtWork {
 		d.move(now, c, Idle)
 	}
 }
 
-// Leaves says that a connection is on its way out for a reason of its own; false: too many are.
+// Leaves marks a connection that the caller closes for its own reasons as closing. It returns false if the
+// connection is unknown or too many are being closed.
 func (d *Door) Leaves(now time.Duration, id ID) bool {
 	c := d.conns[id]
 	switch {
@@ -362,7 +374,7 @@
 	return true
 }
 
-// Gone forgets a connection that has ended.
+// Gone removes a connection that has closed.
 func (d *Door) Gone(now time.Duration, id ID) {
 	c := d.conns[id]
 	if c == nil {
@@ -376,7 +388,7 @@
 	}
 }
 
-// Counts gives how many connections are in each state.
+// Counts returns the number of connections in each state.
 func (d *Door) Counts() map[State]int {
 	out := map[State]int{}
 	for s, n := range d.counts {
@@ -385,14 +397,14 @@
 	return out
 }
 
-// SourceReport is one source as it stands.
+// SourceReport is the state of a source.
 type SourceReport struct {
 	Source string        `json:"source"`
-	Held   int           `json:"held"`
-	Pause  time.Duration `json:"pause"` // the median between its requests
+	Held   int           `json:"held"`  // connections that are not being closed
+	Pause  time.Duration `json:"pause"` // median time between the requests of a connection
 }
 
-// Heaviest gives the sources with most places.
+// Heaviest returns the n sources with most connections.
 func (d *Door) Heaviest(n int) (out []SourceReport) {
 	all := btree.NewBTreeGOptions(heavier, btree.Options{NoLocks: true})
 	for _, s := range d.sources {
--- a/internal/control/admission/pauses.go
+++ b/internal/control/admission/pauses.go
@@ -7,23 +7,25 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// pauses are those between the requests of a source's connections, the later ones counting more.
+// pauses is a histogram of the times between the requests of a source's connections. Recent ones have more
+// weight.
 type pauses struct {
 	all   *hdrhistogram.Histogram // in milliseconds
 	count int
 }
 
 const (
-	longest = 60_000 // milliseconds: longer pauses count as that
-	halving = 1000   // requests after which what was learnt counts half
-	enough  = 20     // requests before anything is believed
-	soonFor = 500    // milliseconds: so soon a connection has to ask again to be spared
+	longest = 60_000 // milliseconds; longer intervals are recorded as this
+	halving = 1000   // number of intervals after which all counts are halved
+	enough  = 20     // minimum number of intervals for an estimate
+	soonFor = 500    // milliseconds within which a request must be likely for a connection to be spared
 )
 
 func newPauses() *pauses { return &pauses{all: hdrhistogram.New(1, longest, 1)} }
 
+// add records an interval.
 func (p *pauses) add(d time.Duration) {
-	_ = p.all.RecordValue(min(max(d.Milliseconds(), 1), longest)) // it is inside the bounds
+	_ = p.all.RecordValue(min(max(d.Milliseconds(), 1), longest)) // never out of bounds
 	if p.count++; p.count >= halving {
 		half := hdrhistogram.New(1, longest, 1)
 		for _, b := range p.all.Distribution() {
@@ -35,7 +37,8 @@
 	}
 }
 
-// soon says how likely a connection that has paused for so long asks again within soonFor; 0.5 as long as too little is known.
+// soon estimates the probability that a connection that has been idle for that time sends a request within
+// soonFor. It returns 0.5 if there are too few samples.
 func (p *pauses) soon(idle time.Duration) float64 {
 	if p.count < enough {
 		return 0.5
@@ -57,15 +60,16 @@
 	return float64(soon) / float64(later)
 }
 
+// median returns the median interval.
 func (p *pauses) median() time.Duration {
 	return time.Duration(p.all.ValueAtQuantile(50)) * time.Millisecond
 }
 
-// learnt keeps the pauses of the sources heard of last; all others share one.
+// learnt holds the intervals of the most recently used sources. All other sources share one histogram.
 type learnt struct {
 	known  *lru.LRU[string, *pauses]
 	others *pauses
-	seen   *lru.LRU[string, struct{}] // heard of once: a source is learnt alone from its second connection on
+	seen   *lru.LRU[string, struct{}] // sources with one connection so far; a source gets its own histogram with the second one
 }
 
 func newLearnt(n int) *learnt {
@@ -75,6 +79,7 @@
 	return l
 }
 
+// of returns the histogram of a source.
 func (l *learnt) of(name string) *pauses {
 	if p, ok := l.known.Get(name); ok {
 		return p
