--- a/internal/control/cells/bench_test.go
+++ b/internal/control/cells/bench_test.go
@@ -9,7 +9,7 @@
 	"yokemast/balance"
 )
 
-// large has 100,000 tenants, 1,000 of them with a prefix, in 64 cells, and 20 hosts.
+// large returns a state with 100,000 tenants, 1,000 of them with a prefix, in 64 cells, and 20 hosts.
 func large(b *testing.B) (*State, Config, []balance.Member) {
 	c := DefaultConfig()
 	c.Claims, c.Size, c.Overlap = true, 4, 2
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkFind finds a request's tenant, cell and hosts; its tenants take turns, all of them or a thousand that are at
-// work, so that the first shows what memory costs.
+// BenchmarkFind measures the search for a request's tenant, cell and hosts. It cycles through all tenants or through 1,000
+// active ones; the former includes the cost of cache misses.
 func BenchmarkFind(b *testing.B) {
 	s, c, _ := large(b)
 	for name, claim := range map[string]func(i int) (claim, key string){
@@ -117,7 +117,7 @@
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
 	}
-	// With its entry in the configuration, which the directory refers to.
+	// This includes the tenant's entry in the configuration, which the directory refers to.
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(c.Tenants)), "B/tenant")
 	runtime.KeepAlive(s)
 }
--- a/internal/control/cells/budget.go
+++ b/internal/control/cells/budget.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// comeBackLeast and comeBackMost bound when a client that is over its share is told to come again.
+	// comeBackLeast and comeBackMost bound the retryAfter of requests that exceed a limit.
 	comeBackLeast = 20 * time.Millisecond
 	comeBackMost  = 2 * time.Second
-	// tookMemory is how many requests the smoothed time of one reaches back.
+	// tookMemory is the number of requests over which a cell's request duration is smoothed.
 	tookMemory = 32
 )
 
-// at turns a reading of the gateway's clock into the limiter's.
+// at converts a reading of the gateway's clock to the time.Time that the rate limiter takes.
 func at(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// limiter makes one of a rate over all gateways; nil without one.
+// limiter returns a rate limiter for this gateway's share of a rate over all gateways, or nil if there is no
+// rate.
 func limiter(perSecond float64, burst, gateways int) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -31,12 +32,12 @@
 	return rate.NewLimiter(rate.Limit(own), max(1, burst))
 }
 
-// wait is when the limiter has its next token.
+// wait returns the time until the limiter has its next token.
 func wait(l *rate.Limiter, now time.Duration) time.Duration {
 	return time.Duration((1 - l.TokensAt(at(now))) / float64(l.Limit()) * float64(time.Second))
 }
 
-// most is how many requests the cell may hold.
+// most returns how many requests the cell may hold.
 func (c *cell) most(queue float64, floor int) int {
 	if c.Concurrency > 0 {
 		return c.Concurrency
@@ -44,28 +45,29 @@
 	return max(floor, int(c.capacity*queue))
 }
 
-// drained is about when the cell will have room again: the time that its hosts take for what is held beyond them.
+// drained estimates how long the hosts of the cell take for the requests held beyond their capacity.
 func (c *cell) drained() time.Duration {
 	return time.Duration(float64(c.took) * float64(c.held) / max(1, c.capacity))
 }
 
-// over says whether one more request of the tenant goes beyond what it or its cell may hold, and when to come again. A
-// tenant without a limit of its own may not have more than its even part while its cell is more than half full: so much
-// of a cell is left to the others, whatever one of them does.
+// over checks one more request of the tenant against the limits of the tenant and of its cell. It returns an
+// empty reason if the request is within them, else the reason and the retryAfter. A tenant without a
+// concurrency limit of its own may hold no more than an even share of its cell while the cell is more than
+// half full: no single tenant can take all of a cell's capacity from the others.
 func (s *State) over(now time.Duration, t *tenant, c *cell) (after time.Duration, reason string) {
 	most := c.most(s.cfg.Queue, s.cfg.Floor)
 	switch {
 	case c.held >= most:
 		c.OverConcurrency++
-		return c.drained(), "the cell holds as much as it may"
+		return c.drained(), "the cell's concurrency limit is reached"
 	case t.limits != nil && t.limits.Concurrency > 0:
 		if int(t.held) >= t.limits.Concurrency {
 			c.OverTenant++
-			return c.drained(), "the tenant holds as much as it may"
+			return c.drained(), "the tenant's concurrency limit is reached"
 		}
 	case 2*c.held >= most && int(t.held)*max(1, c.active) >= most:
 		c.OverTenant++
-		return c.drained(), "the tenant holds its part of its cell"
+		return c.drained(), "the tenant holds its even share of its cell"
 	}
 	if t.limits != nil && t.limits.Rate > 0 {
 		if t.limiter == nil {
@@ -74,16 +76,17 @@
 		}
 		if !t.limiter.AllowN(at(now), 1) {
 			c.OverTenant++
-			return wait(t.limiter, now), "the tenant's rate is spent"
+			return wait(t.limiter, now), "the tenant's rate limit is exceeded"
 		}
 	}
 	if c.limiter != nil && !c.limiter.AllowN(at(now), 1) {
 		c.OverRate++
-		return wait(c.limiter, now), "the cell's rate is spent"
+		return wait(c.limiter, now), "the cell's rate limit is exceeded"
 	}
 	return 0, ""
 }
 
+// take counts an admitted request as held by its tenant and its cell.
 func take(t *tenant, c *cell) {
 	if t.held == 0 {
 		t.cell.active++
@@ -92,7 +95,7 @@
 	c.held++
 }
 
-// put serves the tenant in another cell from now on.
+// put assigns the tenant to another cell.
 func (t *tenant) put(c *cell) {
 	if t.held > 0 && t.cell != nil {
 		t.cell.active--
@@ -101,7 +104,7 @@
 	t.cell = c
 }
 
-// Done ends a request that was taken: it has its answer, and no attempt of it is out.
+// Done ends an admitted request that has its answer and no attempt in flight.
 func (s *State) Done(now time.Duration, k Ticket) {
 	t, c := k.tenant, k.cell
 	if t == nil {
@@ -120,7 +123,7 @@
 	}
 }
 
-// sweep drops limiters that are full again: an idle tenant keeps none.
+// sweep drops rate limiters whose tokens are full again, so that idle tenants hold none.
 func (s *State) sweep(now time.Duration) {
 	for t := range s.limited {
 		if t.limiter == nil || t.limiter.TokensAt(at(now)) >= float64(t.limiter.Burst()) {
--- a/internal/control/cells/cells_test.go
+++ b/internal/control/cells/cells_test.go
@@ -23,7 +23,7 @@
 	return balance.Member{Server: server, Group: group, Weight: 1}
 }
 
-// twoGroups has a primary and four replicas in each of groups 1 and 2.
+// twoGroups returns a primary and four replicas in each of groups 1 and 2.
 func twoGroups() (list []balance.Member) {
 	for g := 1; g <= 2; g++ {
 		for i := range 5 {
@@ -56,7 +56,7 @@
 	return c
 }
 
-// rig drives one state by hand.
+// rig drives a State with a clock under the test's control.
 type rig struct {
 	t    *testing.T
 	s    *State
@@ -106,7 +106,7 @@
 	g.acts = append(g.acts, acts...)
 }
 
-// told gives the stages and releases that were told since the last call.
+// told returns the stages, releases and expired waits reported since the last call.
 func (g *rig) told() (out []string) {
 	for _, a := range g.acts {
 		switch a := a.(type) {
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestWhoARequestBelongsTo(t *testing.T) {
+func TestFindTenant(t *testing.T) {
 	users := map[string][]string{"apollo-app": {"apollo", "apollo-x"}}
 	for _, c := range []struct {
 		name, user, claim, key string
@@ -138,24 +138,24 @@
 		want                   string
 	}{
 		{"a claim", "u", "medi", "ap/1", nil, true, "medi"},
-		{"claims are not taken", "u", "medi", "ap/1", nil, false, "apollo"},
+		{"claims are disabled", "u", "medi", "ap/1", nil, false, "apollo"},
 		{"a prefix", "u", "", "ap/1", nil, true, "apollo"},
 		{"the longest prefix", "u", "", "ap/x/1", nil, true, "apollo-x"},
 		{"a key that is a prefix", "u", "", "ap/", nil, true, "apollo"},
 		{"a key shorter than every prefix", "u", "", "a", nil, true, "#"},
 		{"no key", "u", "", "", nil, true, "#"},
-		{"a tenant unknown to the file", "u", "nobody", "ap/1", nil, true, "#"},
+		{"a claimed tenant without an entry", "u", "nobody", "ap/1", nil, true, "#"},
 		{"a mapped user claims its own", "apollo-app", "apollo-x", "k", users, true, "apollo-x"},
-		{"a mapped user claims another's", "apollo-app", "medi", "k", users, true, "not yours"},
-		{"a mapped user claims one unknown to the file", "apollo-app", "nobody", "k", users, true, "not yours"},
+		{"a mapped user claims a tenant of others", "apollo-app", "medi", "k", users, true, "not permitted"},
+		{"a mapped user claims a tenant without an entry", "apollo-app", "nobody", "k", users, true, "not permitted"},
 		{"a mapped user without a claim", "apollo-app", "", "k", users, true, "apollo"},
 		{"a mapped user with a key of its own", "apollo-app", "", "ap/x/1", users, true, "apollo-x"},
-		{"another user claims a mapped tenant", "u", "apollo", "k", users, true, "not yours"},
-		{"another user with a mapped tenant's key", "u", "", "ap/1", users, true, "not yours"},
-		{"another user claims one that nobody is mapped to", "u", "medi", "k", users, true, "medi"},
+		{"another user claims a mapped tenant", "u", "apollo", "k", users, true, "not permitted"},
+		{"another user with a mapped tenant's key", "u", "", "ap/1", users, true, "not permitted"},
+		{"another user claims a tenant without mapped users", "u", "medi", "k", users, true, "medi"},
 	} {
 		g := newRig(t, func(x *Config) { x.Users, x.Claims = c.users, c.claims })
-		got := "not yours"
+		got := "not permitted"
 		if owner, err := g.s.dir.find(c.user, c.claim, c.key); err == nil {
 			got = owner.name
 		} else if !errors.Is(err, ErrNotYours) {
@@ -174,53 +174,53 @@
 	}
 }
 
-func TestBadConfigurationsNameTheEntry(t *testing.T) {
+func TestInvalidConfigurationErrors(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"no cell is named":         func(c *Config) { c.Cells = nil },
-		"size":                     func(c *Config) { c.Size = 0 },
-		"overlap":                  func(c *Config) { c.Overlap = 3 },
-		"reserve":                  func(c *Config) { c.Reserve = 1.5 },
-		"buckets":                  func(c *Config) { c.Buckets = 0 },
-		"queue":                    func(c *Config) { c.Queue = 0 },
-		"floor":                    func(c *Config) { c.Floor = 0 },
-		`cell "coast": no name`:    func(c *Config) { c.Cells = append(c.Cells, c.Cells[0]) },
-		`cell "city": weight`:      func(c *Config) { c.Cells[2].Weight = 0 },
-		`cell "city": burst`:       func(c *Config) { c.Cells[2].Burst = 1 },
-		`cell "city": a negative`:  func(c *Config) { c.Cells[2].Rate = -1 },
-		`host "h" is pinned twice`: func(c *Config) { c.Cells[2].Pins = []string{"h", "h"} },
-		`tenant "medi": no cell`:   func(c *Config) { c.Tenants[2].Cell = "x" },
-		`tenant "medi": no name`:   func(c *Config) { c.Tenants = append(c.Tenants, c.Tenants[2]) },
-		`tenant "#1": begins`:      func(c *Config) { c.Tenants[2].Name = "#1" },
-		`tenant "medi": prefix`:    func(c *Config) { c.Tenants[2].Prefixes = []string{"ap/"} },
-		`tenant "medi": burst`:     func(c *Config) { c.Tenants[2].Burst = 2 },
-		`user "u": no tenant`:      func(c *Config) { c.Users = map[string][]string{"u": {"x"}} },
+		"no cell is named": func(c *Config) { c.Cells = nil },
+		"size":             func(c *Config) { c.Size = 0 },
+		"overlap":          func(c *Config) { c.Overlap = 3 },
+		"reserve":          func(c *Config) { c.Reserve = 1.5 },
+		"buckets":          func(c *Config) { c.Buckets = 0 },
+		"queue":            func(c *Config) { c.Queue = 0 },
+		"floor":            func(c *Config) { c.Floor = 0 },
+		`cell "coast": name is empty or used twice`:  func(c *Config) { c.Cells = append(c.Cells, c.Cells[0]) },
+		`cell "city": weight`:                        func(c *Config) { c.Cells[2].Weight = 0 },
+		`cell "city": burst`:                         func(c *Config) { c.Cells[2].Burst = 1 },
+		`cell "city": negative rate`:                 func(c *Config) { c.Cells[2].Rate = -1 },
+		`host "h" is pinned twice`:                   func(c *Config) { c.Cells[2].Pins = []string{"h", "h"} },
+		`tenant "medi": no cell`:                     func(c *Config) { c.Tenants[2].Cell = "x" },
+		`tenant "medi": name is empty or used twice`: func(c *Config) { c.Tenants = append(c.Tenants, c.Tenants[2]) },
+		`tenant "#1": name begins`:                   func(c *Config) { c.Tenants[2].Name = "#1" },
+		`tenant "medi": prefix`:                      func(c *Config) { c.Tenants[2].Prefixes = []string{"ap/"} },
+		`tenant "medi": burst`:                       func(c *Config) { c.Tenants[2].Burst = 2 },
+		`user "u": no tenant`:                        func(c *Config) { c.Users = map[string][]string{"u": {"x"}} },
 	} {
 		c := config()
 		change(&c)
 		if _, err := New(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("error %v, want %s", err, want)
 		}
 		g := newRig(t, nil)
 		before := g.s.Report()
 		if _, err := g.s.Configure(g.now, c); err == nil {
-			t.Errorf("%s: taken while running", want)
+			t.Errorf("%s: accepted by Configure", want)
 		}
 		if diff := cmp.Diff(before, g.s.Report(), cmp.AllowUnexported(Move{})); diff != "" {
-			t.Errorf("%s: a bad configuration has an effect: %s", want, diff)
+			t.Errorf("%s: an invalid configuration changes the state: %s", want, diff)
 		}
 	}
 }
 
-func TestPinsComeFirst(t *testing.T) {
+func TestPinnedHosts(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.Cells[0].Pins = []string{"g1-3", "g2-4", "unlisted"} })
 	for _, r := range g.s.Report().Cells {
 		if r.Cell == "coast" && (!slices.Contains(r.Hosts["1"], "g1-3") || !slices.Contains(r.Hosts["2"], "g2-4")) {
-			t.Errorf("coast has %v", r.Hosts)
+			t.Errorf("cell coast has the hosts %v", r.Hosts)
 		}
 	}
 }
 
-func TestACellBorrowsAndGivesBack(t *testing.T) {
+func TestUnusableHostIsReplacedTemporarily(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.Cells = c.Cells[:1]; c.Tenants = c.Tenants[:1] })
 	home := slices.Clone(g.s.Report().Cells[0].Hosts["1"])
 	own := slices.DeleteFunc(slices.Clone(home), func(s string) bool { return s == "g1-0" })[0]
@@ -235,27 +235,27 @@
 		return out
 	}
 	if len(servers()) != 2 || slices.Contains(servers(), "g1-0") {
-		t.Errorf("it reads from %v", servers())
+		t.Errorf("the cell reads from %v", servers())
 	}
 	before := servers()
 	aside := seen(twoGroups(), func(x *balance.Seen) { x.Usable = x.Server != own })
 	g.s.Look(g.now, aside)
 	if diff := cmp.Diff(before, servers()); diff != "" {
-		t.Errorf("a host set aside just now is replaced: %s", diff)
+		t.Errorf("a host that just became unusable is replaced: %s", diff)
 	}
 	g.now += borrowAfter
 	g.s.Look(g.now, aside)
 	if got := servers(); slices.Contains(got, own) || len(got) != 2 || len(g.s.Report().Cells[0].Borrowed) == 0 {
-		t.Errorf("without %s it reads from %v", own, got)
+		t.Errorf("without host %s the cell reads from %v", own, got)
 	}
 	g.s.Look(g.now, seen(twoGroups(), nil))
 	if diff := cmp.Diff(before, servers()); diff != "" {
-		t.Errorf("nothing is given back: %s", diff)
+		t.Errorf("the cell does not return to its own hosts: %s", diff)
 	}
-	// Its last replica leaves, then every host but the primary: reads fall back on the primary by the module.
+	// With no replica listed, the decision module falls back to the primary.
 	g.s.Hosts(g.now, true, twoGroups()[:1])
 	if got := servers(); len(got) != 0 {
-		t.Errorf("with a primary alone it reads from %v", got)
+		t.Errorf("with only a primary listed the cell reads from %v", got)
 	}
 	g.s.Hosts(g.now, true, twoGroups()[:2])
 	if diff := cmp.Diff([]string{"g1-1"}, servers()); diff != "" {
@@ -263,36 +263,36 @@
 	}
 }
 
-func TestBudgets(t *testing.T) {
+func TestLimits(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Config)
-		asks   []string // tenants, in this order at once
-		want   string   // g: go, o: over
+		asks   []string // tenants of simultaneous requests, in order
+		want   string   // g: Go, o: Over
 		reason string
 	}{
-		{"a cell's stated concurrency", func(c *Config) { c.Cells[0].Concurrency = 2 },
-			[]string{"apollo", "apollo", "apollo", "medi"}, "ggog", "the cell holds"},
-		{"a tenant's stated concurrency", func(c *Config) { c.Tenants[0].Concurrency = 1 },
-			[]string{"apollo", "apollo", "apollo-x"}, "gog", "the tenant holds"},
+		{"a cell's configured concurrency", func(c *Config) { c.Cells[0].Concurrency = 2 },
+			[]string{"apollo", "apollo", "apollo", "medi"}, "ggog", "the cell's concurrency"},
+		{"a tenant's configured concurrency", func(c *Config) { c.Tenants[0].Concurrency = 1 },
+			[]string{"apollo", "apollo", "apollo-x"}, "gog", "the tenant's concurrency"},
 		{"a cell's rate", func(c *Config) { c.Cells[0].Rate, c.Cells[0].Burst = 10, 2 },
 			[]string{"apollo", "apollo", "apollo"}, "ggo", "the cell's rate"},
 		{"a tenant's rate", func(c *Config) { c.Tenants[0].Rate, c.Tenants[0].Burst = 10, 1 },
 			[]string{"apollo", "apollo", "medi"}, "gog", "the tenant's rate"},
 		{"a rate over two gateways", func(c *Config) { c.Tenants[0].Rate, c.Tenants[0].Burst, c.Gateways = 10, 2, 2 },
 			[]string{"apollo", "apollo"}, "go", "the tenant's rate"},
-		{"a tenant alone may fill its cell", func(c *Config) { c.Cells[0].Concurrency = 4 },
-			[]string{"apollo", "apollo", "apollo", "apollo", "apollo"}, "ggggo", "the cell holds"},
-		{"two share it", func(c *Config) { c.Cells[0].Concurrency = 4; c.Tenants[2].Cell = "coast" },
-			[]string{"medi", "apollo", "apollo", "apollo", "medi", "medi"}, "gggogo", "holds"},
-		{"what hosts bear counts where nothing is stated", func(c *Config) { c.Queue, c.Floor = 1, 1 },
-			slices.Repeat([]string{"apollo"}, 40), strings.Repeat("g", 28) + strings.Repeat("o", 12), "the cell holds"},
+		{"a single tenant may fill its cell", func(c *Config) { c.Cells[0].Concurrency = 4 },
+			[]string{"apollo", "apollo", "apollo", "apollo", "apollo"}, "ggggo", "the cell's concurrency"},
+		{"two tenants share a cell", func(c *Config) { c.Cells[0].Concurrency = 4; c.Tenants[2].Cell = "coast" },
+			[]string{"medi", "apollo", "apollo", "apollo", "medi", "medi"}, "gggogo", "the cell's concurrency"},
+		{"the hosts' capacity limits a cell without configured limits", func(c *Config) { c.Queue, c.Floor = 1, 1 },
+			slices.Repeat([]string{"apollo"}, 40), strings.Repeat("g", 28) + strings.Repeat("o", 12), "the cell's concurrency"},
 	} {
 		g := newRig(t, func(x *Config) {
 			c.change(x)
-			if c.name == "what hosts bear counts where nothing is stated" {
-				// Two replicas of its own in each group, eight attempts each, and a quarter of both primaries: 36 less
-				// what it shares with others.
+			if c.name == "the hosts' capacity limits a cell without configured limits" {
+				// The cell has two replicas in each group with a limit of eight attempts each, and a quarter of both
+				// primaries: 36, less what it shares with other cells.
 				x.Overlap = 2
 			}
 		})
@@ -305,27 +305,27 @@
 			}
 			got += string("goh"[v.Kind])
 		}
-		if c.name == "what hosts bear counts where nothing is stated" {
+		if c.name == "the hosts' capacity limits a cell without configured limits" {
 			for _, x := range g.s.cells {
 				if x.Name == "coast" && strings.Count(got, "g") != int(x.capacity) {
-					t.Errorf("%d go where the hosts bear %v", strings.Count(got, "g"), x.capacity)
+					t.Errorf("%d requests admitted with a capacity of %v", strings.Count(got, "g"), x.capacity)
 				}
 			}
 		} else if got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: verdicts %s, want %s", c.name, got, c.want)
 		}
 		if !strings.Contains(reason, c.reason) || after < comeBackLeast || after > comeBackMost {
-			t.Errorf("%s: %q, to come back after %v", c.name, reason, after)
+			t.Errorf("%s: reason %q, retry after %v", c.name, reason, after)
 		}
 	}
 }
 
-func TestIdleTenantsKeepNothing(t *testing.T) {
+func TestIdleTenantsHoldNoResources(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.Tenants[0].Rate = 10 })
 	g.s.Done(g.now, g.ask("apollo", true).Ticket)
 	owner := g.s.dir.named("apollo")
 	if owner.limiter == nil || owner.held != 0 || owner.writes != 0 || owner.cell.held != 0 || owner.cell.active != 0 {
-		t.Errorf("after a request: %+v", owner)
+		t.Errorf("tenant after a request: %+v", owner)
 	}
 	g.pass(5 * time.Second)
 	if owner.limiter != nil || len(g.s.limited) != 0 {
@@ -333,7 +333,7 @@
 	}
 }
 
-func TestAMillionKeysTakeNoMemory(t *testing.T) {
+func TestMemoryDoesNotGrowWithKeys(t *testing.T) {
 	g := newRig(t, nil)
 	runtime.GC()
 	var before, after runtime.MemStats
@@ -349,6 +349,6 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 1<<20 {
-		t.Errorf("the heap grew by %d bytes", grown)
+		t.Errorf("the heap grew by %d bytes after 1,000,000 keys", grown)
 	}
 }
--- a/internal/control/cells/config.go
+++ b/internal/control/cells/config.go
@@ -1,10 +1,12 @@
-// Package cells confines tenants to subsets of the hosts and moves them between subsets while they are served.
+// Package cells isolates tenants from each other by confining them to subsets of the hosts, called cells, and
+// moves tenants between cells without interrupting them.
 //
-// It settles four things, all without I/O and without a clock of its own: whom a request belongs to (directory.go),
-// which replicas a cell reads from (placement.go), how much of what is shared a cell and a tenant may hold (budget.go),
-// and where a tenant stands whose move is under way (move.go). State (state.go) joins them: the caller tells it of
-// requests, hosts and time, and carries out the actions it answers with. Which host a request goes to, whether it goes
-// again and what it is told remain the decision module's choice; it is handed the cell's set and share.
+// It decides which tenant a request belongs to (directory.go), which replicas a cell reads from
+// (placement.go), how much of the shared capacity a cell and a tenant may hold (budget.go), and how a tenant
+// is served while it is moved (move.go). State (state.go) combines them: the caller reports requests, hosts
+// and the time, and carries out the returned actions. The package does no I/O and reads no clock. The choice
+// of the host, retries and responses remain with the decision module (package balance), which receives the
+// hosts and the share of the cell.
 package cells
 
 import (
@@ -14,61 +16,61 @@
 	"time"
 )
 
-// Config is what the operator states. Names are unique; the zero value of a field is its default where one is named.
+// Config is the operator's configuration of the cells. Names are unique. DefaultConfig has the defaults.
 type Config struct {
-	Claims   bool                // a request may name its tenant in the statement's comment
-	Size     int                 // replicas that a cell reads from in each group; 1 or more
-	Overlap  int                 // hosts that two cells may have in common in a group; 0 to Size
-	Reserve  float64             // part of a cell's fair share of a shared host that no other may take; 0 to 1
-	Buckets  int                 // tenants unknown to the file share so many places; 1 or more
-	Queue    float64             // a cell may hold so many requests for each attempt that its hosts bear; 1 or more
-	Floor    int                 // but always as many as this; 1 or more
-	Gateways int                 // stated rates are shared by so many; 1 or more
+	Claims   bool                // whether a request may name its tenant in the comment of its statement
+	Size     int                 // replicas that a cell reads from in each group, at least 1
+	Overlap  int                 // maximum number of hosts that two cells share in a group, from 0 to Size
+	Reserve  float64             // part of a cell's fair share of a shared host that no other cell may use, from 0 to 1
+	Buckets  int                 // number of buckets over which tenants without an entry are hashed, at least 1
+	Queue    float64             // requests that a cell may hold per attempt of its hosts' capacity, at least 1
+	Floor    int                 // requests that a cell may hold whatever its hosts' capacity, at least 1
+	Gateways int                 // number of gateways that share the configured rates, at least 1
 	Cells    []Cell              // at least one
-	Tenants  []Tenant            // those with a cell, a prefix or a limit of their own
-	Users    map[string][]string // the tenants that a connection's user may act for; empty: users are not mapped
+	Tenants  []Tenant            // tenants with a cell, a prefix or a limit of their own
+	Users    map[string][]string // the tenants that the user of a connection may act for; if empty, users are not mapped
 	Moves    MoveLimits
 }
 
-// Cell is one subset of the fleet.
+// Cell is a subset of the hosts that serves some of the tenants.
 type Cell struct {
 	Name        string
-	Weight      float64  // its part of what is shared, against the others' weights; above 0
-	Pins        []string // hosts that it has before any that it is drawn
-	Rate        float64  // requests a second over all gateways; 0: as many as its hosts bear
-	Burst       int      // requests above the rate that may come at once; 0: a second's worth
-	Concurrency int      // requests held by one gateway; 0: by what its hosts bear
+	Weight      float64  // share of shared hosts relative to the weights of the other cells, above 0
+	Pins        []string // hosts assigned to the cell before any others are chosen for it
+	Rate        float64  // requests per second over all gateways, or 0 if limited only by the hosts' capacity
+	Burst       int      // requests above the rate that are admitted at once, or 0 for one second's worth
+	Concurrency int      // requests held by one gateway, or 0 to derive it from the hosts' capacity
 }
 
-// Tenant is one customer.
+// Tenant is a customer whose requests are served by one cell.
 type Tenant struct {
 	Name        string
-	Cell        string   // "": drawn by the tenant's name
-	Prefixes    []string // keys that begin so are its own
-	Rate        float64  // as a cell's
+	Cell        string   // if empty, the cell is chosen by a hash of the tenant's name
+	Prefixes    []string // keys that begin with one of these belong to the tenant
+	Rate        float64  // as in Cell
 	Burst       int
-	Concurrency int // 0: its part of the cell's
+	Concurrency int // requests held by one gateway, or 0 for an even share of the cell's limit
 }
 
-// MoveLimits bound moves.
+// MoveLimits bounds the number and the duration of moves.
 type MoveLimits struct {
-	AtOnce int           // moves under way; those asked for beyond that wait
-	Ramp   time.Duration // reads go over in no less than this
-	Warm   time.Duration // for the new place to be warm; then the move is aborted
-	Fence  time.Duration // for the writes in flight to end and the new primary to be known; then it is aborted
-	Hold   int           // writes that wait at a fence; more are refused
+	AtOnce int           // maximum number of moves in progress; others wait
+	Ramp   time.Duration // minimum time over which reads shift to the new cell
+	Warm   time.Duration // maximum time until the new hosts are warm; then the move is aborted
+	Fence  time.Duration // maximum time for in-flight writes to end and the new primary to be known; then the move is aborted
+	Hold   int           // maximum number of writes held at a fence; more are refused
 }
 
-// DefaultConfig has the defaults and no cells.
+// DefaultConfig returns a configuration with the default values and no cells.
 func DefaultConfig() Config {
 	return Config{Size: 2, Overlap: 1, Reserve: 0.5, Buckets: 1024, Queue: 4, Floor: 16, Gateways: 1,
 		Moves: MoveLimits{AtOnce: 4, Ramp: 5 * time.Second, Warm: time.Minute, Fence: 5 * time.Second, Hold: 256}}
 }
 
-// Fault says which entry of a configuration makes no sense.
+// Fault describes an invalid entry of a configuration.
 type Fault struct {
-	Entry string // cell, tenant, user, or a setting of the cells; "": the whole
-	Name  string // of the cell, tenant or user
+	Entry string // cell, tenant, user or a setting of the cells; empty if the fault concerns the whole configuration
+	Name  string // name of the cell, tenant or user
 	What  string
 }
 
@@ -80,7 +82,7 @@
 	return strings.TrimPrefix(out+": "+f.What, ": ")
 }
 
-// Check says what makes no sense; the error is a *Fault.
+// Check returns a *Fault that describes the first invalid entry, or nil if the configuration is valid.
 func (c Config) Check() error {
 	if f := c.fault(); f != nil {
 		return f
@@ -96,27 +98,27 @@
 	case len(c.Cells) == 0:
 		return fault("", "", "no cell is named")
 	case c.Size < 1:
-		return fault("size", "", "under 1")
+		return fault("size", "", "below 1")
 	case c.Overlap < 0 || c.Overlap > c.Size:
 		return fault("overlap", "", "not between 0 and size %d", c.Size)
 	case !(c.Reserve >= 0 && c.Reserve <= 1):
 		return fault("reserve", "", "not between 0 and 1")
 	case c.Buckets < 1:
-		return fault("buckets", "", "under 1")
+		return fault("buckets", "", "below 1")
 	case !(c.Queue >= 1):
-		return fault("queue", "", "under 1")
+		return fault("queue", "", "below 1")
 	case c.Floor < 1 || c.Gateways < 1 || c.Moves.AtOnce < 1 || c.Moves.Hold < 0:
-		return fault("floor", "", "floor, gateways, at-once or hold: too small")
+		return fault("floor", "", "floor, gateways and at-once must be at least 1, hold at least 0")
 	}
 	cells, pinned := map[string]bool{}, map[string]string{}
 	for _, x := range c.Cells {
 		switch {
 		case x.Name == "" || cells[x.Name]:
-			return fault("cell", x.Name, "no name of its own")
+			return fault("cell", x.Name, "name is empty or used twice")
 		case !(x.Weight > 0):
 			return fault("cell", x.Name, "weight is not above 0")
 		case !(x.Rate >= 0) || x.Burst < 0 || x.Concurrency < 0:
-			return fault("cell", x.Name, "a negative limit")
+			return fault("cell", x.Name, "negative rate, burst or concurrency")
 		case x.Burst > 0 && x.Rate == 0:
 			return fault("cell", x.Name, "burst without rate")
 		}
@@ -132,20 +134,20 @@
 	for _, t := range c.Tenants {
 		switch {
 		case t.Name == "" || tenants[t.Name]:
-			return fault("tenant", t.Name, "no name of its own")
+			return fault("tenant", t.Name, "name is empty or used twice")
 		case t.Name[0] == bucketMark:
-			return fault("tenant", t.Name, "begins with %q, as those unknown to the file do", bucketMark)
+			return fault("tenant", t.Name, "name begins with %q, which is reserved for buckets", bucketMark)
 		case t.Cell != "" && !cells[t.Cell]:
 			return fault("tenant", t.Name, "no cell is named %q", t.Cell)
 		case !(t.Rate >= 0) || t.Burst < 0 || t.Concurrency < 0:
-			return fault("tenant", t.Name, "a negative limit")
+			return fault("tenant", t.Name, "negative rate, burst or concurrency")
 		case t.Burst > 0 && t.Rate == 0:
 			return fault("tenant", t.Name, "burst without rate")
 		}
 		tenants[t.Name] = true
 		for _, p := range t.Prefixes {
 			if other, taken := prefixes[p]; taken || p == "" {
-				return fault("tenant", t.Name, "prefix %q is empty or already that of %q", p, other)
+				return fault("tenant", t.Name, "prefix %q is empty or already belongs to tenant %q", p, other)
 			}
 			prefixes[p] = t.Name
 		}
--- a/internal/control/cells/directory.go
+++ b/internal/control/cells/directory.go
@@ -13,63 +13,69 @@
 	"golang.org/x/time/rate"
 )
 
-// bucketMark begins the names of the places that tenants unknown to the file share.
+// bucketMark is the first character of the names of buckets.
 const bucketMark = '#'
 
-// ErrNotYours says that a connection's user may not act for the tenant that its request names or whose key it uses.
+// ErrNotYours is returned if the user of a connection may not act for the tenant that a request names or
+// whose key it uses.
 var ErrNotYours = errors.New("the user may not act for that tenant")
 
-// cell is a cell with its state. Its number stays the same for as long as a cell of that name exists.
+// cell is a configured cell with its state. Its id stays the same for as long as a cell of that name is
+// configured.
 type cell struct {
 	Cell
 	id       int
 	limiter  *rate.Limiter
-	held     int             // requests taken and not done
-	active   int             // tenants that hold some
-	capacity float64         // attempts that its hosts bear, its part of the shared ones; 0: not known yet
-	took     time.Duration   // smoothed time from taken to done
+	held     int             // admitted requests that are not done
+	active   int             // tenants that hold at least one request
+	capacity float64         // attempts that its hosts bear, with its share of shared hosts, or 0 if not known yet
+	took     time.Duration   // smoothed time from admission to Done
 	ranked   map[int]ranking // by group
-	servers  map[string]bool // those it reads from now
+	servers  map[string]bool // hosts that it reads from now
 	CellCount
 }
 
-// CellCount counts what came to a cell.
+// CellCount counts the requests of a cell and how many of them exceeded which limit.
 type CellCount struct{ Taken, OverRate, OverConcurrency, OverTenant uint64 }
 
-// tenant is one customer, or a bucket of those unknown to the file. It is kept small: there may be 100,000.
+// tenant is a configured tenant, or a bucket of tenants without an entry. It is kept small as there may be
+// 100,000 of them.
 type tenant struct {
-	// What every request looks at comes first, in one line of the processor's cache.
+	// The fields that every request reads come first, within one cache line.
 	name    string
-	cell    *cell // where it is served
+	cell    *cell // the cell that serves it
 	move    *Move
 	limits  *Tenant
-	routes  map[int]int // groups that it has been moved from, and to where
+	routes  map[int]int // group that serves the data of a moved group, by the original group
 	held    int32
-	writes  int32 // of held ones, those that write
-	guarded bool  // some user is mapped to it: others may not act for it
-	moved   bool  // it is served elsewhere than the file says
+	writes  int32 // held requests that write
+	guarded bool  // whether a user is mapped to it, so that no other user may act for it
+	moved   bool  // whether a move has assigned it to another cell than the configuration does
 
+	// since is the time of the last settled move to another group; see Verdict.Since.
 	since    time.Duration
-	limiter  *rate.Limiter // made at first use, dropped when it is full again
-	declared string        // the cell that the file names; "": none
+	limiter  *rate.Limiter // created at first use, dropped when its tokens are full again
+	declared string        // the configured cell, or empty if none is named
 }
 
-// directory finds a request's tenant: by its claim, the longest prefix of its key, or a hash.
+// directory finds the tenant of a request by its claim, by the longest matching prefix of its key, or by a
+// hash.
 type directory struct {
 	claims   bool
-	mapped   bool // users are mapped to tenants
+	mapped   bool // whether users are mapped to tenants
 	tenants  map[string]*tenant
 	prefixes *iradix.Tree[*tenant]
 	buckets  []*tenant
 	users    map[string][]*tenant
-	longest  int // of the prefixes, in bytes
+	longest  int // length of the longest prefix in bytes
 }
 
-// bytesOf gives the bytes of a string without a copy; they are only read.
+// bytesOf returns the bytes of a string without copying them. The result must not be modified.
 func bytesOf(s string) []byte { return unsafe.Slice(unsafe.StringData(s), len(s)) }
 
-// find gives the tenant of a request. A user that is mapped to tenants always acts for one of them: for the one that it
-// claims, the one that its key belongs to, or its first. Where users are mapped, nobody else gets at their tenants.
+// find returns the tenant of a request. A user that is mapped to tenants always acts for one of them: the
+// claimed one, the owner of the key's prefix, or the user's first tenant. Tenants that users are mapped to
+// are accessible to these users only.
 func (d *directory) find(user, claim, key string) (*tenant, error) {
 	var own []*tenant
 	if d.mapped {
@@ -99,12 +105,14 @@
 	return d.bucket(key), nil
 }
 
+// bucket returns the bucket of a tenant without an entry.
 func (d *directory) bucket(name string) *tenant {
 	return d.buckets[xxhash.Sum64String(name)%uint64(len(d.buckets))]
 }
 
-// drawn gives the cell of a tenant that the file names none for: by weighted rendezvous, so that a cell that comes takes
-// its part from all others and one that goes leaves its tenants to all others, and no other tenant changes place.
+// drawn chooses the cell of a tenant for which the configuration names none. It uses weighted rendezvous
+// hashing: a new cell takes its share of tenants from all other cells, a removed cell's tenants spread over
+// all others, and no other tenant changes its cell.
 func drawn(cells []*cell, name string) *cell {
 	var best *cell
 	least := math.Inf(1)
@@ -116,8 +124,9 @@
 	return best
 }
 
-// draw is the point at which a name wins a place among others: exponentially distributed, sooner with more weight, so
-// that the first of several is each of them with a chance in proportion to its weight. It is the same on every gateway.
+// draw returns the rendezvous hash point of a name at a place; the place with the lowest point wins. The
+// points are exponentially distributed with the weight as rate, so that each place wins with a probability in
+// proportion to its weight. The result is the same on every gateway.
 func draw(place, name string, weight float64) float64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -128,8 +137,9 @@
 	return -math.Log(u) / weight
 }
 
-// newDirectory makes a directory of a checked configuration. Tenants that there were before keep their state; a move's
-// result stands until the file says something else of that tenant than it did before.
+// newDirectory builds the directory of a checked configuration. Tenants that exist in the old directory keep
+// their state. The result of a move remains until the configuration names another cell for the tenant than
+// before.
 func newDirectory(c Config, cells []*cell, old *directory) *directory {
 	d := &directory{claims: c.Claims, mapped: len(c.Users) > 0, tenants: make(map[string]*tenant, len(c.Tenants)),
 		users: make(map[string][]*tenant, len(c.Users))}
@@ -191,7 +201,7 @@
 	return d
 }
 
-// named gives a tenant by its name, that of a bucket too; nil: there is none.
+// named returns the tenant or bucket of that name, or nil if there is none.
 func (d *directory) named(name string) *tenant {
 	if t := d.tenants[name]; t != nil {
 		return t
--- a/internal/control/cells/move.go
+++ b/internal/control/cells/move.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Stage is how far a move has come.
+// Stage is the stage of a move.
 type Stage int
 
-// A move goes through the stages in this order; it can be aborted in each before it is settled. To abort is safe as no
-// write has gone to the new place before that.
+// Stages of a move, in order. A move can be aborted in any stage before Settled. That is safe because no
+// write has gone to the new cell or group before.
 const (
-	Planned Stage = iota // it waits until fewer moves are under way
-	Warming              // reads go over, as far as the new hosts are warm; between groups it only waits for them
-	Fenced               // between groups: writes in flight end where they are, new ones wait
-	Settled              // the tenant is served in the new place
-	Aborted              // the tenant is served where it was
+	Planned Stage = iota // waits until fewer moves are in progress
+	Warming              // reads shift to the new cell as its hosts warm up; a move between groups only waits for warm hosts
+	Fenced               // between groups: in-flight writes finish in the old group, new writes wait
+	Settled              // the tenant is served in the new cell or group
+	Aborted              // the tenant is served where it was before
 )
 
 var stages = [...]string{"planned", "warming", "fenced", "settled", "aborted"}
 
 func (s Stage) String() string { return stages[s] }
 
-// Stages gives the names of all stages, in their order.
+// Stages returns the names of all stages in order.
 func Stages() []string { return stages[:] }
 
-// MarshalText gives a stage's name.
+// MarshalText returns the name of the stage.
 func (s Stage) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a stage's name.
+// UnmarshalText parses the name of a stage.
 func (s *Stage) UnmarshalText(b []byte) error {
 	i := slices.Index(stages[:], string(b))
 	if i < 0 {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Errors of moves.
+// Errors returned by Move, Abort and Confirm.
 var (
 	ErrNoTenant  = errors.New("no such tenant")
 	ErrNoCell    = errors.New("no such cell")
@@ -48,21 +48,21 @@
 	ErrMoving    = errors.New("the tenant is being moved")
 	ErrNotMoving = errors.New("the tenant is not being moved")
 	ErrThere     = errors.New("the tenant is there already")
-	ErrTooMany   = errors.New("too many moves wait")
+	ErrTooMany   = errors.New("too many moves are in progress or waiting")
 )
 
-// waitingMoves bounds the moves that are planned and not begun.
+// waitingMoves is the maximum number of moves that have not ended.
 const waitingMoves = 1000
 
-// Order is what an operator asks for.
+// Order is an operator's request to move a tenant.
 type Order struct {
 	Tenant             string
-	To                 string // the cell; "": it stays in its own
-	FromGroup, ToGroup int    // where the data has been copied to another group; equal: the group stays
-	Confirm            bool   // stay fenced until Confirm is called, so that several gateways fence before one settles
+	To                 string // the new cell; if empty, the tenant stays in its cell
+	FromGroup, ToGroup int    // the group whose data has been copied, and the group it was copied to; equal if the group stays
+	Confirm            bool   // whether to stay fenced until Confirm is called, so that several gateways fence before one settles
 }
 
-// Move is one move as it stands. Times are readings of the caller's clock.
+// Move is the state of a move. Times are readings of the caller's clock.
 type Move struct {
 	Tenant    string        `json:"tenant"`
 	From      string        `json:"from"`
@@ -71,34 +71,35 @@
 	ToGroup   int           `json:"to_group,omitempty"`
 	Stage     Stage         `json:"stage"`
 	Reason    string        `json:"reason,omitempty"` // why it was aborted, or what it waits for
-	Share     float64       `json:"share"`            // of the tenant's reads that go to the new place
+	Share     float64       `json:"share"`            // share of the tenant's reads that go to the new cell
 	Held      int           `json:"held"`             // writes that wait at the fence
 	Asked     time.Duration `json:"-"`
-	Since     time.Duration `json:"-"` // of the stage
+	Since     time.Duration `json:"-"` // when it entered the stage
 
 	t         *tenant
 	to        *cell
 	waiting   []waiting
-	confirm   bool // still to be confirmed
+	confirm   bool // whether Confirm must still be called
 	shareDebt float64
 }
 
+// waiting is a write that waits at a fence.
 type waiting struct {
 	id    string
 	until time.Duration
 }
 
-// across says that the move leads to another group: only then can a write go wrong.
+// across reports whether the move leads to another group. Only such a move needs a fence for writes.
 func (m *Move) across() bool { return m.FromGroup != m.ToGroup }
 
-// snapshot is the move without what is the state's own.
+// snapshot returns a copy of the move without the references into the state.
 func (m *Move) snapshot() Move {
 	out := *m
 	out.t, out.to, out.waiting, out.Held = nil, nil, nil, len(m.waiting)
 	return out
 }
 
-// Move plans a move. The tenant is served meanwhile.
+// Move plans a move. The tenant is served throughout.
 func (s *State) Move(now time.Duration, o Order) ([]Action, error) {
 	t := s.dir.named(o.Tenant)
 	if t == nil {
@@ -120,7 +121,7 @@
 	case to == t.cell && (!m.across() || t.routed(o.FromGroup) == o.ToGroup):
 		return nil, fmt.Errorf("%w: %q in %q", ErrThere, t.name, to.Name)
 	case m.across() && t.routed(o.FromGroup) != o.FromGroup:
-		return nil, fmt.Errorf("%w: group %d of %q is served by %d", ErrThere, o.FromGroup, t.name, t.routed(o.FromGroup))
+		return nil, fmt.Errorf("%w: group %d of tenant %q is served by group %d", ErrThere, o.FromGroup, t.name, t.routed(o.FromGroup))
 	case len(s.moves) >= waitingMoves:
 		return nil, ErrTooMany
 	}
@@ -130,7 +131,7 @@
 	return s.Tick(now), nil
 }
 
-// Abort ends a move; the tenant stays where it was.
+// Abort ends a move. The tenant stays where it was.
 func (s *State) Abort(now time.Duration, tenant, why string) ([]Action, error) {
 	t := s.dir.named(tenant)
 	if t == nil || t.move == nil {
@@ -140,7 +141,7 @@
 	return s.Tick(now), nil
 }
 
-// Confirm lets a move settle that was ordered to wait for it.
+// Confirm lets a move settle that was ordered with Order.Confirm.
 func (s *State) Confirm(now time.Duration, tenant string) ([]Action, error) {
 	t := s.dir.named(tenant)
 	if t == nil || t.move == nil {
@@ -150,7 +151,7 @@
 	return s.Tick(now), nil
 }
 
-// routed gives the group that serves the tenant's data of a group.
+// routed returns the group that serves the tenant's data of a group.
 func (t *tenant) routed(group int) int {
 	if to, moved := t.routes[group]; moved {
 		return to
@@ -158,6 +159,7 @@
 	return group
 }
 
+// enter puts a move into a stage and adds a Changed action.
 func (s *State) enter(now time.Duration, m *Move, stage Stage, reason string) {
 	m.Stage, m.Since, m.Reason = stage, now, reason
 	s.Stages[stage]++
@@ -176,7 +178,8 @@
 	t.put(m.to)
 	t.moved = true
 	if m.across() {
-		// What the new group holds was copied there by now; its positions prove nothing of what went before.
+		// The data was copied to the new group by now. Positions of its log say nothing about earlier writes
+		// in the old group.
 		t.since = now
 		if t.routes == nil {
 			t.routes = map[int]int{}
@@ -187,7 +190,7 @@
 	s.release(m)
 }
 
-// release lets what waited at the fence go on, and forgets the move.
+// release resumes the writes that wait at the fence and removes the move from those in progress.
 func (s *State) release(m *Move) {
 	for _, w := range m.waiting {
 		s.acts = append(s.acts, Release{w.id})
@@ -200,10 +203,10 @@
 	}
 }
 
-// pastMoves are shown after they have ended.
+// pastMoves is the number of ended moves that are kept for reports.
 const pastMoves = 50
 
-// advance takes a move as far as it can go now.
+// advance takes a move through as many stages as it can enter now.
 func (s *State) advance(now time.Duration, m *Move) {
 	limits := s.cfg.Moves
 	if m.Stage == Planned {
@@ -214,7 +217,7 @@
 			}
 		}
 		if under >= limits.AtOnce {
-			m.Reason = "as many as may are under way"
+			m.Reason = "the maximum number of moves is in progress"
 			return
 		}
 		s.enter(now, m, Warming, "")
@@ -223,7 +226,8 @@
 		warm, why := s.warmth(now, m)
 		switch {
 		case m.across():
-			// Data that was written in one group shows in the other at no known time: reads go over with the writes.
+			// It is unknown when a write in one group becomes visible in the other, so reads shift together
+			// with the writes.
 			m.Share = 0
 		default:
 			m.Share = min(warm, float64(now-m.Since)/float64(max(limits.Ramp, 1)))
@@ -232,13 +236,13 @@
 		case warm >= 1 && (m.across() || m.Share >= 1):
 			s.enter(now, m, Fenced, "")
 		case now-m.Since > limits.Warm+limits.Ramp:
-			s.abort(now, m, "not warm in time: "+why)
+			s.abort(now, m, "the new hosts were not warm in time: "+why)
 			return
 		}
 	}
 	if m.Stage == Fenced {
 		switch {
-		case !m.across(): // the same primary takes its writes before and after
+		case !m.across(): // the same primary takes the writes before and after the move
 			s.settle(now, m)
 			return
 		case m.t.writes > 0:
@@ -246,9 +250,9 @@
 		case !s.primaryKnown(m.ToGroup):
 			m.Reason = "the new group has no primary"
 		case m.confirm:
-			m.Reason = "to be confirmed"
+			m.Reason = "waiting for confirmation"
 			if now-m.Since <= limits.Warm {
-				return // others have to get as far
+				return // other gateways still have to reach the fence
 			}
 		default:
 			s.settle(now, m)
@@ -260,7 +264,7 @@
 	}
 }
 
-// warmth is the least part of its capacity that a host of the new place has.
+// warmth returns the lowest warm-up weight among the hosts of the new cell and, if it is below 1, why.
 func (s *State) warmth(now time.Duration, m *Move) (least float64, why string) {
 	least = 1
 	hosts := 0
@@ -276,11 +280,12 @@
 		}
 	}
 	if hosts == 0 {
-		return 0, "no host of the new place can be read from"
+		return 0, "no host of the new cell is readable"
 	}
 	return least, why
 }
 
+// primaryKnown reports whether the group has a usable primary.
 func (s *State) primaryKnown(group int) bool {
 	for _, x := range s.fleet.seen {
 		if x.Group == group && x.Primary && x.Usable {
@@ -290,8 +295,8 @@
 	return false
 }
 
-// goesOver says whether this read of a tenant whose move warms goes to the new place: of any number in a row so many do
-// as the share says.
+// goesOver reports whether this read goes to the new cell. It spreads the reads evenly so that of any
+// consecutive reads the configured share goes over.
 func (m *Move) goesOver() bool {
 	m.shareDebt += m.Share
 	if m.shareDebt < 1 {
--- a/internal/control/cells/move_test.go
+++ b/internal/control/cells/move_test.go
@@ -12,7 +12,7 @@
 	"yokemast/balance"
 )
 
-func TestAMoveInsideItsGroup(t *testing.T) {
+func TestMoveWithinGroup(t *testing.T) {
 	g := newRig(t, nil)
 	from, to := g.s.byName("coast"), g.s.byName("hills")
 	g.move(Order{Tenant: "apollo", To: "hills"})
@@ -30,22 +30,22 @@
 		g.s.Done(g.now, v.Ticket)
 	}
 	if over < 45 || over > 55 {
-		t.Errorf("%d of 100 reads go over at half time", over)
+		t.Errorf("%d of 100 reads go to the new cell after half of the ramp", over)
 	}
 	if v := g.ask("apollo", true); v.Kind != Go || v.Cell != from.id {
-		t.Errorf("a write: %+v", v)
+		t.Errorf("write during the move: %+v", v)
 	}
 	g.pass(time.Second)
 	g.want("in time", "fenced", "settled")
 	if v := g.ask("apollo", true); v.Kind != Go || v.Cell != to.id || v.Since != 0 {
-		t.Errorf("a write after it: %+v", v)
+		t.Errorf("write after the move: %+v", v)
 	}
 	if from.active != 0 || to.active != 1 {
 		t.Errorf("active tenants: %d and %d", from.active, to.active)
 	}
 }
 
-func TestReadsGoOverAsHostsWarm(t *testing.T) {
+func TestReadsShiftAsHostsWarmUp(t *testing.T) {
 	g := newRig(t, nil)
 	g.move(Order{Tenant: "apollo", To: "hills"})
 	cold := func(w float64) { g.look(func(x *balance.Seen) { x.Warmth = w }) }
@@ -59,7 +59,7 @@
 		}
 	}
 	if over > 25 {
-		t.Errorf("%d of 100 reads go to hosts that have a quarter of their capacity", over)
+		t.Errorf("%d of 100 reads go to hosts with a warm-up weight of 0.25", over)
 	}
 	cold(1)
 	g.pass(100 * ms)
@@ -69,21 +69,21 @@
 	g.pass(2 * time.Minute)
 	g.want("never warm", "planned", "warming", "aborted")
 	if v := g.ask("apollo", false); v.Cell != g.s.byName("hills").id {
-		t.Error("after the abort it is served elsewhere than before")
+		t.Error("after the abort the tenant is served in another cell than before")
 	}
 }
 
-func TestAWriteInFlightWhileItsTenantMoves(t *testing.T) {
+func TestMoveWithWriteInFlight(t *testing.T) {
 	across := Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2}
 	for name, c := range map[string]struct {
-		end   time.Duration // of the write; 0: it hangs
+		end   time.Duration // when the write ends, or 0 if it hangs
 		abort bool
 		want  []string
-		group int // of the next write
+		group int // that serves the next write
 	}{
-		"it ends":                     {time.Second, false, []string{"settled", "release q2"}, 2},
-		"it hangs past the fence":     {0, false, []string{"give up q2", "aborted"}, 1},
-		"the move is aborted by hand": {0, true, []string{"aborted", "release q2"}, 1},
+		"the write ends":                         {time.Second, false, []string{"settled", "release q2"}, 2},
+		"the write hangs past the fence timeout": {0, false, []string{"give up q2", "aborted"}, 1},
+		"the move is aborted by hand":            {0, true, []string{"aborted", "release q2"}, 1},
 	} {
 		g := newRig(t, nil)
 		first := g.ask("apollo", true)
@@ -94,7 +94,7 @@
 			t.Fatalf("%s: %+v, %+v", name, first, second)
 		}
 		if v := g.ask("apollo", false); v.Kind != Go || v.Group != 1 {
-			t.Errorf("%s: a read during the fence: %+v", name, v)
+			t.Errorf("%s: read while fenced: %+v", name, v)
 		}
 		switch {
 		case c.abort:
@@ -112,12 +112,12 @@
 		g.want(name, c.want...)
 		if v := g.s.Resume(g.now, Ask{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Go ||
 			v.Group != c.group || (v.Since > 0) != (c.group == 2) {
-			t.Errorf("%s: released: %+v", name, v)
+			t.Errorf("%s: released write: %+v", name, v)
 		}
 	}
 }
 
-func TestTheNewPrimaryDiesDuringTheFence(t *testing.T) {
+func TestFencedMoveWaitsForNewPrimary(t *testing.T) {
 	g := newRig(t, nil)
 	write := g.ask("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
@@ -127,23 +127,23 @@
 	g.pass(time.Second)
 	g.want("without a primary", "planned", "warming", "fenced")
 	if why := g.s.Report().Moves[0].Reason; !strings.Contains(why, "no primary") {
-		t.Errorf("it waits for %q", why)
+		t.Errorf("reason %q, want that the new group has no primary", why)
 	}
 	g.look(nil)
 	g.pass(100 * ms)
-	g.want("with the next one", "settled")
+	g.want("with a new primary", "settled")
 
 	g = newRig(t, nil)
 	g.look(headless)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	g.pass(10 * time.Second)
-	g.want("it never comes", "planned", "warming", "fenced", "aborted")
+	g.want("without a new primary", "planned", "warming", "fenced", "aborted")
 	if v := g.ask("apollo", true); v.Kind != Go || v.Group != 1 {
-		t.Errorf("the next write: %+v", v)
+		t.Errorf("write after the abort: %+v", v)
 	}
 }
 
-func TestAFenceHoldsOnlySoMany(t *testing.T) {
+func TestFenceLimitsHeldWrites(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.Moves.Hold = 2 })
 	g.ask("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
@@ -152,22 +152,22 @@
 		got += string("goh"[g.ask("apollo", true).Kind])
 	}
 	if got != "hhoo" || g.s.Shed != 2 {
-		t.Errorf("writes at the fence: %s, %d shed", got, g.s.Shed)
+		t.Errorf("verdicts of writes at the fence: %s, %d shed", got, g.s.Shed)
 	}
 }
 
-func TestMovesWaitTheirTurnAndForConfirmation(t *testing.T) {
+func TestMovesWaitForOthersAndForConfirmation(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.Moves.AtOnce = 1 })
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2, Confirm: true})
 	g.move(Order{Tenant: "medi", To: "coast"})
 	g.pass(8 * time.Second)
-	g.want("one at once", "planned", "warming", "fenced", "planned")
+	g.want("one move at a time", "planned", "warming", "fenced", "planned")
 	acts, err := g.s.Confirm(g.now, "apollo")
 	if g.acts = append(g.acts, acts...); err != nil {
 		t.Error(err)
 	}
 	g.pass(2 * time.Second)
-	g.want("then the other", "settled", "warming", "fenced", "settled")
+	g.want("after the confirmation", "settled", "warming", "fenced", "settled")
 	for want, o := range map[error]Order{ErrNoTenant: {Tenant: "x"}, ErrNoCell: {Tenant: "medi", To: "x"},
 		ErrThere: {Tenant: "medi", To: "coast"}, ErrNoGroup: {Tenant: "medi", FromGroup: 1, ToGroup: 9}} {
 		if _, err := g.s.Move(g.now, o); !errors.Is(err, want) {
@@ -179,16 +179,16 @@
 	}
 }
 
-func TestMovesSurviveANewConfiguration(t *testing.T) {
+func TestMovesAfterConfigure(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Config)
 		want   []string
-		cell   string // of the tenant in the end
+		cell   string // the tenant's cell at the end
 	}{
-		"nothing of it changes":     {func(c *Config) { c.Cells = append(c.Cells, Cell{Name: "new", Weight: 1}) }, []string{"fenced", "settled"}, "hills"},
-		"its cell leaves":           {func(c *Config) { c.Cells = slices.Delete(c.Cells, 1, 2); c.Tenants = c.Tenants[:1] }, []string{"aborted"}, "coast"},
-		"its tenant leaves":         {func(c *Config) { c.Tenants = c.Tenants[1:] }, []string{"aborted"}, ""},
-		"the file names a new cell": {func(c *Config) { c.Tenants[0].Cell = "city" }, []string{"aborted"}, "city"},
+		"the tenant and its cells stay":        {func(c *Config) { c.Cells = append(c.Cells, Cell{Name: "new", Weight: 1}) }, []string{"fenced", "settled"}, "hills"},
+		"the new cell is removed":              {func(c *Config) { c.Cells = slices.Delete(c.Cells, 1, 2); c.Tenants = c.Tenants[:1] }, []string{"aborted"}, "coast"},
+		"the tenant is removed":                {func(c *Config) { c.Tenants = c.Tenants[1:] }, []string{"aborted"}, ""},
+		"the configuration names another cell": {func(c *Config) { c.Tenants[0].Cell = "city" }, []string{"aborted"}, "city"},
 	} {
 		g := newRig(t, nil)
 		g.move(Order{Tenant: "apollo", To: "hills"})
@@ -204,19 +204,19 @@
 		g.want(name, c.want...)
 		g.s.Done(g.now, held.Ticket)
 		if owner := g.s.dir.named("apollo"); c.cell != "" && (owner.cell.Name != c.cell || owner.held != 0 || owner.cell.active != 0) {
-			t.Errorf("%s: it is in %s and holds %d", name, owner.cell.Name, owner.held)
+			t.Errorf("%s: the tenant is in cell %s and holds %d requests", name, owner.cell.Name, owner.held)
 		}
-		// What a move has settled stands for as long as the file says what it did before.
+		// The result of a settled move remains as long as the tenant's entry names the same cell.
 		if _, err := g.s.Configure(g.now, next); err != nil {
 			t.Fatal(err)
 		}
 		if owner := g.s.dir.named("apollo"); c.cell != "" && owner.cell.Name != c.cell {
-			t.Errorf("%s: the next SIGHUP puts it into %s", name, owner.cell.Name)
+			t.Errorf("%s: the next Configure moves the tenant to cell %s", name, owner.cell.Name)
 		}
 	}
 }
 
-func TestPlanTellsWhatWouldChange(t *testing.T) {
+func TestPlan(t *testing.T) {
 	g := newRig(t, nil)
 	before := g.s.Report()
 	for _, r := range before.Cells {
@@ -234,19 +234,19 @@
 		other.s.Hosts(g.now, true, rest)
 		for _, x := range other.s.Report().Cells {
 			if x.Cell == r.Cell && !slices.Contains(x.Hosts["1"], f.Changes[i].Won[0]) {
-				t.Errorf("the plan says %v, it becomes %v", f.Changes[i], x.Hosts["1"])
+				t.Errorf("planned %v, but the hosts become %v", f.Changes[i], x.Hosts["1"])
 			}
 		}
 	}
 	if diff := cmp.Diff(before, g.s.Report(), cmp.AllowUnexported(Move{})); diff != "" {
-		t.Errorf("planning changes something: %s", diff)
+		t.Errorf("Plan changes the state: %s", diff)
 	}
 	for _, bad := range [][]string{nil, {"nobody"}} {
 		if _, err := g.s.Plan(nil, bad); err == nil {
-			t.Errorf("planned for %v", bad)
+			t.Errorf("no error for the hosts %v", bad)
 		}
 	}
 	if _, err := g.s.Plan(twoGroups()[:1], nil); err == nil {
-		t.Error("a listed host comes")
+		t.Error("no error for a host that is already listed")
 	}
 }
--- a/internal/control/cells/placement.go
+++ b/internal/control/cells/placement.go
@@ -8,20 +8,22 @@
 	"yokemast/balance"
 )
 
-// ranking is a cell's order of preference among the hosts of a group; the first home of them are its own.
+// ranking is a cell's order of preference among the hosts of a group. The first home hosts are the cell's
+// own.
 type ranking struct {
 	hosts []string
 	home  int
 }
 
-// place gives every cell its hosts among those of one group: pinned ones first, then shuffle sharding by weighted
-// rendezvous, where a host that would give two cells more than overlap in common is passed over while there is another.
-// It depends on nothing but its arguments, so that gateways agree without a word. A host that comes or goes changes only
-// cells that win or held it, by one slot, and those whose choice the overlap had bound. relaxed counts slots that could
-// not be filled within the overlap. Hosts are those that may take work, by name.
+// place assigns the hosts of one group to the cells. Pinned hosts come first, then hosts in the order of
+// shuffle sharding by weighted rendezvous hashing; a host with which two cells would share more than overlap
+// hosts is skipped while there is another one. The result depends on the arguments only, so that gateways
+// agree without communicating. Adding or removing a host changes one slot of the cells that gain or held it,
+// and cells whose choice was restricted by the overlap. The result relaxed counts the slots that could not be
+// filled within the overlap. The hosts must be able to take work and be sorted by name.
 //
-// Shuffle sharding: C. MacCárthaigh, "Workload isolation using shuffle-sharding", Amazon Builders' Library. Weighted
-// rendezvous: J. Mosko and others; see draw.
+// Shuffle sharding: C. MacCárthaigh, "Workload isolation using shuffle-sharding", Amazon Builders' Library.
+// Weighted rendezvous hashing: J. Mosko and others; see draw.
 func place(hosts []balance.Member, cells []*cell, size, overlap int) (ranked []ranking, relaxed int) {
 	index := make(map[string]int, len(hosts))
 	for i, h := range hosts {
@@ -48,7 +50,7 @@
 				take(i)
 			}
 		}
-		// over is how far above the overlap host i would bring the cell with any that came before it.
+		// over returns by how much host i would exceed the overlap with any of the preceding cells.
 		over := func(i int) (most int) {
 			for _, other := range taken[:n] {
 				if other[i/64]&(1<<(i%64)) == 0 {
@@ -93,6 +95,7 @@
 	return ranked, relaxed
 }
 
+// common returns the number of bits that are set in both sets.
 func common(a, b []uint64) (n int) {
 	for i := range a {
 		for x := a[i] & b[i]; x != 0; x &= x - 1 {
@@ -102,15 +105,16 @@
 	return n
 }
 
-// fleet is what is known of the hosts.
+// fleet is the known state of the hosts.
 type fleet struct {
-	members map[string]balance.Member // listed, and not gone
-	seen    map[string]balance.Seen   // the module's last word on each
-	badFrom map[string]time.Duration  // since when one is set aside
-	relaxed int
+	members map[string]balance.Member // listed hosts that are active
+	seen    map[string]balance.Seen   // the latest state that the router reported of each
+	badFrom map[string]time.Duration  // when each unusable host became unusable
+	relaxed int                       // slots that could not be filled within the overlap
 }
 
-// takes merges a list; it says whether the placement depends on what changed.
+// takes merges a member list, a whole one or changes only. It reports whether anything changed that the
+// placement depends on.
 func (f *fleet) takes(whole bool, list []balance.Member) (changed bool) {
 	named := make(map[string]bool, len(list))
 	for _, m := range list {
@@ -146,7 +150,7 @@
 	return changed
 }
 
-// groups gives the listed hosts of every group, by name.
+// groups returns the listed hosts of every group, sorted by name.
 func (f *fleet) groups() map[int][]balance.Member {
 	out := map[int][]balance.Member{}
 	for _, m := range f.members {
@@ -158,11 +162,12 @@
 	return out
 }
 
-// borrowAfter is how long a host must have been set aside before a cell borrows another in its place: a single error is
-// over sooner, and a set that changes each time would confine nobody.
+// borrowAfter is how long a host must have been unusable before a cell reads from another host in its place.
+// A single error is over sooner, and a set of hosts that changes with each error would isolate no tenant.
 const borrowAfter = 500 * time.Millisecond
 
-// reads says whether a cell can read from the host now. A primary is no replica; the module goes there by itself.
+// reads reports whether a cell can read from the host now. Primaries do not count as replicas; the router
+// falls back to them itself.
 func (f *fleet) reads(now time.Duration, server string) bool {
 	m, listed := f.members[server]
 	s, seen := f.seen[server]
@@ -178,8 +183,9 @@
 	return !bad || now-from < borrowAfter
 }
 
-// lends gives the hosts that a cell reads from in a group: its own, and in place of those it can't read from the next
-// in its order. They are given back as soon as its own can be read from again.
+// lends returns the hosts that a cell reads from in a group: its own hosts, and for each of them that is not
+// readable the next host in the order of preference. Its own hosts replace the others as soon as they are
+// readable again.
 func (f *fleet) lends(now time.Duration, r ranking, size int) []string {
 	var out []string
 	for i, server := range r.hosts {
--- a/internal/control/cells/property_test.go
+++ b/internal/control/cells/property_test.go
@@ -11,7 +11,7 @@
 	"yokemast/balance"
 )
 
-// Each property draws its cases from a seed; a failure prints it, and `go test -run NAME -rapid.seed=SEED` replays it.
+// Each property test draws its cases from a seed. A failure prints the seed; `go test -run NAME -rapid.seed=SEED` replays it.
 
 func drawCells(t *rapid.T) []*cell {
 	var out []*cell
@@ -49,25 +49,25 @@
 	return out
 }
 
-func TestPropertyAHostThatLeavesChangesOneSlotOfThoseThatHeldIt(t *testing.T) {
+func TestPropertyRemovedHostChangesOneSlotPerCell(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells, hosts := drawCells(t), drawHosts(t)
 		size := rapid.IntRange(1, 5).Draw(t, "size")
-		gone := rapid.IntRange(0, len(hosts)-1).Draw(t, "gone")
-		all, _ := place(hosts, cells, size, size) // an overlap of the size binds nothing
+		gone := rapid.IntRange(0, len(hosts)-1).Draw(t, "removed")
+		all, _ := place(hosts, cells, size, size) // with overlap == size nothing is restricted
 		rest, _ := place(slices.Delete(slices.Clone(hosts), gone, gone+1), cells, size, size)
 		for i, before := range homes(all) {
 			after := homes(rest)[i]
 			lost, won := without(before, after), without(after, before)
 			held := slices.Contains(before, hosts[gone].Server)
 			if !held && len(lost)+len(won) > 0 || held && (len(lost) != 1 || lost[0] != hosts[gone].Server || len(won) > 1) {
-				t.Fatalf("without %s a cell goes from %v to %v", hosts[gone].Server, before, after)
+				t.Fatalf("without host %s the hosts of a cell change from %v to %v", hosts[gone].Server, before, after)
 			}
 		}
 	})
 }
 
-func TestPropertyOverlapIsBoundedWhereNothingWasRelaxed(t *testing.T) {
+func TestPropertyOverlapIsBoundedUnlessRelaxed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells, hosts := drawCells(t), drawHosts(t)
 		size := rapid.IntRange(1, 5).Draw(t, "size")
@@ -76,7 +76,7 @@
 		for i, c := range cells {
 			c.ranked = map[int]ranking{1: ranked[i]}
 			if got := ranked[i].home; got != min(size, len(hosts)) || len(ranked[i].hosts) != len(hosts) {
-				t.Fatalf("%s has %d slots of %d, and an order of %d hosts", c.Name, got, size, len(ranked[i].hosts))
+				t.Fatalf("cell %s has %d of %d slots and a ranking of %d hosts", c.Name, got, size, len(ranked[i].hosts))
 			}
 		}
 		most := 0
@@ -84,15 +84,15 @@
 			most = max(most, p.Hosts)
 		}
 		if relaxed == 0 && most > overlap {
-			t.Fatalf("two cells share %d hosts, %d are allowed", most, overlap)
+			t.Fatalf("two cells share %d hosts, overlap is %d", most, overlap)
 		}
 		if enough := len(hosts) >= size*len(cells); enough && relaxed > 0 {
-			t.Fatalf("%d slots relaxed with hosts for all", relaxed)
+			t.Fatalf("%d slots relaxed with enough hosts for all cells", relaxed)
 		}
 	})
 }
 
-func TestPropertyGatewaysAgreeWhateverTheyHeardBefore(t *testing.T) {
+func TestPropertyPlacementIsIndependentOfHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := drawHosts(t)
 		a, err := New(config())
@@ -103,7 +103,7 @@
 		a.Hosts(0, true, hosts)
 		for _, i := range rapid.Permutation(indexes(len(hosts))).Draw(t, "order") {
 			b.Hosts(0, false, hosts[i:i+1])
-			if rapid.Bool().Draw(t, "another comes and goes") {
+			if rapid.Bool().Draw(t, "another host is added and removed") {
 				x := member("x", 1)
 				b.Hosts(0, false, []balance.Member{x})
 				x.State = balance.Left
@@ -112,7 +112,7 @@
 		}
 		for i := range a.cells {
 			if x, y := homes([]ranking{a.cells[i].ranked[1]}), homes([]ranking{b.cells[i].ranked[1]}); !slices.Equal(x[0], y[0]) {
-				t.Fatalf("%s has %v at one gateway and %v at another", a.cells[i].Name, x, y)
+				t.Fatalf("cell %s has hosts %v at one gateway and %v at another", a.cells[i].Name, x, y)
 			}
 		}
 	})
@@ -125,8 +125,9 @@
 	return out
 }
 
-// TestPropertyMoves drives one state by commands in any order and checks after each: a tenant never has writes in flight
-// in two groups, what waits at a fence is told exactly once, and what is held is what was taken and not done.
+// TestPropertyMoves calls a State in random order and checks after each call: a tenant never has writes in flight in two
+// groups, each write that waits at a fence is released or refused exactly once, and the held requests are those that
+// were admitted and are not done.
 func TestPropertyMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
@@ -148,13 +149,13 @@
 				switch a := a.(type) {
 				case Changed:
 					if was, going := last[a.Move.Tenant]; going && was < Settled && a.Move.Stage <= was {
-						t.Fatalf("a move goes from %s to %s", was, a.Move.Stage)
+						t.Fatalf("a move changes from %s to %s", was, a.Move.Stage)
 					}
 					last[a.Move.Tenant] = a.Move.Stage
 				case Release:
 					w, ok := waiting[a.ID]
 					if !ok {
-						t.Fatalf("%s is released and did not wait", a.ID)
+						t.Fatalf("request %s is released but did not wait", a.ID)
 					}
 					delete(waiting, a.ID)
 					v := s.Resume(now, Ask{ID: a.ID, Claim: w.tenant, Group: 1, Write: true, Deadline: now + time.Second}, w.ticket)
@@ -166,7 +167,7 @@
 				case GiveUp:
 					w, ok := waiting[a.ID]
 					if !ok {
-						t.Fatalf("%s is given up and did not wait", a.ID)
+						t.Fatalf("request %s is refused but did not wait", a.ID)
 					}
 					delete(waiting, a.ID)
 					s.Done(now, w.ticket)
@@ -246,13 +247,13 @@
 				}
 				for tenant, in := range groups {
 					if len(in) > 1 {
-						t.Fatalf("%s has writes in flight in two groups", tenant)
+						t.Fatalf("tenant %s has writes in flight in two groups", tenant)
 					}
 				}
 				total := 0
 				for _, name := range tenants {
 					if got := int(s.dir.named(name).held); got != held[name] {
-						t.Fatalf("%s holds %d, %d were taken and not done", name, got, held[name])
+						t.Fatalf("tenant %s holds %d requests, want %d", name, got, held[name])
 					}
 					total += held[name]
 				}
@@ -261,7 +262,7 @@
 					inCells += c.held
 				}
 				if inCells != total {
-					t.Fatalf("the cells hold %d, their tenants %d", inCells, total)
+					t.Fatalf("the cells hold %d requests, their tenants %d", inCells, total)
 				}
 			},
 		})
--- a/internal/control/cells/report.go
+++ b/internal/control/cells/report.go
@@ -9,29 +9,29 @@
 	"yokemast/balance"
 )
 
-// CellReport is one cell as it stands.
+// CellReport is the state of a cell.
 type CellReport struct {
 	Cell     string              `json:"cell"`
 	Weight   float64             `json:"weight"`
-	Tenants  int                 `json:"tenants"`  // of the file, and buckets of others
-	Hosts    map[string][]string `json:"hosts"`    // its own, by group
-	Borrowed []string            `json:"borrowed"` // read from in place of its own
+	Tenants  int                 `json:"tenants"`  // configured tenants and buckets
+	Hosts    map[string][]string `json:"hosts"`    // its own hosts, by group
+	Borrowed []string            `json:"borrowed"` // hosts it reads from in place of its own
 	Held     int                 `json:"held"`
-	Most     int                 `json:"most"` // that it may hold
+	Most     int                 `json:"most"` // the maximum of Held
 	CellCount
 }
 
 // Report is the state of all cells and moves.
 type Report struct {
 	Cells    []CellReport `json:"cells"`
-	Overlaps []NamedPair  `json:"overlaps"` // of cells that have hosts in common
+	Overlaps []NamedPair  `json:"overlaps"` // pairs of cells that share hosts
 	Relaxed  int          `json:"relaxed"`  // slots that could not be filled within the overlap
-	Moves    []Move       `json:"moves"`    // under way
-	Past     []Move       `json:"past"`     // the last that ended
+	Moves    []Move       `json:"moves"`    // in progress
+	Past     []Move       `json:"past"`     // the latest that have ended
 	Shed     uint64       `json:"shed"`
 }
 
-// NamedPair is two cells and what they have in common in a group.
+// NamedPair is a pair of cells and the number of hosts that they share in a group.
 type NamedPair struct {
 	A     string `json:"a"`
 	B     string `json:"b"`
@@ -39,7 +39,7 @@
 	Hosts int    `json:"hosts"`
 }
 
-// Report says how everything stands; the caller may keep it.
+// Report returns the current state. The caller may keep the result.
 func (s *State) Report() Report {
 	out := Report{Cells: []CellReport{}, Overlaps: []NamedPair{}, Moves: []Move{}, Past: slices.Clone(s.past), Shed: s.Shed,
 		Relaxed: s.fleet.relaxed}
@@ -70,7 +70,7 @@
 	return out
 }
 
-// tenants counts those of each cell.
+// tenants returns the number of tenants and buckets of each cell.
 func (s *State) tenants() map[*cell]int {
 	out := map[*cell]int{}
 	for _, t := range s.dir.tenants {
@@ -82,6 +82,7 @@
 	return out
 }
 
+// overlaps returns the pairs of cells that share hosts, sorted by cell and group.
 func overlaps(cells []*cell) []NamedPair {
 	out := []NamedPair{}
 	for i, a := range cells {
@@ -106,23 +107,24 @@
 	return out
 }
 
-// Change is what would become of a cell.
+// Change is how the hosts of a cell would change in a group.
 type Change struct {
 	Cell    string   `json:"cell"`
 	Group   int      `json:"group"`
-	Tenants int      `json:"tenants"` // that it serves
+	Tenants int      `json:"tenants"` // that the cell serves
 	Lost    []string `json:"lost"`
 	Won     []string `json:"won"`
 }
 
-// Forecast is what would change if hosts came or went.
+// Forecast is what would change if hosts were added or removed.
 type Forecast struct {
 	Changes  []Change    `json:"changes"`
-	Overlaps []NamedPair `json:"overlaps"`
+	Overlaps []NamedPair `json:"overlaps"` // pairs of cells that share hosts
 	Relaxed  int         `json:"relaxed"`
 }
 
-// Plan says which cells would change if the hosts in come were listed and those in go were gone. Nothing changes by it.
+// Plan returns which cells would change if the hosts in come were added and those in leave removed. It
+// changes nothing.
 func (s *State) Plan(come []balance.Member, leave []string) (Forecast, error) {
 	members := map[string]balance.Member{}
 	for name, m := range s.fleet.members {
@@ -179,6 +181,7 @@
 	return out, nil
 }
 
+// without returns the elements of a that are not in b, sorted.
 func without(a, b []string) []string {
 	out := []string{}
 	for _, x := range a {
--- a/internal/control/cells/state.go
+++ b/internal/control/cells/state.go
@@ -9,85 +9,86 @@
 	"yokemast/balance"
 )
 
-// Action is what a caller has to do: one of Placed, Release, GiveUp, Changed.
+// Action is what the caller has to do. It is a Placed, Release, GiveUp or Changed.
 type Action any
 
-// Placed hands the decision module the cells as they are now.
+// Placed passes the current cells to the decision module.
 type Placed struct{ Cells balance.Cells }
 
-// Release says that a request which waited at a fence can go on: the caller asks for it again.
+// Release ends the wait of a request at a fence. The caller calls Resume for it.
 type Release struct{ ID string }
 
-// GiveUp says that a request has waited at a fence for as long as it may. It is refused, to come back after a while.
+// GiveUp refuses a request whose wait at a fence has timed out. Its client may retry after After.
 type GiveUp struct {
 	ID    string
 	After time.Duration
 }
 
-// Changed says that a move has come to another stage; for the log.
+// Changed reports that a move has entered another stage. It is for the log.
 type Changed struct{ Move Move }
 
-// Ask is what a request says of itself.
+// Ask describes a request.
 type Ask struct {
 	ID       string
-	User     string // of its connection
-	Claim    string // the tenant that it names; "": none
+	User     string // user of the connection
+	Claim    string // the tenant that the request names, or empty
 	Key      string
 	Group    int
 	Write    bool
-	Deadline time.Duration // a reading of the caller's clock
+	Deadline time.Duration // as a reading of the caller's clock
 }
 
-// Kind is what becomes of a request.
+// Kind is the kind of a verdict.
 type Kind int
 
 // Kinds of verdicts.
 const (
-	Go     Kind = iota // to the module, with the cell and the group
-	Over               // to the module as more than its share: refused, to come back after After
-	Hold               // it waits at a fence; Release or GiveUp follows
-	Denied             // its user may not act for its tenant
+	Go     Kind = iota // the request goes to the decision module, with the cell and the group
+	Over               // the request exceeds a limit and is refused through the decision module, with retryAfter After
+	Hold               // the request waits at a fence; Release or GiveUp follows
+	Denied             // the user of the connection may not act for the tenant
 )
 
-// Ticket stands for a request that was taken; its caller gives it back with Done, once. The zero Ticket is none.
+// Ticket represents an admitted request. The caller passes it to Done or Resume exactly once. The zero Ticket
+// represents no request.
 type Ticket struct {
 	tenant *tenant
 	cell   *cell
 	taken  time.Duration
-	writes bool // counted among the tenant's writes in flight
-	waits  bool // at a fence
+	writes bool // whether it is counted among the tenant's in-flight writes
+	waits  bool // whether it waits at a fence
 }
 
-// Verdict is the answer to an Ask.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Kind   Kind
-	Cell   int           // the module's number of it
-	Group  int           // that serves it
-	Since  time.Duration // a session that wrote must see all up to here; 0: no such time
-	After  time.Duration // of Over
-	Reason string        // of Over and Denied
-	Ticket Ticket        // of Go and Hold
+	Cell   int           // the cell's ID in the decision module
+	Group  int           // the group that serves the request
+	Since  time.Duration // sessions that wrote must see all writes up to this time; 0 if there is no such bound
+	After  time.Duration // retryAfter of Over
+	Reason string        // why the request is refused, for Over and Denied
+	Ticket Ticket        // for Go and Hold
 }
 
-// State is not safe for concurrent use.
+// State is the state of all cells, tenants and moves. It is not safe for concurrent use.
 type State struct {
 	cfg     Config
 	dir     *directory
-	cells   []*cell // by name
+	cells   []*cell // sorted by name
 	nextID  int
 	fleet   fleet
 	groups  map[int][]balance.Member
-	limited map[*tenant]struct{}
+	limited map[*tenant]struct{} // tenants that have a rate limiter
 	moves   []*Move
-	past    []Move
+	past    []Move // moves that have ended, the latest last
 	acts    []Action
-	swept   time.Duration
-	Stages  [len(stages)]uint64 // how often a move came to each
+	swept   time.Duration       // when limiters were swept last
+	Stages  [len(stages)]uint64 // number of moves that entered each stage
 	Denied  uint64              // requests whose user may not act for their tenant
 	Shed    uint64              // writes refused as too many waited at a fence, or for too long
 }
 
-// New makes a state of a configuration; the error names the entry at fault.
+// New returns a state for a configuration. The error names the invalid entry.
 func New(c Config) (*State, error) {
 	s := &State{fleet: fleet{members: map[string]balance.Member{}, seen: map[string]balance.Seen{},
 		badFrom: map[string]time.Duration{}}, groups: map[int][]balance.Member{}, limited: map[*tenant]struct{}{}, nextID: 1}
@@ -97,8 +98,8 @@
 	return s, nil
 }
 
-// Configure takes another configuration. What is held stays held, and moves go on, but those whose tenant or cell is gone:
-// they are aborted. On an error all stays as it was.
+// Configure applies another configuration. Held requests stay held and moves continue; moves whose tenant or
+// cell is removed, or whose tenant is assigned to another cell, are aborted. On an error nothing changes.
 func (s *State) Configure(now time.Duration, c Config) ([]Action, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -130,11 +131,11 @@
 	for _, m := range slices.Clone(s.moves) {
 		switch {
 		case s.dir.named(m.Tenant) != m.t:
-			s.abort(now, m, "its tenant has left the file")
+			s.abort(now, m, "the tenant is removed from the configuration")
 		case s.byName(m.To) != m.to:
-			s.abort(now, m, "its cell has left the file")
+			s.abort(now, m, "the target cell is removed from the configuration")
 		case m.t.cell.Name != m.From:
-			s.abort(now, m, "the file names another cell for its tenant")
+			s.abort(now, m, "the configuration assigns the tenant to another cell")
 		}
 	}
 	s.rank()
@@ -151,7 +152,8 @@
 	return nil
 }
 
-// Admit says what becomes of a request. On Go and Hold it is taken, and Done is owed.
+// Admit decides on a request. If the verdict is Go or Hold, the caller must call Done or Resume with its
+// ticket.
 func (s *State) Admit(now time.Duration, a Ask) Verdict {
 	t, err := s.dir.find(a.User, a.Claim, a.Key)
 	if err != nil {
@@ -161,7 +163,7 @@
 	return s.admit(now, a, t, true)
 }
 
-// Resume says what becomes of a request that was released. Its ticket is given back before.
+// Resume decides again on a request that was released from a fence. It ends the request's previous ticket.
 func (s *State) Resume(now time.Duration, a Ask, k Ticket) Verdict {
 	s.Done(now, k)
 	return s.admit(now, a, k.tenant, false)
@@ -186,7 +188,7 @@
 		}
 	}
 	if v.Kind == Hold {
-		// What was never sent is not held past half of its time: its client can come back.
+		// A write waits for half of its remaining time at most, so that its client has time to retry.
 		until := now + (a.Deadline-now)/2
 		if len(m.waiting) >= s.cfg.Moves.Hold || until <= now {
 			s.Shed++
@@ -204,12 +206,12 @@
 	return v
 }
 
-// left is about how long the fence still stands.
+// left estimates how long the fence of the move remains.
 func (s *State) left(now time.Duration, m *Move) time.Duration {
 	return min(max(m.Since+s.cfg.Moves.Fence-now, comeBackLeast), comeBackMost)
 }
 
-// Hosts takes the list of hosts, whole or changes only.
+// Hosts merges a member list, a whole one or changes only.
 func (s *State) Hosts(now time.Duration, whole bool, list []balance.Member) []Action {
 	if s.fleet.takes(whole, list) {
 		s.rank()
@@ -218,7 +220,7 @@
 	return s.Tick(now)
 }
 
-// Look takes what the module believes of its members.
+// Look records the router's view of its members.
 func (s *State) Look(now time.Duration, seen []balance.Seen) []Action {
 	for _, x := range seen {
 		if _, listed := s.fleet.members[x.Server]; !listed {
@@ -235,7 +237,7 @@
 	return s.Tick(now)
 }
 
-// rank orders the hosts anew for every cell.
+// rank recomputes the rankings of all cells.
 func (s *State) rank() {
 	s.groups = s.fleet.groups()
 	s.fleet.relaxed = 0
@@ -251,7 +253,8 @@
 	}
 }
 
-// replace says which hosts every cell reads from now, and how much they bear. The module hears of it where a set changed.
+// replace recomputes which hosts every cell reads from and the capacity that they give it. If the hosts of
+// any cell changed, it adds a Placed action.
 func (s *State) replace(now time.Duration) {
 	changed := false
 	weights, all := map[string]float64{}, 0.0
@@ -284,7 +287,7 @@
 	}
 }
 
-// Cells gives the cells as the module takes them.
+// Cells returns the cells in the form that the decision module takes.
 func (s *State) Cells() balance.Cells {
 	out := balance.Cells{List: make([]balance.Cell, 0, len(s.cells))}
 	for _, c := range s.cells {
@@ -293,10 +296,11 @@
 	return out
 }
 
-// sweepEvery is how often limiters of idle tenants are looked for.
+// sweepEvery is the interval at which limiters of idle tenants are dropped.
 const sweepEvery = time.Second
 
-// Tick takes moves as far as they can go now; it is called at least every 100 ms while there are any.
+// Tick advances all moves and ends waits at fences that have timed out. While any move exists it must be
+// called at least every 100 ms.
 func (s *State) Tick(now time.Duration) []Action {
 	for _, m := range slices.Clone(s.moves) {
 		m.waiting = slices.DeleteFunc(m.waiting, func(w waiting) bool {
