--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -16,27 +16,27 @@
 	"yokemast/internal/control/pooling"
 )
 
-// File is what the operator's file says, with the defaults for what it leaves out.
+// File holds the settings of the operator's file, with defaults for those that it omits.
 type File struct {
 	Path    string
 	Control Control
 	Pools   Pools
-	Cells   *cells.Config // nil: there are none
+	Cells   *cells.Config // nil if the file has no such section
 	root    *node
 }
 
-// Pools says how connections to hosts are kept and shared.
+// Pools holds how connections to hosts are kept and shared.
 type Pools struct {
-	Limits   pooling.Limits // those of descriptors and memory are filled in by the platform's configuration
+	Limits   pooling.Limits // limits from descriptors and memory come from the platform's configuration
 	Prepared int
-	Wait     time.Duration // for a connection
+	Wait     time.Duration // maximum time that a request waits for a connection
 	Pools    []Pool
 }
 
-// Pool is one pool of clients that may ask general SQL.
+// Pool is a pool of clients that may send general SQL.
 type Pool struct {
 	Name              string
-	Users, Databases  []string // empty: any
+	Users, Databases  []string // empty means any
 	Tenants           []string
 	Mode              pooling.Mode
 	Group             int
@@ -46,21 +46,21 @@
 	MaxMessage, Most  int
 }
 
-// Control is the control socket.
+// Control holds the settings of the control socket.
 type Control struct {
-	Socket string // "": there is none
+	Socket string // empty if there is no control socket
 	Mode   os.FileMode
 }
 
-// node is an entry that stands in the file, or would stand there by default.
+// node is an entry of the file, or an entry that it omits and that has a default.
 type node struct {
 	entry  *Entry
 	pos    lexer.Position
-	title  string
+	title  string // name of a titled section
 	values []any
-	words  []string // as they were written
-	parts  []*node  // of a section, in the order of the schema
-	given  bool     // it stands in the file
+	words  []string // the values as written in the file
+	parts  []*node  // entries of a section, in the order of the schema
+	given  bool     // whether the entry is in the file
 }
 
 // Load reads and checks a file.
@@ -72,7 +72,7 @@
 	return Parse(path, b)
 }
 
-// Parse reads and checks the text of a file.
+// Parse parses and checks the text of a file.
 func Parse(path string, b []byte) (*File, error) {
 	t, err := parseTree(path, b)
 	if err != nil {
@@ -87,13 +87,15 @@
 	return f, f.fill()
 }
 
+// reader converts forms to nodes according to the schema.
 type reader struct{ file string }
 
+// fail returns an error at a position of the file.
 func (r reader) fail(p lexer.Position, entry, what string, args ...any) error {
 	return &Error{File: r.file, Line: p.Line, Column: p.Column, Entry: entry, What: fmt.Sprintf(what, args...)}
 }
 
-// section reads the forms of a section and adds what the file leaves out.
+// section reads the forms of a section and adds the defaults of omitted entries.
 func (r reader) section(n *node, path string, at lexer.Position, forms []*form) error {
 	given := map[string][]*node{}
 	titles := map[string]lexer.Position{}
@@ -104,7 +106,7 @@
 			return r.fail(f.Pos, name, "no such entry")
 		}
 		if old := given[f.Name]; len(old) > 0 && !entry.Many {
-			return r.fail(f.Pos, name, "stands here and at line %d", old[0].pos.Line)
+			return r.fail(f.Pos, name, "is here and already at line %d", old[0].pos.Line)
 		}
 		part, err := r.entry(entry, name, f)
 		if err != nil {
@@ -113,7 +115,7 @@
 		if entry.Titled {
 			key := f.Name + "\x00" + part.title
 			if old, twice := titles[key]; twice {
-				return r.fail(f.Pos, name, "%q stands here and at line %d", part.title, old.Line)
+				return r.fail(f.Pos, name, "%q is here and already at line %d", part.title, old.Line)
 			}
 			titles[key] = f.Pos
 		}
@@ -124,7 +126,7 @@
 		switch {
 		case len(given[e.Name]) > 0:
 			n.parts = append(n.parts, given[e.Name]...)
-		case e.Kind == Section && !e.Titled && (path != "" || e.Name == "pools"): // a section of limits, all by default
+		case e.Kind == Section && !e.Titled && (path != "" || e.Name == "pools"): // a section of limits that all have defaults
 			part := &node{entry: e, pos: at}
 			if err := r.section(part, path+"."+e.Name, at, nil); err != nil {
 				return err
@@ -141,6 +143,7 @@
 	return nil
 }
 
+// find returns the entry of a section with that name, or nil if there is none.
 func (e *Entry) find(name string) *Entry {
 	for i := range e.Entries {
 		if e.Entries[i].Name == name {
@@ -150,6 +153,7 @@
 	return nil
 }
 
+// entry reads one form.
 func (r reader) entry(e *Entry, path string, f *form) (*node, error) {
 	n := &node{entry: e, pos: f.Pos, given: true}
 	var forms []*form
@@ -159,17 +163,17 @@
 			forms = append(forms, a.Form)
 			continue
 		case a.Form != nil:
-			return nil, r.fail(a.Pos, path, "takes no entry here")
+			return nil, r.fail(a.Pos, path, "takes no nested entry here")
 		}
 		s := a.Word
 		switch {
 		case e.Titled && i == 0:
 			if n.title = s; s == "" {
-				return nil, r.fail(a.Pos, path, "its name is empty")
+				return nil, r.fail(a.Pos, path, "the name is empty")
 			}
 			continue
 		case e.Kind == Section:
-			return nil, r.fail(a.Pos, path, "%q is no entry", s)
+			return nil, r.fail(a.Pos, path, "%q is not an entry", s)
 		case e.Kind != Texts && len(n.values) > 0:
 			return nil, r.fail(a.Pos, path, "takes one %s", e.Kind)
 		}
@@ -181,7 +185,7 @@
 	}
 	switch {
 	case e.Titled && n.title == "":
-		return nil, r.fail(f.Pos, path, "its name is missing")
+		return nil, r.fail(f.Pos, path, "the name is missing")
 	case e.Kind != Section && len(n.values) == 0:
 		return nil, r.fail(f.Pos, path, "takes a %s", e.Kind)
 	case e.Kind == Section:
@@ -190,6 +194,7 @@
 	return n, nil
 }
 
+// all returns the entries of that name.
 func (n *node) all(name string) (out []*node) {
 	for _, p := range n.parts {
 		if p.entry.Name == name {
@@ -199,6 +204,7 @@
 	return out
 }
 
+// one returns the first entry of that name, or nil if there is none.
 func (n *node) one(name string) *node {
 	if all := n.all(name); len(all) > 0 {
 		return all[0]
@@ -206,7 +212,7 @@
 	return nil
 }
 
-// value gives an entry's one value; the zero value where it does not stand.
+// value returns the value of an entry with one value, or the zero value if it is absent.
 func value[T any](n *node, name string) (out T) {
 	if p := n.one(name); p != nil {
 		out = p.values[0].(T)
@@ -214,6 +220,7 @@
 	return out
 }
 
+// texts returns the values of an entry with texts.
 func texts(n *node, name string) (out []string) {
 	if p := n.one(name); p != nil {
 		for _, v := range p.values {
@@ -223,7 +230,7 @@
 	return out
 }
 
-// fill turns what was read into settings and checks what goes together.
+// fill converts the parsed entries to settings and checks their combinations.
 func (f *File) fill() error {
 	r := reader{f.Path}
 	if c := f.root.one("control"); c != nil {
@@ -232,7 +239,7 @@
 			return r.fail(c.pos, "control", "socket is missing")
 		}
 		if !filepath.IsAbs(f.Control.Socket) {
-			return r.fail(c.one("socket").pos, "control.socket", "%q is no absolute path", f.Control.Socket)
+			return r.fail(c.one("socket").pos, "control.socket", "%q is not an absolute path", f.Control.Socket)
 		}
 	}
 	if err := f.pools(r); err != nil {
@@ -267,7 +274,7 @@
 		}
 		for _, p := range n.all(fault.Entry) {
 			if fault.Name == "" || p.title == fault.Name {
-				at = p.pos // the last: where one stands twice, that is the one too many
+				at = p.pos // the last one: of two entries of the same name that is the superfluous one
 			}
 		}
 		if fault.Name != "" {
@@ -281,6 +288,7 @@
 	return nil
 }
 
+// pools converts the section of the pools.
 func (f *File) pools(r reader) error {
 	n := f.root.one("pools")
 	f.Pools = Pools{Prepared: value[int](n, "prepared"), Wait: value[time.Duration](n, "wait"), Limits: pooling.Limits{Total: value[int](n, "total"),
@@ -295,17 +303,18 @@
 		x.Own = cmp.Or(x.Own, x.Read)
 		var ok bool
 		if x.Mode, ok = pooling.ParseMode(value[string](p, "mode")); !ok {
-			return r.fail(p.one("mode").pos, "pools.pool.mode", "%q: neither statement, transaction nor session", value[string](p, "mode"))
+			return r.fail(p.one("mode").pos, "pools.pool.mode", "%q is not one of statement, transaction and session", value[string](p, "mode"))
 		}
 		if x.Read == "" || x.Write == "" {
-			return r.fail(p.pos, "pools.pool", "%q: read and write name no class", x.Name)
+			return r.fail(p.pos, "pools.pool", "%q: read and write must each name a class", x.Name)
 		}
 		f.Pools.Pools = append(f.Pools.Pools, x)
 	}
 	return nil
 }
 
-// Print writes the settings in force, defaults included, in the form of the file. What is by default is marked.
+// Print writes the settings in force, defaults included, in the syntax of the file. Defaults are marked as
+// such.
 func (f *File) Print(w io.Writer) error {
 	var b strings.Builder
 	for _, n := range f.root.parts {
@@ -340,5 +349,5 @@
 	b.WriteString("\n")
 }
 
-// quote writes text so that the grammar reads it back.
+// quote returns a text in quotes, as the grammar reads it.
 func quote(s string) string { return fmt.Sprintf("%q", s) }
--- a/internal/operator/grammar.go
+++ b/internal/operator/grammar.go
@@ -1,6 +1,7 @@
-// Package operator reads the operator's file: S-expressions that say what this installation wants beyond what the platform
-// tells every gateway. The file is optional; without it the program does what the platform's configuration says and
-// nothing more. grammar.go reads the form, schema.go says what may stand in it, file.go turns it into settings.
+// Package operator reads the operator's file: S-expressions with the settings of this installation that the
+// platform's configuration does not have. The file is optional; without it the platform's configuration alone
+// applies. grammar.go parses the syntax, schema.go defines the entries, and file.go converts them to
+// settings.
 //
 //	; a comment runs to the end of its line
 //	(cells
@@ -8,8 +9,8 @@
 //	  (cell "coast" (weight 2) (pin "s-1" "s-2"))
 //	  (tenant "apollo" (cell "coast") (rate 200)))
 //
-// What the file says is checked whole before any of it is used. An error is one line that names the file, the line, the
-// column and the entry at fault.
+// The whole file is checked before any of it is used. An error is one line that names the file, the line, the
+// column and the invalid entry.
 package operator
 
 import (
@@ -21,16 +22,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Error is a fault in the file.
+// Error is an error in the operator's file.
 type Error struct {
 	File         string
-	Line, Column int    // from 1; 0: none is known
-	Entry        string // the path of the entry at fault, as in cells.tenant.rate; "": the form of the file itself
+	Line, Column int    // from 1, or 0 if unknown
+	Entry        string // path of the invalid entry, such as cells.tenant.rate, or empty for a syntax error
 	What         string
-	Cause        error // of a file that could not be read; nil: it could
+	Cause        error // set if the file could not be read
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
 func (e *Error) Error() string {
@@ -44,7 +45,7 @@
 	return fmt.Sprintf("%s: %s: %s", at, e.Entry, e.What)
 }
 
-// tree is the whole file:
+// tree is the syntax tree of the whole file:
 //
 //	file = form* .   form = "(" atom arg* ")" .   arg = atom | text | form .
 type tree struct{ Forms []*form }
@@ -58,15 +59,16 @@
 type arg struct {
 	Pos  lexer.Position
 	Word string // an atom, or a text without its quotes
-	Form *form  // nil: Word is it
+	Form *form  // nil if the argument is an atom or a text
 }
 
-// deepest is how far forms may stand in one another: no setting needs more, and a file of parentheses must not fill the
-// stack.
+// deepest is the maximum nesting depth of forms. No setting needs more, and a file of nothing but parentheses
+// must not overflow the stack.
 const deepest = 20
 
-// parse reads forms. The library's reading of the same grammar from struct tags took 36 us and 20 KB for each tenant of a
-// large file, this 11 us and 7 KB; the library is kept for the tokens, their positions and its errors.
+// parse parses all forms. The library's parser for the same grammar, defined by struct tags, took 36 us and
+// 20 KB for each tenant of a large file; this one takes 11 us and 7 KB. The library is still used for the
+// tokens, their positions and its errors.
 func (t *tree) parse(lex *lexer.PeekingLexer) error {
 	for !lex.Peek().EOF() {
 		f, err := parseForm(lex, 1)
@@ -92,7 +94,7 @@
 		return nil, unexpected(open, `"("`)
 	}
 	if depth > deepest {
-		return nil, participle.Errorf(open.Pos, "forms stand in one another more than %d deep", deepest)
+		return nil, participle.Errorf(open.Pos, "forms are nested more than %d deep", deepest)
 	}
 	name := lex.Next()
 	if name.Type != tokenAtom {
@@ -118,7 +120,7 @@
 			if t.Type == tokenText {
 				word, err := strconv.Unquote(t.Value)
 				if err != nil {
-					return nil, participle.Errorf(t.Pos, "%s has an escape that is none", t.Value)
+					return nil, participle.Errorf(t.Pos, "%s has an invalid escape sequence", t.Value)
 				}
 				a.Word = word
 			}
@@ -127,12 +129,12 @@
 	}
 }
 
-// maxFile bounds the file, in bytes: 100,000 tenants with some settings each fit.
+// maxFile is the maximum size of the file in bytes. It has room for 100,000 tenants with some settings each.
 const maxFile = 64 << 20
 
 func parseTree(file string, b []byte) (*tree, error) {
 	if len(b) > maxFile {
-		return nil, &Error{File: file, What: fmt.Sprintf("over %d bytes", maxFile)}
+		return nil, &Error{File: file, What: fmt.Sprintf("the file has more than %d bytes", maxFile)}
 	}
 	t := &tree{}
 	scan, err := tokens{}.LexString(file, string(b))
--- a/internal/operator/lexer.go
+++ b/internal/operator/lexer.go
@@ -10,15 +10,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Types of tokens. Comments and white space are left out.
+// Token types. Comments and white space produce no tokens.
 const (
 	tokenText lexer.TokenType = iota + 2
 	tokenAtom
 	tokenParen
 )
 
-// tokens splits the text into tokens. The library's own splitter, by regular expressions, took 0.46 s and 223 MB for
-// 10,000 tenants where this one with the same grammar takes a fraction: docs/operate/configuration.md has the figures.
+// tokens is the lexer definition. The library's own lexer, based on regular expressions, took 0.46 s and 223
+// MB for 10,000 tenants; this one takes a fraction for the same grammar: docs/operate/configuration.md has
+// the figures.
 type tokens struct{}
 
 func (tokens) Symbols() map[string]lexer.TokenType {
@@ -37,18 +38,20 @@
 	return &scanner{text: text, pos: lexer.Position{Filename: filename, Line: 1, Column: 1}}, nil
 }
 
+// scanner is a lexer over a text.
 type scanner struct {
-	text string // what is left
+	text string // the remaining text
 	pos  lexer.Position
 }
 
-// take gives the next n bytes as a token.
+// take returns the next n bytes as a token.
 func (s *scanner) take(n int, kind lexer.TokenType) lexer.Token {
 	t := lexer.Token{Type: kind, Value: s.text[:n], Pos: s.pos}
 	s.skip(n)
 	return t
 }
 
+// skip advances the position by n bytes.
 func (s *scanner) skip(n int) {
 	passed := s.text[:n]
 	s.text = s.text[n:]
@@ -61,7 +64,7 @@
 	s.pos.Column += utf8.RuneCountInString(passed)
 }
 
-// Next gives the next token; a text that its line does not end is the error.
+// Next returns the next token. It returns an error for a quoted text that is not closed on its line.
 func (s *scanner) Next() (lexer.Token, error) {
 	for s.text != "" {
 		switch c := s.text[0]; {
@@ -82,7 +85,7 @@
 				n++
 			}
 			if n >= len(s.text) || s.text[n] != '"' {
-				return lexer.Token{}, &lexer.Error{Msg: "a text without its closing quote", Pos: s.pos}
+				return lexer.Token{}, &lexer.Error{Msg: "missing closing quote", Pos: s.pos}
 			}
 			return s.take(n+1, tokenText), nil
 		default:
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -44,66 +44,66 @@
 		t.Error(diff)
 	}
 	if f, err := Parse("f", []byte(" ; nothing\n")); err != nil || f.Cells != nil || f.Control.Socket != "" {
-		t.Errorf("an empty file: %+v, %v", f, err)
+		t.Errorf("file without entries: %+v, %v", f, err)
 	}
 }
 
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for in, want := range map[string]string{
-		strings.Repeat("(a ", 50):                        `f:1:61: forms stand`,
-		`(cells (cell "\q"))`:                            `f:1:14: "\q" has an escape`,
+		strings.Repeat("(a ", 50):                        `f:1:61: forms are nested`,
+		`(cells (cell "\q"))`:                            `f:1:14: "\q" has an invalid escape`,
 		`((`:                                             `f:1:2: "(" where the name`,
 		`(cells`:                                         `f:1:7: `,
 		`cells`:                                          `f:1:1: `,
 		"(cells\n  (cell \"a\nb\"))":                     `f:2:9: `,
 		`(cell "a")`:                                     `f:1:1: cell: no such entry`,
 		"(cells (cell a)\n  (sise 2))":                   `f:2:3: cells.sise: no such entry`,
-		"(cells (cell a) (size 2)\n(size 3))":            `f:2:1: cells.size: stands here and at line 1`,
-		"(cells (cell a)\n(cell a))":                     `f:2:1: cells.cell: "a" stands here and at line 1`,
-		`(cells (cell a) (size two))`:                    `f:1:23: cells.size: "two" is no whole number`,
-		`(cells (cell a) (size 0))`:                      `f:1:23: cells.size: 0: under 1`,
+		"(cells (cell a) (size 2)\n(size 3))":            `f:2:1: cells.size: is here and already at line 1`,
+		"(cells (cell a)\n(cell a))":                     `f:2:1: cells.cell: "a" is here and already at line 1`,
+		`(cells (cell a) (size two))`:                    `f:1:23: cells.size: "two" is not a whole number`,
+		`(cells (cell a) (size 0))`:                      `f:1:23: cells.size: 0 is below the minimum 1`,
 		`(cells (cell a) (size 1 2))`:                    `f:1:25: cells.size: takes one whole number`,
 		`(cells (cell a) (size))`:                        `f:1:17: cells.size: takes a whole number`,
-		`(cells (cell a) (size (x)))`:                    `f:1:23: cells.size: takes no entry here`,
-		`(cells (cell a) (reserve 1.5))`:                 `f:1:26: cells.reserve: 1.5: over 1`,
-		`(cells (cell a) (reserve NaN))`:                 `f:1:26: cells.reserve: "NaN" is no number`,
+		`(cells (cell a) (size (x)))`:                    `f:1:23: cells.size: takes no nested entry here`,
+		`(cells (cell a) (reserve 1.5))`:                 `f:1:26: cells.reserve: 1.5 is above the maximum 1`,
+		`(cells (cell a) (reserve NaN))`:                 `f:1:26: cells.reserve: "NaN" is not a number`,
 		`(cells (cell a) (claims maybe))`:                `f:1:25: cells.claims: "maybe" is neither yes nor no`,
-		`(cells (cell a) (moves (ramp 5)))`:              `f:1:30: cells.moves.ramp: "5" is no time, as in 250ms or 5s`,
-		`(cells (cell a) (moves (ramp 2h)))`:             `f:1:30: cells.moves.ramp: 2h: over 1h0m0s`,
-		`(cells (cell (weight 2)))`:                      `f:1:14: cells.cell: takes no entry here`,
-		`(cells (cell))`:                                 `f:1:8: cells.cell: its name is missing`,
-		`(cells (cell ""))`:                              `f:1:14: cells.cell: its name is empty`,
-		`(cells x (cell a))`:                             `f:1:8: cells: "x" is no entry`,
+		`(cells (cell a) (moves (ramp 5)))`:              `f:1:30: cells.moves.ramp: "5" is not a duration such as 250ms or 5s`,
+		`(cells (cell a) (moves (ramp 2h)))`:             `f:1:30: cells.moves.ramp: 2h is above the maximum 1h0m0s`,
+		`(cells (cell (weight 2)))`:                      `f:1:14: cells.cell: takes no nested entry here`,
+		`(cells (cell))`:                                 `f:1:8: cells.cell: the name is missing`,
+		`(cells (cell ""))`:                              `f:1:14: cells.cell: the name is empty`,
+		`(cells x (cell a))`:                             `f:1:8: cells: "x" is not an entry`,
 		`(cells)`:                                        `f:1:1: cells: no cell is named`,
 		`(cells (cell a (weight 0)))`:                    `f:1:8: cells.cell: "a": weight is not above 0`,
-		`(cells (cell a (pin "")))`:                      `f:1:21: cells.cell.pin: empty`,
+		`(cells (cell a (pin "")))`:                      `f:1:21: cells.cell.pin: the text is empty`,
 		`(cells (overlap 3) (cell a))`:                   `f:1:8: cells.overlap: not between 0 and size 2`,
 		"(cells (cell a)\n(tenant t (cell b)))":          `f:2:1: cells.tenant: "t": no cell is named "b"`,
 		"(cells (cell a)\n(user u (tenants x)))":         `f:2:1: cells.user: "u": no tenant is named "x"`,
 		"(cells (cell a)\n(user u))":                     `f:2:1: cells.user: "u": no tenant`,
-		`(pools (pool p (read a) (write b) (mode all)))`: `f:1:35: pools.pool.mode: "all": neither statement`,
-		`(pools (pool p (read a)))`:                      `f:1:8: pools.pool: "p": read and write name no class`,
+		`(pools (pool p (read a) (write b) (mode all)))`: `f:1:35: pools.pool.mode: "all" is not one of statement`,
+		`(pools (pool p (read a)))`:                      `f:1:8: pools.pool: "p": read and write must each name a class`,
 		"(control)":                                      `f:1:1: control: socket is missing`,
-		"(control (socket here))":                        `f:1:10: control.socket: "here" is no absolute path`,
-		"(control (socket /s) (mode 999))":               `f:1:28: control.mode: "999" is no mode, as in 0600`,
+		"(control (socket here))":                        `f:1:10: control.socket: "here" is not an absolute path`,
+		"(control (socket /s) (mode 999))":               `f:1:28: control.mode: "999" is not an octal mode such as 0600`,
 	} {
 		_, err := Parse("f", []byte(in))
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s", in, err, want)
+			t.Errorf("%s: error %v, want %s", in, err, want)
 		}
 	}
 	if _, err := Load("/nowhere/at/all"); err == nil || !strings.HasPrefix(err.Error(), "/nowhere/at/all: no such file") {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 }
 
-func TestTheErrorOfAFileThatCanNotBeReadTellsItsCause(t *testing.T) {
+func TestLoadErrorWrapsCause(t *testing.T) {
 	if _, err := Load(t.TempDir() + "/none"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that wraps fs.ErrNotExist", err)
 	}
 }
 
-func TestPrintedSettingsReadBackTheSame(t *testing.T) {
+func TestPrintRoundTrip(t *testing.T) {
 	check := func(t rapid.TB, text string) {
 		f, err := Parse("f", []byte(text))
 		if err != nil {
@@ -121,7 +121,7 @@
 			t.Fatalf("%s\n%s", diff, out.String())
 		}
 		if f.Cells != nil && !strings.Contains(out.String(), "(at-once 4) ; default") {
-			t.Fatalf("defaults are not shown:\n%s", out.String())
+			t.Fatalf("defaults are not printed:\n%s", out.String())
 		}
 	}
 	check(t, good)
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestReferenceNamesEverySetting(t *testing.T) {
+func TestReferenceMatchesDocumentation(t *testing.T) {
 	var want bytes.Buffer
 	if err := Reference(&want); err != nil {
 		t.Fatal(err)
--- a/internal/operator/reference.go
+++ b/internal/operator/reference.go
@@ -37,6 +37,7 @@
 	return err
 }
 
+// bounds returns the bounds of a number, a time or a mode as text.
 func (e *Entry) bounds() string {
 	show := func(f float64) string {
 		switch e.Kind {
--- a/internal/operator/schema.go
+++ b/internal/operator/schema.go
@@ -9,18 +9,18 @@
 	"yokemast/internal/control/pooling"
 )
 
-// Kind is what an entry takes.
+// Kind is the type of an entry's value.
 type Kind int
 
 // Kinds of entries.
 const (
-	Section Kind = iota // entries of its own
+	Section Kind = iota // nested entries
 	Text                // one word or quoted text
-	Texts               // one or more of them
+	Texts               // one or more words or quoted texts
 	Count               // a whole number
 	Real                // a number
-	Span                // a time with its unit, as in 250ms or 5s
-	Mode                // permissions in octal, as in 0600
+	Span                // a duration with its unit, such as 250ms or 5s
+	Mode                // octal permissions, such as 0600
 	Flag                // yes or no
 )
 
@@ -28,84 +28,84 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Entry is what may stand in the file at one place. It is the only place where a setting has its default and its bounds.
+// Entry defines an entry of the file. Each setting has its default and its bounds here only.
 type Entry struct {
 	Name    string
 	Kind    Kind
-	Unit    string // what a number counts; "": nothing to say
-	Default string // as it would be written; "": the entry has none and may be absent
-	Least   float64
-	Most    float64 // 0: no bound
-	Many    bool    // it may stand more than once
-	Titled  bool    // a section that begins with its name
+	Unit    string  // what a number counts, or empty
+	Default string  // as written in the file; if empty, the entry has no default and may be absent
+	Least   float64 // minimum
+	Most    float64 // maximum, or 0 if there is none
+	Many    bool    // whether it may occur more than once
+	Titled  bool    // whether the section begins with its name
 	Doc     string
 	Entries []Entry
 }
 
-// Schema gives all that may stand in the file.
+// Schema returns all entries of the file.
 func Schema() []Entry {
 	return []Entry{controlSection(), poolsSection(), cellsSection(cells.DefaultConfig())}
 }
 
-// controlSection is that of the control socket.
+// controlSection returns the section of the control socket.
 func controlSection() Entry {
-	return Entry{Name: "control", Kind: Section, Doc: "The control socket, for `yokemast cells` and other commands against a running gateway. Absent: there is none. Holds from the next start.",
+	return Entry{Name: "control", Kind: Section, Doc: "The control socket, which `yokemast cells` and other commands for a running gateway use. If absent, there is no control socket. Changes take effect at the next start.",
 		Entries: []Entry{
-			{Name: "socket", Kind: Text, Doc: "Path of the unix domain socket. Needed where the section stands."},
+			{Name: "socket", Kind: Text, Doc: "Path of the unix domain socket. Required if the section is present."},
 			{Name: "mode", Kind: Mode, Default: "0600", Most: 0o777, Doc: "Permissions of the socket."},
 		}}
 }
 
-// poolsSection is that of connections to hosts.
+// poolsSection returns the section of connections to hosts.
 func poolsSection() Entry {
-	return Entry{Name: "pools", Kind: Section, Doc: "Connections to hosts. Holds from the next start.",
+	return Entry{Name: "pools", Kind: Section, Doc: "Connections to hosts. Changes take effect at the next start.",
 		Entries: []Entry{
-			{Name: "rest", Kind: Span, Default: "30ms", Most: hours(1), Doc: "A connection rests so long after an answer before it is used again. `0s` where hosts are known to send nothing behind an answer and to keep connections open: it saves most of the connections."},
-			{Name: "prepared", Kind: Count, Unit: "statements", Default: strconv.Itoa(pooling.DefaultPrepared), Least: 1, Most: 100000, Doc: "Prepared statements that a connection keeps; the one used longest ago makes room."},
-			{Name: "total", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Connections to all hosts. 0: what the descriptors and the memory of the platform's configuration allow, which bound it in any case."},
-			{Name: "per-host", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Connections to one host. 0: as many as in total."},
-			{Name: "wait", Kind: Span, Default: "100ms", Most: hours(1), Doc: "How long a request waits for a connection to the host that was chosen, where all are in use; then another choice is made."},
-			{Name: "least", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Connections that a host can have even where others hold the total: an idle one of theirs is closed for it."},
-			{Name: "opening", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Connections being opened to one host at a time. 0: any number."},
-			{Name: "per-second", Kind: Real, Unit: "connections/s", Default: "0", Most: 1e6, Doc: "Connections opened to one host in a second, with as many at once. 0: any number."},
-			{Name: "age", Kind: Span, Default: "0s", Most: hours(240), Doc: "A connection is closed at this age, give or take a quarter. 0s: never."},
-			{Name: "memory", Kind: Span, Default: "0s", Most: hours(24), Doc: "The connections kept go down by half to what is used in each such time. 0s: only those that idle for too long are closed."},
-			{Name: "cold-part", Kind: Real, Unit: "part", Default: "0", Most: 1, Doc: "Part of `per-host` that a host has that starts cold. 0: all."},
+			{Name: "rest", Kind: Span, Default: "30ms", Most: hours(1), Doc: "How long a connection rests after an answer before it is used again. `0s` needs the fewest connections; use it only if the hosts are known to send nothing after an answer and to keep connections open."},
+			{Name: "prepared", Kind: Count, Unit: "statements", Default: strconv.Itoa(pooling.DefaultPrepared), Least: 1, Most: 100000, Doc: "Maximum number of prepared statements per connection. Beyond it the least recently used one is closed."},
+			{Name: "total", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Maximum number of connections to all hosts. 0: the limit that results from the descriptors and the memory in the platform's configuration, which applies in any case."},
+			{Name: "per-host", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Maximum number of connections to one host. 0: as `total`."},
+			{Name: "wait", Kind: Span, Default: "100ms", Most: hours(1), Doc: "How long a request waits for a connection to the chosen host if all are in use. After that a host is chosen again."},
+			{Name: "least", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Connections that a host can have even if other hosts use up the total: an idle connection to another host is closed for each."},
+			{Name: "opening", Kind: Count, Unit: "connections", Default: "0", Most: 1 << 20, Doc: "Maximum number of connections to one host that are being opened at the same time. 0: unlimited."},
+			{Name: "per-second", Kind: Real, Unit: "connections/s", Default: "0", Most: 1e6, Doc: "Maximum number of connections opened to one host per second, which is also the burst. 0: unlimited."},
+			{Name: "age", Kind: Span, Default: "0s", Most: hours(240), Doc: "Age at which a connection is closed, varied at random by up to a quarter in both directions. 0s: never."},
+			{Name: "memory", Kind: Span, Default: "0s", Most: hours(24), Doc: "Period in which the number of open connections falls halfway to the number in use. 0s: connections are closed only if they are idle for too long."},
+			{Name: "cold-part", Kind: Real, Unit: "part", Default: "0", Most: 1, Doc: "Fraction of `per-host` that a host may have when its slow start begins. 0: all."},
 			poolSection(),
 		}}
 }
 
-// poolSection is that of one pool of clients.
+// poolSection returns the section of one pool of clients.
 func poolSection() Entry {
-	return Entry{Name: "pool", Kind: Section, Titled: true, Many: true, Doc: "Clients that may ask general SQL, simple and extended, and how they share connections. All others are taken by the platform's two statements only.",
+	return Entry{Name: "pool", Kind: Section, Titled: true, Many: true, Doc: "Clients that may send general SQL, in the simple and the extended protocol, and how they share connections. All other clients are limited to the platform's two statements.",
 		Entries: []Entry{
-			{Name: "user", Kind: Texts, Doc: "Users of the pool. Absent: any."},
-			{Name: "database", Kind: Texts, Doc: "Databases of the pool. Absent: any."},
-			{Name: "tenant", Kind: Texts, Doc: "Tenants of the pool: users whose first tenant by (cells (user ...)) is one of them. Absent: any."},
-			{Name: "mode", Kind: Text, Default: pooling.ByTransaction.String(), Doc: "For how long a client keeps a host connection: `statement`, `transaction` or `session`."},
-			{Name: "group", Kind: Count, Default: "1", Most: 1 << 30, Doc: "The group of hosts, where the statement's comment names none as `cluster=N`."},
-			{Name: "read", Kind: Text, Doc: "The class of statements that only read. A comment's `c=CLASS` goes before it."},
-			{Name: "own", Kind: Text, Doc: "The class of reads after a write of the session's own. Absent: as `read`."},
-			{Name: "write", Kind: Text, Doc: "The class of all that may write, and of transactions that are not READ ONLY."},
-			{Name: "transaction", Kind: Span, Default: "30s", Most: hours(24), Doc: "How long a transaction may take; then it is ended and its client told."},
-			{Name: "idle", Kind: Span, Default: "10s", Most: hours(24), Doc: "How long a transaction may be open with nothing asked; then it is rolled back and its client told (25P03)."},
-			{Name: "batch", Kind: Count, Unit: "bytes", Default: "1048576", Least: 1024, Most: 1 << 28, Doc: "How much of a pipeline is held before its end."},
-			{Name: "message", Kind: Count, Unit: "bytes", Default: "67108864", Least: 1024, Most: 1 << 30, Doc: "The longest Bind; above 64 KiB it is passed on in pieces as it comes."},
-			{Name: "most", Kind: Count, Unit: "sessions", Default: "0", Most: 1 << 20, Doc: "Sessions of the pool that hold a host connection at a time; others are refused with a time to come back. 0: any number."},
+			{Name: "user", Kind: Texts, Doc: "Users of the pool. If absent, any user."},
+			{Name: "database", Kind: Texts, Doc: "Databases of the pool. If absent, any database."},
+			{Name: "tenant", Kind: Texts, Doc: "Tenants of the pool: it serves users whose first tenant in (cells (user ...)) is one of them. If absent, any tenant."},
+			{Name: "mode", Kind: Text, Default: pooling.ByTransaction.String(), Doc: "How long a client keeps a host connection: `statement`, `transaction` or `session`."},
+			{Name: "group", Kind: Count, Default: "1", Most: 1 << 30, Doc: "The group of hosts for statements whose comment names none as `cluster=N`."},
+			{Name: "read", Kind: Text, Doc: "The class of statements that only read. `c=CLASS` in the statement's comment takes precedence."},
+			{Name: "own", Kind: Text, Doc: "The class of reads that follow a write of the same session. If absent, as `read`."},
+			{Name: "write", Kind: Text, Doc: "The class of statements that may write, and of transactions that are not READ ONLY."},
+			{Name: "transaction", Kind: Span, Default: "30s", Most: hours(24), Doc: "Maximum duration of a transaction. A longer one is ended, and its client receives an error."},
+			{Name: "idle", Kind: Span, Default: "10s", Most: hours(24), Doc: "Maximum time for which a transaction may be idle. After that it is rolled back, and its client receives error 25P03."},
+			{Name: "batch", Kind: Count, Unit: "bytes", Default: "1048576", Least: 1024, Most: 1 << 28, Doc: "Maximum size of a pipeline that is held until its end."},
+			{Name: "message", Kind: Count, Unit: "bytes", Default: "67108864", Least: 1024, Most: 1 << 30, Doc: "Maximum size of a Bind message. Above 64 KiB it is forwarded in pieces as it arrives."},
+			{Name: "most", Kind: Count, Unit: "sessions", Default: "0", Most: 1 << 20, Doc: "Maximum number of sessions of the pool that hold a host connection at the same time. Others are refused with a time after which to retry. 0: unlimited."},
 		}}
 }
 
-// cellsSection is that of the cells, with the defaults of c.
+// cellsSection returns the section of the cells, with the defaults of c.
 func cellsSection(c cells.Config) Entry {
-	return Entry{Name: "cells", Kind: Section, Doc: "Cells for containment. Absent: all requests of a group share its hosts.",
+	return Entry{Name: "cells", Kind: Section, Doc: "Cells, which isolate tenants from each other. If absent, all requests of a group share its hosts.",
 		Entries: []Entry{
 			{Name: "claims", Kind: Flag, Default: flag(c.Claims), Doc: "Whether a request may name its tenant, as `tenant=NAME` in the statement's comment."},
-			{Name: "size", Kind: Count, Unit: "replicas", Default: strconv.Itoa(c.Size), Least: 1, Most: 1000, Doc: "How many replicas a cell reads from in each group."},
-			{Name: "overlap", Kind: Count, Unit: "hosts", Default: strconv.Itoa(c.Overlap), Most: 1000, Doc: "How many hosts two cells may have in common in a group, where there are enough hosts. At most `size`."},
-			{Name: "reserve", Kind: Real, Unit: "part", Default: real(c.Reserve), Most: 1, Doc: "Part of a cell's fair share of a shared host that no other cell may take."},
-			{Name: "buckets", Kind: Count, Unit: "places", Default: strconv.Itoa(c.Buckets), Least: 1, Most: 1 << 20, Doc: "Tenants unknown to the file share so many places, by a hash."},
-			{Name: "queue", Kind: Real, Unit: "requests", Default: real(c.Queue), Least: 1, Most: 1000, Doc: "How many requests a cell may hold for each attempt that its hosts bear."},
-			{Name: "floor", Kind: Count, Unit: "requests", Default: strconv.Itoa(c.Floor), Least: 1, Most: 1 << 20, Doc: "How many requests a cell may hold in any case."},
+			{Name: "size", Kind: Count, Unit: "replicas", Default: strconv.Itoa(c.Size), Least: 1, Most: 1000, Doc: "Number of replicas that a cell reads from in each group."},
+			{Name: "overlap", Kind: Count, Unit: "hosts", Default: strconv.Itoa(c.Overlap), Most: 1000, Doc: "Maximum number of hosts that two cells share in a group, provided that there are enough hosts. At most `size`."},
+			{Name: "reserve", Kind: Real, Unit: "part", Default: real(c.Reserve), Most: 1, Doc: "Fraction of a cell's fair share of a shared host that no other cell may use."},
+			{Name: "buckets", Kind: Count, Unit: "places", Default: strconv.Itoa(c.Buckets), Least: 1, Most: 1 << 20, Doc: "Number of buckets over which tenants without an entry in the file are distributed by a hash."},
+			{Name: "queue", Kind: Real, Unit: "requests", Default: real(c.Queue), Least: 1, Most: 1000, Doc: "Number of requests that a cell may hold for each attempt that its hosts can serve at a time."},
+			{Name: "floor", Kind: Count, Unit: "requests", Default: strconv.Itoa(c.Floor), Least: 1, Most: 1 << 20, Doc: "Number of requests that a cell may hold whatever the capacity of its hosts."},
 			cellSection(),
 			tenantSection(),
 			userSection(),
@@ -113,54 +113,57 @@
 		}}
 }
 
-// cellSection is that of one cell.
+// cellSection returns the section of one cell.
 func cellSection() Entry {
-	return Entry{Name: "cell", Kind: Section, Titled: true, Many: true, Doc: "A cell, by its name. At least one is needed.",
+	return Entry{Name: "cell", Kind: Section, Titled: true, Many: true, Doc: "A cell and its name. At least one is required.",
 		Entries: []Entry{
-			{Name: "weight", Kind: Real, Default: "1", Most: 1e6, Doc: "Its part of what is shared, against the other cells' weights. Above 0."},
-			{Name: "pin", Kind: Texts, Doc: "Hosts, by id, that it has before those that it is drawn."},
-			{Name: "rate", Kind: Real, Unit: "requests/s", Default: "0", Most: 1e9, Doc: "Requests a second, over all gateways. 0: as many as its hosts bear."},
-			{Name: "burst", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Requests that may come at once. 0: a second's worth of `rate`."},
-			{Name: "concurrency", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Requests that one gateway holds. 0: by what the cell's hosts bear."},
+			{Name: "weight", Kind: Real, Default: "1", Most: 1e6, Doc: "Its share of shared hosts relative to the weights of the other cells. Above 0."},
+			{Name: "pin", Kind: Texts, Doc: "IDs of hosts that are assigned to the cell before others are chosen by a hash."},
+			{Name: "rate", Kind: Real, Unit: "requests/s", Default: "0", Most: 1e9, Doc: "Requests per second over all gateways. 0: limited only by the capacity of its hosts."},
+			{Name: "burst", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Requests that are admitted at once. 0: one second's worth of `rate`."},
+			{Name: "concurrency", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Maximum number of requests held by one gateway. 0: derived from the capacity of the cell's hosts."},
 		}}
 }
 
-// tenantSection is that of one tenant.
+// tenantSection returns the section of one tenant.
 func tenantSection() Entry {
-	return Entry{Name: "tenant", Kind: Section, Titled: true, Many: true, Doc: "A tenant, by its name.",
+	return Entry{Name: "tenant", Kind: Section, Titled: true, Many: true, Doc: "A tenant and its name.",
 		Entries: []Entry{
-			{Name: "cell", Kind: Text, Doc: "The cell that serves it. Absent: drawn by the tenant's name."},
-			{Name: "prefix", Kind: Texts, Doc: "Keys that begin so are its own; the longest prefix wins."},
-			{Name: "rate", Kind: Real, Unit: "requests/s", Default: "0", Most: 1e9, Doc: "Requests a second, over all gateways. 0: no limit of its own."},
-			{Name: "burst", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Requests that may come at once. 0: a second's worth of `rate`."},
-			{Name: "concurrency", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Requests that one gateway holds. 0: an even part of its cell's while that is more than half full."},
+			{Name: "cell", Kind: Text, Doc: "The cell that serves it. If absent, chosen by a hash of the tenant's name."},
+			{Name: "prefix", Kind: Texts, Doc: "Keys that begin with one of these prefixes belong to the tenant. The longest matching prefix decides."},
+			{Name: "rate", Kind: Real, Unit: "requests/s", Default: "0", Most: 1e9, Doc: "Requests per second over all gateways. 0: no limit of its own."},
+			{Name: "burst", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Requests that are admitted at once. 0: one second's worth of `rate`."},
+			{Name: "concurrency", Kind: Count, Unit: "requests", Default: "0", Most: 1e9, Doc: "Maximum number of requests held by one gateway. 0: an even share of the cell's limit while the cell is more than half full."},
 		}}
 }
 
-// userSection is that of one user.
+// userSection returns the section of one user.
 func userSection() Entry {
-	return Entry{Name: "user", Kind: Section, Titled: true, Many: true, Doc: "A user of client connections, by its name, and whom it may act for. Where any stands, nobody else may act for those tenants.",
+	return Entry{Name: "user", Kind: Section, Titled: true, Many: true, Doc: "A user of client connections, its name, and the tenants that it may act for. Tenants named in such an entry are accessible to their users only.",
 		Entries: []Entry{
-			{Name: "tenants", Kind: Texts, Doc: "Tenants that the user may act for. The first is meant where a request names none and its key has no prefix."},
+			{Name: "tenants", Kind: Texts, Doc: "Tenants that the user may act for. The first one applies if a request names none and its key matches no prefix."},
 		}}
 }
 
-// movesSection is that of moves, with the defaults of m.
+// movesSection returns the section of moves, with the defaults of m.
 func movesSection(m cells.MoveLimits) Entry {
 	return Entry{Name: "moves", Kind: Section, Doc: "Limits on moving tenants.",
 		Entries: []Entry{
-			{Name: "at-once", Kind: Count, Unit: "moves", Default: strconv.Itoa(m.AtOnce), Least: 1, Most: 1000, Doc: "Moves under way at a time; others wait."},
-			{Name: "ramp", Kind: Span, Default: m.Ramp.String(), Most: hours(1), Doc: "A tenant's reads go over in no less than this."},
-			{Name: "warm", Kind: Span, Default: m.Warm.String(), Most: hours(24), Doc: "How long a move waits for the new place to be warm, and fenced for its confirmation; then it is aborted."},
-			{Name: "fence", Kind: Span, Default: m.Fence.String(), Most: hours(1), Doc: "How long a fence may stand between groups; then the move is aborted."},
-			{Name: "hold", Kind: Count, Unit: "writes", Default: strconv.Itoa(m.Hold), Most: 1 << 20, Doc: "Writes of a tenant that wait at its fence; more are refused."},
+			{Name: "at-once", Kind: Count, Unit: "moves", Default: strconv.Itoa(m.AtOnce), Least: 1, Most: 1000, Doc: "Maximum number of moves in progress; others wait."},
+			{Name: "ramp", Kind: Span, Default: m.Ramp.String(), Most: hours(1), Doc: "Minimum time over which a tenant's reads shift to the new cell."},
+			{Name: "warm", Kind: Span, Default: m.Warm.String(), Most: hours(24), Doc: "How long a move waits for the new hosts to be warm, and a fenced move for its confirmation. After that it is aborted."},
+			{Name: "fence", Kind: Span, Default: m.Fence.String(), Most: hours(1), Doc: "How long a move between groups may stay fenced. After that it is aborted."},
+			{Name: "hold", Kind: Count, Unit: "writes", Default: strconv.Itoa(m.Hold), Most: 1 << 20, Doc: "Maximum number of a tenant's writes that wait at its fence. More are refused."},
 		}}
 }
 
+// hours returns a number of hours in nanoseconds.
 func hours(n float64) float64 { return n * float64(time.Hour) }
 
+// real formats a number.
 func real(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
+// flag formats a bool.
 func flag(on bool) string {
 	if on {
 		return "yes"
@@ -168,14 +171,14 @@
 	return "no"
 }
 
-// read gives an entry's argument as its kind has it: string, int, float64, time.Duration or bool.
+// read parses a value according to the kind of the entry: to a string, int, float64, time.Duration or bool.
 func (e *Entry) read(s string) (any, error) {
 	bounds := func(v float64, show func(float64) string) error {
 		switch {
 		case v < e.Least:
-			return fmt.Errorf("%s: under %s", s, show(e.Least))
+			return fmt.Errorf("%s is below the minimum %s", s, show(e.Least))
 		case e.Most > 0 && v > e.Most:
-			return fmt.Errorf("%s: over %s", s, show(e.Most))
+			return fmt.Errorf("%s is above the maximum %s", s, show(e.Most))
 		}
 		return nil
 	}
@@ -183,25 +186,25 @@
 	case Count:
 		n, err := strconv.ParseInt(s, 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%q is no whole number", s)
+			return nil, fmt.Errorf("%q is not a whole number", s)
 		}
 		return int(n), bounds(float64(n), real)
 	case Real:
 		f, err := strconv.ParseFloat(s, 64)
 		if err != nil || f != f {
-			return nil, fmt.Errorf("%q is no number", s)
+			return nil, fmt.Errorf("%q is not a number", s)
 		}
 		return f, bounds(f, real)
 	case Span:
 		d, err := time.ParseDuration(s)
 		if err != nil {
-			return nil, fmt.Errorf("%q is no time, as in 250ms or 5s", s)
+			return nil, fmt.Errorf("%q is not a duration such as 250ms or 5s", s)
 		}
 		return d, bounds(float64(d), func(f float64) string { return time.Duration(f).String() })
 	case Mode:
 		n, err := strconv.ParseUint(s, 8, 32)
 		if err != nil {
-			return nil, fmt.Errorf("%q is no mode, as in 0600", s)
+			return nil, fmt.Errorf("%q is not an octal mode such as 0600", s)
 		}
 		return int(n), bounds(float64(n), func(f float64) string { return fmt.Sprintf("%04o", int(f)) })
 	case Flag:
@@ -211,7 +214,7 @@
 		return s == "yes", nil
 	}
 	if s == "" {
-		return nil, fmt.Errorf("empty")
+		return nil, fmt.Errorf("the text is empty")
 	}
 	return s, nil
 }
