--- a/internal/control/cells/cells_test.go
+++ b/internal/control/cells/cells_test.go
@@ -198,7 +198,7 @@
 		c := config()
 		change(&c)
 		if _, err := New(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want %s", err, want)
+			t.Errorf("want error %s, got %v", want, err)
 		}
 		g := newRig(t, nil)
 		before := g.s.Report()
