--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -11,29 +11,29 @@
 
 const ms = time.Millisecond
 
-// rig drives a Door with a clock under the test's control.
+// rig drives a Controller with a clock under the test's control.
 type rig struct {
-	*Door
+	*Controller
 	now time.Duration
 	n   ID
 }
 
-func newRig(l Limits) *rig { return &rig{Door: New(l), now: time.Second} }
+func newRig(l Limits) *rig { return &rig{Controller: New(l), now: time.Second} }
 
-func (g *rig) come(from string) (ID, Verdict) {
+func (g *rig) arrive(from string) (ID, Decision) {
 	g.n++
 	return g.n, g.Arrive(g.now, g.n, from)
 }
 
-// asks simulates a request and its answer on a connection.
-func (g *rig) asks(id ID) {
-	g.Begins(g.now, id)
-	g.Rests(g.now, id)
+// request simulates a request and its answer on a connection.
+func (g *rig) request(id ID) {
+	g.RequestStarted(g.now, id)
+	g.RequestsDone(g.now, id)
 }
 
-func small() Limits {
+func smallLimits() Limits {
 	l := DefaultLimits(4)
-	l.Overflow = 2
+	l.MaxClosing = 2
 	return l
 }
 
@@ -44,86 +44,86 @@
 		why  Reason
 	}{
 		{"a silent connection before an idle one", func(g *rig) ID {
-			a, _ := g.come("x")
-			g.asks(a)
+			a, _ := g.arrive("x")
+			g.request(a)
 			g.now += 5 * time.Second
-			b, _ := g.come("x")
+			b, _ := g.arrive("x")
 			g.now += 150 * ms
-			g.come("x")
-			g.come("x")
+			g.arrive("x")
+			g.arrive("x")
 			return b
-		}, SilentGaveWay},
+		}, SilentEvicted},
 		{"the silent connection of the source with most connections", func(g *rig) ID {
-			g.come("small")
+			g.arrive("small")
 			g.now += 50 * ms
-			b, _ := g.come("large")
-			g.come("large")
-			g.come("large")
+			b, _ := g.arrive("large")
+			g.arrive("large")
+			g.arrive("large")
 			g.now += 150 * ms
 			return b
-		}, SilentGaveWay},
+		}, SilentEvicted},
 		{"a connection with one request before one with more", func(g *rig) ID {
 			var ids []ID
 			for range 4 {
-				id, _ := g.come("x")
-				g.asks(id)
+				id, _ := g.arrive("x")
+				g.request(id)
 				ids = append(ids, id)
 			}
-			g.asks(ids[0])
+			g.request(ids[0])
 			g.now += 3 * time.Second
 			return ids[1]
-		}, IdleGaveWay},
+		}, IdleEvicted},
 		{"the idle connection that is less likely to send a request soon", func(g *rig) ID {
-			g.come("y")
-			g.come("y")
+			g.arrive("y")
+			g.arrive("y")
 			var ids []ID
 			for _, from := range []string{"often", "seldom"} {
-				g.come(from) // a source gets its own histogram with its second connection
-				g.Gone(g.now, g.n)
-				id, _ := g.come(from)
+				g.arrive(from) // a source gets its own histogram with its second connection
+				g.ConnClosed(g.now, g.n)
+				id, _ := g.arrive(from)
 				ids = append(ids, id)
 			}
 			for i := range 60 {
-				g.asks(ids[0])
+				g.request(ids[0])
 				if i%2 == 0 {
-					g.asks(ids[1])
+					g.request(ids[1])
 				}
 				g.now += 2200 * ms
 			}
 			for id := range g.conns {
 				if id <= 2 {
-					g.Begins(g.now, id)
+					g.RequestStarted(g.now, id)
 				}
 			}
-			g.asks(ids[0])
-			g.asks(ids[1])
+			g.request(ids[0])
+			g.request(ids[1])
 			g.now += 2100 * ms // one source sends a request every 2.2 s, the other every 4.4 s
 			return ids[1]
-		}, IdleGaveWay},
+		}, IdleEvicted},
 	} {
-		g := newRig(small())
+		g := newRig(smallLimits())
 		want := c.do(g)
-		if _, v := g.come("new"); !v.Taken || len(v.Ends) != 1 || v.Ends[0] != (End{want, c.why}) {
+		if _, v := g.arrive("new"); !v.Accepted || len(v.Close) != 1 || v.Close[0] != (CloseRequest{want, c.why}) {
 			t.Errorf("%s: %+v, want %d", c.name, v, want)
 		}
 	}
 }
 
 func TestBusyConnectionsAreNotEvicted(t *testing.T) {
-	g := newRig(small())
+	g := newRig(smallLimits())
 	for range 4 {
-		id, _ := g.come("x")
-		g.Begins(g.now, id)
+		id, _ := g.arrive("x")
+		g.RequestStarted(g.now, id)
 	}
 	g.now += time.Hour
 	for i := range 5 {
-		_, v := g.come("y")
-		if v.Taken || len(v.Ends) > 0 || v.Held != (i < 2) || v.After < 200*ms || v.After > 300*ms {
+		_, v := g.arrive("y")
+		if v.Accepted || len(v.Close) > 0 || v.Registered != (i < 2) || v.RetryAfter < 200*ms || v.RetryAfter > 300*ms {
 			t.Errorf("new connection %d: verdict %+v", i, v)
 		}
 	}
-	if g.Ended[NoPlace] != 2 || g.Ended[NoRoom] != 3 {
-		t.Errorf("closed and refused by reason: %v", g.Ended)
+	if g.CountByReason[LimitReached] != 2 || g.CountByReason[ClosingLimitReached] != 3 {
+		t.Errorf("closed and refused by reason: %v", g.CountByReason)
 	}
 }
 
@@ -132,48 +132,48 @@
 	l.KeepIdle = 10
 	g := newRig(l)
 	for range 50 {
-		id, _ := g.come("x")
-		g.asks(id)
+		id, _ := g.arrive("x")
+		g.request(id)
 	}
 	g.now += time.Second
 	if ends := g.Tick(g.now, 100); len(ends) != 0 || g.Pressure() != 0 {
 		t.Errorf("half of the places used, idle for 1 s: %d closed, pressure %v", len(ends), g.Pressure())
 	}
 	g.now += time.Second
-	if ends := g.Tick(g.now, 100); len(ends) != 40 || ends[0].Reason != IdleTooLong {
+	if ends := g.Tick(g.now, 100); len(ends) != 40 || ends[0].Reason != IdleTimedOut {
 		t.Errorf("half of the places used, idle for 2 s: %d closed", len(ends))
 	}
 	for range 70 {
-		id, _ := g.come("x")
-		g.asks(id)
+		id, _ := g.arrive("x")
+		g.request(id)
 	}
 	g.now += 260 * ms
 	if g.Pressure() != 1 {
-		t.Errorf("pressure %v with %d connections", g.Pressure(), g.held())
+		t.Errorf("pressure %v with %d connections", g.Pressure(), g.open())
 	}
 	ends := g.Tick(g.now, 100)
-	if len(ends) == 0 || ends[0].Reason != IdleUnderStress {
+	if len(ends) == 0 || ends[0].Reason != IdleTimedOutUnderPressure {
 		t.Errorf("near the connection limit: closed %+v", ends)
 	}
-	// The pressure ends only when the number of connections has fallen to Low.
-	if g.held() >= 65 {
-		t.Errorf("%d connections remain", g.held())
+	// The pressure ends only when the number of connections has fallen to LowWatermark.
+	if g.open() >= 65 {
+		t.Errorf("%d connections remain", g.open())
 	}
 	if g.Pressure() != 0 {
-		t.Errorf("pressure %v with %d connections", g.Pressure(), g.held())
+		t.Errorf("pressure %v with %d connections", g.Pressure(), g.open())
 	}
 }
 
 func TestConnectionsWithRequestsCausePressure(t *testing.T) {
 	l := DefaultLimits(1000)
-	l.Share, l.KeepIdle = 40, 5
+	l.MaxWithRequests, l.KeepIdle = 40, 5
 	g := newRig(l)
 	for range 36 {
-		id, _ := g.come("x")
-		g.asks(id)
+		id, _ := g.arrive("x")
+		g.request(id)
 	}
 	g.now += 300 * ms
-	if ends := g.Tick(g.now, 100); len(ends) == 0 || g.Ended[IdleUnderStress] == 0 {
+	if ends := g.Tick(g.now, 100); len(ends) == 0 || g.CountByReason[IdleTimedOutUnderPressure] == 0 {
 		t.Errorf("no connection closed with 36 of 40 connections that have sent a request")
 	}
 }
@@ -182,73 +182,73 @@
 	g := newRig(DefaultLimits(50))
 	var ids []ID
 	for range 50 {
-		id, _ := g.come("x")
-		g.Begins(g.now, id)
+		id, _ := g.arrive("x")
+		g.RequestStarted(g.now, id)
 		ids = append(ids, id)
 	}
-	g.SetLimits(small())
-	if _, v := g.come("x"); v.Taken || v.Held {
+	g.SetLimits(smallLimits())
+	if _, v := g.arrive("x"); v.Accepted || v.Registered {
 		t.Errorf("new connection above the limit: verdict %+v", v)
 	}
 	for _, id := range ids[:47] {
-		g.Gone(g.now, id)
+		g.ConnClosed(g.now, id)
 	}
-	if _, v := g.come("x"); !v.Taken {
+	if _, v := g.arrive("x"); !v.Accepted {
 		t.Errorf("new connection after others have closed: verdict %+v", v)
 	}
 }
 
-// TestPropertyDoor calls a Door in random order. The number of connections never exceeds the limit, no connection with an open
+// TestPropertyController calls a Controller in random order. The number of connections never exceeds the limit, no connection with an open
 // request is closed, each connection is closed once, and the counts are consistent.
-func TestPropertyDoor(t *testing.T) {
+func TestPropertyController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := DefaultLimits(rapid.IntRange(1, 10).Draw(t, "places"))
-		l.Overflow, l.KeepIdle, l.Share = rapid.IntRange(0, 4).Draw(t, "overflow"), rapid.IntRange(0, 5).Draw(t, "keep"), rapid.IntRange(0, 8).Draw(t, "share")
+		l.MaxClosing, l.KeepIdle, l.MaxWithRequests = rapid.IntRange(0, 4).Draw(t, "overflow"), rapid.IntRange(0, 5).Draw(t, "keep"), rapid.IntRange(0, 8).Draw(t, "share")
 		g := newRig(l)
 		state := map[ID]State{}
-		ended := func(ends []End) {
+		ended := func(ends []CloseRequest) {
 			for _, e := range ends {
-				if s, ok := state[e.ID]; !ok || s == AtWork || s == Leaving {
+				if s, ok := state[e.ID]; !ok || s == Busy || s == Closing {
 					t.Fatalf("connection %d closed in state %v", e.ID, s)
 				}
-				state[e.ID] = Leaving
+				state[e.ID] = Closing
 			}
 		}
 		pick := func(t *rapid.T) ID { return ID(rapid.IntRange(1, int(g.n)+1).Draw(t, "id")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
-				id, v := g.come(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"))
-				ended(v.Ends)
+				id, v := g.arrive(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"))
+				ended(v.Close)
 				switch {
-				case v.Taken:
-					state[id] = Newcomer
-				case v.Held:
-					state[id] = Leaving
+				case v.Accepted:
+					state[id] = Silent
+				case v.Registered:
+					state[id] = Closing
 				}
 			},
 			"request starts": func(t *rapid.T) {
 				id := pick(t)
-				g.Begins(g.now, id)
-				if s, ok := state[id]; ok && s != Leaving {
-					state[id] = AtWork
+				g.RequestStarted(g.now, id)
+				if s, ok := state[id]; ok && s != Closing {
+					state[id] = Busy
 				}
 			},
 			"requests done": func(t *rapid.T) {
 				id := pick(t)
-				g.Rests(g.now, id)
-				if state[id] == AtWork {
+				g.RequestsDone(g.now, id)
+				if state[id] == Busy {
 					state[id] = Idle
 				}
 			},
 			"start closing": func(t *rapid.T) {
 				id := pick(t)
-				if g.Leaves(g.now, id) {
-					state[id] = Leaving
+				if g.StartClosing(g.now, id) {
+					state[id] = Closing
 				}
 			},
 			"closed": func(t *rapid.T) {
 				id := pick(t)
-				g.Gone(g.now, id)
+				g.ConnClosed(g.now, id)
 				delete(state, id)
 			},
 			"tick": func(t *rapid.T) { ended(g.Tick(g.now, rapid.IntRange(0, 5).Draw(t, "most"))) },
@@ -257,8 +257,8 @@
 				counts, per := map[State]int{}, map[string]int{}
 				for id, s := range state {
 					counts[s]++
-					if s != Leaving {
-						per[g.conns[id].from.name]++
+					if s != Closing {
+						per[g.conns[id].source.name]++
 					}
 				}
 				for s, n := range g.Counts() {
@@ -266,12 +266,12 @@
 						t.Fatalf("%d connections are %v, the counter is %d", counts[s], s, n)
 					}
 				}
-				if g.held() > l.Places || len(g.conns) > l.Places+l.Overflow+l.Places {
-					t.Fatalf("%d connections are served, %d exist", g.held(), len(g.conns))
+				if g.open() > l.MaxConns || len(g.conns) > l.MaxConns+l.MaxClosing+l.MaxConns {
+					t.Fatalf("%d connections are served, %d exist", g.open(), len(g.conns))
 				}
 				for name, n := range per {
-					if g.sources[name].held != n {
-						t.Fatalf("source %s has %d connections, the counter is %d", name, n, g.sources[name].held)
+					if g.sources[name].open != n {
+						t.Fatalf("source %s has %d connections, the counter is %d", name, n, g.sources[name].open)
 					}
 				}
 			},
@@ -285,12 +285,12 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 200_000 {
-		id, v := g.come(fmt.Sprint("10.0.", i))
-		if v.Taken {
-			g.asks(id)
+		id, v := g.arrive(fmt.Sprint("10.0.", i))
+		if v.Accepted {
+			g.request(id)
 		}
 		g.now += ms
-		g.Gone(g.now, id)
+		g.ConnClosed(g.now, id)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -299,16 +299,16 @@
 	}
 }
 
-// many returns a rig with 100,000 connections of 1,000 sources, most of them idle.
-func many() *rig {
+// manyConns returns a rig with 100,000 connections of 1,000 sources, most of them idle.
+func manyConns() *rig {
 	g := newRig(DefaultLimits(100_000))
 	for i := range 100_000 {
-		id, _ := g.come(fmt.Sprint("source-", i%1000))
+		id, _ := g.arrive(fmt.Sprint("source-", i%1000))
 		if i%10 > 0 {
-			g.asks(id)
+			g.request(id)
 		}
 		if i%3 == 0 {
-			g.asks(id)
+			g.request(id)
 		}
 		g.now += 10 * time.Microsecond
 	}
@@ -316,38 +316,38 @@
 }
 
 func BenchmarkArrive(b *testing.B) {
-	g := many()
+	g := manyConns()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		g.now += time.Millisecond
-		_, v := g.come("source-7")
-		for _, e := range v.Ends {
-			g.Gone(g.now, e.ID)
+		_, v := g.arrive("source-7")
+		for _, e := range v.Close {
+			g.ConnClosed(g.now, e.ID)
 		}
 	}
 }
 
 func BenchmarkIdleEnd(b *testing.B) {
-	g := many()
+	g := manyConns()
 	b.ReportAllocs()
 	for b.Loop() {
 		g.now += 10 * time.Millisecond
 		for _, e := range g.Tick(g.now, 1) {
-			g.Gone(g.now, e.ID)
+			g.ConnClosed(g.now, e.ID)
 			b.StopTimer()
-			id, _ := g.come("source-7")
-			g.asks(id)
+			id, _ := g.arrive("source-7")
+			g.request(id)
 			b.StartTimer()
 		}
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
-	g := many()
+	g := manyConns()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		g.now += time.Microsecond
-		g.asks(ID(i%100_000 + 1))
+		g.request(ID(i%100_000 + 1))
 	}
 }
 
@@ -355,7 +355,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	g := many()
+	g := manyConns()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
--- a/internal/control/cells/bench_test.go
+++ b/internal/control/cells/bench_test.go
@@ -9,8 +9,8 @@
 	"yokemast/balance"
 )
 
-// large returns a state with 100,000 tenants, 1,000 of them with a prefix, in 64 cells, and 20 hosts.
-func large(b *testing.B) (*State, Config, []balance.Member) {
+// largeState returns a state with 100,000 tenants, 1,000 of them with a prefix, in 64 cells, and 20 hosts.
+func largeState(b *testing.B) (*State, Config, []balance.Member) {
 	c := DefaultConfig()
 	c.Claims, c.Size, c.Overlap = true, 4, 2
 	for i := range 64 {
@@ -39,7 +39,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	s, c, _ := large(b)
+	s, c, _ := largeState(b)
 	for name, ask := range map[string]func(i int) Ask{
 		"claim":  func(i int) Ask { return Ask{Claim: c.Tenants[i%len(c.Tenants)].Name, Key: "k", Group: 1} },
 		"prefix": func(i int) Ask { return Ask{Key: c.Tenants[i%1000*100].Prefixes[0], Group: 1} },
@@ -63,7 +63,7 @@
 // BenchmarkFind measures the search for a request's tenant, cell and hosts. It cycles through all tenants or through 1,000
 // active ones; the former includes the cost of cache misses.
 func BenchmarkFind(b *testing.B) {
-	s, c, _ := large(b)
+	s, c, _ := largeState(b)
 	for name, claim := range map[string]func(i int) (claim, key string){
 		"claim of 100,000 in turn":  func(i int) (string, string) { return c.Tenants[i%len(c.Tenants)].Name, "" },
 		"claim of 1,000 at work":    func(i int) (string, string) { return c.Tenants[i%1000*100].Name, "" },
@@ -78,7 +78,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				hosts += len(t.cell.servers)
+				hosts += len(t.cell.readHosts)
 			}
 			if hosts == 0 {
 				b.Fatal("no hosts")
@@ -91,7 +91,7 @@
 func second(_, b string) string { return b }
 
 func BenchmarkNewList(b *testing.B) {
-	s, _, list := large(b)
+	s, _, list := largeState(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list[1].Weight = float64(1 + i%2)
@@ -100,7 +100,7 @@
 }
 
 func BenchmarkLook(b *testing.B) {
-	s, _, list := large(b)
+	s, _, list := largeState(b)
 	all := seen(list, nil)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -112,7 +112,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s, c, _ := large(b)
+	s, c, _ := largeState(b)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
--- a/internal/control/cells/budget.go
+++ b/internal/control/cells/budget.go
@@ -7,128 +7,128 @@
 )
 
 const (
-	// comeBackLeast and comeBackMost bound the retryAfter of requests that exceed a limit.
-	comeBackLeast = 20 * time.Millisecond
-	comeBackMost  = 2 * time.Second
-	// tookMemory is the number of requests over which a cell's request duration is smoothed.
-	tookMemory = 32
+	// minRetryAfter and maxRetryAfter bound the retryAfter of requests that exceed a limit.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// durationSamples is the number of requests over which a cell's request duration is smoothed.
+	durationSamples = 32
 )
 
-// at converts a reading of the gateway's clock to the time.Time that the rate limiter takes.
-func at(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
+// limiterTime converts a reading of the gateway's clock to the time.Time that the rate limiter takes.
+func limiterTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// limiter returns a rate limiter for this gateway's share of a rate over all gateways, or nil if there is no
-// rate.
-func limiter(perSecond float64, burst, gateways int) *rate.Limiter {
+// newLimiter returns a rate limiter for this gateway's share of a rate over all gateways, or nil if there is
+// no rate.
+func newLimiter(perSecond float64, burst, gateways int) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
-	own := perSecond / float64(gateways)
+	perGateway := perSecond / float64(gateways)
 	if burst == 0 {
-		burst = int(own)
+		burst = int(perGateway)
 	} else {
 		burst = (burst + gateways - 1) / gateways
 	}
-	return rate.NewLimiter(rate.Limit(own), max(1, burst))
+	return rate.NewLimiter(rate.Limit(perGateway), max(1, burst))
 }
 
-// wait returns the time until the limiter has its next token.
-func wait(l *rate.Limiter, now time.Duration) time.Duration {
-	return time.Duration((1 - l.TokensAt(at(now))) / float64(l.Limit()) * float64(time.Second))
+// timeToToken returns the time until the limiter has its next token.
+func timeToToken(l *rate.Limiter, now time.Duration) time.Duration {
+	return time.Duration((1 - l.TokensAt(limiterTime(now))) / float64(l.Limit()) * float64(time.Second))
 }
 
-// most returns how many requests the cell may hold.
-func (c *cell) most(queue float64, floor int) int {
+// maxHeld returns how many requests the cell may hold.
+func (c *cell) maxHeld(queue float64, floor int) int {
 	if c.Concurrency > 0 {
 		return c.Concurrency
 	}
 	return max(floor, int(c.capacity*queue))
 }
 
-// drained estimates how long the hosts of the cell take for the requests held beyond their capacity.
-func (c *cell) drained() time.Duration {
-	return time.Duration(float64(c.took) * float64(c.held) / max(1, c.capacity))
+// drainTime estimates how long the hosts of the cell take for the requests held beyond their capacity.
+func (c *cell) drainTime() time.Duration {
+	return time.Duration(float64(c.avgDuration) * float64(c.held) / max(1, c.capacity))
 }
 
-// over checks one more request of the tenant against the limits of the tenant and of its cell. It returns an
-// empty reason if the request is within them, else the reason and the retryAfter. A tenant without a
-// concurrency limit of its own may hold no more than an even share of its cell while the cell is more than
-// half full: no single tenant can take all of a cell's capacity from the others.
-func (s *State) over(now time.Duration, t *tenant, c *cell) (after time.Duration, reason string) {
-	most := c.most(s.cfg.Queue, s.cfg.Floor)
+// checkLimits checks one more request of the tenant against the limits of the tenant and of its cell. It
+// returns an empty reason if the request is within them, else the reason and when the client may retry. A
+// tenant without a concurrency limit of its own may hold no more than an even share of its cell while the
+// cell is more than half full, so that no tenant can take all of a cell's capacity from the others.
+func (s *State) checkLimits(now time.Duration, t *tenant, c *cell) (retryAfter time.Duration, reason string) {
+	maxHeld := c.maxHeld(s.cfg.QueueFactor, s.cfg.MinHeld)
 	switch {
-	case c.held >= most:
+	case c.held >= maxHeld:
 		c.OverConcurrency++
-		return c.drained(), "the cell's concurrency limit is reached"
+		return c.drainTime(), "the cell's concurrency limit is reached"
 	case t.limits != nil && t.limits.Concurrency > 0:
 		if int(t.held) >= t.limits.Concurrency {
 			c.OverTenant++
-			return c.drained(), "the tenant's concurrency limit is reached"
+			return c.drainTime(), "the tenant's concurrency limit is reached"
 		}
-	case 2*c.held >= most && int(t.held)*max(1, c.active) >= most:
+	case 2*c.held >= maxHeld && int(t.held)*max(1, c.activeTenants) >= maxHeld:
 		c.OverTenant++
-		return c.drained(), "the tenant holds its even share of its cell"
+		return c.drainTime(), "the tenant holds its even share of its cell"
 	}
 	if t.limits != nil && t.limits.Rate > 0 {
 		if t.limiter == nil {
-			t.limiter = limiter(t.limits.Rate, t.limits.Burst, s.cfg.Gateways)
-			s.limited[t] = struct{}{}
+			t.limiter = newLimiter(t.limits.Rate, t.limits.Burst, s.cfg.Gateways)
+			s.withLimiter[t] = struct{}{}
 		}
-		if !t.limiter.AllowN(at(now), 1) {
+		if !t.limiter.AllowN(limiterTime(now), 1) {
 			c.OverTenant++
-			return wait(t.limiter, now), "the tenant's rate limit is exceeded"
+			return timeToToken(t.limiter, now), "the tenant's rate limit is exceeded"
 		}
 	}
-	if c.limiter != nil && !c.limiter.AllowN(at(now), 1) {
+	if c.limiter != nil && !c.limiter.AllowN(limiterTime(now), 1) {
 		c.OverRate++
-		return wait(c.limiter, now), "the cell's rate limit is exceeded"
+		return timeToToken(c.limiter, now), "the cell's rate limit is exceeded"
 	}
 	return 0, ""
 }
 
-// take counts an admitted request as held by its tenant and its cell.
-func take(t *tenant, c *cell) {
+// addHeld counts an admitted request as held by its tenant and its cell.
+func addHeld(t *tenant, c *cell) {
 	if t.held == 0 {
-		t.cell.active++
+		t.cell.activeTenants++
 	}
 	t.held++
 	c.held++
 }
 
-// put assigns the tenant to another cell.
-func (t *tenant) put(c *cell) {
+// assign assigns the tenant to another cell.
+func (t *tenant) assign(c *cell) {
 	if t.held > 0 && t.cell != nil {
-		t.cell.active--
-		c.active++
+		t.cell.activeTenants--
+		c.activeTenants++
 	}
 	t.cell = c
 }
 
 // Done ends an admitted request that has its answer and no attempt in flight.
-func (s *State) Done(now time.Duration, k Ticket) {
-	t, c := k.tenant, k.cell
+func (s *State) Done(now time.Duration, ticket Ticket) {
+	t, c := ticket.tenant, ticket.cell
 	if t == nil {
 		return
 	}
 	t.held--
 	c.held--
-	if k.writes {
+	if ticket.writes {
 		t.writes--
 	}
 	if t.held == 0 {
-		t.cell.active--
+		t.cell.activeTenants--
 	}
-	if !k.waits {
-		c.took += (now - k.taken - c.took) / tookMemory
+	if !ticket.held {
+		c.avgDuration += (now - ticket.admittedAt - c.avgDuration) / durationSamples
 	}
 }
 
 // sweep drops rate limiters whose tokens are full again, so that idle tenants hold none.
 func (s *State) sweep(now time.Duration) {
-	for t := range s.limited {
-		if t.limiter == nil || t.limiter.TokensAt(at(now)) >= float64(t.limiter.Burst()) {
+	for t := range s.withLimiter {
+		if t.limiter == nil || t.limiter.TokensAt(limiterTime(now)) >= float64(t.limiter.Burst()) {
 			t.limiter = nil
-			delete(s.limited, t)
+			delete(s.withLimiter, t)
 		}
 	}
 }
--- a/internal/control/cells/cells_test.go
+++ b/internal/control/cells/cells_test.go
@@ -52,7 +52,7 @@
 	c.Cells = []Cell{{Name: "coast", Weight: 1}, {Name: "hills", Weight: 1}, {Name: "city", Weight: 2}}
 	c.Tenants = []Tenant{{Name: "apollo", Cell: "coast", Prefixes: []string{"ap/"}},
 		{Name: "apollo-x", Cell: "hills", Prefixes: []string{"ap/x/"}}, {Name: "medi", Cell: "city"}}
-	c.Moves.Ramp = time.Second
+	c.Moves.MinRamp = time.Second
 	return c
 }
 
@@ -81,16 +81,16 @@
 	return g
 }
 
-func (g *rig) look(change func(*balance.Seen)) {
+func (g *rig) observe(change func(*balance.Seen)) {
 	g.acts = append(g.acts, g.s.Look(g.now, seen(twoGroups(), change))...)
 }
 
-func (g *rig) ask(tenant string, write bool) Verdict {
+func (g *rig) request(tenant string, write bool) Verdict {
 	g.n++
 	return g.s.Admit(g.now, Ask{ID: fmt.Sprint("q", g.n), Claim: tenant, Key: "k", Group: 1, Write: write, Deadline: g.now + 3*time.Second})
 }
 
-func (g *rig) pass(d time.Duration) {
+func (g *rig) advance(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += 50 * ms
 		g.acts = append(g.acts, g.s.Tick(g.now)...)
@@ -106,8 +106,8 @@
 	g.acts = append(g.acts, acts...)
 }
 
-// told returns the stages, releases and expired waits reported since the last call.
-func (g *rig) told() (out []string) {
+// reported returns the stages, releases and expired waits reported since the last call.
+func (g *rig) reported() (out []string) {
 	for _, a := range g.acts {
 		switch a := a.(type) {
 		case Changed:
@@ -122,9 +122,9 @@
 	return out
 }
 
-func (g *rig) want(what string, wanted ...string) {
+func (g *rig) expect(what string, wanted ...string) {
 	g.t.Helper()
-	if diff := cmp.Diff(wanted, g.told()); diff != "" {
+	if diff := cmp.Diff(wanted, g.reported()); diff != "" {
 		g.t.Errorf("%s: %s", what, diff)
 	}
 }
@@ -158,7 +158,7 @@
 		got := "not permitted"
 		if owner, err := g.s.dir.find(c.user, c.claim, c.key); err == nil {
 			got = owner.name
-		} else if !errors.Is(err, ErrNotYours) {
+		} else if !errors.Is(err, ErrNotPermitted) {
 			t.Error(err)
 		}
 		if c.want == "#" && strings.HasPrefix(got, "#") {
@@ -179,10 +179,10 @@
 		"no cell is named": func(c *Config) { c.Cells = nil },
 		"size":             func(c *Config) { c.Size = 0 },
 		"overlap":          func(c *Config) { c.Overlap = 3 },
-		"reserve":          func(c *Config) { c.Reserve = 1.5 },
+		"reserve":          func(c *Config) { c.ReservedShare = 1.5 },
 		"buckets":          func(c *Config) { c.Buckets = 0 },
-		"queue":            func(c *Config) { c.Queue = 0 },
-		"floor":            func(c *Config) { c.Floor = 0 },
+		"queue":            func(c *Config) { c.QueueFactor = 0 },
+		"floor":            func(c *Config) { c.MinHeld = 0 },
 		`cell "coast": name is empty or used twice`:  func(c *Config) { c.Cells = append(c.Cells, c.Cells[0]) },
 		`cell "city": weight`:                        func(c *Config) { c.Cells[2].Weight = 0 },
 		`cell "city": burst`:                         func(c *Config) { c.Cells[2].Burst = 1 },
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestLimits(t *testing.T) {
+func TestCellAndTenantLimits(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Config)
@@ -285,7 +285,7 @@
 			[]string{"apollo", "apollo", "apollo", "apollo", "apollo"}, "ggggo", "the cell's concurrency"},
 		{"two tenants share a cell", func(c *Config) { c.Cells[0].Concurrency = 4; c.Tenants[2].Cell = "coast" },
 			[]string{"medi", "apollo", "apollo", "apollo", "medi", "medi"}, "gggogo", "the cell's concurrency"},
-		{"the hosts' capacity limits a cell without configured limits", func(c *Config) { c.Queue, c.Floor = 1, 1 },
+		{"the hosts' capacity limits a cell without configured limits", func(c *Config) { c.QueueFactor, c.MinHeld = 1, 1 },
 			slices.Repeat([]string{"apollo"}, 40), strings.Repeat("g", 28) + strings.Repeat("o", 12), "the cell's concurrency"},
 	} {
 		g := newRig(t, func(x *Config) {
@@ -299,7 +299,7 @@
 		got, reason := "", ""
 		var after time.Duration
 		for _, tenant := range c.asks {
-			v := g.ask(tenant, false)
+			v := g.request(tenant, false)
 			if v.Kind == Over {
 				reason, after = v.Reason, v.After
 			}
@@ -314,7 +314,7 @@
 		} else if got != c.want {
 			t.Errorf("%s: verdicts %s, want %s", c.name, got, c.want)
 		}
-		if !strings.Contains(reason, c.reason) || after < comeBackLeast || after > comeBackMost {
+		if !strings.Contains(reason, c.reason) || after < minRetryAfter || after > maxRetryAfter {
 			t.Errorf("%s: reason %q, retry after %v", c.name, reason, after)
 		}
 	}
@@ -322,13 +322,13 @@
 
 func TestIdleTenantsHoldNoResources(t *testing.T) {
 	g := newRig(t, func(c *Config) { c.Tenants[0].Rate = 10 })
-	g.s.Done(g.now, g.ask("apollo", true).Ticket)
-	owner := g.s.dir.named("apollo")
-	if owner.limiter == nil || owner.held != 0 || owner.writes != 0 || owner.cell.held != 0 || owner.cell.active != 0 {
+	g.s.Done(g.now, g.request("apollo", true).Ticket)
+	owner := g.s.dir.lookup("apollo")
+	if owner.limiter == nil || owner.held != 0 || owner.writes != 0 || owner.cell.held != 0 || owner.cell.activeTenants != 0 {
 		t.Errorf("tenant after a request: %+v", owner)
 	}
-	g.pass(5 * time.Second)
-	if owner.limiter != nil || len(g.s.limited) != 0 {
+	g.advance(5 * time.Second)
+	if owner.limiter != nil || len(g.s.withLimiter) != 0 {
 		t.Error("an idle tenant keeps its limiter")
 	}
 }
--- a/internal/control/cells/config.go
+++ b/internal/control/cells/config.go
@@ -18,18 +18,18 @@
 
 // Config is the operator's configuration of the cells. Names are unique. DefaultConfig has the defaults.
 type Config struct {
-	Claims   bool                // whether a request may name its tenant in the comment of its statement
-	Size     int                 // replicas that a cell reads from in each group, at least 1
-	Overlap  int                 // maximum number of hosts that two cells share in a group, from 0 to Size
-	Reserve  float64             // part of a cell's fair share of a shared host that no other cell may use, from 0 to 1
-	Buckets  int                 // number of buckets over which tenants without an entry are hashed, at least 1
-	Queue    float64             // requests that a cell may hold per attempt of its hosts' capacity, at least 1
-	Floor    int                 // requests that a cell may hold whatever its hosts' capacity, at least 1
-	Gateways int                 // number of gateways that share the configured rates, at least 1
-	Cells    []Cell              // at least one
-	Tenants  []Tenant            // tenants with a cell, a prefix or a limit of their own
-	Users    map[string][]string // the tenants that the user of a connection may act for; if empty, users are not mapped
-	Moves    MoveLimits
+	Claims        bool                // whether a request may name its tenant in the comment of its statement
+	Size          int                 // replicas that a cell reads from in each group, at least 1
+	Overlap       int                 // maximum number of hosts that two cells share in a group, from 0 to Size
+	ReservedShare float64             // part of a cell's fair share of a shared host that no other cell may use, from 0 to 1
+	Buckets       int                 // number of buckets over which tenants without an entry are hashed, at least 1
+	QueueFactor   float64             // requests that a cell may hold per attempt of its hosts' capacity, at least 1
+	MinHeld       int                 // requests that a cell may hold whatever its hosts' capacity, at least 1
+	Gateways      int                 // number of gateways that share the configured rates, at least 1
+	Cells         []Cell              // at least one
+	Tenants       []Tenant            // tenants with a cell, a prefix or a limit of their own
+	Users         map[string][]string // the tenants that the user of a connection may act for; if empty, users are not mapped
+	Moves         MoveLimits
 }
 
 // Cell is a subset of the hosts that serves some of the tenants.
@@ -54,17 +54,17 @@
 
 // MoveLimits bounds the number and the duration of moves.
 type MoveLimits struct {
-	AtOnce int           // maximum number of moves in progress; others wait
-	Ramp   time.Duration // minimum time over which reads shift to the new cell
-	Warm   time.Duration // maximum time until the new hosts are warm; then the move is aborted
-	Fence  time.Duration // maximum time for in-flight writes to end and the new primary to be known; then the move is aborted
-	Hold   int           // maximum number of writes held at a fence; more are refused
+	MaxConcurrent int           // maximum number of moves in progress; others wait
+	MinRamp       time.Duration // minimum time over which reads shift to the new cell
+	WarmTimeout   time.Duration // maximum time until the new hosts are warm; then the move is aborted
+	FenceTimeout  time.Duration // maximum time for in-flight writes to end and the new primary to be known; then the move is aborted
+	MaxHeldWrites int           // maximum number of writes held at a fence; more are refused
 }
 
 // DefaultConfig returns a configuration with the default values and no cells.
 func DefaultConfig() Config {
-	return Config{Size: 2, Overlap: 1, Reserve: 0.5, Buckets: 1024, Queue: 4, Floor: 16, Gateways: 1,
-		Moves: MoveLimits{AtOnce: 4, Ramp: 5 * time.Second, Warm: time.Minute, Fence: 5 * time.Second, Hold: 256}}
+	return Config{Size: 2, Overlap: 1, ReservedShare: 0.5, Buckets: 1024, QueueFactor: 4, MinHeld: 16, Gateways: 1,
+		Moves: MoveLimits{MaxConcurrent: 4, MinRamp: 5 * time.Second, WarmTimeout: time.Minute, FenceTimeout: 5 * time.Second, MaxHeldWrites: 256}}
 }
 
 // Fault describes an invalid entry of a configuration.
@@ -84,13 +84,13 @@
 
 // Check returns a *Fault that describes the first invalid entry, or nil if the configuration is valid.
 func (c Config) Check() error {
-	if f := c.fault(); f != nil {
+	if f := c.firstFault(); f != nil {
 		return f
 	}
 	return nil
 }
 
-func (c Config) fault() *Fault {
+func (c Config) firstFault() *Fault {
 	fault := func(entry, name, what string, args ...any) *Fault {
 		return &Fault{entry, name, fmt.Sprintf(what, args...)}
 	}
@@ -101,13 +101,13 @@
 		return fault("size", "", "below 1")
 	case c.Overlap < 0 || c.Overlap > c.Size:
 		return fault("overlap", "", "not between 0 and size %d", c.Size)
-	case !(c.Reserve >= 0 && c.Reserve <= 1):
+	case !(c.ReservedShare >= 0 && c.ReservedShare <= 1):
 		return fault("reserve", "", "not between 0 and 1")
 	case c.Buckets < 1:
 		return fault("buckets", "", "below 1")
-	case !(c.Queue >= 1):
+	case !(c.QueueFactor >= 1):
 		return fault("queue", "", "below 1")
-	case c.Floor < 1 || c.Gateways < 1 || c.Moves.AtOnce < 1 || c.Moves.Hold < 0:
+	case c.MinHeld < 1 || c.Gateways < 1 || c.Moves.MaxConcurrent < 1 || c.Moves.MaxHeldWrites < 0:
 		return fault("floor", "", "floor, gateways and at-once must be at least 1, hold at least 0")
 	}
 	cells, pinned := map[string]bool{}, map[string]string{}
--- a/internal/control/cells/directory.go
+++ b/internal/control/cells/directory.go
@@ -16,22 +16,22 @@
 // bucketMark is the first character of the names of buckets.
 const bucketMark = '#'
 
-// ErrNotYours is returned if the user of a connection may not act for the tenant that a request names or
+// ErrNotPermitted is returned if the user of a connection may not act for the tenant that a request names or
 // whose key it uses.
-var ErrNotYours = errors.New("the user may not act for that tenant")
+var ErrNotPermitted = errors.New("the user may not act for that tenant")
 
 // cell is a configured cell with its state. Its id stays the same for as long as a cell of that name is
 // configured.
 type cell struct {
 	Cell
-	id       int
-	limiter  *rate.Limiter
-	held     int             // admitted requests that are not done
-	active   int             // tenants that hold at least one request
-	capacity float64         // attempts that its hosts bear, with its share of shared hosts, or 0 if not known yet
-	took     time.Duration   // smoothed time from admission to Done
-	ranked   map[int]ranking // by group
-	servers  map[string]bool // hosts that it reads from now
+	id            int
+	limiter       *rate.Limiter
+	held          int             // admitted requests that are not done
+	activeTenants int             // tenants that hold at least one request
+	capacity      float64         // attempts that its hosts can serve at a time, with its share of shared hosts; 0 if not known yet
+	avgDuration   time.Duration   // smoothed time from admission to Done
+	rankings      map[int]ranking // by group
+	readHosts     map[string]bool // hosts that it reads from now
 	CellCount
 }
 
@@ -42,65 +42,65 @@
 // 100,000 of them.
 type tenant struct {
 	// The fields that every request reads come first, within one cache line.
-	name    string
-	cell    *cell // the cell that serves it
-	move    *Move
-	limits  *Tenant
-	routes  map[int]int // group that serves the data of a moved group, by the original group
-	held    int32
-	writes  int32 // held requests that write
-	guarded bool  // whether a user is mapped to it, so that no other user may act for it
-	moved   bool  // whether a move has assigned it to another cell than the configuration does
-
-	// since is the time of the last settled move to another group; see Verdict.Since.
-	since    time.Duration
-	limiter  *rate.Limiter // created at first use, dropped when its tokens are full again
-	declared string        // the configured cell, or empty if none is named
+	name       string
+	cell       *cell // the cell that serves it
+	move       *Move
+	limits     *Tenant
+	routes     map[int]int // group that serves the data of a moved group, by the original group
+	held       int32
+	writes     int32 // held requests that write
+	restricted bool  // whether a user is mapped to it, so that no other user may act for it
+	moved      bool  // whether a move has assigned it to another cell than the configuration does
+
+	// movedAt is the time of the last settled move to another group; see Verdict.Since.
+	movedAt        time.Duration
+	limiter        *rate.Limiter // created at first use, dropped when its tokens are full again
+	configuredCell string        // the configured cell, or empty if none is named
 }
 
 // directory finds the tenant of a request by its claim, by the longest matching prefix of its key, or by a
 // hash.
 type directory struct {
-	claims   bool
-	mapped   bool // whether users are mapped to tenants
-	tenants  map[string]*tenant
-	prefixes *iradix.Tree[*tenant]
-	buckets  []*tenant
-	users    map[string][]*tenant
-	longest  int // length of the longest prefix in bytes
+	claims       bool
+	mapped       bool // whether users are mapped to tenants
+	tenants      map[string]*tenant
+	prefixes     *iradix.Tree[*tenant]
+	buckets      []*tenant
+	users        map[string][]*tenant
+	maxPrefixLen int // length of the longest prefix in bytes
 }
 
-// bytesOf returns the bytes of a string without copying them. The result must not be modified.
-func bytesOf(s string) []byte { return unsafe.Slice(unsafe.StringData(s), len(s)) }
+// stringBytes returns the bytes of a string without copying them. The result must not be modified.
+func stringBytes(s string) []byte { return unsafe.Slice(unsafe.StringData(s), len(s)) }
 
 // find returns the tenant of a request. A user that is mapped to tenants always acts for one of them: the
 // claimed one, the owner of the key's prefix, or the user's first tenant. Tenants that users are mapped to
 // are accessible to these users only.
 func (d *directory) find(user, claim, key string) (*tenant, error) {
-	var own []*tenant
+	var permitted []*tenant
 	if d.mapped {
-		own = d.users[user]
+		permitted = d.users[user]
 	}
 	if claim != "" && d.claims {
 		t := d.tenants[claim]
 		switch {
-		case t != nil && (t.guarded || own != nil) && !slices.Contains(own, t), t == nil && own != nil:
-			return nil, ErrNotYours
+		case t != nil && (t.restricted || permitted != nil) && !slices.Contains(permitted, t), t == nil && permitted != nil:
+			return nil, ErrNotPermitted
 		case t == nil:
 			t = d.bucket(claim)
 		}
 		return t, nil
 	}
-	if d.longest > 0 && key != "" {
-		if _, t, ok := d.prefixes.Root().LongestPrefix(bytesOf(key[:min(len(key), d.longest)])); ok {
-			if (t.guarded || own != nil) && !slices.Contains(own, t) {
-				return nil, ErrNotYours
+	if d.maxPrefixLen > 0 && key != "" {
+		if _, t, ok := d.prefixes.Root().LongestPrefix(stringBytes(key[:min(len(key), d.maxPrefixLen)])); ok {
+			if (t.restricted || permitted != nil) && !slices.Contains(permitted, t) {
+				return nil, ErrNotPermitted
 			}
 			return t, nil
 		}
 	}
-	if own != nil {
-		return own[0], nil
+	if permitted != nil {
+		return permitted[0], nil
 	}
 	return d.bucket(key), nil
 }
@@ -110,24 +110,24 @@
 	return d.buckets[xxhash.Sum64String(name)%uint64(len(d.buckets))]
 }
 
-// drawn chooses the cell of a tenant for which the configuration names none. It uses weighted rendezvous
-// hashing: a new cell takes its share of tenants from all other cells, a removed cell's tenants spread over
-// all others, and no other tenant changes its cell.
-func drawn(cells []*cell, name string) *cell {
+// rendezvousCell chooses the cell of a tenant for which the configuration names none. It uses weighted
+// rendezvous hashing: a new cell takes its share of tenants from all other cells, a removed cell's tenants
+// spread over all others, and no other tenant changes its cell.
+func rendezvousCell(cells []*cell, name string) *cell {
 	var best *cell
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, c := range cells {
-		if x := draw(c.Name, name, c.Weight); x < least {
-			best, least = c, x
+		if point := rendezvousPoint(c.Name, name, c.Weight); point < lowest {
+			best, lowest = c, point
 		}
 	}
 	return best
 }
 
-// draw returns the rendezvous hash point of a name at a place; the place with the lowest point wins. The
-// points are exponentially distributed with the weight as rate, so that each place wins with a probability in
-// proportion to its weight. The result is the same on every gateway.
-func draw(place, name string, weight float64) float64 {
+// rendezvousPoint returns the rendezvous hash point of a name at a place; the place with the lowest point
+// wins. The points are exponentially distributed with the weight as rate, so that each place wins with a
+// probability in proportion to its weight. The result is the same on every gateway.
+func rendezvousPoint(place, name string, weight float64) float64 {
 	var h xxhash.Digest
 	h.Reset()
 	_, _ = h.WriteString(place)
@@ -147,19 +147,19 @@
 	for _, x := range cells {
 		byName[x.Name] = x
 	}
-	place := func(t *tenant, declared string) {
-		if t.moved && t.declared == declared && t.cell != nil && byName[t.cell.Name] == t.cell {
+	assign := func(t *tenant, configured string) {
+		if t.moved && t.configuredCell == configured && t.cell != nil && byName[t.cell.Name] == t.cell {
 			return
 		}
-		if t.declared != declared {
+		if t.configuredCell != configured {
 			t.routes = nil
 		}
-		t.declared, t.moved = declared, false
-		to := byName[declared]
+		t.configuredCell, t.moved = configured, false
+		to := byName[configured]
 		if to == nil {
-			to = drawn(cells, t.name)
+			to = rendezvousCell(cells, t.name)
 		}
-		t.put(to)
+		t.assign(to)
 	}
 	prefixes := iradix.New[*tenant]().Txn()
 	for i := range c.Tenants {
@@ -171,22 +171,22 @@
 		if t == nil {
 			t = &tenant{name: x.Name}
 		}
-		t.guarded, t.limits, t.limiter = false, nil, nil
+		t.restricted, t.limits, t.limiter = false, nil, nil
 		if x.Rate > 0 || x.Concurrency > 0 {
 			t.limits = x
 		}
-		place(t, x.Cell)
+		assign(t, x.Cell)
 		d.tenants[x.Name] = t
 		for _, p := range x.Prefixes {
 			prefixes.Insert([]byte(p), t)
-			d.longest = max(d.longest, len(p))
+			d.maxPrefixLen = max(d.maxPrefixLen, len(p))
 		}
 	}
 	d.prefixes = prefixes.Commit()
 	for user, names := range c.Users {
 		for _, name := range names {
 			t := d.tenants[name]
-			t.guarded = true
+			t.restricted = true
 			d.users[user] = append(d.users[user], t)
 		}
 	}
@@ -195,14 +195,14 @@
 		if old != nil && len(old.buckets) == c.Buckets {
 			t = old.buckets[i]
 		}
-		place(t, "")
+		assign(t, "")
 		d.buckets = append(d.buckets, t)
 	}
 	return d
 }
 
-// named returns the tenant or bucket of that name, or nil if there is none.
-func (d *directory) named(name string) *tenant {
+// lookup returns the tenant or bucket of that name, or nil if there is none.
+func (d *directory) lookup(name string) *tenant {
 	if t := d.tenants[name]; t != nil {
 		return t
 	}
--- a/internal/control/cells/move.go
+++ b/internal/control/cells/move.go
@@ -42,17 +42,17 @@
 
 // Errors returned by Move, Abort and Confirm.
 var (
-	ErrNoTenant  = errors.New("no such tenant")
-	ErrNoCell    = errors.New("no such cell")
-	ErrNoGroup   = errors.New("no host of that group is listed")
-	ErrMoving    = errors.New("the tenant is being moved")
-	ErrNotMoving = errors.New("the tenant is not being moved")
-	ErrThere     = errors.New("the tenant is there already")
-	ErrTooMany   = errors.New("too many moves are in progress or waiting")
+	ErrNoTenant     = errors.New("no such tenant")
+	ErrNoCell       = errors.New("no such cell")
+	ErrNoGroup      = errors.New("no host of that group is listed")
+	ErrMoving       = errors.New("the tenant is being moved")
+	ErrNotMoving    = errors.New("the tenant is not being moved")
+	ErrAlreadyThere = errors.New("the tenant is there already")
+	ErrTooManyMoves = errors.New("too many moves are in progress or waiting")
 )
 
-// waitingMoves is the maximum number of moves that have not ended.
-const waitingMoves = 1000
+// maxMoves is the maximum number of moves that have not ended.
+const maxMoves = 1000
 
 // Order is an operator's request to move a tenant.
 type Order struct {
@@ -64,23 +64,23 @@
 
 // Move is the state of a move. Times are readings of the caller's clock.
 type Move struct {
-	Tenant    string        `json:"tenant"`
-	From      string        `json:"from"`
-	To        string        `json:"to"`
-	FromGroup int           `json:"from_group,omitempty"`
-	ToGroup   int           `json:"to_group,omitempty"`
-	Stage     Stage         `json:"stage"`
-	Reason    string        `json:"reason,omitempty"` // why it was aborted, or what it waits for
-	Share     float64       `json:"share"`            // share of the tenant's reads that go to the new cell
-	Held      int           `json:"held"`             // writes that wait at the fence
-	Asked     time.Duration `json:"-"`
-	Since     time.Duration `json:"-"` // when it entered the stage
+	Tenant      string        `json:"tenant"`
+	From        string        `json:"from"`
+	To          string        `json:"to"`
+	FromGroup   int           `json:"from_group,omitempty"`
+	ToGroup     int           `json:"to_group,omitempty"`
+	Stage       Stage         `json:"stage"`
+	Reason      string        `json:"reason,omitempty"` // why it was aborted, or what it waits for
+	Share       float64       `json:"share"`            // share of the tenant's reads that go to the new cell
+	Held        int           `json:"held"`             // writes that wait at the fence
+	RequestedAt time.Duration `json:"-"`
+	StageSince  time.Duration `json:"-"` // when it entered the stage
 
-	t         *tenant
-	to        *cell
-	waiting   []waiting
-	confirm   bool // whether Confirm must still be called
-	shareDebt float64
+	tenant      *tenant
+	target      *cell
+	waiting     []waiting
+	confirm     bool // whether Confirm must still be called
+	shareCredit float64
 }
 
 // waiting is a write that waits at a fence.
@@ -89,61 +89,61 @@
 	until time.Duration
 }
 
-// across reports whether the move leads to another group. Only such a move needs a fence for writes.
-func (m *Move) across() bool { return m.FromGroup != m.ToGroup }
+// crossesGroups reports whether the move leads to another group. Only such a move needs a fence for writes.
+func (m *Move) crossesGroups() bool { return m.FromGroup != m.ToGroup }
 
 // snapshot returns a copy of the move without the references into the state.
 func (m *Move) snapshot() Move {
 	out := *m
-	out.t, out.to, out.waiting, out.Held = nil, nil, nil, len(m.waiting)
+	out.tenant, out.target, out.waiting, out.Held = nil, nil, nil, len(m.waiting)
 	return out
 }
 
 // Move plans a move. The tenant is served throughout.
 func (s *State) Move(now time.Duration, o Order) ([]Action, error) {
-	t := s.dir.named(o.Tenant)
+	t := s.dir.lookup(o.Tenant)
 	if t == nil {
 		return nil, fmt.Errorf("%w: %q", ErrNoTenant, o.Tenant)
 	}
 	to := t.cell
 	if o.To != "" {
-		if to = s.byName(o.To); to == nil {
+		if to = s.cellByName(o.To); to == nil {
 			return nil, fmt.Errorf("%w: %q", ErrNoCell, o.To)
 		}
 	}
 	m := &Move{Tenant: t.name, From: t.cell.Name, To: to.Name, FromGroup: o.FromGroup, ToGroup: o.ToGroup,
-		Asked: now, Since: now, confirm: o.Confirm, t: t, to: to}
+		RequestedAt: now, StageSince: now, confirm: o.Confirm, tenant: t, target: to}
 	switch {
 	case t.move != nil:
 		return nil, fmt.Errorf("%w: %q to %q, %s", ErrMoving, t.name, t.move.To, t.move.Stage)
-	case m.across() && len(s.groups[o.ToGroup]) == 0:
+	case m.crossesGroups() && len(s.groups[o.ToGroup]) == 0:
 		return nil, fmt.Errorf("%w: %d", ErrNoGroup, o.ToGroup)
-	case to == t.cell && (!m.across() || t.routed(o.FromGroup) == o.ToGroup):
-		return nil, fmt.Errorf("%w: %q in %q", ErrThere, t.name, to.Name)
-	case m.across() && t.routed(o.FromGroup) != o.FromGroup:
-		return nil, fmt.Errorf("%w: group %d of tenant %q is served by group %d", ErrThere, o.FromGroup, t.name, t.routed(o.FromGroup))
-	case len(s.moves) >= waitingMoves:
-		return nil, ErrTooMany
+	case to == t.cell && (!m.crossesGroups() || t.groupFor(o.FromGroup) == o.ToGroup):
+		return nil, fmt.Errorf("%w: %q in %q", ErrAlreadyThere, t.name, to.Name)
+	case m.crossesGroups() && t.groupFor(o.FromGroup) != o.FromGroup:
+		return nil, fmt.Errorf("%w: group %d of tenant %q is served by group %d", ErrAlreadyThere, o.FromGroup, t.name, t.groupFor(o.FromGroup))
+	case len(s.moves) >= maxMoves:
+		return nil, ErrTooManyMoves
 	}
 	t.move = m
 	s.moves = append(s.moves, m)
-	s.enter(now, m, Planned, "")
+	s.setStage(now, m, Planned, "")
 	return s.Tick(now), nil
 }
 
 // Abort ends a move. The tenant stays where it was.
-func (s *State) Abort(now time.Duration, tenant, why string) ([]Action, error) {
-	t := s.dir.named(tenant)
+func (s *State) Abort(now time.Duration, tenant, reason string) ([]Action, error) {
+	t := s.dir.lookup(tenant)
 	if t == nil || t.move == nil {
 		return nil, fmt.Errorf("%w: %q", ErrNotMoving, tenant)
 	}
-	s.abort(now, t.move, why)
+	s.abort(now, t.move, reason)
 	return s.Tick(now), nil
 }
 
 // Confirm lets a move settle that was ordered with Order.Confirm.
 func (s *State) Confirm(now time.Duration, tenant string) ([]Action, error) {
-	t := s.dir.named(tenant)
+	t := s.dir.lookup(tenant)
 	if t == nil || t.move == nil {
 		return nil, fmt.Errorf("%w: %q", ErrNotMoving, tenant)
 	}
@@ -151,143 +151,145 @@
 	return s.Tick(now), nil
 }
 
-// routed returns the group that serves the tenant's data of a group.
-func (t *tenant) routed(group int) int {
+// groupFor returns the group that serves the tenant's data of a group.
+func (t *tenant) groupFor(group int) int {
 	if to, moved := t.routes[group]; moved {
 		return to
 	}
 	return group
 }
 
-// enter puts a move into a stage and adds a Changed action.
-func (s *State) enter(now time.Duration, m *Move, stage Stage, reason string) {
-	m.Stage, m.Since, m.Reason = stage, now, reason
+// setStage puts a move into a stage and adds a Changed action.
+func (s *State) setStage(now time.Duration, m *Move, stage Stage, reason string) {
+	m.Stage, m.StageSince, m.Reason = stage, now, reason
 	s.Stages[stage]++
-	s.acts = append(s.acts, Changed{m.snapshot()})
+	s.actions = append(s.actions, Changed{m.snapshot()})
 }
 
-func (s *State) abort(now time.Duration, m *Move, why string) {
+// abort ends a move without a change of the tenant's cell or group.
+func (s *State) abort(now time.Duration, m *Move, reason string) {
 	m.Share = 0
-	s.enter(now, m, Aborted, why)
-	s.release(m)
+	s.setStage(now, m, Aborted, reason)
+	s.releaseMove(m)
 }
 
+// settle assigns the tenant to the new cell and group and ends the move.
 func (s *State) settle(now time.Duration, m *Move) {
 	m.Share = 1
-	t := m.t
-	t.put(m.to)
+	t := m.tenant
+	t.assign(m.target)
 	t.moved = true
-	if m.across() {
+	if m.crossesGroups() {
 		// The data was copied to the new group by now. Positions of its log say nothing about earlier writes
 		// in the old group.
-		t.since = now
+		t.movedAt = now
 		if t.routes == nil {
 			t.routes = map[int]int{}
 		}
 		t.routes[m.FromGroup] = m.ToGroup
 	}
-	s.enter(now, m, Settled, "")
-	s.release(m)
+	s.setStage(now, m, Settled, "")
+	s.releaseMove(m)
 }
 
-// release resumes the writes that wait at the fence and removes the move from those in progress.
-func (s *State) release(m *Move) {
+// releaseMove resumes the writes that wait at the fence and removes the move from those in progress.
+func (s *State) releaseMove(m *Move) {
 	for _, w := range m.waiting {
-		s.acts = append(s.acts, Release{w.id})
+		s.actions = append(s.actions, Release{w.id})
 	}
-	m.waiting, m.t.move = nil, nil
+	m.waiting, m.tenant.move = nil, nil
 	s.moves = slices.DeleteFunc(s.moves, func(o *Move) bool { return o == m })
 	s.past = append(s.past, m.snapshot())
-	if extra := len(s.past) - pastMoves; extra > 0 {
+	if extra := len(s.past) - maxPastMoves; extra > 0 {
 		s.past = slices.Delete(s.past, 0, extra)
 	}
 }
 
-// pastMoves is the number of ended moves that are kept for reports.
-const pastMoves = 50
+// maxPastMoves is the number of ended moves that are kept for reports.
+const maxPastMoves = 50
 
 // advance takes a move through as many stages as it can enter now.
 func (s *State) advance(now time.Duration, m *Move) {
 	limits := s.cfg.Moves
 	if m.Stage == Planned {
-		under := 0
+		inProgress := 0
 		for _, o := range s.moves {
 			if o.Stage == Warming || o.Stage == Fenced {
-				under++
+				inProgress++
 			}
 		}
-		if under >= limits.AtOnce {
+		if inProgress >= limits.MaxConcurrent {
 			m.Reason = "the maximum number of moves is in progress"
 			return
 		}
-		s.enter(now, m, Warming, "")
+		s.setStage(now, m, Warming, "")
 	}
 	if m.Stage == Warming {
-		warm, why := s.warmth(now, m)
+		warmup, reason := s.minWarmup(now, m)
 		switch {
-		case m.across():
+		case m.crossesGroups():
 			// It is unknown when a write in one group becomes visible in the other, so reads shift together
 			// with the writes.
 			m.Share = 0
 		default:
-			m.Share = min(warm, float64(now-m.Since)/float64(max(limits.Ramp, 1)))
+			m.Share = min(warmup, float64(now-m.StageSince)/float64(max(limits.MinRamp, 1)))
 		}
-		switch m.Reason = why; {
-		case warm >= 1 && (m.across() || m.Share >= 1):
-			s.enter(now, m, Fenced, "")
-		case now-m.Since > limits.Warm+limits.Ramp:
-			s.abort(now, m, "the new hosts were not warm in time: "+why)
+		switch m.Reason = reason; {
+		case warmup >= 1 && (m.crossesGroups() || m.Share >= 1):
+			s.setStage(now, m, Fenced, "")
+		case now-m.StageSince > limits.WarmTimeout+limits.MinRamp:
+			s.abort(now, m, "the new hosts were not warm in time: "+reason)
 			return
 		}
 	}
 	if m.Stage == Fenced {
 		switch {
-		case !m.across(): // the same primary takes the writes before and after the move
+		case !m.crossesGroups(): // the same primary takes the writes before and after the move
 			s.settle(now, m)
 			return
-		case m.t.writes > 0:
+		case m.tenant.writes > 0:
 			m.Reason = "writes are in flight"
 		case !s.primaryKnown(m.ToGroup):
 			m.Reason = "the new group has no primary"
 		case m.confirm:
 			m.Reason = "waiting for confirmation"
-			if now-m.Since <= limits.Warm {
+			if now-m.StageSince <= limits.WarmTimeout {
 				return // other gateways still have to reach the fence
 			}
 		default:
 			s.settle(now, m)
 			return
 		}
-		if now-m.Since > limits.Fence {
+		if now-m.StageSince > limits.FenceTimeout {
 			s.abort(now, m, "not settled in time: "+m.Reason)
 		}
 	}
 }
 
-// warmth returns the lowest warm-up weight among the hosts of the new cell and, if it is below 1, why.
-func (s *State) warmth(now time.Duration, m *Move) (least float64, why string) {
-	least = 1
+// minWarmup returns the lowest warm-up weight among the hosts of the new cell and, if it is below 1, why.
+func (s *State) minWarmup(now time.Duration, m *Move) (lowest float64, reason string) {
+	lowest = 1
 	hosts := 0
-	for group, r := range m.to.ranked {
-		if m.across() && group != m.ToGroup {
+	for group, r := range m.target.rankings {
+		if m.crossesGroups() && group != m.ToGroup {
 			continue
 		}
-		for _, server := range s.fleet.lends(now, r, s.cfg.Size) {
+		for _, server := range s.fleet.readHosts(now, r, s.cfg.Size) {
 			hosts++
-			if seen, ok := s.fleet.seen[server]; !ok || seen.Warmth < least {
-				least, why = seen.Warmth, server+" is cold"
+			if seen, ok := s.fleet.states[server]; !ok || seen.Warmth < lowest {
+				lowest, reason = seen.Warmth, server+" is cold"
 			}
 		}
 	}
 	if hosts == 0 {
 		return 0, "no host of the new cell is readable"
 	}
-	return least, why
+	return lowest, reason
 }
 
 // primaryKnown reports whether the group has a usable primary.
 func (s *State) primaryKnown(group int) bool {
-	for _, x := range s.fleet.seen {
+	for _, x := range s.fleet.states {
 		if x.Group == group && x.Primary && x.Usable {
 			return true
 		}
@@ -295,13 +297,13 @@
 	return false
 }
 
-// goesOver reports whether this read goes to the new cell. It spreads the reads evenly so that of any
-// consecutive reads the configured share goes over.
-func (m *Move) goesOver() bool {
-	m.shareDebt += m.Share
-	if m.shareDebt < 1 {
+// shiftsRead reports whether this read goes to the new cell. It spreads the reads evenly, so that of any
+// consecutive reads the current share goes to the new cell.
+func (m *Move) shiftsRead() bool {
+	m.shareCredit += m.Share
+	if m.shareCredit < 1 {
 		return false
 	}
-	m.shareDebt--
+	m.shareCredit--
 	return true
 }
--- a/internal/control/cells/move_test.go
+++ b/internal/control/cells/move_test.go
@@ -14,16 +14,16 @@
 
 func TestMoveWithinGroup(t *testing.T) {
 	g := newRig(t, nil)
-	from, to := g.s.byName("coast"), g.s.byName("hills")
+	from, to := g.s.cellByName("coast"), g.s.cellByName("hills")
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	g.want("asked for", "planned", "warming")
+	g.expect("asked for", "planned", "warming")
 	if _, err := g.s.Move(g.now, Order{Tenant: "apollo", To: "city"}); !errors.Is(err, ErrMoving) {
 		t.Errorf("a second move: %v", err)
 	}
-	g.pass(500 * ms)
+	g.advance(500 * ms)
 	over := 0
 	for range 100 {
-		v := g.ask("apollo", false)
+		v := g.request("apollo", false)
 		if v.Cell == to.id {
 			over++
 		}
@@ -32,29 +32,29 @@
 	if over < 45 || over > 55 {
 		t.Errorf("%d of 100 reads go to the new cell after half of the ramp", over)
 	}
-	if v := g.ask("apollo", true); v.Kind != Go || v.Cell != from.id {
+	if v := g.request("apollo", true); v.Kind != Go || v.Cell != from.id {
 		t.Errorf("write during the move: %+v", v)
 	}
-	g.pass(time.Second)
-	g.want("in time", "fenced", "settled")
-	if v := g.ask("apollo", true); v.Kind != Go || v.Cell != to.id || v.Since != 0 {
+	g.advance(time.Second)
+	g.expect("in time", "fenced", "settled")
+	if v := g.request("apollo", true); v.Kind != Go || v.Cell != to.id || v.Since != 0 {
 		t.Errorf("write after the move: %+v", v)
 	}
-	if from.active != 0 || to.active != 1 {
-		t.Errorf("active tenants: %d and %d", from.active, to.active)
+	if from.activeTenants != 0 || to.activeTenants != 1 {
+		t.Errorf("active tenants: %d and %d", from.activeTenants, to.activeTenants)
 	}
 }
 
 func TestReadsShiftAsHostsWarmUp(t *testing.T) {
 	g := newRig(t, nil)
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	cold := func(w float64) { g.look(func(x *balance.Seen) { x.Warmth = w }) }
+	cold := func(w float64) { g.observe(func(x *balance.Seen) { x.Warmth = w }) }
 	cold(0.25)
-	g.pass(10 * time.Second)
-	g.want("with cold hosts", "planned", "warming")
+	g.advance(10 * time.Second)
+	g.expect("with cold hosts", "planned", "warming")
 	over := 0
 	for range 100 {
-		if v := g.ask("apollo", false); v.Cell == g.s.byName("hills").id {
+		if v := g.request("apollo", false); v.Cell == g.s.cellByName("hills").id {
 			over++
 		}
 	}
@@ -62,13 +62,13 @@
 		t.Errorf("%d of 100 reads go to hosts with a warm-up weight of 0.25", over)
 	}
 	cold(1)
-	g.pass(100 * ms)
-	g.want("once warm", "fenced", "settled")
+	g.advance(100 * ms)
+	g.expect("once warm", "fenced", "settled")
 	g.move(Order{Tenant: "apollo", To: "coast"})
 	cold(0.9)
-	g.pass(2 * time.Minute)
-	g.want("never warm", "planned", "warming", "aborted")
-	if v := g.ask("apollo", false); v.Cell != g.s.byName("hills").id {
+	g.advance(2 * time.Minute)
+	g.expect("never warm", "planned", "warming", "aborted")
+	if v := g.request("apollo", false); v.Cell != g.s.cellByName("hills").id {
 		t.Error("after the abort the tenant is served in another cell than before")
 	}
 }
@@ -86,14 +86,14 @@
 		"the move is aborted by hand":            {0, true, []string{"aborted", "release q2"}, 1},
 	} {
 		g := newRig(t, nil)
-		first := g.ask("apollo", true)
+		first := g.request("apollo", true)
 		g.move(across)
-		g.want(name, "planned", "warming", "fenced")
-		second := g.ask("apollo", true)
+		g.expect(name, "planned", "warming", "fenced")
+		second := g.request("apollo", true)
 		if first.Kind != Go || first.Group != 1 || second.Kind != Hold {
 			t.Fatalf("%s: %+v, %+v", name, first, second)
 		}
-		if v := g.ask("apollo", false); v.Kind != Go || v.Group != 1 {
+		if v := g.request("apollo", false); v.Kind != Go || v.Group != 1 {
 			t.Errorf("%s: read while fenced: %+v", name, v)
 		}
 		switch {
@@ -103,13 +103,13 @@
 				t.Error(err)
 			}
 		case c.end > 0:
-			g.pass(c.end)
+			g.advance(c.end)
 			g.s.Done(g.now, first.Ticket)
-			g.pass(100 * ms)
+			g.advance(100 * ms)
 		default:
-			g.pass(6 * time.Second)
+			g.advance(6 * time.Second)
 		}
-		g.want(name, c.want...)
+		g.expect(name, c.want...)
 		if v := g.s.Resume(g.now, Ask{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Go ||
 			v.Group != c.group || (v.Since > 0) != (c.group == 2) {
 			t.Errorf("%s: released write: %+v", name, v)
@@ -119,37 +119,37 @@
 
 func TestFencedMoveWaitsForNewPrimary(t *testing.T) {
 	g := newRig(t, nil)
-	write := g.ask("apollo", true)
+	write := g.request("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	headless := func(x *balance.Seen) { x.Primary = x.Primary && x.Group == 1 }
-	g.look(headless)
+	g.observe(headless)
 	g.s.Done(g.now, write.Ticket)
-	g.pass(time.Second)
-	g.want("without a primary", "planned", "warming", "fenced")
+	g.advance(time.Second)
+	g.expect("without a primary", "planned", "warming", "fenced")
 	if why := g.s.Report().Moves[0].Reason; !strings.Contains(why, "no primary") {
 		t.Errorf("reason %q, want that the new group has no primary", why)
 	}
-	g.look(nil)
-	g.pass(100 * ms)
-	g.want("with a new primary", "settled")
+	g.observe(nil)
+	g.advance(100 * ms)
+	g.expect("with a new primary", "settled")
 
 	g = newRig(t, nil)
-	g.look(headless)
+	g.observe(headless)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
-	g.pass(10 * time.Second)
-	g.want("without a new primary", "planned", "warming", "fenced", "aborted")
-	if v := g.ask("apollo", true); v.Kind != Go || v.Group != 1 {
+	g.advance(10 * time.Second)
+	g.expect("without a new primary", "planned", "warming", "fenced", "aborted")
+	if v := g.request("apollo", true); v.Kind != Go || v.Group != 1 {
 		t.Errorf("write after the abort: %+v", v)
 	}
 }
 
 func TestFenceLimitsHeldWrites(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Moves.Hold = 2 })
-	g.ask("apollo", true)
+	g := newRig(t, func(c *Config) { c.Moves.MaxHeldWrites = 2 })
+	g.request("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	got := ""
 	for range 4 {
-		got += string("goh"[g.ask("apollo", true).Kind])
+		got += string("goh"[g.request("apollo", true).Kind])
 	}
 	if got != "hhoo" || g.s.Shed != 2 {
 		t.Errorf("verdicts of writes at the fence: %s, %d shed", got, g.s.Shed)
@@ -157,19 +157,19 @@
 }
 
 func TestMovesWaitForOthersAndForConfirmation(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Moves.AtOnce = 1 })
+	g := newRig(t, func(c *Config) { c.Moves.MaxConcurrent = 1 })
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2, Confirm: true})
 	g.move(Order{Tenant: "medi", To: "coast"})
-	g.pass(8 * time.Second)
-	g.want("one move at a time", "planned", "warming", "fenced", "planned")
+	g.advance(8 * time.Second)
+	g.expect("one move at a time", "planned", "warming", "fenced", "planned")
 	acts, err := g.s.Confirm(g.now, "apollo")
 	if g.acts = append(g.acts, acts...); err != nil {
 		t.Error(err)
 	}
-	g.pass(2 * time.Second)
-	g.want("after the confirmation", "settled", "warming", "fenced", "settled")
+	g.advance(2 * time.Second)
+	g.expect("after the confirmation", "settled", "warming", "fenced", "settled")
 	for want, o := range map[error]Order{ErrNoTenant: {Tenant: "x"}, ErrNoCell: {Tenant: "medi", To: "x"},
-		ErrThere: {Tenant: "medi", To: "coast"}, ErrNoGroup: {Tenant: "medi", FromGroup: 1, ToGroup: 9}} {
+		ErrAlreadyThere: {Tenant: "medi", To: "coast"}, ErrNoGroup: {Tenant: "medi", FromGroup: 1, ToGroup: 9}} {
 		if _, err := g.s.Move(g.now, o); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", o, err)
 		}
@@ -192,25 +192,25 @@
 	} {
 		g := newRig(t, nil)
 		g.move(Order{Tenant: "apollo", To: "hills"})
-		held := g.ask("apollo", true)
-		g.told()
+		held := g.request("apollo", true)
+		g.reported()
 		next := config()
 		c.change(&next)
 		acts, err := g.s.Configure(g.now, next)
 		if g.acts = append(g.acts, acts...); err != nil {
 			t.Fatal(err)
 		}
-		g.pass(2 * time.Second)
-		g.want(name, c.want...)
+		g.advance(2 * time.Second)
+		g.expect(name, c.want...)
 		g.s.Done(g.now, held.Ticket)
-		if owner := g.s.dir.named("apollo"); c.cell != "" && (owner.cell.Name != c.cell || owner.held != 0 || owner.cell.active != 0) {
+		if owner := g.s.dir.lookup("apollo"); c.cell != "" && (owner.cell.Name != c.cell || owner.held != 0 || owner.cell.activeTenants != 0) {
 			t.Errorf("%s: the tenant is in cell %s and holds %d requests", name, owner.cell.Name, owner.held)
 		}
 		// The result of a settled move remains as long as the tenant's entry names the same cell.
 		if _, err := g.s.Configure(g.now, next); err != nil {
 			t.Fatal(err)
 		}
-		if owner := g.s.dir.named("apollo"); c.cell != "" && owner.cell.Name != c.cell {
+		if owner := g.s.dir.lookup("apollo"); c.cell != "" && owner.cell.Name != c.cell {
 			t.Errorf("%s: the next Configure moves the tenant to cell %s", name, owner.cell.Name)
 		}
 	}
--- a/internal/control/cells/placement.go
+++ b/internal/control/cells/placement.go
@@ -8,14 +8,14 @@
 	"yokemast/balance"
 )
 
-// ranking is a cell's order of preference among the hosts of a group. The first home hosts are the cell's
-// own.
+// ranking is a cell's order of preference among the hosts of a group. The first own hosts are assigned to the
+// cell; the following ones replace those that are not readable.
 type ranking struct {
 	hosts []string
-	home  int
+	own   int
 }
 
-// place assigns the hosts of one group to the cells. Pinned hosts come first, then hosts in the order of
+// placeHosts assigns the hosts of one group to the cells. Pinned hosts come first, then hosts in the order of
 // shuffle sharding by weighted rendezvous hashing; a host with which two cells would share more than overlap
 // hosts is skipped while there is another one. The result depends on the arguments only, so that gateways
 // agree without communicating. Adding or removing a host changes one slot of the cells that gain or held it,
@@ -23,8 +23,8 @@
 // filled within the overlap. The hosts must be able to take work and be sorted by name.
 //
 // Shuffle sharding: C. MacCárthaigh, "Workload isolation using shuffle-sharding", Amazon Builders' Library.
-// Weighted rendezvous hashing: J. Mosko and others; see draw.
-func place(hosts []balance.Member, cells []*cell, size, overlap int) (ranked []ranking, relaxed int) {
+// Weighted rendezvous hashing: J. Mosko and others; see rendezvousPoint.
+func placeHosts(hosts []balance.Member, cells []*cell, size, overlap int) (ranked []ranking, relaxed int) {
 	index := make(map[string]int, len(hosts))
 	for i, h := range hosts {
 		index[h.Server] = i
@@ -32,10 +32,10 @@
 	words := (len(hosts) + 63) / 64
 	taken := make([][]uint64, len(cells))
 	points := make([]float64, len(hosts))
-	for n, c := range cells {
+	for n, cell := range cells {
 		order := make([]int, len(hosts))
 		for i, h := range hosts {
-			order[i], points[i] = i, draw(c.Name, h.Server, max(h.Weight, 1e-9))
+			order[i], points[i] = i, rendezvousPoint(cell.Name, h.Server, max(h.Weight, 1e-9))
 		}
 		slices.SortFunc(order, func(a, b int) int {
 			return cmp.Or(cmp.Compare(points[a], points[b]), cmp.Compare(hosts[a].Server, hosts[b].Server))
@@ -45,43 +45,43 @@
 			own = append(own, i)
 			set[i/64] |= 1 << (i % 64)
 		}
-		for _, p := range c.Pins {
+		for _, p := range cell.Pins {
 			if i, ok := index[p]; ok && len(own) < size {
 				take(i)
 			}
 		}
 		// over returns by how much host i would exceed the overlap with any of the preceding cells.
-		over := func(i int) (most int) {
+		over := func(i int) (excess int) {
 			for _, other := range taken[:n] {
 				if other[i/64]&(1<<(i%64)) == 0 {
 					continue
 				}
-				if shared := common(set, other) + 1 - overlap; shared > most {
-					most = shared
+				if shared := countCommon(set, other) + 1 - overlap; shared > excess {
+					excess = shared
 				}
 			}
-			return most
+			return excess
 		}
 		for len(own) < min(size, len(hosts)) {
-			best, least := -1, 0
+			best, lowest := -1, 0
 			for _, i := range order {
 				if set[i/64]&(1<<(i%64)) != 0 {
 					continue
 				}
-				if x := over(i); best < 0 || x < least {
-					best, least = i, x
+				if x := over(i); best < 0 || x < lowest {
+					best, lowest = i, x
 				}
-				if least == 0 {
+				if lowest == 0 {
 					break
 				}
 			}
-			if least > 0 {
+			if lowest > 0 {
 				relaxed++
 			}
 			take(best)
 		}
 		taken[n] = set
-		r := ranking{home: len(own), hosts: make([]string, 0, len(hosts))}
+		r := ranking{own: len(own), hosts: make([]string, 0, len(hosts))}
 		for _, i := range own {
 			r.hosts = append(r.hosts, hosts[i].Server)
 		}
@@ -95,8 +95,8 @@
 	return ranked, relaxed
 }
 
-// common returns the number of bits that are set in both sets.
-func common(a, b []uint64) (n int) {
+// countCommon returns the number of bits that are set in both sets.
+func countCommon(a, b []uint64) (n int) {
 	for i := range a {
 		for x := a[i] & b[i]; x != 0; x &= x - 1 {
 			n++
@@ -107,15 +107,15 @@
 
 // fleet is the known state of the hosts.
 type fleet struct {
-	members map[string]balance.Member // listed hosts that are active
-	seen    map[string]balance.Seen   // the latest state that the router reported of each
-	badFrom map[string]time.Duration  // when each unusable host became unusable
-	relaxed int                       // slots that could not be filled within the overlap
+	members       map[string]balance.Member // listed hosts that are active
+	states        map[string]balance.Seen   // the latest state that the router reported of each
+	unusableSince map[string]time.Duration  // when each unusable host became unusable
+	relaxed       int                       // slots that could not be filled within the overlap
 }
 
-// takes merges a member list, a whole one or changes only. It reports whether anything changed that the
+// merge merges a member list, which is a snapshot or a delta. It reports whether anything changed that the
 // placement depends on.
-func (f *fleet) takes(whole bool, list []balance.Member) (changed bool) {
+func (f *fleet) merge(snapshot bool, list []balance.Member) (changed bool) {
 	named := make(map[string]bool, len(list))
 	for _, m := range list {
 		named[m.Server] = true
@@ -133,7 +133,7 @@
 			f.members[m.Server] = m
 		}
 	}
-	if whole {
+	if snapshot {
 		for server := range f.members {
 			if !named[server] {
 				delete(f.members, server)
@@ -141,10 +141,10 @@
 			}
 		}
 	}
-	for server := range f.seen {
+	for server := range f.states {
 		if _, listed := f.members[server]; !listed {
-			delete(f.seen, server)
-			delete(f.badFrom, server)
+			delete(f.states, server)
+			delete(f.unusableSince, server)
 		}
 	}
 	return changed
@@ -166,11 +166,11 @@
 // A single error is over sooner, and a set of hosts that changes with each error would isolate no tenant.
 const borrowAfter = 500 * time.Millisecond
 
-// reads reports whether a cell can read from the host now. Primaries do not count as replicas; the router
+// readable reports whether a cell can read from the host now. Primaries do not count as replicas; the router
 // falls back to them itself.
-func (f *fleet) reads(now time.Duration, server string) bool {
+func (f *fleet) readable(now time.Duration, server string) bool {
 	m, listed := f.members[server]
-	s, seen := f.seen[server]
+	s, seen := f.states[server]
 	switch {
 	case !listed:
 		return false
@@ -179,20 +179,20 @@
 	case s.Primary:
 		return false
 	}
-	from, bad := f.badFrom[server]
-	return !bad || now-from < borrowAfter
+	since, bad := f.unusableSince[server]
+	return !bad || now-since < borrowAfter
 }
 
-// lends returns the hosts that a cell reads from in a group: its own hosts, and for each of them that is not
-// readable the next host in the order of preference. Its own hosts replace the others as soon as they are
+// readHosts returns the hosts that a cell reads from in a group: its own hosts, and for each of them that is
+// not readable the next host in the order of preference. Its own hosts replace the others as soon as they are
 // readable again.
-func (f *fleet) lends(now time.Duration, r ranking, size int) []string {
+func (f *fleet) readHosts(now time.Duration, r ranking, size int) []string {
 	var out []string
 	for i, server := range r.hosts {
-		if len(out) >= size || i >= r.home && len(out) >= r.home {
+		if len(out) >= size || i >= r.own && len(out) >= r.own {
 			break
 		}
-		if f.reads(now, server) {
+		if f.readable(now, server) {
 			out = append(out, server)
 		}
 	}
--- a/internal/control/cells/property_test.go
+++ b/internal/control/cells/property_test.go
@@ -44,7 +44,7 @@
 
 func homes(ranked []ranking) (out [][]string) {
 	for _, r := range ranked {
-		out = append(out, slices.Sorted(slices.Values(r.hosts[:r.home])))
+		out = append(out, slices.Sorted(slices.Values(r.hosts[:r.own])))
 	}
 	return out
 }
@@ -54,11 +54,11 @@
 		cells, hosts := drawCells(t), drawHosts(t)
 		size := rapid.IntRange(1, 5).Draw(t, "size")
 		gone := rapid.IntRange(0, len(hosts)-1).Draw(t, "removed")
-		all, _ := place(hosts, cells, size, size) // with overlap == size nothing is restricted
-		rest, _ := place(slices.Delete(slices.Clone(hosts), gone, gone+1), cells, size, size)
+		all, _ := placeHosts(hosts, cells, size, size) // with overlap == size nothing is restricted
+		rest, _ := placeHosts(slices.Delete(slices.Clone(hosts), gone, gone+1), cells, size, size)
 		for i, before := range homes(all) {
 			after := homes(rest)[i]
-			lost, won := without(before, after), without(after, before)
+			lost, won := difference(before, after), difference(after, before)
 			held := slices.Contains(before, hosts[gone].Server)
 			if !held && len(lost)+len(won) > 0 || held && (len(lost) != 1 || lost[0] != hosts[gone].Server || len(won) > 1) {
 				t.Fatalf("without host %s the hosts of a cell change from %v to %v", hosts[gone].Server, before, after)
@@ -72,10 +72,10 @@
 		cells, hosts := drawCells(t), drawHosts(t)
 		size := rapid.IntRange(1, 5).Draw(t, "size")
 		overlap := rapid.IntRange(0, size).Draw(t, "overlap")
-		ranked, relaxed := place(hosts, cells, size, overlap)
+		ranked, relaxed := placeHosts(hosts, cells, size, overlap)
 		for i, c := range cells {
-			c.ranked = map[int]ranking{1: ranked[i]}
-			if got := ranked[i].home; got != min(size, len(hosts)) || len(ranked[i].hosts) != len(hosts) {
+			c.rankings = map[int]ranking{1: ranked[i]}
+			if got := ranked[i].own; got != min(size, len(hosts)) || len(ranked[i].hosts) != len(hosts) {
 				t.Fatalf("cell %s has %d of %d slots and a ranking of %d hosts", c.Name, got, size, len(ranked[i].hosts))
 			}
 		}
@@ -111,7 +111,7 @@
 			}
 		}
 		for i := range a.cells {
-			if x, y := homes([]ranking{a.cells[i].ranked[1]}), homes([]ranking{b.cells[i].ranked[1]}); !slices.Equal(x[0], y[0]) {
+			if x, y := homes([]ranking{a.cells[i].rankings[1]}), homes([]ranking{b.cells[i].rankings[1]}); !slices.Equal(x[0], y[0]) {
 				t.Fatalf("cell %s has hosts %v at one gateway and %v at another", a.cells[i].Name, x, y)
 			}
 		}
@@ -131,7 +131,7 @@
 func TestPropertyMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.Moves = MoveLimits{AtOnce: 2, Ramp: time.Second, Warm: 3 * time.Second, Fence: 2 * time.Second, Hold: 3}
+		cfg.Moves = MoveLimits{MaxConcurrent: 2, MinRamp: time.Second, WarmTimeout: 3 * time.Second, FenceTimeout: 2 * time.Second, MaxHeldWrites: 3}
 		s, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -191,7 +191,7 @@
 				}
 			},
 			"answer": func(t *rapid.T) {
-				for _, id := range sorted(flying) {
+				for _, id := range sortedKeys(flying) {
 					if rapid.Bool().Draw(t, "answered") {
 						s.Done(now, flying[id].ticket)
 						delete(flying, id)
@@ -252,7 +252,7 @@
 				}
 				total := 0
 				for _, name := range tenants {
-					if got := int(s.dir.named(name).held); got != held[name] {
+					if got := int(s.dir.lookup(name).held); got != held[name] {
 						t.Fatalf("tenant %s holds %d requests, want %d", name, got, held[name])
 					}
 					total += held[name]
@@ -269,7 +269,7 @@
 	})
 }
 
-func sorted[V any](m map[string]V) (out []string) {
+func sortedKeys[V any](m map[string]V) (out []string) {
 	for k := range m {
 		out = append(out, k)
 	}
--- a/internal/control/cells/report.go
+++ b/internal/control/cells/report.go
@@ -46,16 +46,16 @@
 	tenants := s.tenants()
 	for _, c := range s.cells {
 		r := CellReport{Cell: c.Name, Weight: c.Weight, Tenants: tenants[c], Hosts: map[string][]string{},
-			Borrowed: []string{}, Held: c.held, Most: c.most(s.cfg.Queue, s.cfg.Floor), CellCount: c.CellCount}
+			Borrowed: []string{}, Held: c.held, Most: c.maxHeld(s.cfg.QueueFactor, s.cfg.MinHeld), CellCount: c.CellCount}
 		own := map[string]bool{}
-		for group, ranked := range c.ranked {
-			home := slices.Sorted(slices.Values(ranked.hosts[:ranked.home]))
+		for group, ranked := range c.rankings {
+			home := slices.Sorted(slices.Values(ranked.hosts[:ranked.own]))
 			r.Hosts[fmt.Sprint(group)] = home
 			for _, h := range home {
 				own[h] = true
 			}
 		}
-		for server := range c.servers {
+		for server := range c.readHosts {
 			if !own[server] {
 				r.Borrowed = append(r.Borrowed, server)
 			}
@@ -87,11 +87,11 @@
 	out := []NamedPair{}
 	for i, a := range cells {
 		for _, b := range cells[i+1:] {
-			for group, ra := range a.ranked {
+			for group, ra := range a.rankings {
 				n := 0
-				rb := b.ranked[group]
-				for _, h := range ra.hosts[:ra.home] {
-					if slices.Contains(rb.hosts[:rb.home], h) {
+				rb := b.rankings[group]
+				for _, h := range ra.hosts[:ra.own] {
+					if slices.Contains(rb.hosts[:rb.own], h) {
 						n++
 					}
 				}
@@ -149,28 +149,28 @@
 	out := Forecast{Changes: []Change{}}
 	cells := make([]*cell, len(s.cells))
 	for i, c := range s.cells {
-		cells[i] = &cell{Cell: c.Cell, ranked: map[int]ranking{}}
+		cells[i] = &cell{Cell: c.Cell, rankings: map[int]ranking{}}
 	}
 	for group, hosts := range next.groups() {
-		ranked, relaxed := place(hosts, cells, s.cfg.Size, s.cfg.Overlap)
+		ranked, relaxed := placeHosts(hosts, cells, s.cfg.Size, s.cfg.Overlap)
 		out.Relaxed += relaxed
 		for i, c := range cells {
-			c.ranked[group] = ranked[i]
+			c.rankings[group] = ranked[i]
 		}
 	}
 	tenants := s.tenants()
 	for i, c := range s.cells {
 		groups := map[int]bool{}
-		for g := range c.ranked {
+		for g := range c.rankings {
 			groups[g] = true
 		}
-		for g := range cells[i].ranked {
+		for g := range cells[i].rankings {
 			groups[g] = true
 		}
 		for g := range groups {
-			before, after := c.ranked[g], cells[i].ranked[g]
-			lost := without(before.hosts[:before.home], after.hosts[:after.home])
-			won := without(after.hosts[:after.home], before.hosts[:before.home])
+			before, after := c.rankings[g], cells[i].rankings[g]
+			lost := difference(before.hosts[:before.own], after.hosts[:after.own])
+			won := difference(after.hosts[:after.own], before.hosts[:before.own])
 			if len(lost)+len(won) > 0 {
 				out.Changes = append(out.Changes, Change{c.Name, g, tenants[c], lost, won})
 			}
@@ -181,8 +181,8 @@
 	return out, nil
 }
 
-// without returns the elements of a that are not in b, sorted.
-func without(a, b []string) []string {
+// difference returns the elements of a that are not in b, sorted.
+func difference(a, b []string) []string {
 	out := []string{}
 	for _, x := range a {
 		if !slices.Contains(b, x) {
--- a/internal/control/cells/state.go
+++ b/internal/control/cells/state.go
@@ -52,11 +52,11 @@
 // Ticket represents an admitted request. The caller passes it to Done or Resume exactly once. The zero Ticket
 // represents no request.
 type Ticket struct {
-	tenant *tenant
-	cell   *cell
-	taken  time.Duration
-	writes bool // whether it is counted among the tenant's in-flight writes
-	waits  bool // whether it waits at a fence
+	tenant     *tenant
+	cell       *cell
+	admittedAt time.Duration
+	writes     bool // whether it is counted among the tenant's in-flight writes
+	held       bool // whether it waits at a fence
 }
 
 // Verdict is the decision on a request.
@@ -72,26 +72,26 @@
 
 // State is the state of all cells, tenants and moves. It is not safe for concurrent use.
 type State struct {
-	cfg     Config
-	dir     *directory
-	cells   []*cell // sorted by name
-	nextID  int
-	fleet   fleet
-	groups  map[int][]balance.Member
-	limited map[*tenant]struct{} // tenants that have a rate limiter
-	moves   []*Move
-	past    []Move // moves that have ended, the latest last
-	acts    []Action
-	swept   time.Duration       // when limiters were swept last
-	Stages  [len(stages)]uint64 // number of moves that entered each stage
-	Denied  uint64              // requests whose user may not act for their tenant
-	Shed    uint64              // writes refused as too many waited at a fence, or for too long
+	cfg         Config
+	dir         *directory
+	cells       []*cell // sorted by name
+	nextID      int
+	fleet       fleet
+	groups      map[int][]balance.Member
+	withLimiter map[*tenant]struct{} // tenants that have a rate limiter
+	moves       []*Move
+	past        []Move // moves that have ended, the latest last
+	actions     []Action
+	lastSweep   time.Duration       // when limiters were swept last
+	Stages      [len(stages)]uint64 // number of moves that entered each stage
+	Denied      uint64              // requests whose user may not act for their tenant
+	Shed        uint64              // writes refused as too many waited at a fence, or for too long
 }
 
 // New returns a state for a configuration. The error names the invalid entry.
 func New(c Config) (*State, error) {
-	s := &State{fleet: fleet{members: map[string]balance.Member{}, seen: map[string]balance.Seen{},
-		badFrom: map[string]time.Duration{}}, groups: map[int][]balance.Member{}, limited: map[*tenant]struct{}{}, nextID: 1}
+	s := &State{fleet: fleet{members: map[string]balance.Member{}, states: map[string]balance.Seen{},
+		unusableSince: map[string]time.Duration{}}, groups: map[int][]balance.Member{}, withLimiter: map[*tenant]struct{}{}, nextID: 1}
 	if _, err := s.Configure(0, c); err != nil {
 		return nil, err
 	}
@@ -116,34 +116,35 @@
 			s.nextID++
 		}
 		if n.limiter == nil || n.Rate != x.Rate || n.Burst != x.Burst {
-			n.limiter = limiter(x.Rate, x.Burst, c.Gateways)
+			n.limiter = newLimiter(x.Rate, x.Burst, c.Gateways)
 		}
 		n.Cell = x
 		s.cells = append(s.cells, n)
 	}
 	slices.SortFunc(s.cells, func(a, b *cell) int { return cmp.Compare(a.Name, b.Name) })
 	s.dir = newDirectory(c, s.cells, s.dir)
-	for t := range s.limited {
+	for t := range s.withLimiter {
 		if t.limiter == nil {
-			delete(s.limited, t)
+			delete(s.withLimiter, t)
 		}
 	}
 	for _, m := range slices.Clone(s.moves) {
 		switch {
-		case s.dir.named(m.Tenant) != m.t:
+		case s.dir.lookup(m.Tenant) != m.tenant:
 			s.abort(now, m, "the tenant is removed from the configuration")
-		case s.byName(m.To) != m.to:
+		case s.cellByName(m.To) != m.target:
 			s.abort(now, m, "the target cell is removed from the configuration")
-		case m.t.cell.Name != m.From:
+		case m.tenant.cell.Name != m.From:
 			s.abort(now, m, "the configuration assigns the tenant to another cell")
 		}
 	}
-	s.rank()
-	s.replace(now)
+	s.updateRankings()
+	s.updateReadHosts(now)
 	return s.Tick(now), nil
 }
 
-func (s *State) byName(name string) *cell {
+// cellByName returns the cell of that name, or nil if there is none.
+func (s *State) cellByName(name string) *cell {
 	for _, c := range s.cells {
 		if c.Name == name {
 			return c
@@ -154,69 +155,71 @@
 
 // Admit decides on a request. If the verdict is Go or Hold, the caller must call Done or Resume with its
 // ticket.
-func (s *State) Admit(now time.Duration, a Ask) Verdict {
-	t, err := s.dir.find(a.User, a.Claim, a.Key)
+func (s *State) Admit(now time.Duration, request Ask) Verdict {
+	t, err := s.dir.find(request.User, request.Claim, request.Key)
 	if err != nil {
 		s.Denied++
 		return Verdict{Kind: Denied, Reason: err.Error()}
 	}
-	return s.admit(now, a, t, true)
+	return s.admit(now, request, t, true)
 }
 
 // Resume decides again on a request that was released from a fence. It ends the request's previous ticket.
-func (s *State) Resume(now time.Duration, a Ask, k Ticket) Verdict {
-	s.Done(now, k)
-	return s.admit(now, a, k.tenant, false)
+func (s *State) Resume(now time.Duration, request Ask, ticket Ticket) Verdict {
+	s.Done(now, ticket)
+	return s.admit(now, request, ticket.tenant, false)
 }
 
-func (s *State) admit(now time.Duration, a Ask, t *tenant, charged bool) Verdict {
+// admit decides on a request of a tenant. A released request is not checked against the limits again.
+func (s *State) admit(now time.Duration, request Ask, t *tenant, enforceLimits bool) Verdict {
 	m, c := t.move, t.cell
-	v := Verdict{Group: t.routed(a.Group), Since: t.since}
+	v := Verdict{Group: t.groupFor(request.Group), Since: t.movedAt}
 	switch {
 	case m == nil:
-	case m.Stage == Warming && !a.Write && m.goesOver():
-		c = m.to
-	case m.Stage == Fenced && a.Write && a.Group == m.FromGroup:
+	case m.Stage == Warming && !request.Write && m.shiftsRead():
+		c = m.target
+	case m.Stage == Fenced && request.Write && request.Group == m.FromGroup:
 		v.Kind = Hold
 	}
 	v.Cell = c.id
 	c.Taken++
-	if charged {
-		if after, reason := s.over(now, t, c); reason != "" {
-			v.Kind, v.Reason, v.After = Over, reason, min(max(after, comeBackLeast), comeBackMost)
+	if enforceLimits {
+		if after, reason := s.checkLimits(now, t, c); reason != "" {
+			v.Kind, v.Reason, v.After = Over, reason, min(max(after, minRetryAfter), maxRetryAfter)
 			return v
 		}
 	}
 	if v.Kind == Hold {
-		// A write waits for half of its remaining time at most, so that its client has time to retry.
-		until := now + (a.Deadline-now)/2
-		if len(m.waiting) >= s.cfg.Moves.Hold || until <= now {
+		// A held write was never sent, so its client can retry safely: it waits for half of its remaining time
+		// at most.
+		until := now + (request.Deadline-now)/2
+		if len(m.waiting) >= s.cfg.Moves.MaxHeldWrites || until <= now {
 			s.Shed++
-			v.Kind, v.Reason, v.After = Over, "the tenant is being moved", s.left(now, m)
+			v.Kind, v.Reason, v.After = Over, "the tenant is being moved", s.fenceRemaining(now, m)
 			return v
 		}
-		m.waiting = append(m.waiting, waiting{a.ID, until})
+		m.waiting = append(m.waiting, waiting{request.ID, until})
 	}
-	take(t, c)
-	v.Ticket = Ticket{tenant: t, cell: c, taken: now, waits: v.Kind == Hold}
-	if a.Write && v.Kind == Go {
+	addHeld(t, c)
+	v.Ticket = Ticket{tenant: t, cell: c, admittedAt: now, held: v.Kind == Hold}
+	if request.Write && v.Kind == Go {
 		t.writes++
 		v.Ticket.writes = true
 	}
 	return v
 }
 
-// left estimates how long the fence of the move remains.
-func (s *State) left(now time.Duration, m *Move) time.Duration {
-	return min(max(m.Since+s.cfg.Moves.Fence-now, comeBackLeast), comeBackMost)
+// fenceRemaining estimates how long the fence of the move remains.
+func (s *State) fenceRemaining(now time.Duration, m *Move) time.Duration {
+	return min(max(m.StageSince+s.cfg.Moves.FenceTimeout-now, minRetryAfter), maxRetryAfter)
 }
 
-// Hosts merges a member list, a whole one or changes only.
-func (s *State) Hosts(now time.Duration, whole bool, list []balance.Member) []Action {
-	if s.fleet.takes(whole, list) {
-		s.rank()
+// Hosts merges a member list, which is a snapshot or a delta.
+func (s *State) Hosts(now time.Duration, snapshot bool, list []balance.Member) []Action {
+	if s.fleet.merge(snapshot, list) {
+		s.updateRankings()
 	}
-	s.replace(now)
+	s.updateReadHosts(now)
 	return s.Tick(now)
 }
 
@@ -226,64 +229,64 @@
 		if _, listed := s.fleet.members[x.Server]; !listed {
 			continue
 		}
-		s.fleet.seen[x.Server] = x
+		s.fleet.states[x.Server] = x
 		if x.Usable {
-			delete(s.fleet.badFrom, x.Server)
-		} else if _, since := s.fleet.badFrom[x.Server]; !since {
-			s.fleet.badFrom[x.Server] = now
+			delete(s.fleet.unusableSince, x.Server)
+		} else if _, since := s.fleet.unusableSince[x.Server]; !since {
+			s.fleet.unusableSince[x.Server] = now
 		}
 	}
-	s.replace(now)
+	s.updateReadHosts(now)
 	return s.Tick(now)
 }
 
-// rank recomputes the rankings of all cells.
-func (s *State) rank() {
+// updateRankings recomputes the rankings of all cells.
+func (s *State) updateRankings() {
 	s.groups = s.fleet.groups()
 	s.fleet.relaxed = 0
 	for _, c := range s.cells {
-		c.ranked = map[int]ranking{}
+		c.rankings = map[int]ranking{}
 	}
 	for group, hosts := range s.groups {
-		ranked, relaxed := place(hosts, s.cells, s.cfg.Size, s.cfg.Overlap)
+		ranked, relaxed := placeHosts(hosts, s.cells, s.cfg.Size, s.cfg.Overlap)
 		s.fleet.relaxed += relaxed
 		for i, c := range s.cells {
-			c.ranked[group] = ranked[i]
+			c.rankings[group] = ranked[i]
 		}
 	}
 }
 
-// replace recomputes which hosts every cell reads from and the capacity that they give it. If the hosts of
-// any cell changed, it adds a Placed action.
-func (s *State) replace(now time.Duration) {
+// updateReadHosts recomputes which hosts every cell reads from and the capacity that they give it. If the
+// hosts of any cell changed, it adds a Placed action.
+func (s *State) updateReadHosts(now time.Duration) {
 	changed := false
-	weights, all := map[string]float64{}, 0.0
+	weights, totalWeight := map[string]float64{}, 0.0
 	for _, c := range s.cells {
 		servers := map[string]bool{}
-		for _, r := range c.ranked {
-			for _, server := range s.fleet.lends(now, r, s.cfg.Size) {
+		for _, r := range c.rankings {
+			for _, server := range s.fleet.readHosts(now, r, s.cfg.Size) {
 				servers[server] = true
 				weights[server] += c.Weight
 			}
 		}
-		if c.servers == nil || !maps.Equal(c.servers, servers) {
-			c.servers, changed = servers, true
+		if c.readHosts == nil || !maps.Equal(c.readHosts, servers) {
+			c.readHosts, changed = servers, true
 		}
-		all += c.Weight
+		totalWeight += c.Weight
 	}
 	for _, c := range s.cells {
 		c.capacity = 0
-		for server, seen := range s.fleet.seen {
+		for server, seen := range s.fleet.states {
 			switch {
 			case seen.Primary:
-				c.capacity += seen.Limit * c.Weight / all
-			case c.servers[server]:
+				c.capacity += seen.Limit * c.Weight / totalWeight
+			case c.readHosts[server]:
 				c.capacity += seen.Limit * c.Weight / weights[server]
 			}
 		}
 	}
 	if changed {
-		s.acts = append(s.acts, Placed{s.Cells()})
+		s.actions = append(s.actions, Placed{s.Cells()})
 	}
 }
 
@@ -291,7 +294,7 @@
 func (s *State) Cells() balance.Cells {
 	out := balance.Cells{List: make([]balance.Cell, 0, len(s.cells))}
 	for _, c := range s.cells {
-		out.List = append(out.List, balance.Cell{ID: c.id, Weight: c.Weight, Reserve: s.cfg.Reserve, Servers: c.servers})
+		out.List = append(out.List, balance.Cell{ID: c.id, Weight: c.Weight, Reserve: s.cfg.ReservedShare, Servers: c.readHosts})
 	}
 	return out
 }
@@ -308,16 +311,16 @@
 				return false
 			}
 			s.Shed++
-			s.acts = append(s.acts, GiveUp{w.id, s.left(now, m)})
+			s.actions = append(s.actions, GiveUp{w.id, s.fenceRemaining(now, m)})
 			return true
 		})
 		s.advance(now, m)
 	}
-	if now-s.swept >= sweepEvery {
+	if now-s.lastSweep >= sweepEvery {
 		s.sweep(now)
-		s.swept = now
+		s.lastSweep = now
 	}
-	acts := s.acts
-	s.acts = nil
-	return acts
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -54,13 +54,13 @@
 
 // node is an entry of the file, or an entry that it omits and that has a default.
 type node struct {
-	entry  *Entry
-	pos    lexer.Position
-	title  string // name of a titled section
-	values []any
-	words  []string // the values as written in the file
-	parts  []*node  // entries of a section, in the order of the schema
-	given  bool     // whether the entry is in the file
+	entry    *Entry
+	pos      lexer.Position
+	title    string // name of a titled section
+	values   []any
+	written  []string // the values as written in the file
+	children []*node  // entries of a section, in the order of the schema
+	explicit bool     // whether the entry is in the file
 }
 
 // Load reads and checks a file.
@@ -84,14 +84,14 @@
 		return nil, err
 	}
 	f := &File{Path: path, root: root}
-	return f, f.fill()
+	return f, f.convert()
 }
 
 // reader converts forms to nodes according to the schema.
 type reader struct{ file string }
 
-// fail returns an error at a position of the file.
-func (r reader) fail(p lexer.Position, entry, what string, args ...any) error {
+// errorAt returns an error at a position of the file.
+func (r reader) errorAt(p lexer.Position, entry, what string, args ...any) error {
 	return &Error{File: r.file, Line: p.Line, Column: p.Column, Entry: entry, What: fmt.Sprintf(what, args...)}
 }
 
@@ -103,41 +103,41 @@
 		name := strings.TrimPrefix(path+"."+f.Name, ".")
 		entry := n.entry.find(f.Name)
 		if entry == nil {
-			return r.fail(f.Pos, name, "no such entry")
+			return r.errorAt(f.Pos, name, "no such entry")
 		}
-		if old := given[f.Name]; len(old) > 0 && !entry.Many {
-			return r.fail(f.Pos, name, "is here and already at line %d", old[0].pos.Line)
+		if old := given[f.Name]; len(old) > 0 && !entry.Repeatable {
+			return r.errorAt(f.Pos, name, "already given at line %d", old[0].pos.Line)
 		}
-		part, err := r.entry(entry, name, f)
+		child, err := r.entry(entry, name, f)
 		if err != nil {
 			return err
 		}
 		if entry.Titled {
-			key := f.Name + "\x00" + part.title
+			key := f.Name + "\x00" + child.title
 			if old, twice := titles[key]; twice {
-				return r.fail(f.Pos, name, "%q is here and already at line %d", part.title, old.Line)
+				return r.errorAt(f.Pos, name, "%q is already given at line %d", child.title, old.Line)
 			}
 			titles[key] = f.Pos
 		}
-		given[f.Name] = append(given[f.Name], part)
+		given[f.Name] = append(given[f.Name], child)
 	}
 	for i := range n.entry.Entries {
 		e := &n.entry.Entries[i]
 		switch {
 		case len(given[e.Name]) > 0:
-			n.parts = append(n.parts, given[e.Name]...)
+			n.children = append(n.children, given[e.Name]...)
 		case e.Kind == Section && !e.Titled && (path != "" || e.Name == "pools"): // a section of limits that all have defaults
-			part := &node{entry: e, pos: at}
-			if err := r.section(part, path+"."+e.Name, at, nil); err != nil {
+			child := &node{entry: e, pos: at}
+			if err := r.section(child, path+"."+e.Name, at, nil); err != nil {
 				return err
 			}
-			n.parts = append(n.parts, part)
+			n.children = append(n.children, child)
 		case e.Default != "":
-			v, err := e.read(e.Default)
+			v, err := e.parse(e.Default)
 			if err != nil {
-				return r.fail(at, path+"."+e.Name, "default: %s", err)
+				return r.errorAt(at, path+"."+e.Name, "default: %s", err)
 			}
-			n.parts = append(n.parts, &node{entry: e, pos: at, values: []any{v}, words: []string{e.Default}})
+			n.children = append(n.children, &node{entry: e, pos: at, values: []any{v}, written: []string{e.Default}})
 		}
 	}
 	return nil
@@ -155,7 +155,7 @@
 
 // entry reads one form.
 func (r reader) entry(e *Entry, path string, f *form) (*node, error) {
-	n := &node{entry: e, pos: f.Pos, given: true}
+	n := &node{entry: e, pos: f.Pos, explicit: true}
 	var forms []*form
 	for i, a := range f.Args {
 		switch {
@@ -163,40 +163,40 @@
 			forms = append(forms, a.Form)
 			continue
 		case a.Form != nil:
-			return nil, r.fail(a.Pos, path, "takes no nested entry here")
+			return nil, r.errorAt(a.Pos, path, "takes no nested entry here")
 		}
-		s := a.Word
+		s := a.Text
 		switch {
 		case e.Titled && i == 0:
 			if n.title = s; s == "" {
-				return nil, r.fail(a.Pos, path, "the name is empty")
+				return nil, r.errorAt(a.Pos, path, "the name is empty")
 			}
 			continue
 		case e.Kind == Section:
-			return nil, r.fail(a.Pos, path, "%q is not an entry", s)
+			return nil, r.errorAt(a.Pos, path, "%q is not an entry", s)
 		case e.Kind != Texts && len(n.values) > 0:
-			return nil, r.fail(a.Pos, path, "takes one %s", e.Kind)
+			return nil, r.errorAt(a.Pos, path, "takes one %s", e.Kind)
 		}
-		v, err := e.read(s)
+		v, err := e.parse(s)
 		if err != nil {
-			return nil, r.fail(a.Pos, path, "%s", err)
+			return nil, r.errorAt(a.Pos, path, "%s", err)
 		}
-		n.values, n.words = append(n.values, v), append(n.words, s)
+		n.values, n.written = append(n.values, v), append(n.written, s)
 	}
 	switch {
 	case e.Titled && n.title == "":
-		return nil, r.fail(f.Pos, path, "the name is missing")
+		return nil, r.errorAt(f.Pos, path, "the name is missing")
 	case e.Kind != Section && len(n.values) == 0:
-		return nil, r.fail(f.Pos, path, "takes a %s", e.Kind)
+		return nil, r.errorAt(f.Pos, path, "takes a %s", e.Kind)
 	case e.Kind == Section:
 		return n, r.section(n, path, f.Pos, forms)
 	}
 	return n, nil
 }
 
-// all returns the entries of that name.
-func (n *node) all(name string) (out []*node) {
-	for _, p := range n.parts {
+// named returns the entries of that name.
+func (n *node) named(name string) (out []*node) {
+	for _, p := range n.children {
 		if p.entry.Name == name {
 			out = append(out, p)
 		}
@@ -204,9 +204,9 @@
 	return out
 }
 
-// one returns the first entry of that name, or nil if there is none.
-func (n *node) one(name string) *node {
-	if all := n.all(name); len(all) > 0 {
+// first returns the first entry of that name, or nil if there is none.
+func (n *node) first(name string) *node {
+	if all := n.named(name); len(all) > 0 {
 		return all[0]
 	}
 	return nil
@@ -214,15 +214,15 @@
 
 // value returns the value of an entry with one value, or the zero value if it is absent.
 func value[T any](n *node, name string) (out T) {
-	if p := n.one(name); p != nil {
+	if p := n.first(name); p != nil {
 		out = p.values[0].(T)
 	}
 	return out
 }
 
-// texts returns the values of an entry with texts.
-func texts(n *node, name string) (out []string) {
-	if p := n.one(name); p != nil {
+// stringValues returns the values of an entry with texts.
+func stringValues(n *node, name string) (out []string) {
+	if p := n.first(name); p != nil {
 		for _, v := range p.values {
 			out = append(out, v.(string))
 		}
@@ -230,41 +230,43 @@
 	return out
 }
 
-// fill converts the parsed entries to settings and checks their combinations.
-func (f *File) fill() error {
+// convert converts the parsed entries to settings and checks their combinations.
+func (f *File) convert() error {
 	r := reader{f.Path}
-	if c := f.root.one("control"); c != nil {
+	if c := f.root.first("control"); c != nil {
 		f.Control = Control{Socket: value[string](c, "socket"), Mode: os.FileMode(value[int](c, "mode"))}
 		if f.Control.Socket == "" {
-			return r.fail(c.pos, "control", "socket is missing")
+			return r.errorAt(c.pos, "control", "socket is missing")
 		}
 		if !filepath.IsAbs(f.Control.Socket) {
-			return r.fail(c.one("socket").pos, "control.socket", "%q is not an absolute path", f.Control.Socket)
+			return r.errorAt(c.first("socket").pos, "control.socket", "%q is not an absolute path", f.Control.Socket)
 		}
 	}
-	if err := f.pools(r); err != nil {
+	if err := f.convertPools(r); err != nil {
 		return err
 	}
-	n := f.root.one("cells")
+	n := f.root.first("cells")
 	if n == nil {
 		return nil
 	}
-	moves := n.one("moves")
+	moves := n.first("moves")
 	c := &cells.Config{Claims: value[bool](n, "claims"), Size: value[int](n, "size"), Overlap: value[int](n, "overlap"),
-		Reserve: value[float64](n, "reserve"), Buckets: value[int](n, "buckets"), Queue: value[float64](n, "queue"),
-		Floor: value[int](n, "floor"), Gateways: 1, Users: map[string][]string{},
-		Moves: cells.MoveLimits{AtOnce: value[int](moves, "at-once"), Ramp: value[time.Duration](moves, "ramp"),
-			Warm: value[time.Duration](moves, "warm"), Fence: value[time.Duration](moves, "fence"), Hold: value[int](moves, "hold")}}
-	for _, p := range n.all("cell") {
-		c.Cells = append(c.Cells, cells.Cell{Name: p.title, Weight: value[float64](p, "weight"), Pins: texts(p, "pin"),
+		ReservedShare: value[float64](n, "reserve"), Buckets: value[int](n, "buckets"),
+		QueueFactor: value[float64](n, "queue"),
+		MinHeld:     value[int](n, "floor"), Gateways: 1, Users: map[string][]string{},
+		Moves: cells.MoveLimits{MaxConcurrent: value[int](moves, "at-once"), MinRamp: value[time.Duration](moves, "ramp"),
+			WarmTimeout: value[time.Duration](moves, "warm"), FenceTimeout: value[time.Duration](moves, "fence"),
+			MaxHeldWrites: value[int](moves, "hold")}}
+	for _, p := range n.named("cell") {
+		c.Cells = append(c.Cells, cells.Cell{Name: p.title, Weight: value[float64](p, "weight"), Pins: stringValues(p, "pin"),
 			Rate: value[float64](p, "rate"), Burst: value[int](p, "burst"), Concurrency: value[int](p, "concurrency")})
 	}
-	for _, p := range n.all("tenant") {
-		c.Tenants = append(c.Tenants, cells.Tenant{Name: p.title, Cell: value[string](p, "cell"), Prefixes: texts(p, "prefix"),
+	for _, p := range n.named("tenant") {
+		c.Tenants = append(c.Tenants, cells.Tenant{Name: p.title, Cell: value[string](p, "cell"), Prefixes: stringValues(p, "prefix"),
 			Rate: value[float64](p, "rate"), Burst: value[int](p, "burst"), Concurrency: value[int](p, "concurrency")})
 	}
-	for _, p := range n.all("user") {
-		c.Users[p.title] = texts(p, "tenants")
+	for _, p := range n.named("user") {
+		c.Users[p.title] = stringValues(p, "tenants")
 	}
 	var fault *cells.Fault
 	if err := c.Check(); errors.As(err, &fault) {
@@ -272,41 +274,44 @@
 		if fault.Entry != "" {
 			path += "." + fault.Entry
 		}
-		for _, p := range n.all(fault.Entry) {
+		for _, p := range n.named(fault.Entry) {
 			if fault.Name == "" || p.title == fault.Name {
 				at = p.pos // the last one: of two entries of the same name that is the superfluous one
 			}
 		}
 		if fault.Name != "" {
-			return r.fail(at, path, "%q: %s", fault.Name, fault.What)
+			return r.errorAt(at, path, "%q: %s", fault.Name, fault.What)
 		}
-		return r.fail(at, path, "%s", fault.What)
+		return r.errorAt(at, path, "%s", fault.What)
 	} else if err != nil {
-		return r.fail(n.pos, "cells", "%s", err)
+		return r.errorAt(n.pos, "cells", "%s", err)
 	}
 	f.Cells = c
 	return nil
 }
 
-// pools converts the section of the pools.
-func (f *File) pools(r reader) error {
-	n := f.root.one("pools")
-	f.Pools = Pools{Prepared: value[int](n, "prepared"), Wait: value[time.Duration](n, "wait"), Limits: pooling.Limits{Total: value[int](n, "total"),
-		PerHost: value[int](n, "per-host"), Least: value[int](n, "least"), Opening: value[int](n, "opening"),
-		PerSec: value[float64](n, "per-second"), Rest: value[time.Duration](n, "rest"), Age: value[time.Duration](n, "age"),
-		Memory: value[time.Duration](n, "memory"), ColdPart: value[float64](n, "cold-part")}}
-	for _, p := range n.all("pool") {
-		x := Pool{Name: p.title, Users: texts(p, "user"), Databases: texts(p, "database"), Group: value[int](p, "group"),
+// convertPools converts the section of the pools.
+func (f *File) convertPools(r reader) error {
+	n := f.root.first("pools")
+	f.Pools = Pools{Prepared: value[int](n, "prepared"), Wait: value[time.Duration](n, "wait"),
+		Limits: pooling.Limits{Total: value[int](n, "total"),
+			PerHost: value[int](n, "per-host"), Least: value[int](n, "least"), Opening: value[int](n, "opening"),
+			PerSec: value[float64](n, "per-second"), Rest: value[time.Duration](n, "rest"), Age: value[time.Duration](n, "age"),
+			Memory: value[time.Duration](n, "memory"), ColdPart: value[float64](n, "cold-part")}}
+	for _, p := range n.named("pool") {
+		x := Pool{Name: p.title, Users: stringValues(p, "user"), Databases: stringValues(p, "database"), Group: value[int](p, "group"),
 			Read: value[string](p, "read"), Own: value[string](p, "own"), Write: value[string](p, "write"),
-			Transaction: value[time.Duration](p, "transaction"), Idle: value[time.Duration](p, "idle"), MaxBatch: value[int](p, "batch"),
-			Tenants: texts(p, "tenant"), MaxMessage: value[int](p, "message"), Most: value[int](p, "most")}
+			Transaction: value[time.Duration](p, "transaction"), Idle: value[time.Duration](p, "idle"),
+			MaxBatch: value[int](p, "batch"),
+			Tenants:  stringValues(p, "tenant"), MaxMessage: value[int](p, "message"), Most: value[int](p, "most")}
 		x.Own = cmp.Or(x.Own, x.Read)
 		var ok bool
 		if x.Mode, ok = pooling.ParseMode(value[string](p, "mode")); !ok {
-			return r.fail(p.one("mode").pos, "pools.pool.mode", "%q is not one of statement, transaction and session", value[string](p, "mode"))
+			return r.errorAt(p.first("mode").pos, "pools.pool.mode", "%q is not one of statement, transaction and session",
+				value[string](p, "mode"))
 		}
 		if x.Read == "" || x.Write == "" {
-			return r.fail(p.pos, "pools.pool", "%q: read and write must each name a class", x.Name)
+			return r.errorAt(p.pos, "pools.pool", "%q: read and write must each name a class", x.Name)
 		}
 		f.Pools.Pools = append(f.Pools.Pools, x)
 	}
@@ -317,7 +322,7 @@
 // such.
 func (f *File) Print(w io.Writer) error {
 	var b strings.Builder
-	for _, n := range f.root.parts {
+	for _, n := range f.root.children {
 		n.print(&b, "")
 	}
 	_, err := io.WriteString(w, b.String())
@@ -329,21 +334,21 @@
 	if n.entry.Titled {
 		fmt.Fprintf(b, " %s", quote(n.title))
 	}
-	for _, w := range n.words {
+	for _, w := range n.written {
 		if n.entry.Kind == Text || n.entry.Kind == Texts {
 			w = quote(w)
 		}
 		b.WriteString(" " + w)
 	}
-	if len(n.parts) > 0 {
+	if len(n.children) > 0 {
 		b.WriteString("\n")
-		for _, p := range n.parts {
+		for _, p := range n.children {
 			p.print(b, indent+"  ")
 		}
 		b.WriteString(indent)
 	}
 	b.WriteString(")")
-	if !n.given {
+	if !n.explicit {
 		b.WriteString(" ; default")
 	}
 	b.WriteString("\n")
--- a/internal/operator/grammar.go
+++ b/internal/operator/grammar.go
@@ -50,21 +50,23 @@
 //	file = form* .   form = "(" atom arg* ")" .   arg = atom | text | form .
 type tree struct{ Forms []*form }
 
+// form is an entry of the file with its arguments.
 type form struct {
 	Pos  lexer.Position
 	Name string
 	Args []*arg
 }
 
+// arg is an argument of a form.
 type arg struct {
 	Pos  lexer.Position
-	Word string // an atom, or a text without its quotes
+	Text string // an atom, or a text without its quotes
 	Form *form  // nil if the argument is an atom or a text
 }
 
-// deepest is the maximum nesting depth of forms. No setting needs more, and a file of nothing but parentheses
+// maxDepth is the maximum nesting depth of forms. No setting needs more, and a file of nothing but parentheses
 // must not overflow the stack.
-const deepest = 20
+const maxDepth = 20
 
 // parse parses all forms. The library's parser for the same grammar, defined by struct tags, took 36 us and
 // 20 KB for each tenant of a large file; this one takes 11 us and 7 KB. The library is still used for the
@@ -80,6 +82,7 @@
 	return nil
 }
 
+// unexpected returns the error for a token other than the expected one.
 func unexpected(t *lexer.Token, want string) error {
 	got := strconv.Quote(t.Value)
 	if t.EOF() {
@@ -88,13 +91,14 @@
 	return participle.Errorf(t.Pos, "%s where %s was expected", got, want)
 }
 
+// parseForm parses one form at a nesting depth.
 func parseForm(lex *lexer.PeekingLexer, depth int) (*form, error) {
 	open := lex.Next()
 	if open.Value != "(" {
 		return nil, unexpected(open, `"("`)
 	}
-	if depth > deepest {
-		return nil, participle.Errorf(open.Pos, "forms are nested more than %d deep", deepest)
+	if depth > maxDepth {
+		return nil, participle.Errorf(open.Pos, "forms are nested more than %d deep", maxDepth)
 	}
 	name := lex.Next()
 	if name.Type != tokenAtom {
@@ -116,13 +120,13 @@
 			}
 			f.Args = append(f.Args, &arg{Pos: inner.Pos, Form: inner})
 		default:
-			a := &arg{Pos: lex.Next().Pos, Word: t.Value}
+			a := &arg{Pos: lex.Next().Pos, Text: t.Value}
 			if t.Type == tokenText {
-				word, err := strconv.Unquote(t.Value)
+				text, err := strconv.Unquote(t.Value)
 				if err != nil {
 					return nil, participle.Errorf(t.Pos, "%s has an invalid escape sequence", t.Value)
 				}
-				a.Word = word
+				a.Text = text
 			}
 			f.Args = append(f.Args, a)
 		}
@@ -132,12 +136,13 @@
 // maxFile is the maximum size of the file in bytes. It has room for 100,000 tenants with some settings each.
 const maxFile = 64 << 20
 
+// parseTree parses the text of a file. Its error is an *Error.
 func parseTree(file string, b []byte) (*tree, error) {
 	if len(b) > maxFile {
 		return nil, &Error{File: file, What: fmt.Sprintf("the file has more than %d bytes", maxFile)}
 	}
 	t := &tree{}
-	scan, err := tokens{}.LexString(file, string(b))
+	scan, err := lexerDefinition{}.LexString(file, string(b))
 	var lex *lexer.PeekingLexer
 	if err == nil {
 		lex, err = lexer.Upgrade(scan)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,12 +34,12 @@
 		t.Fatal(err)
 	}
 	want := &File{Path: "f", Pools: Pools{Prepared: 100, Wait: 100 * time.Millisecond, Limits: pooling.Limits{Rest: 30 * time.Millisecond}}, Control: Control{"/run/yokemast/control.sock", 0o660}, Cells: &cells.Config{Claims: true, Size: 3,
-		Overlap: 1, Reserve: 0.5, Buckets: 1024, Queue: 4, Floor: 16, Gateways: 1,
+		Overlap: 1, ReservedShare: 0.5, Buckets: 1024, QueueFactor: 4, MinHeld: 16, Gateways: 1,
 		Cells: []cells.Cell{{Name: "coast", Weight: 2, Pins: []string{"s-1", "s-2"}, Rate: 200, Burst: 50},
 			{Name: "hills", Weight: 1}},
 		Tenants: []cells.Tenant{{Name: "apollo", Cell: "coast", Prefixes: []string{"ap/", "apl-"}, Concurrency: 20}},
 		Users:   map[string][]string{"apollo-app": {"apollo"}},
-		Moves:   cells.MoveLimits{AtOnce: 4, Ramp: 10 * time.Second, Warm: time.Minute, Fence: 5 * time.Second}}}
+		Moves:   cells.MoveLimits{MaxConcurrent: 4, MinRamp: 10 * time.Second, WarmTimeout: time.Minute, FenceTimeout: 5 * time.Second}}}
 	if diff := cmp.Diff(want, f, cmpopts.IgnoreUnexported(File{})); diff != "" {
 		t.Error(diff)
 	}
@@ -58,8 +58,8 @@
 		"(cells\n  (cell \"a\nb\"))":                     `f:2:9: `,
 		`(cell "a")`:                                     `f:1:1: cell: no such entry`,
 		"(cells (cell a)\n  (sise 2))":                   `f:2:3: cells.sise: no such entry`,
-		"(cells (cell a) (size 2)\n(size 3))":            `f:2:1: cells.size: is here and already at line 1`,
-		"(cells (cell a)\n(cell a))":                     `f:2:1: cells.cell: "a" is here and already at line 1`,
+		"(cells (cell a) (size 2)\n(size 3))":            `f:2:1: cells.size: already given at line 1`,
+		"(cells (cell a)\n(cell a))":                     `f:2:1: cells.cell: "a" is already given at line 1`,
 		`(cells (cell a) (size two))`:                    `f:1:23: cells.size: "two" is not a whole number`,
 		`(cells (cell a) (size 0))`:                      `f:1:23: cells.size: 0 is below the minimum 1`,
 		`(cells (cell a) (size 1 2))`:                    `f:1:25: cells.size: takes one whole number`,
@@ -163,7 +163,7 @@
 	var text strings.Builder
 	text.WriteString("(cells (cell a)\n")
 	for i := range 10_000 {
-		text.WriteString("(tenant \"t" + string(rune('a'+i%26)) + real(float64(i)) + "\" (cell a) (rate 10))\n")
+		text.WriteString("(tenant \"t" + string(rune('a'+i%26)) + formatNumber(float64(i)) + "\" (cell a) (rate 10))\n")
 	}
 	text.WriteString(")")
 	b.SetBytes(int64(text.Len()))
--- a/internal/operator/reference.go
+++ b/internal/operator/reference.go
@@ -41,18 +41,18 @@
 func (e *Entry) bounds() string {
 	show := func(f float64) string {
 		switch e.Kind {
-		case Span:
+		case Duration:
 			return time.Duration(f).String()
 		case Mode:
 			return fmt.Sprintf("%04o", int(f))
 		}
-		return real(f)
+		return formatNumber(f)
 	}
 	switch {
-	case e.Most > 0:
-		return show(e.Least) + " to " + show(e.Most)
-	case e.Kind == Count || e.Kind == Real:
-		return "from " + show(e.Least)
+	case e.Max > 0:
+		return show(e.Min) + " to " + show(e.Max)
+	case e.Kind == Count || e.Kind == Number:
+		return "from " + show(e.Min)
 	}
 	return ""
 }
