--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -39,9 +39,9 @@
 
 func TestEvictionOrder(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(g *rig) (gives ID)
-		why  Reason
+		name   string
+		do     func(g *rig) (victim ID)
+		reason Reason
 	}{
 		{"a silent connection before an idle one", func(g *rig) ID {
 			a, _ := g.arrive("x")
@@ -103,7 +103,7 @@
 	} {
 		g := newRig(smallLimits())
 		want := c.do(g)
-		if _, v := g.arrive("new"); !v.Accepted || len(v.Close) != 1 || v.Close[0] != (CloseRequest{want, c.why}) {
+		if _, v := g.arrive("new"); !v.Accepted || len(v.Close) != 1 || v.Close[0] != (CloseRequest{want, c.reason}) {
 			t.Errorf("%s: %+v, want %d", c.name, v, want)
 		}
 	}
@@ -119,7 +119,7 @@
 	for i := range 5 {
 		_, v := g.arrive("y")
 		if v.Accepted || len(v.Close) > 0 || v.Registered != (i < 2) || v.RetryAfter < 200*ms || v.RetryAfter > 300*ms {
-			t.Errorf("new connection %d: verdict %+v", i, v)
+			t.Errorf("new connection %d: decision %+v", i, v)
 		}
 	}
 	if g.CountByReason[LimitReached] != 2 || g.CountByReason[ClosingLimitReached] != 3 {
@@ -136,12 +136,12 @@
 		g.request(id)
 	}
 	g.now += time.Second
-	if ends := g.Tick(g.now, 100); len(ends) != 0 || g.Pressure() != 0 {
-		t.Errorf("half of the places used, idle for 1 s: %d closed, pressure %v", len(ends), g.Pressure())
+	if closed := g.Tick(g.now, 100); len(closed) != 0 || g.Pressure() != 0 {
+		t.Errorf("half of the limit used, idle for 1 s: %d closed, pressure %v", len(closed), g.Pressure())
 	}
 	g.now += time.Second
-	if ends := g.Tick(g.now, 100); len(ends) != 40 || ends[0].Reason != IdleTimedOut {
-		t.Errorf("half of the places used, idle for 2 s: %d closed", len(ends))
+	if closed := g.Tick(g.now, 100); len(closed) != 40 || closed[0].Reason != IdleTimedOut {
+		t.Errorf("half of the limit used, idle for 2 s: %d closed", len(closed))
 	}
 	for range 70 {
 		id, _ := g.arrive("x")
@@ -151,9 +151,9 @@
 	if g.Pressure() != 1 {
 		t.Errorf("pressure %v with %d connections", g.Pressure(), g.open())
 	}
-	ends := g.Tick(g.now, 100)
-	if len(ends) == 0 || ends[0].Reason != IdleTimedOutUnderPressure {
-		t.Errorf("near the connection limit: closed %+v", ends)
+	closed := g.Tick(g.now, 100)
+	if len(closed) == 0 || closed[0].Reason != IdleTimedOutUnderPressure {
+		t.Errorf("near the connection limit: closed %+v", closed)
 	}
 	// The pressure ends only when the number of connections has fallen to LowWatermark.
 	if g.open() >= 65 {
@@ -173,7 +173,7 @@
 		g.request(id)
 	}
 	g.now += 300 * ms
-	if ends := g.Tick(g.now, 100); len(ends) == 0 || g.CountByReason[IdleTimedOutUnderPressure] == 0 {
+	if closed := g.Tick(g.now, 100); len(closed) == 0 || g.CountByReason[IdleTimedOutUnderPressure] == 0 {
 		t.Errorf("no connection closed with 36 of 40 connections that have sent a request")
 	}
 }
@@ -188,13 +188,13 @@
 	}
 	g.SetLimits(smallLimits())
 	if _, v := g.arrive("x"); v.Accepted || v.Registered {
-		t.Errorf("new connection above the limit: verdict %+v", v)
+		t.Errorf("new connection above the limit: decision %+v", v)
 	}
 	for _, id := range ids[:47] {
 		g.ConnClosed(g.now, id)
 	}
 	if _, v := g.arrive("x"); !v.Accepted {
-		t.Errorf("new connection after others have closed: verdict %+v", v)
+		t.Errorf("new connection after others have closed: decision %+v", v)
 	}
 }
 
--- a/internal/control/admission/controller.go
+++ b/internal/control/admission/controller.go
@@ -192,35 +192,35 @@
 }
 
 // Arrive decides on a new connection of a source. A refusal must be sent at once.
-func (ctrl *Controller) Arrive(now time.Duration, id ID, sourceName string) (v Decision) {
+func (ctrl *Controller) Arrive(now time.Duration, id ID, sourceName string) (decision Decision) {
 	if ctrl.open() >= ctrl.limits.MaxConns {
 		if c, reason := ctrl.victim(now); c != nil {
-			v.Close = append(v.Close, ctrl.closeConn(now, c, reason))
+			decision.Close = append(decision.Close, ctrl.closeConn(now, c, reason))
 		}
 	}
-	v.Accepted = ctrl.open() < ctrl.limits.MaxConns
-	v.Registered = len(ctrl.conns) < ctrl.limits.MaxConns+ctrl.limits.MaxClosing
-	if !v.Registered {
-		v.Accepted = false
+	decision.Accepted = ctrl.open() < ctrl.limits.MaxConns
+	decision.Registered = len(ctrl.conns) < ctrl.limits.MaxConns+ctrl.limits.MaxClosing
+	if !decision.Registered {
+		decision.Accepted = false
 	}
-	if !v.Accepted {
-		v.RetryAfter, v.Reason = ctrl.retryAfter(), LimitReached
-		if !v.Registered {
-			v.Reason = ClosingLimitReached
+	if !decision.Accepted {
+		decision.RetryAfter, decision.Reason = ctrl.retryAfter(), LimitReached
+		if !decision.Registered {
+			decision.Reason = ClosingLimitReached
 		}
-		ctrl.CountByReason[v.Reason]++
-		if !v.Registered {
-			return v
+		ctrl.CountByReason[decision.Reason]++
+		if !decision.Registered {
+			return decision
 		}
 	}
 	c := &conn{id: id, source: ctrl.source(sourceName), state: numStates}
 	c.source.total++
 	ctrl.conns[id] = c
 	ctrl.setState(now, c, Silent)
-	if !v.Accepted {
+	if !decision.Accepted {
 		ctrl.setState(now, c, Closing)
 	}
-	return v
+	return decision
 }
 
 // retryAfter returns when a refused client may retry. It adds a random part of up to half of the minimum, so
--- a/internal/control/cells/bench_test.go
+++ b/internal/control/cells/bench_test.go
@@ -29,12 +29,12 @@
 	}
 	var list []balance.Member
 	for i := range 20 {
-		m := member(fmt.Sprint("s-", i), 1)
+		m := hostMember(fmt.Sprint("s-", i), 1)
 		m.Primary = i == 0
 		list = append(list, m)
 	}
 	s.Hosts(0, true, list)
-	s.Look(0, seen(list, nil))
+	s.Look(0, seenHosts(list, nil))
 	return s, c, list
 }
 
@@ -101,7 +101,7 @@
 
 func BenchmarkLook(b *testing.B) {
 	s, _, list := largeState(b)
-	all := seen(list, nil)
+	all := seenHosts(list, nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Look(0, all)
--- a/internal/control/cells/cells_test.go
+++ b/internal/control/cells/cells_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	ms    = time.Millisecond
-	start = 1000 * time.Second
+	ms        = time.Millisecond
+	startTime = 1000 * time.Second
 )
 
-func member(server string, group int) balance.Member {
+func hostMember(server string, group int) balance.Member {
 	return balance.Member{Server: server, Group: group, Weight: 1}
 }
 
@@ -27,7 +27,7 @@
 func twoGroups() (list []balance.Member) {
 	for g := 1; g <= 2; g++ {
 		for i := range 5 {
-			m := member(fmt.Sprintf("g%d-%d", g, i), g)
+			m := hostMember(fmt.Sprintf("g%d-%d", g, i), g)
 			m.Primary = i == 0
 			list = append(list, m)
 		}
@@ -35,7 +35,7 @@
 	return list
 }
 
-func seen(list []balance.Member, change func(*balance.Seen)) (out []balance.Seen) {
+func seenHosts(list []balance.Member, change func(*balance.Seen)) (out []balance.Seen) {
 	for _, m := range list {
 		x := balance.Seen{Server: m.Server, Group: m.Group, Limit: 8, Warmth: 1, Usable: true, Primary: m.Primary, Known: true}
 		if change != nil {
@@ -58,11 +58,11 @@
 
 // rig drives a State with a clock under the test's control.
 type rig struct {
-	t    *testing.T
-	s    *State
-	now  time.Duration
-	acts []Action
-	n    int
+	t       *testing.T
+	s       *State
+	now     time.Duration
+	actions []Action
+	n       int
 }
 
 func newRig(t *testing.T, change func(*Config)) *rig {
@@ -75,14 +75,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, s: s, now: start}
+	g := &rig{t: t, s: s, now: startTime}
 	g.s.Hosts(g.now, true, twoGroups())
-	g.s.Look(g.now, seen(twoGroups(), nil))
+	g.s.Look(g.now, seenHosts(twoGroups(), nil))
 	return g
 }
 
 func (g *rig) observe(change func(*balance.Seen)) {
-	g.acts = append(g.acts, g.s.Look(g.now, seen(twoGroups(), change))...)
+	g.actions = append(g.actions, g.s.Look(g.now, seenHosts(twoGroups(), change))...)
 }
 
 func (g *rig) request(tenant string, write bool) Verdict {
@@ -93,7 +93,7 @@
 func (g *rig) advance(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += 50 * ms
-		g.acts = append(g.acts, g.s.Tick(g.now)...)
+		g.actions = append(g.actions, g.s.Tick(g.now)...)
 	}
 }
 
@@ -103,12 +103,12 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.acts = append(g.acts, acts...)
+	g.actions = append(g.actions, acts...)
 }
 
 // reported returns the stages, releases and expired waits reported since the last call.
 func (g *rig) reported() (out []string) {
-	for _, a := range g.acts {
+	for _, a := range g.actions {
 		switch a := a.(type) {
 		case Changed:
 			out = append(out, a.Move.Stage.String())
@@ -118,7 +118,7 @@
 			out = append(out, "give up "+a.ID)
 		}
 	}
-	g.acts = nil
+	g.actions = nil
 	return out
 }
 
@@ -238,17 +238,17 @@
 		t.Errorf("the cell reads from %v", servers())
 	}
 	before := servers()
-	aside := seen(twoGroups(), func(x *balance.Seen) { x.Usable = x.Server != own })
-	g.s.Look(g.now, aside)
+	unusable := seenHosts(twoGroups(), func(x *balance.Seen) { x.Usable = x.Server != own })
+	g.s.Look(g.now, unusable)
 	if diff := cmp.Diff(before, servers()); diff != "" {
 		t.Errorf("a host that just became unusable is replaced: %s", diff)
 	}
 	g.now += borrowAfter
-	g.s.Look(g.now, aside)
+	g.s.Look(g.now, unusable)
 	if got := servers(); slices.Contains(got, own) || len(got) != 2 || len(g.s.Report().Cells[0].Borrowed) == 0 {
 		t.Errorf("without host %s the cell reads from %v", own, got)
 	}
-	g.s.Look(g.now, seen(twoGroups(), nil))
+	g.s.Look(g.now, seenHosts(twoGroups(), nil))
 	if diff := cmp.Diff(before, servers()); diff != "" {
 		t.Errorf("the cell does not return to its own hosts: %s", diff)
 	}
--- a/internal/control/cells/move_test.go
+++ b/internal/control/cells/move_test.go
@@ -21,16 +21,16 @@
 		t.Errorf("a second move: %v", err)
 	}
 	g.advance(500 * ms)
-	over := 0
+	shifted := 0
 	for range 100 {
 		v := g.request("apollo", false)
 		if v.Cell == to.id {
-			over++
+			shifted++
 		}
 		g.s.Done(g.now, v.Ticket)
 	}
-	if over < 45 || over > 55 {
-		t.Errorf("%d of 100 reads go to the new cell after half of the ramp", over)
+	if shifted < 45 || shifted > 55 {
+		t.Errorf("%d of 100 reads go to the new cell after half of the ramp", shifted)
 	}
 	if v := g.request("apollo", true); v.Kind != Go || v.Cell != from.id {
 		t.Errorf("write during the move: %+v", v)
@@ -48,24 +48,24 @@
 func TestReadsShiftAsHostsWarmUp(t *testing.T) {
 	g := newRig(t, nil)
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	cold := func(w float64) { g.observe(func(x *balance.Seen) { x.Warmth = w }) }
-	cold(0.25)
+	setWarmth := func(w float64) { g.observe(func(x *balance.Seen) { x.Warmth = w }) }
+	setWarmth(0.25)
 	g.advance(10 * time.Second)
 	g.expect("with cold hosts", "planned", "warming")
-	over := 0
+	shifted := 0
 	for range 100 {
 		if v := g.request("apollo", false); v.Cell == g.s.cellByName("hills").id {
-			over++
+			shifted++
 		}
 	}
-	if over > 25 {
-		t.Errorf("%d of 100 reads go to hosts with a warm-up weight of 0.25", over)
+	if shifted > 25 {
+		t.Errorf("%d of 100 reads go to hosts with a warm-up weight of 0.25", shifted)
 	}
-	cold(1)
+	setWarmth(1)
 	g.advance(100 * ms)
 	g.expect("once warm", "fenced", "settled")
 	g.move(Order{Tenant: "apollo", To: "coast"})
-	cold(0.9)
+	setWarmth(0.9)
 	g.advance(2 * time.Minute)
 	g.expect("never warm", "planned", "warming", "aborted")
 	if v := g.request("apollo", false); v.Cell != g.s.cellByName("hills").id {
@@ -74,7 +74,7 @@
 }
 
 func TestMoveWithWriteInFlight(t *testing.T) {
-	across := Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2}
+	order := Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2}
 	for name, c := range map[string]struct {
 		end   time.Duration // when the write ends, or 0 if it hangs
 		abort bool
@@ -87,7 +87,7 @@
 	} {
 		g := newRig(t, nil)
 		first := g.request("apollo", true)
-		g.move(across)
+		g.move(order)
 		g.expect(name, "planned", "warming", "fenced")
 		second := g.request("apollo", true)
 		if first.Kind != Go || first.Group != 1 || second.Kind != Hold {
@@ -99,7 +99,7 @@
 		switch {
 		case c.abort:
 			acts, err := g.s.Abort(g.now, "apollo", "by hand")
-			if g.acts = append(g.acts, acts...); err != nil {
+			if g.actions = append(g.actions, acts...); err != nil {
 				t.Error(err)
 			}
 		case c.end > 0:
@@ -126,8 +126,8 @@
 	g.s.Done(g.now, write.Ticket)
 	g.advance(time.Second)
 	g.expect("without a primary", "planned", "warming", "fenced")
-	if why := g.s.Report().Moves[0].Reason; !strings.Contains(why, "no primary") {
-		t.Errorf("reason %q, want that the new group has no primary", why)
+	if reason := g.s.Report().Moves[0].Reason; !strings.Contains(reason, "no primary") {
+		t.Errorf("reason %q, want that the new group has no primary", reason)
 	}
 	g.observe(nil)
 	g.advance(100 * ms)
@@ -163,7 +163,7 @@
 	g.advance(8 * time.Second)
 	g.expect("one move at a time", "planned", "warming", "fenced", "planned")
 	acts, err := g.s.Confirm(g.now, "apollo")
-	if g.acts = append(g.acts, acts...); err != nil {
+	if g.actions = append(g.actions, acts...); err != nil {
 		t.Error(err)
 	}
 	g.advance(2 * time.Second)
@@ -197,7 +197,7 @@
 		next := config()
 		c.change(&next)
 		acts, err := g.s.Configure(g.now, next)
-		if g.acts = append(g.acts, acts...); err != nil {
+		if g.actions = append(g.actions, acts...); err != nil {
 			t.Fatal(err)
 		}
 		g.advance(2 * time.Second)
@@ -220,16 +220,16 @@
 	g := newRig(t, nil)
 	before := g.s.Report()
 	for _, r := range before.Cells {
-		leaves := r.Hosts["1"][0]
-		f, err := g.s.Plan(nil, []string{leaves})
+		removed := r.Hosts["1"][0]
+		f, err := g.s.Plan(nil, []string{removed})
 		if err != nil {
 			t.Fatal(err)
 		}
 		i := slices.IndexFunc(f.Changes, func(c Change) bool { return c.Cell == r.Cell })
-		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{leaves}) || len(f.Changes[i].Won) != 1 {
-			t.Errorf("%s without %s: %+v", r.Cell, leaves, f.Changes)
+		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{removed}) || len(f.Changes[i].Won) != 1 {
+			t.Errorf("%s without %s: %+v", r.Cell, removed, f.Changes)
 		}
-		rest := slices.DeleteFunc(twoGroups(), func(m balance.Member) bool { return m.Server == leaves })
+		rest := slices.DeleteFunc(twoGroups(), func(m balance.Member) bool { return m.Server == removed })
 		other := newRig(t, nil)
 		other.s.Hosts(g.now, true, rest)
 		for _, x := range other.s.Report().Cells {
--- a/internal/control/cells/property_test.go
+++ b/internal/control/cells/property_test.go
@@ -24,7 +24,7 @@
 func drawHosts(t *rapid.T) []balance.Member {
 	var out []balance.Member
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 99), 2, 24, rapid.ID[int]).Draw(t, "hosts") {
-		m := member(fmt.Sprintf("s-%02d", i), 1)
+		m := hostMember(fmt.Sprintf("s-%02d", i), 1)
 		m.Weight = rapid.SampledFrom([]float64{0.5, 1, 4}).Draw(t, "weight")
 		out = append(out, m)
 	}
@@ -53,15 +53,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cells, hosts := drawCells(t), drawHosts(t)
 		size := rapid.IntRange(1, 5).Draw(t, "size")
-		gone := rapid.IntRange(0, len(hosts)-1).Draw(t, "removed")
+		removed := rapid.IntRange(0, len(hosts)-1).Draw(t, "removed")
 		all, _ := placeHosts(hosts, cells, size, size) // with overlap == size nothing is restricted
-		rest, _ := placeHosts(slices.Delete(slices.Clone(hosts), gone, gone+1), cells, size, size)
+		rest, _ := placeHosts(slices.Delete(slices.Clone(hosts), removed, removed+1), cells, size, size)
 		for i, before := range homes(all) {
 			after := homes(rest)[i]
 			lost, won := difference(before, after), difference(after, before)
-			held := slices.Contains(before, hosts[gone].Server)
-			if !held && len(lost)+len(won) > 0 || held && (len(lost) != 1 || lost[0] != hosts[gone].Server || len(won) > 1) {
-				t.Fatalf("without host %s the hosts of a cell change from %v to %v", hosts[gone].Server, before, after)
+			held := slices.Contains(before, hosts[removed].Server)
+			if !held && len(lost)+len(won) > 0 || held && (len(lost) != 1 || lost[0] != hosts[removed].Server || len(won) > 1) {
+				t.Fatalf("without host %s the hosts of a cell change from %v to %v", hosts[removed].Server, before, after)
 			}
 		}
 	})
@@ -79,12 +79,12 @@
 				t.Fatalf("cell %s has %d of %d slots and a ranking of %d hosts", c.Name, got, size, len(ranked[i].hosts))
 			}
 		}
-		most := 0
+		maxShared := 0
 		for _, p := range overlaps(cells) {
-			most = max(most, p.Hosts)
+			maxShared = max(maxShared, p.Hosts)
 		}
-		if relaxed == 0 && most > overlap {
-			t.Fatalf("two cells share %d hosts, overlap is %d", most, overlap)
+		if relaxed == 0 && maxShared > overlap {
+			t.Fatalf("two cells share %d hosts, overlap is %d", maxShared, overlap)
 		}
 		if enough := len(hosts) >= size*len(cells); enough && relaxed > 0 {
 			t.Fatalf("%d slots relaxed with enough hosts for all cells", relaxed)
@@ -104,7 +104,7 @@
 		for _, i := range rapid.Permutation(indexes(len(hosts))).Draw(t, "order") {
 			b.Hosts(0, false, hosts[i:i+1])
 			if rapid.Bool().Draw(t, "another host is added and removed") {
-				x := member("x", 1)
+				x := hostMember("x", 1)
 				b.Hosts(0, false, []balance.Member{x})
 				x.State = balance.Left
 				b.Hosts(0, false, []balance.Member{x})
@@ -136,14 +136,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := start
+		now := startTime
 		type flight struct {
 			tenant string
 			group  int
 			write  bool
 			ticket Ticket
 		}
-		flying, waiting, last := map[string]flight{}, map[string]flight{}, map[string]Stage{}
+		inFlight, waiting, last := map[string]flight{}, map[string]flight{}, map[string]Stage{}
 		do := func(acts []Action) {
 			for _, a := range acts {
 				switch a := a.(type) {
@@ -160,7 +160,7 @@
 					delete(waiting, a.ID)
 					v := s.Resume(now, Ask{ID: a.ID, Claim: w.tenant, Group: 1, Write: true, Deadline: now + time.Second}, w.ticket)
 					if v.Kind == Go {
-						flying[a.ID] = flight{w.tenant, v.Group, true, v.Ticket}
+						inFlight[a.ID] = flight{w.tenant, v.Group, true, v.Ticket}
 					} else if v.Kind == Hold {
 						waiting[a.ID] = flight{w.tenant, v.Group, true, v.Ticket}
 					}
@@ -175,7 +175,7 @@
 			}
 		}
 		do(s.Hosts(now, true, twoGroups()))
-		do(s.Look(now, seen(twoGroups(), nil)))
+		do(s.Look(now, seenHosts(twoGroups(), nil)))
 		tenants := []string{"apollo", "apollo-x", "medi"}
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -185,16 +185,16 @@
 					Write: rapid.Bool().Draw(t, "write"), Deadline: now + time.Second}
 				switch v := s.Admit(now, a); v.Kind {
 				case Go:
-					flying[a.ID] = flight{a.Claim, v.Group, a.Write, v.Ticket}
+					inFlight[a.ID] = flight{a.Claim, v.Group, a.Write, v.Ticket}
 				case Hold:
 					waiting[a.ID] = flight{a.Claim, v.Group, a.Write, v.Ticket}
 				}
 			},
 			"answer": func(t *rapid.T) {
-				for _, id := range sortedKeys(flying) {
+				for _, id := range sortedKeys(inFlight) {
 					if rapid.Bool().Draw(t, "answered") {
-						s.Done(now, flying[id].ticket)
-						delete(flying, id)
+						s.Done(now, inFlight[id].ticket)
+						delete(inFlight, id)
 					}
 				}
 			},
@@ -219,7 +219,7 @@
 			},
 			"hosts": func(t *rapid.T) {
 				warmth, headless := rapid.SampledFrom([]float64{0.25, 1}).Draw(t, "warmth"), rapid.Bool().Draw(t, "headless")
-				do(s.Look(now, seen(twoGroups(), func(x *balance.Seen) {
+				do(s.Look(now, seenHosts(twoGroups(), func(x *balance.Seen) {
 					x.Warmth, x.Primary = warmth, x.Primary && !(headless && x.Group == 2)
 				})))
 			},
@@ -233,7 +233,7 @@
 			"": func(t *rapid.T) {
 				groups := map[string]map[int]bool{}
 				held := map[string]int{}
-				for _, f := range flying {
+				for _, f := range inFlight {
 					held[f.tenant]++
 					if f.write {
 						if groups[f.tenant] == nil {
--- a/internal/control/cells/report.go
+++ b/internal/control/cells/report.go
@@ -123,26 +123,26 @@
 	Relaxed  int         `json:"relaxed"`
 }
 
-// Plan returns which cells would change if the hosts in come were added and those in leave removed. It
+// Plan returns which cells would change if the hosts in added were listed and those in removed were not. It
 // changes nothing.
-func (s *State) Plan(come []balance.Member, leave []string) (Forecast, error) {
+func (s *State) Plan(added []balance.Member, removed []string) (Forecast, error) {
 	members := map[string]balance.Member{}
 	for name, m := range s.fleet.members {
 		members[name] = m
 	}
-	for _, name := range leave {
+	for _, name := range removed {
 		if _, listed := members[name]; !listed {
 			return Forecast{}, fmt.Errorf("no such host: %q", name)
 		}
 		delete(members, name)
 	}
-	for _, m := range come {
+	for _, m := range added {
 		if _, listed := members[m.Server]; listed || m.Server == "" {
 			return Forecast{}, fmt.Errorf("listed already: %q", m.Server)
 		}
 		members[m.Server] = m
 	}
-	if len(come)+len(leave) == 0 {
+	if len(added)+len(removed) == 0 {
 		return Forecast{}, errors.New("no host comes or goes")
 	}
 	next := fleet{members: members}
