--- a/internal/control/cells/move.go
+++ b/internal/control/cells/move.go
@@ -163,7 +163,7 @@
 func (s *State) setStage(now time.Duration, m *Move, stage Stage, reason string) {
 	m.Stage, m.StageSince, m.Reason = stage, now, reason
 	s.Stages[stage]++
-	s.actions = append(s.actions, Changed{m.snapshot()})
+	s.actions = append(s.actions, MoveChanged{m.snapshot()})
 }
 
 // abort ends a move without a change of the tenant's cell or group.
@@ -276,8 +276,8 @@
 		}
 		for _, server := range s.fleet.readHosts(now, r, s.cfg.Size) {
 			hosts++
-			if seen, ok := s.fleet.states[server]; !ok || seen.Warmth < lowest {
-				lowest, reason = seen.Warmth, server+" is cold"
+			if seen, ok := s.fleet.states[server]; !ok || seen.WarmUpWeight < lowest {
+				lowest, reason = seen.WarmUpWeight, server+" is cold"
 			}
 		}
 	}
--- a/internal/control/cells/move_test.go
+++ b/internal/control/cells/move_test.go
@@ -32,12 +32,12 @@
 	if shifted < 45 || shifted > 55 {
 		t.Errorf("%d of 100 reads go to the new cell after half of the ramp", shifted)
 	}
-	if v := g.request("apollo", true); v.Kind != Go || v.Cell != from.id {
+	if v := g.request("apollo", true); v.Kind != Admitted || v.Cell != from.id {
 		t.Errorf("write during the move: %+v", v)
 	}
 	g.advance(time.Second)
 	g.expect("in time", "fenced", "settled")
-	if v := g.request("apollo", true); v.Kind != Go || v.Cell != to.id || v.Since != 0 {
+	if v := g.request("apollo", true); v.Kind != Admitted || v.Cell != to.id || v.Since != 0 {
 		t.Errorf("write after the move: %+v", v)
 	}
 	if from.activeTenants != 0 || to.activeTenants != 1 {
@@ -48,7 +48,7 @@
 func TestReadsShiftAsHostsWarmUp(t *testing.T) {
 	g := newRig(t, nil)
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	setWarmth := func(w float64) { g.observe(func(x *balance.Seen) { x.Warmth = w }) }
+	setWarmth := func(w float64) { g.observe(func(x *balance.MemberView) { x.WarmUpWeight = w }) }
 	setWarmth(0.25)
 	g.advance(10 * time.Second)
 	g.expect("with cold hosts", "planned", "warming")
@@ -90,10 +90,10 @@
 		g.move(order)
 		g.expect(name, "planned", "warming", "fenced")
 		second := g.request("apollo", true)
-		if first.Kind != Go || first.Group != 1 || second.Kind != Hold {
+		if first.Kind != Admitted || first.Group != 1 || second.Kind != Held {
 			t.Fatalf("%s: %+v, %+v", name, first, second)
 		}
-		if v := g.request("apollo", false); v.Kind != Go || v.Group != 1 {
+		if v := g.request("apollo", false); v.Kind != Admitted || v.Group != 1 {
 			t.Errorf("%s: read while fenced: %+v", name, v)
 		}
 		switch {
@@ -110,7 +110,7 @@
 			g.advance(6 * time.Second)
 		}
 		g.expect(name, c.want...)
-		if v := g.s.Resume(g.now, Ask{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Go ||
+		if v := g.s.Resume(g.now, Request{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Admitted ||
 			v.Group != c.group || (v.Since > 0) != (c.group == 2) {
 			t.Errorf("%s: released write: %+v", name, v)
 		}
@@ -121,7 +121,7 @@
 	g := newRig(t, nil)
 	write := g.request("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
-	headless := func(x *balance.Seen) { x.Primary = x.Primary && x.Group == 1 }
+	headless := func(x *balance.MemberView) { x.Primary = x.Primary && x.Group == 1 }
 	g.observe(headless)
 	g.s.Done(g.now, write.Ticket)
 	g.advance(time.Second)
@@ -138,7 +138,7 @@
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	g.advance(10 * time.Second)
 	g.expect("without a new primary", "planned", "warming", "fenced", "aborted")
-	if v := g.request("apollo", true); v.Kind != Go || v.Group != 1 {
+	if v := g.request("apollo", true); v.Kind != Admitted || v.Group != 1 {
 		t.Errorf("write after the abort: %+v", v)
 	}
 }
@@ -226,14 +226,14 @@
 			t.Fatal(err)
 		}
 		i := slices.IndexFunc(f.Changes, func(c Change) bool { return c.Cell == r.Cell })
-		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{removed}) || len(f.Changes[i].Won) != 1 {
+		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{removed}) || len(f.Changes[i].Gained) != 1 {
 			t.Errorf("%s without %s: %+v", r.Cell, removed, f.Changes)
 		}
 		rest := slices.DeleteFunc(twoGroups(), func(m balance.Member) bool { return m.Server == removed })
 		other := newRig(t, nil)
-		other.s.Hosts(g.now, true, rest)
+		other.s.UpdateMembers(g.now, true, rest)
 		for _, x := range other.s.Report().Cells {
-			if x.Cell == r.Cell && !slices.Contains(x.Hosts["1"], f.Changes[i].Won[0]) {
+			if x.Cell == r.Cell && !slices.Contains(x.Hosts["1"], f.Changes[i].Gained[0]) {
 				t.Errorf("planned %v, but the hosts become %v", f.Changes[i], x.Hosts["1"])
 			}
 		}
--- a/internal/control/cells/placement.go
+++ b/internal/control/cells/placement.go
@@ -107,10 +107,10 @@
 
 // fleet is the known state of the hosts.
 type fleet struct {
-	members       map[string]balance.Member // listed hosts that are active
-	states        map[string]balance.Seen   // the latest state that the router reported of each
-	unusableSince map[string]time.Duration  // when each unusable host became unusable
-	relaxed       int                       // slots that could not be filled within the overlap
+	members       map[string]balance.Member     // listed hosts that are active
+	states        map[string]balance.MemberView // the latest state that the router reported of each
+	unusableSince map[string]time.Duration      // when each unusable host became unusable
+	relaxed       int                           // slots that could not be filled within the overlap
 }
 
 // merge merges a member list, which is a snapshot or a delta. It reports whether anything changed that the
--- a/internal/control/cells/report.go
+++ b/internal/control/cells/report.go
@@ -17,7 +17,7 @@
 	Hosts    map[string][]string `json:"hosts"`    // its own hosts, by group
 	Borrowed []string            `json:"borrowed"` // hosts it reads from in place of its own
 	Held     int                 `json:"held"`
-	Most     int                 `json:"most"` // the maximum of Held
+	MaxHeld  int                 `json:"most"` // the maximum of Held
 	CellCount
 }
 
@@ -27,7 +27,7 @@
 	Overlaps []NamedPair  `json:"overlaps"` // pairs of cells that share hosts
 	Relaxed  int          `json:"relaxed"`  // slots that could not be filled within the overlap
 	Moves    []Move       `json:"moves"`    // in progress
-	Past     []Move       `json:"past"`     // the latest that have ended
+	Ended    []Move       `json:"past"`     // the latest that have ended
 	Shed     uint64       `json:"shed"`
 }
 
@@ -41,12 +41,12 @@
 
 // Report returns the current state. The caller may keep the result.
 func (s *State) Report() Report {
-	out := Report{Cells: []CellReport{}, Overlaps: []NamedPair{}, Moves: []Move{}, Past: slices.Clone(s.past), Shed: s.Shed,
+	out := Report{Cells: []CellReport{}, Overlaps: []NamedPair{}, Moves: []Move{}, Ended: slices.Clone(s.past), Shed: s.Shed,
 		Relaxed: s.fleet.relaxed}
 	tenants := s.tenants()
 	for _, c := range s.cells {
 		r := CellReport{Cell: c.Name, Weight: c.Weight, Tenants: tenants[c], Hosts: map[string][]string{},
-			Borrowed: []string{}, Held: c.held, Most: c.maxHeld(s.cfg.QueueFactor, s.cfg.MinHeld), CellCount: c.CellCount}
+			Borrowed: []string{}, Held: c.held, MaxHeld: c.maxHeld(s.cfg.QueueFactor, s.cfg.MinHeld), CellCount: c.CellCount}
 		own := map[string]bool{}
 		for group, ranked := range c.rankings {
 			home := slices.Sorted(slices.Values(ranked.hosts[:ranked.own]))
@@ -113,7 +113,7 @@
 	Group   int      `json:"group"`
 	Tenants int      `json:"tenants"` // that the cell serves
 	Lost    []string `json:"lost"`
-	Won     []string `json:"won"`
+	Gained  []string `json:"won"`
 }
 
 // Forecast is what would change if hosts were added or removed.
--- a/internal/control/cells/state.go
+++ b/internal/control/cells/state.go
@@ -12,23 +12,23 @@
 // Action is what the caller has to do. It is a Placed, Release, GiveUp or Changed.
 type Action any
 
-// Placed passes the current cells to the decision module.
-type Placed struct{ Cells balance.Cells }
+// CellsUpdated passes the current cells to the decision module.
+type CellsUpdated struct{ Cells balance.Cells }
 
 // Release ends the wait of a request at a fence. The caller calls Resume for it.
 type Release struct{ ID string }
 
-// GiveUp refuses a request whose wait at a fence has timed out. Its client may retry after After.
-type GiveUp struct {
-	ID    string
-	After time.Duration
+// HoldExpired refuses a request whose wait at a fence has timed out. Its client may retry after After.
+type HoldExpired struct {
+	ID         string
+	RetryAfter time.Duration
 }
 
-// Changed reports that a move has entered another stage. It is for the log.
-type Changed struct{ Move Move }
+// MoveChanged reports that a move has entered another stage. It is for the log.
+type MoveChanged struct{ Move Move }
 
-// Ask describes a request.
-type Ask struct {
+// Request describes a request.
+type Request struct {
 	ID       string
 	User     string // user of the connection
 	Claim    string // the tenant that the request names, or empty
@@ -43,10 +43,10 @@
 
 // Kinds of verdicts.
 const (
-	Go     Kind = iota // the request goes to the decision module, with the cell and the group
-	Over               // the request exceeds a limit and is refused through the decision module, with retryAfter After
-	Hold               // the request waits at a fence; Release or GiveUp follows
-	Denied             // the user of the connection may not act for the tenant
+	Admitted  Kind = iota // the request goes to the decision module, with the cell and the group
+	OverLimit             // the request exceeds a limit and is refused through the decision module, with retryAfter After
+	Held                  // the request waits at a fence; Release or GiveUp follows
+	Denied                // the user of the connection may not act for the tenant
 )
 
 // Ticket represents an admitted request. The caller passes it to Done or Resume exactly once. The zero Ticket
@@ -61,13 +61,13 @@
 
 // Verdict is the decision on a request.
 type Verdict struct {
-	Kind   Kind
-	Cell   int           // the cell's ID in the decision module
-	Group  int           // the group that serves the request
-	Since  time.Duration // sessions that wrote must see all writes up to this time; 0 if there is no such bound
-	After  time.Duration // retryAfter of Over
-	Reason string        // why the request is refused, for Over and Denied
-	Ticket Ticket        // for Go and Hold
+	Kind       Kind
+	Cell       int           // the cell's ID in the decision module
+	Group      int           // the group that serves the request
+	Since      time.Duration // sessions that wrote must see all writes up to this time; 0 if there is no such bound
+	RetryAfter time.Duration // retryAfter of Over
+	Reason     string        // why the request is refused, for Over and Denied
+	Ticket     Ticket        // for Go and Hold
 }
 
 // State is the state of all cells, tenants and moves. It is not safe for concurrent use.
@@ -90,7 +90,7 @@
 
 // New returns a state for a configuration. The error names the invalid entry.
 func New(c Config) (*State, error) {
-	s := &State{fleet: fleet{members: map[string]balance.Member{}, states: map[string]balance.Seen{},
+	s := &State{fleet: fleet{members: map[string]balance.Member{}, states: map[string]balance.MemberView{},
 		unusableSince: map[string]time.Duration{}}, groups: map[int][]balance.Member{}, withLimiter: map[*tenant]struct{}{}, nextID: 1}
 	if _, err := s.Configure(0, c); err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 
 // Admit decides on a request. If the verdict is Go or Hold, the caller must call Done or Resume with its
 // ticket.
-func (s *State) Admit(now time.Duration, request Ask) Verdict {
+func (s *State) Admit(now time.Duration, request Request) Verdict {
 	t, err := s.dir.find(request.User, request.Claim, request.Key)
 	if err != nil {
 		s.Denied++
@@ -165,13 +165,13 @@
 }
 
 // Resume decides again on a request that was released from a fence. It ends the request's previous ticket.
-func (s *State) Resume(now time.Duration, request Ask, ticket Ticket) Verdict {
+func (s *State) Resume(now time.Duration, request Request, ticket Ticket) Verdict {
 	s.Done(now, ticket)
 	return s.admit(now, request, ticket.tenant, false)
 }
 
 // admit decides on a request of a tenant. A released request is not checked against the limits again.
-func (s *State) admit(now time.Duration, request Ask, t *tenant, enforceLimits bool) Verdict {
+func (s *State) admit(now time.Duration, request Request, t *tenant, enforceLimits bool) Verdict {
 	m, c := t.move, t.cell
 	v := Verdict{Group: t.groupFor(request.Group), Since: t.movedAt}
 	switch {
@@ -179,30 +179,30 @@
 	case m.Stage == Warming && !request.Write && m.shiftsRead():
 		c = m.target
 	case m.Stage == Fenced && request.Write && request.Group == m.FromGroup:
-		v.Kind = Hold
+		v.Kind = Held
 	}
 	v.Cell = c.id
 	c.Taken++
 	if enforceLimits {
 		if after, reason := s.checkLimits(now, t, c); reason != "" {
-			v.Kind, v.Reason, v.After = Over, reason, min(max(after, minRetryAfter), maxRetryAfter)
+			v.Kind, v.Reason, v.RetryAfter = OverLimit, reason, min(max(after, minRetryAfter), maxRetryAfter)
 			return v
 		}
 	}
-	if v.Kind == Hold {
+	if v.Kind == Held {
 		// A held write was never sent, so its client can retry safely: it waits for half of its remaining time
 		// at most.
 		until := now + (request.Deadline-now)/2
 		if len(m.waiting) >= s.cfg.Moves.MaxHeldWrites || until <= now {
 			s.Shed++
-			v.Kind, v.Reason, v.After = Over, "the tenant is being moved", s.fenceRemaining(now, m)
+			v.Kind, v.Reason, v.RetryAfter = OverLimit, "the tenant is being moved", s.fenceRemaining(now, m)
 			return v
 		}
 		m.waiting = append(m.waiting, waiting{request.ID, until})
 	}
 	addHeld(t, c)
-	v.Ticket = Ticket{tenant: t, cell: c, admittedAt: now, held: v.Kind == Hold}
-	if request.Write && v.Kind == Go {
+	v.Ticket = Ticket{tenant: t, cell: c, admittedAt: now, held: v.Kind == Held}
+	if request.Write && v.Kind == Admitted {
 		t.writes++
 		v.Ticket.writes = true
 	}
@@ -214,8 +214,8 @@
 	return min(max(m.StageSince+s.cfg.Moves.FenceTimeout-now, minRetryAfter), maxRetryAfter)
 }
 
-// Hosts merges a member list, which is a snapshot or a delta.
-func (s *State) Hosts(now time.Duration, snapshot bool, list []balance.Member) []Action {
+// UpdateMembers merges a member list, which is a snapshot or a delta.
+func (s *State) UpdateMembers(now time.Duration, snapshot bool, list []balance.Member) []Action {
 	if s.fleet.merge(snapshot, list) {
 		s.updateRankings()
 	}
@@ -223,8 +223,8 @@
 	return s.Tick(now)
 }
 
-// Look records the router's view of its members.
-func (s *State) Look(now time.Duration, seen []balance.Seen) []Action {
+// ObserveMembers records the router's view of its members.
+func (s *State) ObserveMembers(now time.Duration, seen []balance.MemberView) []Action {
 	for _, x := range seen {
 		if _, listed := s.fleet.members[x.Server]; !listed {
 			continue
@@ -286,7 +286,7 @@
 		}
 	}
 	if changed {
-		s.actions = append(s.actions, Placed{s.Cells()})
+		s.actions = append(s.actions, CellsUpdated{s.Cells()})
 	}
 }
 
@@ -311,7 +311,7 @@
 				return false
 			}
 			s.Shed++
-			s.actions = append(s.actions, GiveUp{w.id, s.fenceRemaining(now, m)})
+			s.actions = append(s.actions, HoldExpired{w.id, s.fenceRemaining(now, m)})
 			return true
 		})
 		s.advance(now, m)
