--- a/internal/control/cells/bench_test.go
+++ b/internal/control/cells/bench_test.go
@@ -9,8 +9,8 @@
 	"yokemast/balance"
 )
 
-// large has 100,000 tenants, 1,000 of them with a prefix, in 64 cells, and 20 hosts.
-func large(b *testing.B) (*State, Config, []balance.Member) {
+// largeState returns a state with 100,000 tenants, 1,000 of them with a prefix, in 64 cells, and 20 hosts.
+func largeState(b *testing.B) (*State, Config, []balance.Member) {
 	c := DefaultConfig()
 	c.Claims, c.Size, c.Overlap = true, 4, 2
 	for i := range 64 {
@@ -29,17 +29,17 @@
 	}
 	var list []balance.Member
 	for i := range 20 {
-		m := member(fmt.Sprint("s-", i), 1)
+		m := hostMember(fmt.Sprint("s-", i), 1)
 		m.Primary = i == 0
 		list = append(list, m)
 	}
 	s.UpdateMembers(0, true, list)
-	s.ObserveMembers(0, seen(list, nil))
+	s.ObserveMembers(0, seenHosts(list, nil))
 	return s, c, list
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	s, c, _ := large(b)
+	s, c, _ := largeState(b)
 	for name, ask := range map[string]func(i int) Request{
 		"claim":  func(i int) Request { return Request{Claim: c.Tenants[i%len(c.Tenants)].Name, Key: "k", Group: 1} },
 		"prefix": func(i int) Request { return Request{Key: c.Tenants[i%1000*100].Prefixes[0], Group: 1} },
@@ -60,10 +60,10 @@
 	}
 }
 
-// BenchmarkFind finds a request's tenant, cell and hosts; its tenants take turns, all of them or a thousand that are at
-// work, so that the first shows what memory costs.
+// BenchmarkFind measures the search for a request's tenant, cell and hosts. It cycles through all tenants or through 1,000
+// active ones; the former includes the cost of cache misses.
 func BenchmarkFind(b *testing.B) {
-	s, c, _ := large(b)
+	s, c, _ := largeState(b)
 	for name, claim := range map[string]func(i int) (claim, key string){
 		"claim of 100,000 in turn":  func(i int) (string, string) { return c.Tenants[i%len(c.Tenants)].Name, "" },
 		"claim of 1,000 at work":    func(i int) (string, string) { return c.Tenants[i%1000*100].Name, "" },
@@ -78,7 +78,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				hosts += len(t.cell.servers)
+				hosts += len(t.cell.readHosts)
 			}
 			if hosts == 0 {
 				b.Fatal("no hosts")
@@ -91,7 +91,7 @@
 func second(_, b string) string { return b }
 
 func BenchmarkNewList(b *testing.B) {
-	s, _, list := large(b)
+	s, _, list := largeState(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list[1].Weight = float64(1 + i%2)
@@ -100,8 +100,8 @@
 }
 
 func BenchmarkLook(b *testing.B) {
-	s, _, list := large(b)
-	all := seen(list, nil)
+	s, _, list := largeState(b)
+	all := seenHosts(list, nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.ObserveMembers(0, all)
@@ -112,12 +112,12 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s, c, _ := large(b)
+	s, c, _ := largeState(b)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
 	}
-	// With its entry in the configuration, which the directory refers to.
+	// This includes the tenant's entry in the configuration, which the directory refers to.
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(c.Tenants)), "B/tenant")
 	runtime.KeepAlive(s)
 }
--- a/internal/control/cells/move_test.go
+++ b/internal/control/cells/move_test.go
@@ -12,164 +12,164 @@
 	"yokemast/balance"
 )
 
-func TestAMoveInsideItsGroup(t *testing.T) {
+func TestMoveWithinGroup(t *testing.T) {
 	g := newRig(t, nil)
-	from, to := g.s.byName("coast"), g.s.byName("hills")
+	from, to := g.s.cellByName("coast"), g.s.cellByName("hills")
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	g.want("asked for", "planned", "warming")
+	g.expect("asked for", "planned", "warming")
 	if _, err := g.s.Move(g.now, Order{Tenant: "apollo", To: "city"}); !errors.Is(err, ErrMoving) {
 		t.Errorf("a second move: %v", err)
 	}
-	g.pass(500 * ms)
-	over := 0
+	g.advance(500 * ms)
+	shifted := 0
 	for range 100 {
-		v := g.ask("apollo", false)
+		v := g.request("apollo", false)
 		if v.Cell == to.id {
-			over++
+			shifted++
 		}
 		g.s.Done(g.now, v.Ticket)
 	}
-	if over < 45 || over > 55 {
-		t.Errorf("%d of 100 reads go over at half time", over)
+	if shifted < 45 || shifted > 55 {
+		t.Errorf("%d of 100 reads go to the new cell after half of the ramp", shifted)
 	}
-	if v := g.ask("apollo", true); v.Kind != Admitted || v.Cell != from.id {
-		t.Errorf("a write: %+v", v)
+	if v := g.request("apollo", true); v.Kind != Admitted || v.Cell != from.id {
+		t.Errorf("write during the move: %+v", v)
 	}
-	g.pass(time.Second)
-	g.want("in time", "fenced", "settled")
-	if v := g.ask("apollo", true); v.Kind != Admitted || v.Cell != to.id || v.Since != 0 {
-		t.Errorf("a write after it: %+v", v)
+	g.advance(time.Second)
+	g.expect("in time", "fenced", "settled")
+	if v := g.request("apollo", true); v.Kind != Admitted || v.Cell != to.id || v.Since != 0 {
+		t.Errorf("write after the move: %+v", v)
 	}
-	if from.active != 0 || to.active != 1 {
-		t.Errorf("active tenants: %d and %d", from.active, to.active)
+	if from.activeTenants != 0 || to.activeTenants != 1 {
+		t.Errorf("active tenants: %d and %d", from.activeTenants, to.activeTenants)
 	}
 }
 
-func TestReadsGoOverAsHostsWarm(t *testing.T) {
+func TestReadsShiftAsHostsWarmUp(t *testing.T) {
 	g := newRig(t, nil)
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	cold := func(w float64) { g.look(func(x *balance.MemberView) { x.WarmUpWeight = w }) }
-	cold(0.25)
-	g.pass(10 * time.Second)
-	g.want("with cold hosts", "planned", "warming")
-	over := 0
+	setWarmth := func(w float64) { g.observe(func(x *balance.MemberView) { x.WarmUpWeight = w }) }
+	setWarmth(0.25)
+	g.advance(10 * time.Second)
+	g.expect("with cold hosts", "planned", "warming")
+	shifted := 0
 	for range 100 {
-		if v := g.ask("apollo", false); v.Cell == g.s.byName("hills").id {
-			over++
+		if v := g.request("apollo", false); v.Cell == g.s.cellByName("hills").id {
+			shifted++
 		}
 	}
-	if over > 25 {
-		t.Errorf("%d of 100 reads go to hosts that have a quarter of their capacity", over)
+	if shifted > 25 {
+		t.Errorf("%d of 100 reads go to hosts with a warm-up weight of 0.25", shifted)
 	}
-	cold(1)
-	g.pass(100 * ms)
-	g.want("once warm", "fenced", "settled")
+	setWarmth(1)
+	g.advance(100 * ms)
+	g.expect("once warm", "fenced", "settled")
 	g.move(Order{Tenant: "apollo", To: "coast"})
-	cold(0.9)
-	g.pass(2 * time.Minute)
-	g.want("never warm", "planned", "warming", "aborted")
-	if v := g.ask("apollo", false); v.Cell != g.s.byName("hills").id {
-		t.Error("after the abort it is served elsewhere than before")
+	setWarmth(0.9)
+	g.advance(2 * time.Minute)
+	g.expect("never warm", "planned", "warming", "aborted")
+	if v := g.request("apollo", false); v.Cell != g.s.cellByName("hills").id {
+		t.Error("after the abort the tenant is served in another cell than before")
 	}
 }
 
-func TestAWriteInFlightWhileItsTenantMoves(t *testing.T) {
-	across := Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2}
+func TestMoveWithWriteInFlight(t *testing.T) {
+	order := Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2}
 	for name, c := range map[string]struct {
-		end   time.Duration // of the write; 0: it hangs
+		end   time.Duration // when the write ends, or 0 if it hangs
 		abort bool
 		want  []string
-		group int // of the next write
+		group int // that serves the next write
 	}{
-		"it ends":                     {time.Second, false, []string{"settled", "release q2"}, 2},
-		"it hangs past the fence":     {0, false, []string{"give up q2", "aborted"}, 1},
-		"the move is aborted by hand": {0, true, []string{"aborted", "release q2"}, 1},
+		"the write ends":                         {time.Second, false, []string{"settled", "release q2"}, 2},
+		"the write hangs past the fence timeout": {0, false, []string{"give up q2", "aborted"}, 1},
+		"the move is aborted by hand":            {0, true, []string{"aborted", "release q2"}, 1},
 	} {
 		g := newRig(t, nil)
-		first := g.ask("apollo", true)
-		g.move(across)
-		g.want(name, "planned", "warming", "fenced")
-		second := g.ask("apollo", true)
+		first := g.request("apollo", true)
+		g.move(order)
+		g.expect(name, "planned", "warming", "fenced")
+		second := g.request("apollo", true)
 		if first.Kind != Admitted || first.Group != 1 || second.Kind != Held {
 			t.Fatalf("%s: %+v, %+v", name, first, second)
 		}
-		if v := g.ask("apollo", false); v.Kind != Admitted || v.Group != 1 {
-			t.Errorf("%s: a read during the fence: %+v", name, v)
+		if v := g.request("apollo", false); v.Kind != Admitted || v.Group != 1 {
+			t.Errorf("%s: read while fenced: %+v", name, v)
 		}
 		switch {
 		case c.abort:
 			acts, err := g.s.Abort(g.now, "apollo", "by hand")
-			if g.acts = append(g.acts, acts...); err != nil {
+			if g.actions = append(g.actions, acts...); err != nil {
 				t.Error(err)
 			}
 		case c.end > 0:
-			g.pass(c.end)
+			g.advance(c.end)
 			g.s.Done(g.now, first.Ticket)
-			g.pass(100 * ms)
+			g.advance(100 * ms)
 		default:
-			g.pass(6 * time.Second)
+			g.advance(6 * time.Second)
 		}
-		g.want(name, c.want...)
+		g.expect(name, c.want...)
 		if v := g.s.Resume(g.now, Request{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Admitted ||
 			v.Group != c.group || (v.Since > 0) != (c.group == 2) {
-			t.Errorf("%s: released: %+v", name, v)
+			t.Errorf("%s: released write: %+v", name, v)
 		}
 	}
 }
 
-func TestTheNewPrimaryDiesDuringTheFence(t *testing.T) {
+func TestFencedMoveWaitsForNewPrimary(t *testing.T) {
 	g := newRig(t, nil)
-	write := g.ask("apollo", true)
+	write := g.request("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	headless := func(x *balance.MemberView) { x.Primary = x.Primary && x.Group == 1 }
-	g.look(headless)
+	g.observe(headless)
 	g.s.Done(g.now, write.Ticket)
-	g.pass(time.Second)
-	g.want("without a primary", "planned", "warming", "fenced")
-	if why := g.s.Report().Moves[0].Reason; !strings.Contains(why, "no primary") {
-		t.Errorf("it waits for %q", why)
-	}
-	g.look(nil)
-	g.pass(100 * ms)
-	g.want("with the next one", "settled")
+	g.advance(time.Second)
+	g.expect("without a primary", "planned", "warming", "fenced")
+	if reason := g.s.Report().Moves[0].Reason; !strings.Contains(reason, "no primary") {
+		t.Errorf("reason %q, want that the new group has no primary", reason)
+	}
+	g.observe(nil)
+	g.advance(100 * ms)
+	g.expect("with a new primary", "settled")
 
 	g = newRig(t, nil)
-	g.look(headless)
+	g.observe(headless)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
-	g.pass(10 * time.Second)
-	g.want("it never comes", "planned", "warming", "fenced", "aborted")
-	if v := g.ask("apollo", true); v.Kind != Admitted || v.Group != 1 {
-		t.Errorf("the next write: %+v", v)
+	g.advance(10 * time.Second)
+	g.expect("without a new primary", "planned", "warming", "fenced", "aborted")
+	if v := g.request("apollo", true); v.Kind != Admitted || v.Group != 1 {
+		t.Errorf("write after the abort: %+v", v)
 	}
 }
 
-func TestAFenceHoldsOnlySoMany(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Moves.Hold = 2 })
-	g.ask("apollo", true)
+func TestFenceLimitsHeldWrites(t *testing.T) {
+	g := newRig(t, func(c *Config) { c.Moves.MaxHeldWrites = 2 })
+	g.request("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	got := ""
 	for range 4 {
-		got += string("goh"[g.ask("apollo", true).Kind])
+		got += string("goh"[g.request("apollo", true).Kind])
 	}
 	if got != "hhoo" || g.s.Shed != 2 {
-		t.Errorf("writes at the fence: %s, %d shed", got, g.s.Shed)
+		t.Errorf("verdicts of writes at the fence: %s, %d shed", got, g.s.Shed)
 	}
 }
 
-func TestMovesWaitTheirTurnAndForConfirmation(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Moves.AtOnce = 1 })
+func TestMovesWaitForOthersAndForConfirmation(t *testing.T) {
+	g := newRig(t, func(c *Config) { c.Moves.MaxConcurrent = 1 })
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2, Confirm: true})
 	g.move(Order{Tenant: "medi", To: "coast"})
-	g.pass(8 * time.Second)
-	g.want("one at once", "planned", "warming", "fenced", "planned")
+	g.advance(8 * time.Second)
+	g.expect("one move at a time", "planned", "warming", "fenced", "planned")
 	acts, err := g.s.Confirm(g.now, "apollo")
-	if g.acts = append(g.acts, acts...); err != nil {
+	if g.actions = append(g.actions, acts...); err != nil {
 		t.Error(err)
 	}
-	g.pass(2 * time.Second)
-	g.want("then the other", "settled", "warming", "fenced", "settled")
+	g.advance(2 * time.Second)
+	g.expect("after the confirmation", "settled", "warming", "fenced", "settled")
 	for want, o := range map[error]Order{ErrNoTenant: {Tenant: "x"}, ErrNoCell: {Tenant: "medi", To: "x"},
-		ErrThere: {Tenant: "medi", To: "coast"}, ErrNoGroup: {Tenant: "medi", FromGroup: 1, ToGroup: 9}} {
+		ErrAlreadyThere: {Tenant: "medi", To: "coast"}, ErrNoGroup: {Tenant: "medi", FromGroup: 1, ToGroup: 9}} {
 		if _, err := g.s.Move(g.now, o); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", o, err)
 		}
@@ -179,74 +179,74 @@
 	}
 }
 
-func TestMovesSurviveANewConfiguration(t *testing.T) {
+func TestMovesAfterConfigure(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Config)
 		want   []string
-		cell   string // of the tenant in the end
+		cell   string // the tenant's cell at the end
 	}{
-		"nothing of it changes":     {func(c *Config) { c.Cells = append(c.Cells, Cell{Name: "new", Weight: 1}) }, []string{"fenced", "settled"}, "hills"},
-		"its cell leaves":           {func(c *Config) { c.Cells = slices.Delete(c.Cells, 1, 2); c.Tenants = c.Tenants[:1] }, []string{"aborted"}, "coast"},
-		"its tenant leaves":         {func(c *Config) { c.Tenants = c.Tenants[1:] }, []string{"aborted"}, ""},
-		"the file names a new cell": {func(c *Config) { c.Tenants[0].Cell = "city" }, []string{"aborted"}, "city"},
+		"the tenant and its cells stay":        {func(c *Config) { c.Cells = append(c.Cells, Cell{Name: "new", Weight: 1}) }, []string{"fenced", "settled"}, "hills"},
+		"the new cell is removed":              {func(c *Config) { c.Cells = slices.Delete(c.Cells, 1, 2); c.Tenants = c.Tenants[:1] }, []string{"aborted"}, "coast"},
+		"the tenant is removed":                {func(c *Config) { c.Tenants = c.Tenants[1:] }, []string{"aborted"}, ""},
+		"the configuration names another cell": {func(c *Config) { c.Tenants[0].Cell = "city" }, []string{"aborted"}, "city"},
 	} {
 		g := newRig(t, nil)
 		g.move(Order{Tenant: "apollo", To: "hills"})
-		held := g.ask("apollo", true)
-		g.told()
+		held := g.request("apollo", true)
+		g.reported()
 		next := config()
 		c.change(&next)
 		acts, err := g.s.Configure(g.now, next)
-		if g.acts = append(g.acts, acts...); err != nil {
+		if g.actions = append(g.actions, acts...); err != nil {
 			t.Fatal(err)
 		}
-		g.pass(2 * time.Second)
-		g.want(name, c.want...)
+		g.advance(2 * time.Second)
+		g.expect(name, c.want...)
 		g.s.Done(g.now, held.Ticket)
-		if owner := g.s.dir.named("apollo"); c.cell != "" && (owner.cell.Name != c.cell || owner.held != 0 || owner.cell.active != 0) {
-			t.Errorf("%s: it is in %s and holds %d", name, owner.cell.Name, owner.held)
+		if owner := g.s.dir.lookup("apollo"); c.cell != "" && (owner.cell.Name != c.cell || owner.held != 0 || owner.cell.activeTenants != 0) {
+			t.Errorf("%s: the tenant is in cell %s and holds %d requests", name, owner.cell.Name, owner.held)
 		}
-		// What a move has settled stands for as long as the file says what it did before.
+		// The result of a settled move remains as long as the tenant's entry names the same cell.
 		if _, err := g.s.Configure(g.now, next); err != nil {
 			t.Fatal(err)
 		}
-		if owner := g.s.dir.named("apollo"); c.cell != "" && owner.cell.Name != c.cell {
-			t.Errorf("%s: the next SIGHUP puts it into %s", name, owner.cell.Name)
+		if owner := g.s.dir.lookup("apollo"); c.cell != "" && owner.cell.Name != c.cell {
+			t.Errorf("%s: the next Configure moves the tenant to cell %s", name, owner.cell.Name)
 		}
 	}
 }
 
-func TestPlanTellsWhatWouldChange(t *testing.T) {
+func TestPlan(t *testing.T) {
 	g := newRig(t, nil)
 	before := g.s.Report()
 	for _, r := range before.Cells {
-		leaves := r.Hosts["1"][0]
-		f, err := g.s.Plan(nil, []string{leaves})
+		removed := r.Hosts["1"][0]
+		f, err := g.s.Plan(nil, []string{removed})
 		if err != nil {
 			t.Fatal(err)
 		}
 		i := slices.IndexFunc(f.Changes, func(c Change) bool { return c.Cell == r.Cell })
-		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{leaves}) || len(f.Changes[i].Gained) != 1 {
-			t.Errorf("%s without %s: %+v", r.Cell, leaves, f.Changes)
+		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{removed}) || len(f.Changes[i].Gained) != 1 {
+			t.Errorf("%s without %s: %+v", r.Cell, removed, f.Changes)
 		}
-		rest := slices.DeleteFunc(twoGroups(), func(m balance.Member) bool { return m.Server == leaves })
+		rest := slices.DeleteFunc(twoGroups(), func(m balance.Member) bool { return m.Server == removed })
 		other := newRig(t, nil)
 		other.s.UpdateMembers(g.now, true, rest)
 		for _, x := range other.s.Report().Cells {
 			if x.Cell == r.Cell && !slices.Contains(x.Hosts["1"], f.Changes[i].Gained[0]) {
-				t.Errorf("the plan says %v, it becomes %v", f.Changes[i], x.Hosts["1"])
+				t.Errorf("planned %v, but the hosts become %v", f.Changes[i], x.Hosts["1"])
 			}
 		}
 	}
 	if diff := cmp.Diff(before, g.s.Report(), cmp.AllowUnexported(Move{})); diff != "" {
-		t.Errorf("planning changes something: %s", diff)
+		t.Errorf("Plan changes the state: %s", diff)
 	}
 	for _, bad := range [][]string{nil, {"nobody"}} {
 		if _, err := g.s.Plan(nil, bad); err == nil {
-			t.Errorf("planned for %v", bad)
+			t.Errorf("no error for the hosts %v", bad)
 		}
 	}
 	if _, err := g.s.Plan(twoGroups()[:1], nil); err == nil {
-		t.Error("a listed host comes")
+		t.Error("no error for a host that is already listed")
 	}
 }
