--- a/internal/disk/handover/handover.go
+++ b/internal/disk/handover/handover.go
@@ -1,9 +1,12 @@
-// Package handover is the format of what one process of a gateway leaves to the next: what it knows of the hosts. Knowledge
-// that can't be read whole, or is of another version, is none: the next process then starts from discovery alone.
+// Package handover encodes the handover state that the old process of a hot restart passes to the new one: what
+// it knows of the hosts. State that is not complete or has an unsupported version is ignored as a whole; the
+// new process then starts with discovery alone.
 //
-// It is a head of 16 bytes (4 bytes "ymho", version, 2 bytes of nothing, length of the body, CRC-32C of the body; big-endian)
-// and a body in JSON. Times are Unix times in milliseconds by the process's clock, set back so that it showed a whole number of them when
-// the handover was put together; positions and the newest write are by the fleet's clock; 0 for none. Positions are rounded down, starts up.
+// The encoding is a header of 16 bytes (4 bytes "ymho", version, 2 unused bytes, length of the body, CRC-32C of
+// the body; big-endian) followed by a body in JSON. Times are Unix times in milliseconds by the old process's
+// clock, which is set back so that it showed a whole number of milliseconds when the state was collected.
+// Positions and the newest write are by the fleet's clock. 0 stands for an unknown time. Positions are rounded
+// down, start times up.
 package handover
 
 import (
@@ -24,49 +27,52 @@
 const (
 	magic   = "ymho"
 	version = 3
-	// dated is the version that told positions, and the newest write, by the clock of the process; earlier ones told a role and when the
-	// answer that told it was handled. Of both only what speaks against a host is taken.
+	// dated is the version with positions and the newest write by the clock of the process. earlier is the
+	// version with a role and the time at which the answer that stated it was handled. Of both versions only
+	// what counts against a host is used.
 	dated, earlier = 2, 1
 	headSize       = 16
-	// MaxBytes bounds a handover: some thousands of hosts. A longer one is torn or none.
+	// MaxBytes is the maximum size of encoded handover state, enough for some thousands of hosts. Longer data
+	// is invalid.
 	MaxBytes = 4 << 20
-	// oldest is how old a handover may be: it is given from process to process, so that a late one is stuck somewhere.
+	// oldest is the maximum age of handover state. It passes directly from process to process, so a later
+	// arrival means that it was stuck.
 	oldest = 10 * time.Second
 )
 
-// Host is what was known of one.
+// Host is what the old process knew of one host.
 type Host struct {
 	Server, Address string
 	Group           int
 	State           balance.State
-	Listed          bool // as the primary
+	Listed          bool // listed as primary
 	Weight          float64
-	Started         time.Duration // told or seen, whichever is later; 0: long ago
-	Leads           time.Duration // the newest word that it is the primary was made no earlier; 0: none
-	Follows         time.Duration // the newest word that it is none was made no later; 0: none
-	Position        time.Duration // of its log; 0: not known
-	Alive           bool          // not set aside
-	NotifiedFor     time.Duration // since the gateway was notified that it drains, at the time of the handover; 0: it does not
-	ToldBy          string        // agent of discovery that told so last; "": not known
-	ToldIn          int64         // the revision of its list
+	Started         time.Duration // latest start that was listed or observed, or 0 if long ago
+	Leads           time.Duration // notBefore of the newest statement that it is primary, or 0 if none
+	Follows         time.Duration // notAfter of the newest statement that it is not primary, or 0 if none
+	Position        time.Duration // replay position of its log, or 0 if unknown
+	Alive           bool          // not ejected after failures
+	NotifiedFor     time.Duration // time since the drain notification when the state was collected, or 0 if it does not drain
+	ToldBy          string        // agent of discovery that sent the latest drain notification, or "" if unknown
+	ToldIn          int64         // revision of the endpoint list with that notification
 }
 
-// Knowledge is all that is handed over.
+// Knowledge is the handover state.
 type Knowledge struct {
-	At       time.Duration // when it was put together; decoded, the earliest that this may have been
-	Revision int64         // of the list; below 0: none
-	Agent    string        // of discovery, that told the list; "": not known
-	// Discovery is the agent that is asked, which may not have answered yet, and FirstDiscovery the one that the process was started with;
-	// "": not known.
+	At       time.Duration // when the state was collected; after decoding, the earliest time at which it may have been
+	Revision int64         // revision of the endpoint list, or negative if none
+	Agent    string        // agent of discovery that sent the list, or "" if unknown
+	// Discovery is the agent that the old process queries, which may not have answered yet, and FirstDiscovery
+	// the agent that it was started with. Each is "" if unknown.
 	Discovery, FirstDiscovery string
-	Newest                    time.Duration // of the writes of sessions that were remembered; 0: none were
+	Newest                    time.Duration // position of the newest remembered write of any session, or 0 if none
 	Hosts                     []Host
 
-	ClockKnown bool                // Ahead is
-	Ahead      fleetclock.Interval // what the fleet's clock shows more than that of At
+	ClockKnown bool                // whether Ahead is known
+	Ahead      fleetclock.Interval // offset of the fleet's clock from the clock of At
 }
 
-// The JSON names, in one place for both directions.
+// body defines the keys of the JSON body. Decode uses the same keys.
 type body struct {
 	At        int64  `json:"at"`
 	Revision  int64  `json:"revision"`
@@ -97,7 +103,7 @@
 	ToldIn   int64   `json:"told_in"`
 }
 
-// down and up round to milliseconds, also what is below zero.
+// down and up convert to milliseconds, rounding towards negative and positive infinity.
 func down(d time.Duration) int64 {
 	ms := d.Milliseconds()
 	if of(ms) > d {
@@ -108,10 +114,10 @@
 func up(d time.Duration) int64  { return -down(-d) }
 func of(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Encode gives the handover.
+// Encode encodes handover state.
 func Encode(k Knowledge) ([]byte, error) {
 	at := down(k.At)
-	back := k.At - of(at) // by this much the clock is set back
+	back := k.At - of(at) // the clock is set back by this duration
 	b := body{At: at, Revision: k.Revision, Agent: k.Agent, Discovery: k.Discovery, First: k.FirstDiscovery, Newest: up(k.Newest), Hosts: make([]host, 0, len(k.Hosts)),
 		Clock: k.ClockKnown, Ahead: down(k.Ahead.Least + back), Most: up(k.Ahead.Most + back)}
 	for _, h := range k.Hosts {
@@ -125,7 +131,7 @@
 	return append(head(version, text), text...), nil
 }
 
-// moved is a time by another clock, which shows so much more; none stays none.
+// moved converts a time to a clock that is ahead by the given duration. 0 stands for no time and stays 0.
 func moved(t, by time.Duration) time.Duration {
 	if t == 0 {
 		return 0
@@ -143,44 +149,45 @@
 	return binary.BigEndian.AppendUint32(out, crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// Later is a newest write of which it is not known when it was: later than any position.
+// Later stands for the newest write if its position is unknown. It is later than any position.
 const Later = time.Duration(math.MaxInt64 / 2)
 
-// Errors of a handover that is not used.
+// Errors for handover state that is not used.
 var (
-	ErrTorn    = errors.New("handover: torn")
-	ErrVersion = errors.New("handover: another version")
+	ErrTorn    = errors.New("handover: incomplete or corrupt")
+	ErrVersion = errors.New("handover: unsupported version")
 	ErrOld     = errors.New("handover: too old")
-	ErrHost    = errors.New("handover: a host that makes no sense")
+	ErrHost    = errors.New("handover: invalid host")
 )
 
-// Decode reads a handover that was asked for at a time and has come by now, both by this process's clock, to which all times in
-// it are converted. The machine's clock may have been stepped between the starts of the two processes, by however little. The handover was
-// put together after it was asked for and before it came, which gives two ends for how the clocks differ. Each time is converted by the end
-// that is safe for it: words that a host leads are never later than they were, words that it does not and starts never earlier, and the
-// fleet's clock lies inside the interval.
+// Decode decodes handover state that was requested at asked and has arrived by now, both by this process's
+// clock, to which it converts all times. The machine's clock may have been stepped by any amount between the
+// starts of the two processes. The state was collected between the request and its arrival, which bounds the
+// difference of the two clocks on both sides. Each time is converted with the safe bound: statements that a
+// host leads never get later than they were, statements that it does not lead and starts never get earlier, and
+// the interval of the fleet's clock's offset still contains the actual offset.
 func Decode(asked, now time.Duration, b []byte) (Knowledge, error) {
 	switch {
 	case now-asked > oldest:
-		return Knowledge{}, fmt.Errorf("%w: it took %s", ErrOld, now-asked)
+		return Knowledge{}, fmt.Errorf("%w: arrived after %s", ErrOld, now-asked)
 	case len(b) < headSize || len(b) > MaxBytes || string(b[:4]) != magic:
 		return Knowledge{}, fmt.Errorf("%w: %d bytes", ErrTorn, len(b))
 	case headVersion(b) != version && headVersion(b) != dated && headVersion(b) != earlier:
-		return Knowledge{}, fmt.Errorf("%w: %d, this program's is %d", ErrVersion, headVersion(b), version)
+		return Knowledge{}, fmt.Errorf("%w: %d, expected %d", ErrVersion, headVersion(b), version)
 	}
 	text := b[headSize:]
 	if string(head(headVersion(b), text)) != string(b[:headSize]) || !gjson.ValidBytes(text) {
-		return Knowledge{}, fmt.Errorf("%w: length or checksum", ErrTorn)
+		return Knowledge{}, fmt.Errorf("%w: wrong length, checksum or JSON", ErrTorn)
 	}
 	root := gjson.ParseBytes(text)
 	k := Knowledge{At: of(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
 		FirstDiscovery: root.Get("first_discovery").Str, Newest: of(root.Get("newest").Int())}
-	k.ClockKnown = root.Get("clock").Bool() && headVersion(b) == version // an earlier one took a clock for right that was nearly so
+	k.ClockKnown = root.Get("clock").Bool() && headVersion(b) == version // earlier versions treated a nearly correct clock as exact
 	k.Ahead = fleetclock.Interval{Least: of(root.Get("ahead_least").Int()), Most: of(root.Get("ahead_most").Int())}
 	if headVersion(b) != version && k.Newest > 0 {
 		k.Newest = Later
 	}
-	least, most := asked-k.At, now-k.At // what this process's clock shows more
+	least, most := asked-k.At, now-k.At // bounds of this process's clock minus the old one's
 	k.At, k.Ahead = asked, fleetclock.Interval{Least: k.Ahead.Least - most, Most: k.Ahead.Most - least}
 	for i, e := range root.Get("hosts").Array() {
 		h := Host{Server: e.Get("id").Str, Address: e.Get("address").Str, Group: int(e.Get("group").Int()),
@@ -190,13 +197,13 @@
 			NotifiedFor: of(e.Get("notified_for").Int()), ToldBy: e.Get("told_by").Str,
 			ToldIn: e.Get("told_in").Int()}
 		if headVersion(b) != version {
-			h.Position, h.Leads = 0, 0 // by a clock that may have been off
+			h.Position, h.Leads = 0, 0 // dated by a clock that may have been wrong
 			if headVersion(b) == earlier && balance.Role(e.Get("role").Int()) == balance.Replica {
-				h.Follows = of(e.Get("role_at").Int()) // never earlier than the answer
+				h.Follows = of(e.Get("role_at").Int()) // not earlier than the answer
 			}
 		}
 		h.Leads, h.Started, h.Follows = moved(h.Leads, least), moved(h.Started, most), moved(h.Follows, most)
-		// What lies ahead would pass stale data as fresh for good.
+		// Times in the future would make stale data count as fresh indefinitely.
 		if h.Server == "" || h.State < balance.Active || h.State > balance.Left || h.Leads > now ||
 			k.ClockKnown && h.Position > now+k.Ahead.Most+time.Millisecond ||
 			h.Position < 0 || h.Leads < 0 || h.Follows < 0 || h.Started < 0 || h.NotifiedFor < 0 {
--- a/internal/disk/handover/handover_test.go
+++ b/internal/disk/handover/handover_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	at := known().At
-	got, err := Decode(at, at, b) // the clocks differ by nothing, for certain
+	got, err := Decode(at, at, b) // the difference of the clocks is known to be 0
 	if d := cmp.Diff(known(), got); d != "" || err != nil {
 		t.Error(err, d)
 	}
@@ -47,30 +47,31 @@
 		t.Fatal(err)
 	}
 	if got.Ahead.Least > told.Ahead.Least || got.Ahead.Most < told.Ahead.Most {
-		t.Errorf("the fleet's clock is ahead by %v, was %v", got.Ahead, told.Ahead)
+		t.Errorf("decoded clock offset %v does not contain the encoded %v", got.Ahead, told.Ahead)
 	}
 	for i, h := range got.Hosts {
 		was := told.Hosts[i]
 		if h.Leads > was.Leads || h.Follows < was.Follows || h.Started < was.Started || h.Position > was.Position {
-			t.Errorf("%+v, was %+v", h, was)
+			t.Errorf("decoded %+v, encoded %+v", h, was)
 		}
 	}
 }
 
-// A handover with any byte changed, cut off anywhere, too old or of another version is not used in any part.
+// Handover state that is truncated, corrupted in any byte, too old or of an unsupported version is rejected as
+// a whole.
 func TestTornOldOrOther(t *testing.T) {
 	b, _ := Encode(known())
 	for i := range b {
 		if k, err := Decode(now-5*time.Millisecond, now, b[:i]); err == nil || len(k.Hosts) > 0 {
-			t.Fatalf("cut off at %d of %d it is used", i, len(b))
+			t.Fatalf("state truncated to %d of %d bytes is accepted", i, len(b))
 		}
 		if i == 6 || i == 7 {
-			continue // nothing stands there
+			continue // unused bytes
 		}
 		c := append([]byte(nil), b...)
 		c[i] ^= 0x10
 		if k, err := Decode(now-5*time.Millisecond, now, c); err == nil || len(k.Hosts) > 0 {
-			t.Fatalf("with byte %d of %d changed it is used", i, len(b))
+			t.Fatalf("state with byte %d of %d changed is accepted", i, len(b))
 		}
 	}
 	other := append([]byte(nil), b...)
@@ -89,8 +90,8 @@
 	}
 }
 
-// Between the starts of the two processes the machine's wall clock was stepped: what is handed over counts by the new one's clock, as far
-// as it is known when it was put together.
+// The machine's wall clock is stepped between the starts of the two processes. The new process must convert all
+// times to its own clock, with the uncertainty of when the state was collected.
 func TestAStepBetweenTheProcesses(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, 0} {
 		b, _ := Encode(known())
@@ -113,8 +114,8 @@
 	}
 }
 
-// The versions before dated what leads, positions and writes by a clock that may have been wrong. Only that a host follows is taken from
-// them, and every write counts as one that may just have been made.
+// Earlier versions dated leadership, positions and writes by a clock that may have been wrong. Only the
+// statement that a host is a replica is used from them, and the position of the newest write counts as unknown.
 func TestAHandoverOfTheVersionsBefore(t *testing.T) {
 	text := []byte(`{"at":1767225599997,"revision":41,"newest":0,"clock":true,"ahead":0,"hosts":[
 		{"id":"s-1","address":"127.0.0.9:5432","group":3,"listed":true,"weight":1,"role":1,"role_at":1767225599995,"position":1767225599991,"alive":true},
@@ -136,12 +137,14 @@
 	}
 }
 
-// The earlier process knew its clock to the millisecond; the machine's was stepped between the starts of the two by less than a second.
+// The old process knew the offset of the fleet's clock to the millisecond, and the machine's clock was stepped
+// by less than a second, or by 3 s, between the starts of the two processes. The decoded interval must contain
+// the new offset.
 func TestASmallStepBetweenTheProcessesIsInsideTheClockThatIsHandedOver(t *testing.T) {
 	ms := time.Millisecond
 	for _, step := range []time.Duration{-900 * ms, -400 * ms, -100 * ms, 100 * ms, 400 * ms, 900 * ms, 3 * time.Second} {
-		for _, survey := range []time.Duration{0, 800 * ms} { // after it was asked for
-			asked, elder := now, now+survey-step // one moment, by the two clocks
+		for _, survey := range []time.Duration{0, 800 * ms} { // delay between the request and the collection
+			asked, elder := now, now+survey-step // by the new and by the old clock
 			k := Knowledge{At: elder, ClockKnown: true, Ahead: fleetclock.Interval{Least: step - ms, Most: step + ms}}
 			b, _ := Encode(k)
 			got, err := Decode(asked, asked+survey+ms, b)
@@ -149,7 +152,7 @@
 				t.Fatal(err)
 			}
 			if i := got.Ahead; got.ClockKnown && (i.Least > 0 || i.Most < 0) {
-				t.Errorf("a step of %s, surveyed after %s: the fleet's clock shows as much as the new one, handed over is %+v", step, survey, i)
+				t.Errorf("step of %s, state collected after %s: offset 0 is not in the decoded %+v", step, survey, i)
 			}
 		}
 	}
--- a/internal/disk/handover/small_step_test.go
+++ b/internal/disk/handover/small_step_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// The wall clock is set back by less than a second between the starts of the two processes. Decoded positions
+// and leadership statements must not seem newer than they are.
 func TestASmallStepBetweenTheProcessesMakesNothingSeemFresher(t *testing.T) {
 	for _, step := range []time.Duration{-900 * time.Millisecond, -300 * time.Millisecond, -60 * time.Millisecond} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -15,19 +17,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			asked := told.At + step // the new process reads the wall after it was stepped
+			asked := told.At + step // the new process starts after the wall clock was stepped
 			got, err := Decode(asked, asked+4*time.Millisecond, b)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if age := asked + got.Ahead.Most - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
-				t.Errorf("a position 2 s old is %s old to the new process", age)
+				t.Errorf("the decoded age of a position is %s, want at least 2 s", age)
 			}
 			if ago := asked - got.Hosts[0].Leads; ago < 2*time.Second-time.Millisecond {
-				t.Errorf("a leader's word made 2 s ago is %s old to the new process", ago)
+				t.Errorf("the decoded age of a leadership statement is %s, want at least 2 s", ago)
 			}
 			if want := told.Ahead.Most - step; got.Ahead.Most < want {
-				t.Errorf("the fleet's clock is ahead by %s at most, want no less than %s", got.Ahead.Most, want)
+				t.Errorf("the upper bound of the clock offset is %s, want at least %s", got.Ahead.Most, want)
 			}
 		})
 	}
--- a/internal/memory/counters/counters.go
+++ b/internal/memory/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters counts what the gateway takes in, sends and answers.
+// Package counters holds the gateway's metrics.
 package counters
 
 import (
@@ -7,61 +7,97 @@
 	"go.uber.org/zap"
 )
 
-// Count is one counter, or a level that goes up and down.
+// Count is a counter or a gauge.
 type Count struct{ n atomic.Int64 }
 
-// Add adds to the counter.
+// Add adds n to the value.
 func (c *Count) Add(n int64) { c.n.Add(n) }
 
-// Set sets a level.
+// Set sets the value of a gauge.
 func (c *Count) Set(n int64) { c.n.Store(n) }
 
-// Get reads the counter.
+// Get returns the current value.
 func (c *Count) Get() int64 { return c.n.Load() }
 
-// Set holds the counters of one gateway. Its zero value is ready for use.
+// Set holds the counters of one gateway. Its zero value is ready to use.
 type Set struct {
-	Taken, Served, Refused, Failed, Rejected, Gone Count // requests; rejected: never handed to the module
-	Again                                          Count // of those handed to the module, that their clients had tried before
-	Sent, Canceled, Probes                         Count // attempts and probes
-	Outcomes                                       [11]Count
-	Clients, ClientsOpen, ClientsOver              Count    // connections: accepted, open, turned away
-	ClientsDropped, ClientsEvicted, ClientsSlow    Count    // closed at once; made to give way; cut off as too slow
-	ClientsPressed                                 Count    // of those that gave way, early because places ran short
-	AcceptErrors                                   Count    // calls that failed for a moment
-	ClientsOverrun                                 Count    // cut off: too many commands waited for their turn
-	BadMessages, BadStatements                     Count    // of clients
-	HostsDialed, HostsOpen, HostsClosed, HostsFull Count    // connections to hosts; full: none to be had
-	Lists, BadLists, ListErrors                    Count    // of discovery
-	Reloads, BadReloads                            Count    // configurations read anew, and those not used
-	Operators, BadOperators                        Count    // operator's files read anew, and those not used
-	Over, Denied, Held                             Count    // requests over their cell's or tenant's share; not theirs; at a fence
-	Moves                                          [5]Count // tenants' moves that came to each stage
-	Told, Untold, Heard, HeardBad, TellErrors      Count    // datagrams told; notes that had no room; notes heard; datagrams not read; errors of the socket
-	PreparedHits, PreparedMisses                   Count    // statements that a host connection had, and had to prepare
-	Calls, CallsNo, CallersDropped                 Count    // at the second address: calls, those answered with no, callers that made room
-	ClientsPassed, ClientsAdopted                  Count    // connections given to the next process, and taken from the one before
-	Streams, StreamsOpen, StreamsCut               Count    // large values passed on as they come: begun, on their way, not whole
-	Large, LargeRefused, LargeHeld                 Count    // large statements: come, refused for lack of memory, bytes held
-	Drains, Resumes                                Count    // words of staff that were followed
-	LogDropped                                     Count    // lines of the log that were left out
-	Grounds                                        [4]Count // attempts, by the evidence on which they went
-	Primaries                                      Count    // changes of who counts as a group's primary
-	Stalls                                         Count    // times that events waited long to be handled
-	ClockContradicted, ClockReplaced               Count    // answers that contradicted the known fleet's clock; intervals that replaced it
-	ClockWidth                                     Count    // microseconds between the bounds of the fleet's clock, as of the last change; -1: there are none
-	Panics, Timers                                 Count
+	// Requests by result. Rejected ones were not passed to the module; Gone counts those whose client
+	// disconnected.
+	Taken, Served, Refused, Failed, Rejected, Gone Count
+	// Again counts client retries among the requests passed to the module.
+	Again Count
+	// Attempts sent, attempts canceled, and probes sent.
+	Sent, Canceled, Probes Count
+	// Outcomes counts attempts by result, in the order of balance.Result.
+	Outcomes [11]Count
+	// Client connections: accepted, currently open, and refused because of the connection limit.
+	Clients, ClientsOpen, ClientsOver Count
+	// Client connections that were closed immediately, evicted in favor of others, and closed as too slow.
+	ClientsDropped, ClientsEvicted, ClientsSlow Count
+	// ClientsPressed counts the evicted connections that were closed early because places ran short.
+	ClientsPressed Count
+	// AcceptErrors counts temporary errors of accepting connections.
+	AcceptErrors Count
+	// ClientsOverrun counts client connections closed because too many commands were queued.
+	ClientsOverrun Count
+	// Invalid messages and statements from clients.
+	BadMessages, BadStatements Count
+	// Connections to hosts: dialed, currently open, closed, and requests for one that found none available.
+	HostsDialed, HostsOpen, HostsClosed, HostsFull Count
+	// Endpoint lists received, invalid ones, and errors of queries to discovery.
+	Lists, BadLists, ListErrors Count
+	// Configurations reloaded, and those rejected.
+	Reloads, BadReloads Count
+	// Operator's files reloaded, and those rejected.
+	Operators, BadOperators Count
+	// Requests over the quota of their cell or tenant, requests whose user may not act for the tenant, and
+	// requests held at a fence.
+	Over, Denied, Held Count
+	// Moves counts how often moves of tenants reached each stage.
+	Moves [5]Count
+	// Gossip: messages sent, entries dropped for lack of capacity, entries received, invalid messages, socket
+	// errors.
+	Told, Untold, Heard, HeardBad, TellErrors Count
+	// Statements that were already prepared on the host connection, and those that had to be prepared.
+	PreparedHits, PreparedMisses Count
+	// The admin address: calls, calls with a negative answer, and connections closed in favor of new ones.
+	Calls, CallsNo, CallersDropped Count
+	// Client connections passed to the new process and adopted from the old one in a hot restart.
+	ClientsPassed, ClientsAdopted Count
+	// Large values relayed as streams: started, in progress, and incomplete ones.
+	Streams, StreamsOpen, StreamsCut Count
+	// Large statements: received, refused for lack of memory, and the bytes currently held.
+	Large, LargeRefused, LargeHeld Count
+	// Admin commands to drain and to resume that were followed.
+	Drains, Resumes Count
+	// LogDropped counts log lines that were not written.
+	LogDropped Count
+	// Grounds counts attempts by the kind of evidence on which they were sent.
+	Grounds [4]Count
+	// Primaries counts changes of the host that is considered a group's primary.
+	Primaries Count
+	// Stalls counts how often events were queued for too long.
+	Stalls Count
+	// Answers that contradicted the known offset of the fleet's clock, and replacements of its interval.
+	ClockContradicted, ClockReplaced Count
+	// ClockWidth is the distance in microseconds between the bounds of the fleet's clock as of their latest
+	// change, or -1 if the clock is unbounded.
+	ClockWidth Count
+	// Panics of the decision module, and timers pending.
+	Panics, Timers Count
 }
 
+// outcomeNames are the names of Outcomes in the order of balance.Result.
 var outcomeNames = [11]string{"ok", "error", "turned_away", "timed_out", "no_connection", "reset", "canceled",
 	"not_sent", "miss", "garbled", "stale"}
 
-// groundsNames are in the order of balance.GroundsKind.
+// groundsNames are the names of Grounds in the order of balance.GroundsKind.
 var groundsNames = [4]string{"none_needed", "position", "leader", "list"}
 
+// stageNames are the names of Moves in the order of the stages.
 var stageNames = [5]string{"planned", "warming", "fenced", "settled", "aborted"}
 
-// Fields gives every counter with its name, for the log.
+// Fields returns all counters as log fields.
 func (s *Set) Fields() []zap.Field {
 	all := s.all()
 	out := make([]zap.Field, 0, len(all))
@@ -71,7 +107,7 @@
 	return out
 }
 
-// Values gives every counter by its name.
+// Values returns the values of all counters by name.
 func (s *Set) Values() map[string]int64 {
 	out := map[string]int64{}
 	for _, c := range s.all() {
@@ -85,6 +121,7 @@
 	count *Count
 }
 
+// all returns the counters with the names under which they are published.
 func (s *Set) all() []named {
 	out := []named{
 		{"requests_taken", &s.Taken}, {"requests_served", &s.Served}, {"requests_refused", &s.Refused},
--- a/internal/memory/exchange/bench_test.go
+++ b/internal/memory/exchange/bench_test.go
@@ -11,7 +11,8 @@
 	"yokemast/internal/memory/counters"
 )
 
-// BenchmarkRequest is a read's path through the exchange and the module: taken, decided on, sent, answered.
+// BenchmarkRequest measures a read's path through the exchange and the module, from its submission to its
+// answer.
 func BenchmarkRequest(b *testing.B) {
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
@@ -38,7 +39,7 @@
 		x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: r.ID, Server: h.sent[0].Server, Result: balance.OK, Took: 40 * time.Millisecond}, Value: 1})
 		<-answers
 		if i%1000 == 0 {
-			x.timers = x.timers[:0] // the deadlines of what is answered
+			x.timers = x.timers[:0] // the deadlines of answered requests
 		}
 	}
 }
--- a/internal/memory/exchange/cells.go
+++ b/internal/memory/exchange/cells.go
@@ -11,23 +11,27 @@
 	"yokemast/internal/control/cells"
 )
 
-// lookEvery is how often the cells are told what the module believes, and moves are taken on.
+// lookEvery is the interval at which the cells get the module's view of the hosts and moves progress.
 const lookEvery = 50 * time.Millisecond
 
-// ErrNoCells says that the operator's file names no cells.
-var ErrNoCells = errors.New("there are no cells: the operator's file names none")
+// ErrNoCells is returned if the operator's file configures no cells.
+var ErrNoCells = errors.New("there are no cells: the operator's file configures none")
 
+// configuring is the event of a new configuration of the cells.
 type configuring struct{ cells *cells.Config }
 
+// asking is the event of a call by Cells.
 type asking struct {
 	do   func(now time.Duration, s *cells.State) ([]cells.Action, error)
 	done chan error
 }
 
-// Configure takes the cells that the operator's file names, nil for none. They must have been checked.
+// Configure sets the cells that the operator's file names, or nil for none. The configuration must have been
+// validated.
 func (x *Exchange) Configure(c *cells.Config) { x.post(configuring{c}) }
 
-// Cells runs do on the state of the cells, between two events, and carries out what it answers with.
+// Cells calls do with the state of the cells between two events and performs the actions that do returns. It
+// returns the error of do, or ErrNoCells.
 func (x *Exchange) Cells(ctx context.Context, do func(now time.Duration, s *cells.State) ([]cells.Action, error)) error {
 	a := asking{do, make(chan error, 1)}
 	x.post(a)
@@ -48,7 +52,8 @@
 	return err
 }
 
-// configure takes new cells, or takes them away: what waits at a fence then goes where it would have gone without.
+// configure applies a configuration of the cells. If it removes the cells, requests held at a fence go to the
+// group that they named.
 func (x *Exchange) configure(c *cells.Config) {
 	now := x.cfg.Clock.Now()
 	if c == nil {
@@ -67,14 +72,14 @@
 	if x.cells != nil {
 		acts, err := x.cells.Configure(now, own)
 		if err != nil {
-			x.cfg.Log.Error("cells are not used", zap.Error(err))
+			x.cfg.Log.Error("cells configuration rejected", zap.Error(err))
 		}
 		x.carryOut(acts)
 		return
 	}
 	s, err := cells.New(own)
 	if err != nil {
-		x.cfg.Log.Error("cells are not used", zap.Error(err))
+		x.cfg.Log.Error("cells configuration rejected", zap.Error(err))
 		return
 	}
 	x.cells, x.lookAt = s, now
@@ -86,12 +91,14 @@
 	x.decide(s.Cells())
 }
 
+// question returns the cells' view of a request.
 func question(o *open) cells.Ask {
 	return cells.Ask{ID: o.ID, User: o.User, Claim: o.Tenant, Key: o.Session, Group: o.Group, Write: o.Write,
 		Deadline: o.deadline}
 }
 
-// admit asks the cells for a request; the error says that its user may not act for its tenant.
+// admit passes a request to the admission of the cells. It returns an error if the user may not act for the
+// tenant.
 func (x *Exchange) admit(o *open) (cells.Verdict, error) {
 	if x.cells == nil {
 		return cells.Verdict{Group: o.Group}, nil
@@ -104,7 +111,7 @@
 	return v, nil
 }
 
-// done gives the request's ticket back, once.
+// done returns the request's ticket to the cells. Further calls have no effect.
 func (x *Exchange) done(o *open) {
 	if x.cells != nil {
 		x.cells.Done(x.cfg.Clock.Now(), o.ticket)
@@ -112,7 +119,7 @@
 	o.ticket = cells.Ticket{}
 }
 
-// look tells the cells what the module believes, when it is time.
+// look passes the module's view of the hosts to the cells if that is due.
 func (x *Exchange) look(now time.Duration) {
 	if x.cells == nil || now < x.lookAt {
 		return
@@ -123,6 +130,7 @@
 	x.carryOut(x.cells.Look(now, x.seen))
 }
 
+// carryOut performs the actions that the cells returned.
 func (x *Exchange) carryOut(acts []cells.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
--- a/internal/memory/exchange/clock.go
+++ b/internal/memory/exchange/clock.go
@@ -13,35 +13,36 @@
 	"yokemast/internal/memory/counters"
 )
 
-// Clock is the gateway's one clock: wall time read once, monotonic from there. Its readings are Unix time by this machine's wall
-// clock, which may have been stepped. Positions are readings of the fleet's clock and stay so everywhere; Bounds says how the two stand.
+// Clock is the only clock of the gateway. It reads the wall clock once and is monotonic from there. Its
+// readings are Unix time by this machine's wall clock, which may have been stepped. Positions are readings of
+// the fleet's clock and are never converted; Bounds relates the two clocks.
 type Clock struct {
 	start time.Time
-	hold  func() // called between each reading and its use; nil in service
+	hold  func() // called between reading the clock and returning; nil in production
 	fleet *fleetTime
 }
 
-// fleetTime is what the process has learnt of the fleet's clock. It is safe for concurrent use.
+// fleetTime holds the estimate of the fleet's clock. It is safe for concurrent use.
 type fleetTime struct {
 	mu       sync.Mutex
 	estimate *fleetclock.Estimate
-	doubts   int         // answers that contradicted what was known
-	log      *zap.Logger // nil: nobody is told of contradictions
+	doubts   int         // answers that contradicted the estimate
+	log      *zap.Logger // logs contradictions unless nil
 	counts   *counters.Set
 
 	now atomic.Pointer[fleetNow]
 }
 
-// fleetNow is what is known at a moment.
+// fleetNow is a snapshot of fleetTime.
 type fleetNow struct {
 	bounds        fleetclock.Bounds
 	epoch, doubts int
 }
 
-// farAhead is a position that no log has reached.
+// farAhead is later than any position that a log can reach.
 const farAhead = time.Duration(math.MaxInt64 / 2)
 
-// NewClock reads the wall.
+// NewClock returns a Clock that starts from the current wall time.
 func NewClock() Clock {
 	c := Clock{start: time.Now(), fleet: &fleetTime{}}
 	c.fleet.estimate = fleetclock.New(c.Now())
@@ -49,7 +50,8 @@
 	return c
 }
 
-// Watched gives the same clock, which logs and counts what hosts' answers contradict of what is known.
+// Watched returns the same clock, which now logs and counts hosts' answers that contradict the estimate of the
+// fleet's clock.
 func (c Clock) Watched(log *zap.Logger, counts *counters.Set) Clock {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
@@ -58,14 +60,14 @@
 	return c
 }
 
-// Held gives the same clock, whose readings reach their caller only when hold returns. Tests use it to stop a goroutine between
-// reading the clock and acting on what it read.
+// Held returns a copy of the clock that calls hold between reading the clock and returning the reading. Tests
+// use it to stop a goroutine between reading the clock and acting on the reading.
 func (c Clock) Held(hold func()) Clock {
 	c.hold = hold
 	return c
 }
 
-// Now is the time since the start of 1970.
+// Now returns the time since the start of 1970.
 func (c Clock) Now() time.Duration {
 	now := time.Duration(c.start.UnixNano()) + time.Since(c.start)
 	if c.hold != nil {
@@ -74,14 +76,14 @@
 	return now
 }
 
-// Bounds say how this clock stands to the fleet's.
+// Bounds returns the known bounds of the fleet's clock relative to this one.
 func (c Clock) Bounds() fleetclock.Bounds { return c.fleet.now.Load().bounds }
 
-// Offset is what the fleet's clock shows more than this one, now.
+// Offset returns the current interval of the fleet's clock minus this one.
 func (c Clock) Offset() fleetclock.Interval { return c.Bounds().At(c.Now()) }
 
-// ForModule is what the decision module is told of Bounds: by at most a millisecond less than is known, so that it need not be told of
-// each little change.
+// ForModule returns Bounds as passed to the decision module. They are rounded up to milliseconds, so that the
+// module need not be notified of each small change.
 func (c Clock) ForModule() balance.ClockBounds {
 	now, b := c.Now(), c.Bounds()
 	if !b.Bounded {
@@ -90,7 +92,7 @@
 	return balance.ClockBounds{Known: true, Ages: up(b.Ages(now)), Most: up(b.At(now).Most)}
 }
 
-// up rounds up to milliseconds.
+// up rounds up to a multiple of a millisecond.
 func up(t time.Duration) time.Duration {
 	whole := t.Truncate(time.Millisecond)
 	if whole < t {
@@ -99,13 +101,15 @@
 	return whole
 }
 
-// Epoch changes whenever what was known of the fleet's clock turns out wrong: what was dated by it does not hold any more.
+// Epoch returns a number that changes whenever the estimate of the fleet's clock proved wrong. Times that were
+// dated in another epoch are no longer valid.
 func (c Clock) Epoch() int { return c.fleet.now.Load().epoch }
 
-// Doubts counts the answers that contradicted what was known of the fleet's clock.
+// Doubts returns the number of answers that contradicted the estimate of the fleet's clock.
 func (c Clock) Doubts() int { return c.fleet.now.Load().doubts }
 
-// Earliest is the earliest time by this clock at which the fleet's showed a position; not ok: there is no bound.
+// Earliest returns the earliest time by this clock at which the fleet's clock showed a position. It returns
+// false if there is no such bound.
 func (c Clock) Earliest(position time.Duration) (t time.Duration, ok bool) {
 	b := c.Bounds()
 	if !b.Bounded || position <= 0 {
@@ -114,9 +118,11 @@
 	return position - b.At(c.Now()).Most, true
 }
 
-// FleetAtMost is the latest time that the fleet's clock may show now; where nothing bounds it, one that no log has reached.
+// FleetAtMost returns the latest time that the fleet's clock may show now, or a time later than any position if
+// it has no upper bound.
 func (c Clock) FleetAtMost() time.Duration { return c.fleetAtMost(c.Now()) }
 
+// fleetAtMost returns the latest time that the fleet's clock may have shown at time t of this clock.
 func (c Clock) fleetAtMost(t time.Duration) time.Duration {
 	b := c.Bounds()
 	if !b.Bounded {
@@ -125,7 +131,7 @@
 	return t + b.At(c.Now()).Most
 }
 
-// Observe learns from a host's answer.
+// Observe updates the estimate of the fleet's clock from a host's answer.
 func (c Clock) Observe(o fleetclock.Observation) {
 	f := c.fleet
 	f.mu.Lock()
@@ -144,7 +150,8 @@
 	}
 }
 
-// Inherit takes what an earlier process on this machine knew at a time, in terms of this clock.
+// Inherit sets the offset of the fleet's clock that an earlier process on this machine knew at the given time.
+// Both are in terms of this clock.
 func (c Clock) Inherit(at time.Duration, offset fleetclock.Interval) {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
@@ -152,7 +159,7 @@
 	c.fleet.publish()
 }
 
-// report logs and counts an answer that contradicts what was known, or settles that another interval holds.
+// report logs and counts an answer that contradicts the estimate or caused it to be replaced.
 func (c Clock) report(change fleetclock.Change, o fleetclock.Observation, before fleetclock.Bounds) {
 	what, count := "answer contradicts the fleet's clock", &c.fleet.counts.ClockContradicted
 	if change == fleetclock.Replaced {
@@ -169,7 +176,7 @@
 	c.fleet.log.Warn(what, fields...)
 }
 
-// clockFields are the ends of an interval that are known.
+// clockFields returns log fields with the known ends of the offset's interval.
 func clockFields(prefix string, b fleetclock.Bounds, now time.Duration) (fields []zap.Field) {
 	i := b.At(now)
 	if b.Told {
@@ -181,6 +188,7 @@
 	return fields
 }
 
+// publish makes the current estimate visible to readers. The caller holds mu.
 func (f *fleetTime) publish() {
 	b := f.estimate.Bounds()
 	f.now.Store(&fleetNow{b, f.estimate.Epoch(), f.doubts})
--- a/internal/memory/exchange/events.go
+++ b/internal/memory/exchange/events.go
@@ -8,10 +8,10 @@
 	"yokemast/balance"
 )
 
-// Whoever looks for what became of a request follows its id through these lines. The log is sampled: of each kind of line it
-// takes some a second and counts the rest.
+// This file holds the event loop's log lines. The lines of one request share its id. The log is sampled: it
+// keeps a limited number of lines of each kind a second and counts the rest.
 
-// gaveUp says that a request is given up, and why.
+// gaveUp logs that a request failed or was refused, and why.
 func (x *Exchange) gaveUp(o *open, how string, why balance.Why, bad float64) {
 	reason := why.String()
 	if o.Over > 0 {
@@ -27,12 +27,13 @@
 		zap.String("last", last), zap.Bool("out", o.out), zap.Float64("bad_ends", bad), zap.Int("open", len(x.open)))
 }
 
-// rejected says that a request was never handed to the module.
+// rejected logs a request that was not passed to the module.
 func (x *Exchange) rejected(r *Request, reason string) {
 	x.cfg.Log.Info("request rejected", zap.String("id", r.ID), zap.String("why", reason), zap.String("class", r.Class), zap.Int("group", r.Group))
 }
 
-// noteState says that the list tells another state of a host, and until when anything new may be sent to it.
+// noteState logs a change of a host's listed state and the time until which new requests may be sent to the
+// host.
 func (x *Exchange) noteState(now time.Duration, m Member) {
 	old, known := x.list[m.Server]
 	if known && old.State == m.State || !known && m.State == balance.Active {
@@ -45,7 +46,7 @@
 	x.cfg.Log.Info("host state", fields...)
 }
 
-// attemptEnded says that an attempt did not serve its request.
+// attemptEnded logs an attempt that did not serve its request.
 func (x *Exchange) attemptEnded(o *open, e Outcome) {
 	fields := []zap.Field{zap.String("id", o.ID), zap.Int("attempt", e.Attempt), zap.String("host", e.Server),
 		zap.Stringer("result", e.Result), zap.Duration("took", e.Took.Round(time.Microsecond)), zap.String("class", o.Class)}
@@ -56,7 +57,7 @@
 	x.cfg.Log.Info("attempt ended", fields...)
 }
 
-// primaryChanged says that another host counts as a group's primary, or none, and on what evidence.
+// primaryChanged logs that another host, or none, counts as a group's primary, and on what evidence.
 func (x *Exchange) primaryChanged(c balance.PrimaryChange) {
 	x.cfg.Counters.Primaries.Add(1)
 	now := x.cfg.Clock.Now()
@@ -73,7 +74,8 @@
 	x.cfg.Log.Info("primary", fields...)
 }
 
-// groundsFields say on what evidence an attempt went to its host, with ages as of when it was decided on.
+// groundsFields returns log fields with the evidence on which an attempt was sent, with ages as of the
+// decision.
 func groundsFields(o *open) []zap.Field {
 	g := o.grounds
 	if g.Kind == balance.NotNeeded {
@@ -89,8 +91,8 @@
 	return fields
 }
 
-// served says on what evidence a read was served that did not rest on a position well inside its bound: those that could be found
-// to be stale. Others are only counted.
+// served logs the evidence of served reads that may later turn out stale: those that did not rely on a position
+// well within the class's bound. Other reads are only counted.
 func (x *Exchange) served(o *open, e Outcome) {
 	x.keepTrace(o, e.Server)
 	g := o.grounds
@@ -102,10 +104,11 @@
 	x.cfg.Log.Info("read served", append(fields, groundsFields(o)...)...)
 }
 
-// stallFor is how long an event may wait to be handled before the log says so: by then clients notice.
+// stallFor is how long an event may be queued before a stall is logged. Clients notice a delay of this length.
 const stallFor = 100 * time.Millisecond
 
-// stall says that what came has waited long: the process got no processor time, or one of its events took long.
+// stall logs that events were queued for long, because the process got no CPU time or the handling of an event
+// took long.
 func (x *Exchange) stall(batch []posted) {
 	if len(batch) == 0 {
 		return
--- a/internal/memory/exchange/evidence_test.go
+++ b/internal/memory/exchange/evidence_test.go
@@ -13,7 +13,8 @@
 	"yokemast/internal/memory/counters"
 )
 
-// pair is an exchange that is driven by hand, with a listed primary p and a replica r.
+// pair returns an exchange with a listed primary p and a replica r. The test calls its handlers directly
+// instead of Run.
 func pair(t *testing.T, clock Clock) (*Exchange, *hosts) {
 	t.Helper()
 	read := balance.Class{Aim: time.Minute, Deadline: time.Minute}
@@ -37,7 +38,7 @@
 	return x, h
 }
 
-// ask sends a request and gives the attempt that it leads to, if any.
+// ask submits a request and returns the attempt that it results in, or nil.
 func (h *hosts) ask(x *Exchange, class string, after time.Duration) *Attempt {
 	sent := len(h.sent)
 	x.handle(x.cfg.Clock.Now(), &Request{ID: fmt.Sprint("request ", x.cfg.Counters.Taken.Get()), Class: class, Group: 1, Arrived: x.cfg.Clock.Now(), After: after,
@@ -48,36 +49,38 @@
 	return &h.sent[len(h.sent)-1]
 }
 
-// learn has a host say something of itself just now.
+// learn handles a statement that a host makes now.
 func learn(x *Exchange, server string, role balance.Role, position time.Duration) {
 	now := x.cfg.Clock.Now()
 	x.handle(now, learning{balance.Heard{Server: server, Result: balance.OK, Role: role, Position: position},
 		balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
 }
 
-// known is a clock that is known to be right.
+// known returns a clock that is known to agree with the fleet's.
 func known() Clock {
 	c := NewClock()
 	c.Inherit(c.Now(), fleetclock.Interval{})
 	return c
 }
 
-// A module that takes the place of one that panicked knows what hosts said of themselves: the list's word is not believed against it.
+// A module that replaces one that panicked keeps the hosts' own statements, so that the endpoint list does not
+// override them.
 func TestAPanicForgetsNoEvidence(t *testing.T) {
 	x, h := pair(t, known())
 	learn(x, "p", balance.Replica, 0)
 	x.restart()
 	if a := h.ask(x, "own", x.cfg.Clock.Now()); a != nil {
-		t.Errorf("a read goes to %s on %+v", a.Server, a.Grounds)
+		t.Errorf("a read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 	}
 	learn(x, "r", balance.Primary, 0)
 	x.restart()
 	if a := h.ask(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.LeaderWord {
-		t.Errorf("a read goes to %+v", a)
+		t.Errorf("a read is sent as %+v, want it sent to r on its statement", a)
 	}
 }
 
-// behind lets answers of two primaries, which lie apart, show that the clock is behind the fleet's by so much.
+// behind lets answers of two primaries at different times prove that the clock is behind the fleet's by the
+// given time.
 func behind(clock Clock, by time.Duration) {
 	now := clock.Now()
 	for i, host := range []string{"p", "q", "p", "q"} {
@@ -86,45 +89,46 @@
 	}
 }
 
-// Answers show that the clock was behind: at once data is as much older, also for a read that was decided on before, and a word that was
-// dated by the wrong clock is dropped. A position is the fleet's and stays.
+// Answers prove that the clock was behind. Data must count as older at once, also for reads that were already
+// decided on, and statements dated by the wrong clock must be dropped. Positions are by the fleet's clock and
+// are kept.
 func TestDataIsOlderAsSoonAsTheClockTurnsOutBehind(t *testing.T) {
 	clock := known()
 	x, h := pair(t, clock)
 	x.noticeClock()
 	now := clock.Now()
-	learn(x, "r", balance.Replica, now-600*time.Millisecond) // of a bound of 1 s
+	learn(x, "r", balance.Replica, now-600*time.Millisecond) // the class's bound is 1 s
 	a := h.ask(x, "view", 0)
 	if a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition || a.Grounds.Expired(clock.Now(), clock.ForModule()) {
-		t.Fatalf("a read goes to %+v", a)
+		t.Fatalf("a read is sent as %+v, want it sent to r on its position", a)
 	}
 	behind(clock, 600*time.Millisecond)
 	if clock.Epoch() == 0 {
-		t.Fatal("the clock is not replaced")
+		t.Fatal("the interval of the clock is not replaced")
 	}
 	if !a.Grounds.Expired(clock.Now(), clock.ForModule()) {
-		t.Error("a read that was decided on before may still go out")
+		t.Error("a read that was decided on before may still be sent")
 	}
 	x.noticeClock()
-	// What was dated before is handled after.
-	dated := clock.Now() // after all that r said
+	// A statement that was dated in the previous epoch is handled in the new one.
+	dated := clock.Now() // after all other statements of r
 	x.handle(dated, learning{balance.Heard{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.Made{NotBefore: dated,
 		NotAfter: dated, Epoch: x.clockEpoch - 1}, balance.Report{}})
 	x.router.Look(clock.Now(), func(s balance.Seen) {
 		if s.Leads > 0 {
-			t.Errorf("%s leads by a word that the wrong clock dated", s.Server)
+			t.Errorf("%s counts as primary by a statement that the wrong clock dated", s.Server)
 		}
 	})
 	if a := h.ask(x, "view", 0); a != nil && a.Grounds.Kind != balance.Excused {
-		t.Errorf("a read goes to %s on %+v", a.Server, a.Grounds)
+		t.Errorf("a read is sent to %s on %+v, want none or an excused one", a.Server, a.Grounds)
 	}
 	learn(x, "r", balance.Replica, clock.Now()+500*time.Millisecond)
 	if a := h.ask(x, "view", 0); a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition {
-		t.Errorf("with a position of lately a read goes to %+v", a)
+		t.Errorf("with a recent position of r a read is sent as %+v", a)
 	}
 }
 
-// One answer that contradicts what is known has the safe end hold at once.
+// A single answer that contradicts the known offset must remove the upper bound at once.
 func TestOneContradictionTakesTheSafeEnd(t *testing.T) {
 	clock := known()
 	x, h := pair(t, clock)
@@ -134,45 +138,46 @@
 	clock.Observe(fleetclock.Observation{Host: "r", Position: now + time.Second, Sent: now, Received: now})
 	x.noticeClock()
 	if a := h.ask(x, "view", 0); a != nil && a.Grounds.Kind == balance.ByPosition {
-		t.Errorf("a read goes to %s on a position while nothing bounds its age", a.Server)
+		t.Errorf("a read is sent to %s on a position whose age is unbounded", a.Server)
 	}
 }
 
-// A position that a read must see is the fleet's, as those of logs are: no clock is needed to compare them.
+// The position that a read must see and the positions of logs are both by the fleet's clock, so they can be
+// compared without knowing the local clock's offset.
 func TestAnOwnReadNeedsNoClock(t *testing.T) {
 	clock := NewClock()
 	x, h := pair(t, clock)
 	wrote := clock.Now() - 5*time.Second + time.Hour // the clock is an hour behind
 	first := h.ask(x, "own", wrote)
 	if first == nil || first.Server != "p" {
-		t.Fatalf("it goes to %+v", first)
+		t.Fatalf("the read is sent as %+v, want it sent to p", first)
 	}
-	learn(x, "r", balance.Replica, wrote) // a commit is told rounded up: its log may end before
+	learn(x, "r", balance.Replica, wrote) // hosts round up the position of a commit, so this log may end before it
 	if a := h.ask(x, "own", wrote); a != nil && a.Server == "r" {
-		t.Error("it goes to a replica that lacks the write")
+		t.Error("the read is sent to a replica that lacks the write")
 	}
 	clock.Inherit(clock.Now(), fleetclock.Interval{Least: time.Hour, Most: time.Hour})
 	x.noticeClock()
 	if a := h.ask(x, "own", wrote); a != nil && a.Server == "r" {
-		t.Error("it goes to a replica that lacks the write once the clock is known")
+		t.Error("once the clock is known the read is sent to a replica that lacks the write")
 	}
 	learn(x, "r", balance.Replica, wrote+time.Millisecond)
 	if a := h.ask(x, "own", wrote); a == nil || a.Server != "r" {
-		t.Errorf("it goes to %+v, not to the replica that has the write", a)
+		t.Errorf("the read is sent as %+v, want it sent to the replica that has the write", a)
 	}
 }
 
-// That a host follows binds also before it is known how the clock stands.
+// The statement that a host is a replica takes effect also while the offset of the clock is unknown.
 func TestAFollowersWordBindsBeforeTheClockIsKnown(t *testing.T) {
 	x, h := pair(t, NewClock())
 	x.handle(x.cfg.Clock.Now(), learning{balance.Heard{Server: "p", Result: balance.OK, Role: balance.Replica},
 		balance.Made{NotAfter: x.cfg.Clock.Now()}, balance.Report{}})
 	if a := h.ask(x, "own", x.cfg.Clock.Now()); a != nil {
-		t.Errorf("a read goes to %s on %+v", a.Server, a.Grounds)
+		t.Errorf("a read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 	}
 }
 
-// What a host says in an answer is told to the other gateways once, with the outcome; what is asked for the clock is not told.
+// A host's statement in an answer is gossiped once, with the outcome. Results of clock probes are not gossiped.
 func TestAFollowersWordIsToldOnce(t *testing.T) {
 	x, h := pair(t, known())
 	x.cfg.Gossip = gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes, Burst: 1e6})
@@ -191,16 +196,17 @@
 	other.Host("r")
 	heard, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.Datagram(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
 	if err != nil || len(heard) != 1 || heard[0].Class != "order" || heard[0].Role != balance.Replica {
-		t.Errorf("told %+v, %v", heard, err)
+		t.Errorf("gossiped %+v, %v, want one entry", heard, err)
 	}
 }
 
-// A process that follows takes an interval for proven: one in doubt is not handed over.
+// The new process of a hot restart takes the interval of the clock for proven, so a contradicted one is not
+// handed over.
 func TestAClockInDoubtIsNotHandedOver(t *testing.T) {
 	clock := known()
 	x, _ := pair(t, clock)
 	if !x.survey().ClockKnown {
-		t.Fatal("a clock that is known is not handed over")
+		t.Fatal("a known clock is not handed over")
 	}
 	now := clock.Now()
 	clock.Observe(fleetclock.Observation{Host: "p", Present: now - time.Second, Sent: now, Received: now})
@@ -208,6 +214,6 @@
 		t.Fatalf("bounds %+v", b)
 	}
 	if x.survey().ClockKnown {
-		t.Error("a doubted one is")
+		t.Error("a contradicted clock is handed over")
 	}
 }
--- a/internal/memory/exchange/exchange.go
+++ b/internal/memory/exchange/exchange.go
@@ -1,6 +1,7 @@
-// Package exchange is where the client side and the host side of the gateway meet, in terms of no protocol:
-// requests come in, attempts go out, outcomes come back, answers go out. One goroutine owns the decision module,
-// hands it every event in order and carries out its actions. Nothing is decided here.
+// Package exchange is the event loop between the client side and the host side of the gateway. It is
+// independent of any wire protocol: it receives requests, sends attempts, handles their outcomes and answers
+// the requests. One goroutine owns the decision module (balance.Router), passes it every event in order and
+// performs the actions that it returns. The package itself makes no routing decisions.
 package exchange
 
 import (
@@ -21,58 +22,63 @@
 	"yokemast/internal/memory/counters"
 )
 
-// Config is what an Exchange needs to know.
+// Config holds the settings and dependencies of an Exchange.
 type Config struct {
 	Settings balance.Settings
 	Seed     uint64
 	Clock    Clock
 	Log      *zap.Logger
 	Counters *counters.Set
-	Gossip   *gossip.State // what gateways tell each other; nil: nothing
-	Tell     func([]byte)  // sends a datagram to the other gateways; must not wait
+	Gossip   *gossip.State // state of the gossip between gateways, or nil if they exchange none
+	Tell     func([]byte)  // sends a gossip message to the other gateways; must not block
 }
 
 const (
-	// answerMargin is kept free before the client stops waiting: its wait runs from when it sent, and the answer has
-	// to travel.
+	// answerMargin is how long before the end of the client's wait a request must be answered. The client
+	// counts its wait from when it sent the request, and the answer takes time to reach it.
 	answerMargin = 15 * time.Millisecond
-	// windowMargin is kept free before the end of a keyed class's window, for the way to the host and a process that is held up.
+	// windowMargin is how long before the end of a keyed class's window the last byte must be written. It
+	// covers the network delay to the host and a stall of this process.
 	windowMargin = 20*time.Millisecond + draining.HoldUp
-	// retryAfter is when a client may try a group again that no list has named yet.
+	// retryAfter is the retry delay for requests to a group without a listed host.
 	retryAfter = 500 * time.Millisecond
-	// forgetAfter is how long a host that left is remembered, later than the module forgets it: a fleet that is
-	// replaced again and again must not fill memory.
+	// forgetAfter is how long a removed host is remembered. It is longer than the module remembers it. Removed
+	// hosts must be forgotten, as a fleet whose hosts are replaced continually would otherwise fill the memory.
 	forgetAfter = 2 * time.Minute
 )
 
-// SettleAfter is how long after they were given new settings are binding, by the operators' word.
+// SettleAfter is the time after which new settings are binding, as specified by the operators. It counts from
+// when the settings were passed to the gateway.
 const SettleAfter = 1200 * time.Millisecond
 
+// open is a request that is unanswered or has an attempt in flight.
 type open struct {
 	*Request
 	class    *balance.Class
 	deadline time.Duration
-	patience time.Duration
-	attempts int
-	out      bool // an attempt has no outcome yet
+	patience time.Duration // maximum wait for a host; set only for requests that check one out
+	attempts int           // attempts sent so far
+	out      bool          // an attempt is in flight
 	answered bool
-	last     balance.Result // of the attempt before, if there was one
+	last     balance.Result // result of the previous attempt, if any
 	grounds  balance.Grounds
-	sentAt   time.Duration // of the last attempt
-	ranAt    time.Duration // when the first attempt was sent that may have run; 0: none has
-	waits    bool          // at a fence; the module has not got it yet
-	again    bool          // its client has tried before
-	ticket   cells.Ticket  // of its cell
+	sentAt   time.Duration // when the latest attempt was sent
+	ranAt    time.Duration // when the first possibly executed attempt was sent, or 0 if there is none
+	waits    bool          // held at a fence; not yet passed to the module
+	again    bool          // a client retry
+	ticket   cells.Ticket  // the admission ticket of its cell
 }
 
+// posted is an event and the time at which it arrived.
 type posted struct {
 	at time.Duration
 	ev any
 }
 
+// gone is the event of a client disconnecting before its request was answered.
 type gone struct{ request *Request }
 
-// Exchange is safe for concurrent use; Run does the work.
+// Exchange runs the event loop. Its exported methods are safe for concurrent use; Run handles the events.
 type Exchange struct {
 	cfg     Config
 	classes map[string]*balance.Class
@@ -83,37 +89,38 @@
 
 	bounds *bounds
 
-	// All below belongs to Run.
+	// The fields below are used by Run's goroutine only.
 	hosts    Hosts
 	router   *balance.Router
 	versions *reload.Versions
 	tries    *waits.Waits
 	open     map[string]*open
 	groups   map[int]bool
-	list     map[string]Member // as discovery tells it, with times by the fleet's clock
+	list     map[string]Member // hosts by id as listed by discovery, with times by the fleet's clock
 	timers   timers
 	acts     []balance.Action
-	seq      uint64        // of timers
-	endBy    time.Duration // the gateway ends; 0: it does not
-	cells    *cells.State  // nil: there are none
-	lookAt   time.Duration // when the cells are next told what the module believes
+	seq      uint64        // sequence number of the latest timer
+	endBy    time.Duration // when the last answer is due during shutdown, or 0 if the gateway does not shut down
+	cells    *cells.State  // nil if no cells are configured
+	lookAt   time.Duration // when the cells next get the module's view of the hosts
 	seen     []balance.Seen
 	heard    []balance.Heard
-	newest   time.Duration // of sessions' writes
+	newest   time.Duration // position of the newest write of any session, by the fleet's clock
 	begunAt  time.Duration
 
-	clockProbes map[string]bool // hosts that are being asked for the time
-	clockRounds int             // how often some were
-	clockAskAt  time.Duration   // not again before
+	clockProbes map[string]bool // hosts with a clock probe in flight
+	clockRounds int             // rounds of clock probes sent so far
+	clockAskAt  time.Duration   // earliest time of the next round
 	trace       trace
-	// What is known of the fleet's clock, as far as it is in force everywhere.
+	// clock, clockTold, clockDoubted, clockBounded and clockEpoch are the state of the fleet's clock that the
+	// module and the host side were last notified of.
 	clock                   balance.ClockBounds
 	clockTold, clockDoubted bool
 	clockBounded            bool
 	clockEpoch              int
 }
 
-// New makes an exchange; the error names the setting that makes no sense.
+// New returns an Exchange. It returns an error that names the setting if one is invalid.
 func New(cfg Config) (*Exchange, error) {
 	s, err := cfg.Settings.Checked()
 	if err != nil {
@@ -145,29 +152,32 @@
 	}
 }
 
-// Submit takes a request; its answer comes on its channel.
+// Submit accepts a request. The answer is sent on the request's Answer channel.
 func (x *Exchange) Submit(r *Request) { x.post(r) }
 
-// Gone says that a request's client has left; no answer is owed.
+// Gone cancels a request whose client has disconnected. It is not answered.
 func (x *Exchange) Gone(r *Request) { x.post(gone{r}) }
 
-// Outcome ends an attempt.
+// Outcome reports the outcome of an attempt.
 func (x *Exchange) Outcome(o Outcome) { x.post(o) }
 
-// Probed ends a probe.
+// Probed reports the result of a probe.
 func (x *Exchange) Probed(p balance.ProbeResult) { x.post(p) }
 
+// datagram is the event of a gossip message from another gateway.
 type datagram []byte
 
-// Heard takes a datagram of another gateway.
+// Heard accepts a gossip message from another gateway.
 func (x *Exchange) Heard(b []byte) { x.post(datagram(b)) }
 
+// ending is the event of a shutdown starting.
 type ending struct{ by time.Duration }
 
-// Ending says that requests that come from now on must be answered by then, however long their clients would wait.
+// Ending starts the shutdown: every request must be answered by the given time, even if its client would wait
+// longer.
 func (x *Exchange) Ending(by time.Duration) { x.post(ending{by}) }
 
-// Run handles events until the context ends. It alone touches the module.
+// Run handles events until the context is done. Only Run's goroutine calls the module.
 func (x *Exchange) Run(ctx context.Context, hosts Hosts) error {
 	x.hosts = hosts
 	x.bounds.serve(hosts)
@@ -181,7 +191,7 @@
 		x.stall(batch)
 		x.noticeClock()
 		for i, p := range batch {
-			x.due(p.at) // what was due before this came
+			x.due(p.at) // timers that expired before the event arrived
 			x.handle(p.at, p.ev)
 			batch[i] = posted{}
 		}
@@ -204,10 +214,10 @@
 	}
 }
 
-// longestIdle is for how long Run waits at most where nothing is due.
+// longestIdle is the maximum time that Run waits if nothing is due.
 const longestIdle = time.Hour
 
-// untilDue is how long it is until something is due without an event, 0 where it is due already.
+// untilDue returns the time until the next timer or periodic task is due, or 0 if one is due already.
 func (x *Exchange) untilDue(now time.Duration) time.Duration {
 	next := now + longestIdle
 	if len(x.timers) > 0 {
@@ -230,7 +240,7 @@
 	return max(next-now, 0)
 }
 
-// due hands over the timers that were due by then.
+// due passes the timers that expire at or before the given time to the module.
 func (x *Exchange) due(by time.Duration) {
 	for len(x.timers) > 0 && x.timers[0].due <= by {
 		x.decide(balance.Timer{Tag: x.timers.pop().tag})
@@ -238,7 +248,7 @@
 	}
 }
 
-// handle takes what came at a time, which may be a while ago where the process got no time.
+// handle handles an event that arrived at the given time, which may be well in the past if the process stalled.
 func (x *Exchange) handle(at time.Duration, ev any) {
 	switch e := ev.(type) {
 	case *Request:
@@ -256,10 +266,10 @@
 	case balance.ProbeResult:
 		forClock := x.clockProbes[e.Server]
 		if delete(x.clockProbes, e.Server); forClock && e.Result != balance.OK {
-			return // it was not the module that asked: a host is not set aside for it
+			return // the module did not request this probe, so its failure must not eject the host
 		}
 		x.dropOutdated(e.Made, new(balance.Role), &e.Report)
-		if !forClock { // many gateways that start would spend on it what they may tell
+		if !forClock { // many gateways that start together would use up their gossip budget on clock probes
 			x.note(balance.Heard{Server: e.Server, Result: e.Result}, e.Made, e.Report)
 		}
 		x.decide(e)
@@ -284,8 +294,9 @@
 	}
 }
 
-// ending shortens what is open to when the last answer is due: what is unanswered when the process ends is lost, also what
-// was taken before the signal and whose client would wait for longer.
+// ending shortens the deadlines of all pending requests to the time by which the last answer is due. Requests
+// that are unanswered when the process exits are lost, including those that arrived before the signal and whose
+// clients would wait longer.
 func (x *Exchange) ending(by time.Duration) {
 	if x.endBy == by {
 		return
@@ -295,14 +306,14 @@
 		if o.deadline <= by {
 			continue
 		}
-		if o.deadline = by; o.waits { // at a fence, which counts with the deadline that it was told
+		if o.deadline = by; o.waits { // the fence was given the previous deadline and would hold the request until then
 			x.pass(o, cells.Verdict{Kind: cells.Over, Group: o.Group})
 		}
 	}
 	x.decide(balance.Ending{By: by})
 }
 
-// answer gives the final answer, once.
+// answer sends the final answer of a request unless it has been answered.
 func (x *Exchange) answer(o *open, a Answer, count *counters.Count) {
 	if o.answered {
 		return
@@ -316,15 +327,16 @@
 	x.forget(o)
 }
 
-// unserved says that a request ended without being served: its client may come again.
+// unserved records that a request ended without being served, so that a client retry may follow.
 func (x *Exchange) unserved(o *open) {
 	if !o.again {
 		x.tries.Unserved(o.Class)
 	}
 }
 
-// forget drops the record of a request that is answered and has no attempt out. One that still waits for its connection must
-// not go out: nothing is sent on for a client that has left, or that has its answer.
+// forget drops the record of a request that is answered and has no attempt in flight. If an attempt is in
+// flight, it withdraws the attempt in case that still waits for its connection: nothing may be sent to a host
+// for a client that has disconnected or has its answer.
 func (x *Exchange) forget(o *open) {
 	switch {
 	case !o.answered || x.open[o.ID] != o:
@@ -336,8 +348,9 @@
 	}
 }
 
-// decide hands the module one event and carries out what it answers. A panic there must not end the process: what
-// is open is answered, and a new module starts from the list, as after a restart.
+// decide passes one event to the module and performs the actions that it returns. A panic of the module must
+// not end the process: all pending requests are answered, and a new module starts from the endpoint list, as
+// after a restart.
 func (x *Exchange) decide(ev balance.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -355,6 +368,7 @@
 	}
 }
 
+// restart replaces the module after a panic.
 func (x *Exchange) restart() {
 	for _, o := range x.open {
 		x.answer(o, Answer{Kind: Failed, Reason: "internal error"}, &x.cfg.Counters.Failed)
@@ -363,10 +377,10 @@
 	known := x.recall()
 	s := x.cfg.Settings
 	s.Restarted = true
-	if !s.TokensCarried { // what each session wrote is lost
+	if !s.TokensCarried { // the positions of the individual sessions' writes are lost
 		s.Floor = max(s.Floor, x.newest)
 	}
-	x.router, _ = balance.New(s, x.cfg.Seed) // New took these settings before
+	x.router, _ = balance.New(s, x.cfg.Seed) // these settings have been accepted before
 	x.cfg.Counters.Timers.Add(-int64(len(x.timers)))
 	x.timers = nil
 	list := balance.Members{Whole: true}
@@ -390,12 +404,12 @@
 	case balance.Refuse:
 		if o := x.open[a.ID]; o != nil {
 			x.gaveUp(o, "refused", a.Why, a.Bad)
-			x.answer(o, Answer{Kind: Refused, Reason: "turned away", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
+			x.answer(o, Answer{Kind: Refused, Reason: "request refused", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
 		}
 	case balance.Fail:
 		if o := x.open[a.ID]; o != nil {
 			x.gaveUp(o, "failed", a.Why, a.Bad)
-			x.answer(o, Answer{Kind: Failed, Reason: "given up"}, &x.cfg.Counters.Failed)
+			x.answer(o, Answer{Kind: Failed, Reason: "request failed"}, &x.cfg.Counters.Failed)
 		}
 	case balance.Cancel:
 		x.cfg.Counters.Canceled.Add(1)
@@ -407,10 +421,11 @@
 		x.seq++
 		x.timers.push(x.cfg.Clock.Now()+a.Wait, a.Tag, x.seq)
 		x.cfg.Counters.Timers.Add(1)
-	case balance.Watch: // the list is always watched
+	case balance.Watch: // discovery is always watched
 	}
 }
 
+// send starts an attempt, with the limits on when it may go out.
 func (x *Exchange) send(a balance.Send) {
 	o, now := x.open[a.ID], x.cfg.Clock.Now()
 	if o == nil {
@@ -427,28 +442,28 @@
 	t.Keyed = o.Write && o.class.Effect == balance.Keyed
 	x.cfg.Counters.Grounds[a.Grounds.Kind].Add(1)
 	if a.Grounds.SendBy > 0 {
-		// The known position is inside the bound now; a slow connect must not carry the read past it.
+		// The known position is within the staleness bound now. A slow connect must not let the read exceed it.
 		t.writeBy(a.Grounds.SendBy)
 	}
 	if by := x.bounds.until(a.Server); by != draining.Open {
-		// Nothing may go out after the grace, however long the connection takes to come up.
+		// Nothing may be sent after the drain grace, however long connecting takes.
 		t.startBy(by)
 	}
 	if o.class.Effect == balance.Keyed && o.ranAt > 0 {
-		// The module found its window open; it must not close while the connection comes up.
+		// The module found the key's window open. It must not close while the connection is set up.
 		t.writeBy(o.ranAt + o.class.KeyTTL - windowMargin)
 	}
 	x.hosts.Send(t)
 }
 
-// startBy bounds when the attempt may go out.
+// startBy limits the time at which the first byte of the attempt may be sent.
 func (a *Attempt) startBy(t time.Duration) {
 	if a.StartBy == 0 || t < a.StartBy {
 		a.StartBy = t
 	}
 }
 
-// writeBy bounds when the attempt may go out to its last byte.
+// writeBy limits the time at which the last byte of the attempt may be sent.
 func (a *Attempt) writeBy(t time.Duration) {
 	a.startBy(t)
 	if a.WriteBy == 0 || t < a.WriteBy {
--- a/internal/memory/exchange/exchange_test.go
+++ b/internal/memory/exchange/exchange_test.go
@@ -14,7 +14,7 @@
 	"yokemast/internal/memory/counters"
 )
 
-// hosts keeps what it is told.
+// hosts is a host side that records the calls to it.
 type hosts struct {
 	sent   []Attempt
 	probed []string
@@ -34,7 +34,8 @@
 	h.until[server] = by
 }
 
-// fresh is an exchange that is driven by hand, with one primary listed.
+// fresh returns an exchange with one listed primary, its host side and a function that submits a request. The
+// test calls the handlers of the exchange directly instead of Run.
 func fresh(t *testing.T) (*Exchange, *hosts, func(class string) chan Answer) {
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
@@ -59,14 +60,15 @@
 	}
 }
 
+// list applies and handles a list that arrives now, with the primary in a state.
 func list(x *Exchange, s balance.State) { take(x, x.cfg.Clock.Now(), only(s)) }
 
-// only is a whole list of the one primary, in a state.
+// only returns a snapshot with the one primary in a state.
 func only(s balance.State) members {
 	return members{true, []Member{{Address: "h:1", Member: balance.Member{Server: "s", Group: 1, State: s, Primary: true, Weight: 1}}}}
 }
 
-// take hands over a list that arrived at a time, and handles it.
+// take applies a list that arrived at the given time, and handles it.
 func take(x *Exchange, at time.Duration, e members) {
 	x.handle(x.cfg.Clock.Now(), x.bounds.take(List{Agent: "a", At: at, Whole: e.whole, Hosts: e.list}))
 }
@@ -80,11 +82,11 @@
 	told := x.cfg.Clock.Now()
 	ask("order")
 	if len(h.sent) != 3 || h.sent[0].Left == nil {
-		t.Fatalf("sent %v", h.sent)
+		t.Fatalf("sent %v, want 3 attempts", h.sent)
 	}
 	write, excused, draining := h.sent[1].StartBy, h.sent[0], h.sent[2].StartBy
 	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.Excused || draining <= told || draining > told+time.Second {
-		t.Errorf("bounds %v, %v (%v), %v after %v", write, excused.StartBy, excused.Grounds, draining-told, told-before)
+		t.Errorf("StartBy of the write %v, of the excused read %v (%v), of the draining host %v after %v", write, excused.StartBy, excused.Grounds, draining-told, told-before)
 	}
 }
 
@@ -96,7 +98,7 @@
 		t.Fatalf("sent %+v", h.sent)
 	}
 	if again, end := h.sent[1], h.sent[0].Sent+10*time.Second-windowMargin; again.StartBy != end || again.WriteBy != end {
-		t.Errorf("it goes again from %v to %v, want by %v", again.StartBy, again.WriteBy, end)
+		t.Errorf("the retry has StartBy %v and WriteBy %v, want %v for both", again.StartBy, again.WriteBy, end)
 	}
 }
 
@@ -106,11 +108,12 @@
 	x.handle(x.cfg.Clock.Now(), ending{by})
 	ask("order")
 	if len(h.sent) != 1 || h.sent[0].Until != by {
-		t.Errorf("sent %v, want one that is waited for until %v", h.sent, by)
+		t.Errorf("sent %v, want one attempt with Until %v", h.sent, by)
 	}
 }
 
-// What is open when the end is told is bounded as what comes after: out at a host that hangs, or waiting at a fence.
+// Requests that are pending when the shutdown starts get its deadline, whether in flight at a host that hangs
+// or held at a fence.
 func TestEndingBoundsWhatIsOpen(t *testing.T) {
 	x, _, ask := fresh(t)
 	out, fenced := ask("order"), make(chan Answer, 1)
@@ -122,28 +125,28 @@
 	select {
 	case a := <-fenced:
 		if a.Kind != Refused {
-			t.Errorf("what waits at a fence is answered %v", a)
+			t.Errorf("the request held at a fence is answered %v, want refused", a)
 		}
 	default:
-		t.Error("what waits at a fence is not answered")
+		t.Error("the request held at a fence is not answered")
 	}
 	for _, o := range x.open {
 		if o.deadline != by {
-			t.Errorf("%s has until %v, not %v", o.ID, o.deadline, by)
+			t.Errorf("the deadline of %s is %v, want %v", o.ID, o.deadline, by)
 		}
 	}
-	x.due(by + 10*time.Millisecond) // the module gives up what is out then
+	x.due(by + 10*time.Millisecond) // the module fails requests in flight then
 	select {
 	case a := <-out:
 		if a.Kind != Failed {
-			t.Errorf("what is out is answered %v", a)
+			t.Errorf("the request in flight is answered %v, want failed", a)
 		}
 	default:
-		t.Error("what is out is not answered by then")
+		t.Error("the request in flight is not answered by the deadline")
 	}
 }
 
-// Where the settings let a host stay open that the list dropped without a drain, no grace runs for it.
+// With DroppedStayOpen a host that was removed without a drain gets no send deadline.
 func TestAHostDroppedWithoutADrainMayStayOpen(t *testing.T) {
 	for _, stays := range []bool{false, true} {
 		x, h, _ := fresh(t)
@@ -152,38 +155,38 @@
 		x.bounds.retune(s)
 		take(x, x.cfg.Clock.Now(), members{whole: true})
 		if bound := x.bounds.until("s") != draining.Open; bound == stays || h.until["s"] != x.bounds.until("s") {
-			t.Errorf("stays open %v: bound %v, the host side is told %v", stays, bound, h.until["s"])
+			t.Errorf("DroppedStayOpen %v: has a send deadline: %v, deadline at the host side %v", stays, bound, h.until["s"])
 		}
 	}
 }
 
-// A list counts from when it came, however late the loop gets to it.
+// The drain grace counts from when the list arrived, however late the event loop handles it.
 func TestAListCountsFromWhenItCame(t *testing.T) {
 	x, h, ask := fresh(t)
 	came := x.cfg.Clock.Now() - 400*time.Millisecond
 	take(x, came, only(balance.Draining))
 	ask("order")
 	if want := came + time.Second - 2*draining.HoldUp; len(h.sent) != 1 || h.sent[0].StartBy != want {
-		t.Errorf("sent %v, want one that goes out by %v", h.sent, want)
+		t.Errorf("sent %v, want one attempt with StartBy %v", h.sent, want)
 	}
 }
 
-// A list binds what is on its way to a host although the event loop has not got to it.
+// A list limits attempts in flight before the event loop handles it.
 func TestAListBindsBeforeItIsHandled(t *testing.T) {
 	x, h, _ := fresh(t)
 	at := x.cfg.Clock.Now()
 	x.Members(List{Agent: "a", At: at, Whole: true, Hosts: only(balance.Draining).list})
 	if want := at + time.Second - 2*draining.HoldUp; h.until["s"] != want {
-		t.Errorf("the host side may send until %v, want %v", h.until["s"], want)
+		t.Errorf("send deadline %v, want %v", h.until["s"], want)
 	}
-	// An older list that is handled later must not open the host again.
+	// An older list that is handled later must not remove the send deadline.
 	x.handle(at, only(balance.Active))
 	if h.until["s"] == draining.Open {
-		t.Error("an older list that is handled later opens the host again")
+		t.Error("an older list that is handled later removes the send deadline")
 	}
 }
 
-// Another grace holds for hosts that were notified before it came.
+// A settings update changes the drain grace also for hosts that are already draining.
 func TestNewSettingsMoveTheBoundOfADrain(t *testing.T) {
 	for _, grace := range []time.Duration{400 * time.Millisecond, 5 * time.Second} {
 		x, h, _ := fresh(t)
@@ -194,12 +197,12 @@
 		x.handle(at, retuning{s})
 		x.settle(at + 2*SettleAfter)
 		if want := at + grace - 2*draining.HoldUp; h.until["s"] != want {
-			t.Errorf("grace of %s: the host side may send until %v, want %v", grace, h.until["s"], want)
+			t.Errorf("grace of %s: send deadline %v, want %v", grace, h.until["s"], want)
 		}
 	}
 }
 
-// The process that follows knows since when a host drains: it gives no new grace.
+// The new process of a hot restart inherits the time of a drain notification and must not start a new grace.
 func TestADrainKeepsItsTimeOverAHandover(t *testing.T) {
 	x, _, _ := fresh(t)
 	const ago = 600 * time.Millisecond
@@ -209,15 +212,15 @@
 	asked := next.cfg.Clock.Now()
 	next.Inherit(asked, known)
 	if want := asked - ago + time.Second - 2*draining.HoldUp; h.until["s"] > want {
-		t.Errorf("the next process may send until %v, want %v", h.until["s"], want)
+		t.Errorf("send deadline in the new process %v, want at most %v", h.until["s"], want)
 	}
-	take(next, next.cfg.Clock.Now(), only(balance.Draining)) // discovery says so too
+	take(next, next.cfg.Clock.Now(), only(balance.Draining)) // discovery lists the drain as well
 	if want := asked - ago + time.Second - 2*draining.HoldUp; h.until["s"] > want {
-		t.Errorf("after discovery's word it may send until %v, want %v", h.until["s"], want)
+		t.Errorf("send deadline after discovery lists the drain %v, want at most %v", h.until["s"], want)
 	}
 }
 
-// A module that starts anew after a panic learns of drains, with their bounds.
+// A module that replaces one that panicked gets the drains with their send deadlines.
 func TestADrainSurvivesAPanicOfTheModule(t *testing.T) {
 	x, h, ask := fresh(t)
 	take(x, x.cfg.Clock.Now()-time.Second, only(balance.Draining))
@@ -225,7 +228,7 @@
 	x.decide(balance.Timer{})
 	ask("order")
 	if len(h.sent) > 0 {
-		t.Errorf("sent to a host whose drain's grace is over: %v", h.sent)
+		t.Errorf("sent to a host after its drain grace: %v", h.sent)
 	}
 }
 
@@ -235,9 +238,9 @@
 	x.router = nil // Handle panics
 	x.decide(balance.Timer{})
 	if a := <-held; a.Kind != Failed {
-		t.Errorf("what was held is answered %v", a)
+		t.Errorf("the pending request is answered %v, want failed", a)
 	}
-	// The outcome of what was out then comes to a module that never heard of it.
+	// The outcome of the attempt that was in flight reaches a module that does not know it.
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: h.sent[0].ID, Server: "s", Result: balance.OK}})
 	again := ask("order")
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: h.sent[1].ID, Server: "s", Result: balance.OK}, Value: "v"})
@@ -245,7 +248,7 @@
 		t.Error(diff)
 	}
 	if len(x.open) != 0 {
-		t.Errorf("%d records are left", len(x.open))
+		t.Errorf("%d pending requests are left, want none", len(x.open))
 	}
 }
 
@@ -273,7 +276,8 @@
 	}
 }
 
-// A client that comes again after its class's aim: the module is told how long it has been at it, and no host gets it.
+// A client retry after the latency target of its class: the module gets the time since the first attempt of the
+// client and must not send the request to a host.
 func TestALaterTryThatCanEarnNothingIsNotSent(t *testing.T) {
 	x, h, _ := fresh(t)
 	try := func(id string, wait time.Duration) chan Answer {
@@ -293,14 +297,14 @@
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "0", Server: "s", Result: balance.Garbled}})
 	x.handle(x.cfg.Clock.Now(), gone{x.open["1"].Request})
 	if a := try("3", 39800*time.Millisecond); len(h.sent) == sent || len(a) != 0 {
-		t.Errorf("one that waits for nearly as long as first tries is not sent")
+		t.Errorf("a request with nearly the wait of first attempts is not sent")
 	}
 	sent = len(h.sent)
 	if a := try("4", 30*time.Second); len(h.sent) != sent || len(a) != 1 || (<-a).Kind != Refused {
-		t.Errorf("a client that has been at it for 30 s of 20 s is sent to a host")
+		t.Errorf("a client retry 30 s after the first attempt, with a latency target of 20 s, is sent to a host")
 	}
 	if got := x.cfg.Counters.Again.Get(); got != 1 {
-		t.Errorf("%d later tries counted", got)
+		t.Errorf("%d client retries counted, want 1", got)
 	}
 }
 
@@ -311,34 +315,35 @@
 	}
 	x.stall(nil)
 	if got := x.cfg.Counters.Stalls.Get(); got != 1 {
-		t.Errorf("%d standstills are counted, want 1", got)
+		t.Errorf("%d stalls counted, want 1", got)
 	}
 }
 
-// Before a host has told its position one that was ever started may have just done so; then its start is no earlier than it was.
+// Until the position of any host is known, a host with a listed start counts as just started. Afterwards its
+// start must not be earlier than it was.
 func TestStartsAreNoEarlierThanHostsProve(t *testing.T) {
-	for _, off := range []time.Duration{0, time.Hour, -time.Hour} { // that this clock is ahead
+	for _, off := range []time.Duration{0, time.Hour, -time.Hour} { // of this clock, ahead of the fleet's
 		x, _, _ := fresh(t)
 		now := x.cfg.Clock.Now()
-		started := now - off - time.Minute // by the fleet's clock: a minute ago
+		started := now - off - time.Minute // a minute ago by the fleet's clock
 		if got := x.startedAt(started); got < x.begunAt {
-			t.Errorf("ahead by %s: before any answer a start a minute ago counts as %s ago", off, now-got)
+			t.Errorf("clock ahead by %s, no answer yet: a start a minute ago counts as %s ago", off, now-got)
 		}
-		x.cfg.Clock.Observe(fleetclock.Observation{Host: "s", Position: now - off - 2*time.Second, Sent: now, Received: now}) // it lags
+		x.cfg.Clock.Observe(fleetclock.Observation{Host: "s", Position: now - off - 2*time.Second, Sent: now, Received: now}) // a lagging replica
 		if got := x.startedAt(started); got < now-time.Minute {
-			t.Errorf("ahead by %s: a start a minute ago counts as %s ago", off, now-got)
+			t.Errorf("clock ahead by %s, one position known: a start a minute ago counts as %s ago", off, now-got)
 		}
 		for i, host := range []string{"s", "t"} {
-			at := now + time.Duration(i-5)*20*time.Millisecond // round trips that lie apart
+			at := now + time.Duration(i-5)*20*time.Millisecond // round trips at different times
 			x.cfg.Clock.Observe(fleetclock.Observation{Host: host, Present: at - off, Sent: at, Received: at})
 		}
 		if got := x.startedAt(started); (now - got - time.Minute).Abs() > 5*time.Millisecond {
-			t.Errorf("ahead by %s: once that is known a start a minute ago counts as %s ago", off, now-got)
+			t.Errorf("clock ahead by %s, offset known: a start a minute ago counts as %s ago", off, now-got)
 		}
 	}
 }
 
-// A process that starts asks hosts for the time, once; one that does not answer is not set aside for that.
+// A new process probes hosts for the clock once. A host that does not answer such a probe is not ejected.
 func TestHostsAreAskedForTheTime(t *testing.T) {
 	x, h, ask := fresh(t)
 	list(x, balance.Active)
@@ -348,6 +353,6 @@
 	x.handle(x.cfg.Clock.Now(), balance.ProbeResult{Server: "s", Result: balance.NoConnection})
 	ask("order")
 	if len(h.sent) != 1 {
-		t.Error("a host that did not tell the time gets nothing")
+		t.Error("a host that did not answer a clock probe gets no request")
 	}
 }
--- a/internal/memory/exchange/first_list_test.go
+++ b/internal/memory/exchange/first_list_test.go
@@ -9,16 +9,19 @@
 	"yokemast/internal/disk/handover"
 )
 
+// A host that drains in the first list may have been draining since before the process started, so its drain
+// grace counts from the start of the process.
 func TestADrainThatTheFirstListTellsCountsFromTheProcesssStart(t *testing.T) {
 	x, _, _ := fresh(t)
-	arrived := x.begunAt + 400*time.Millisecond // the first answer of discovery
+	arrived := x.begunAt + 400*time.Millisecond // discovery's first answer
 	x.bounds.take(List{Agent: "a", At: arrived, Whole: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
 	if by, want := x.bounds.until("n"), x.begunAt+x.cfg.Settings.DrainGrace-300*time.Millisecond; by > want {
-		t.Errorf("new requests may go to it until %s after the end of the grace, less two hold-ups", by-want)
+		t.Errorf("new requests may be sent until %s after the end of the grace less 300 ms", by-want)
 	}
 }
 
-// The list of another agent of discovery may be behind that which told a drain, to this process or to the one before it.
+// The list of another agent of discovery may be older than the one that notified this process or its
+// predecessor of a drain.
 func TestAnotherAgentsListEndsNoDrainUnlessItTellsALaterStart(t *testing.T) {
 	drained := func(x *Exchange) {
 		x.Members(List{Agent: "a", Revision: 43, At: x.begunAt - time.Minute, Whole: true, Hosts: only(balance.Draining).list})
@@ -34,16 +37,16 @@
 		started  time.Duration
 		serves   bool
 	}{
-		"the agent that told it":                     {drained, "a", 43, 0, true},
-		"an older list of the agent that told it":    {drained, "a", 42, 0, false},
-		"an older one, of an inherited drain":        {inherited, "a", 42, 0, false},
-		"another":                                    {drained, "b", 44, 0, false},
-		"another, with a later start":                {drained, "b", 44, 1, true},
-		"the agent that told the process before":     {inherited, "a", 43, 0, true},
-		"another than told the process before":       {inherited, "b", 44, 0, false},
-		"another, that tells an inherited one anew":  {inherited, "b", 44, 1, true},
-		"what the process before knew, of a file's":  {drained, "", 0, 0, false},
-		"what the process before knew, with a start": {drained, "", 0, 1, false},
+		"the agent that sent the drain":                      {drained, "a", 43, 0, true},
+		"an older list of that agent":                        {drained, "a", 42, 0, false},
+		"an older list of that agent, inherited drain":       {inherited, "a", 42, 0, false},
+		"another agent":                                      {drained, "b", 44, 0, false},
+		"another agent, with a later start":                  {drained, "b", 44, 1, true},
+		"the agent that sent the inherited drain":            {inherited, "a", 43, 0, true},
+		"another agent, inherited drain":                     {inherited, "b", 44, 0, false},
+		"another agent, inherited drain, with a later start": {inherited, "b", 44, 1, true},
+		"handover state":                                     {drained, "", 0, 0, false},
+		"handover state, with a start":                       {drained, "", 0, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x, h, ask := fresh(t)
@@ -59,7 +62,7 @@
 			}
 			ask("order")
 			if sent := len(h.sent) > 0; sent != c.serves || (h.until["s"] == draining.Open) != c.serves {
-				t.Errorf("a write is sent: %t, and until %s, want %t", sent, h.until["s"], c.serves)
+				t.Errorf("a write is sent: %t, send deadline %s, want the host to serve: %t", sent, h.until["s"], c.serves)
 			}
 		})
 	}
--- a/internal/memory/exchange/gossip.go
+++ b/internal/memory/exchange/gossip.go
@@ -9,13 +9,14 @@
 	"yokemast/internal/control/gossip"
 )
 
-// note tells the other gateways how an attempt or a probe ended, and when the host said what it said of its role.
+// note queues a gossip entry with the result of an attempt or a probe, and with the host's statement about its
+// role and the time of that statement.
 func (x *Exchange) note(n balance.Heard, made balance.Made, rep balance.Report) {
 	if x.cfg.Gossip == nil || n.Result == balance.Cancelled || n.Result == balance.NotSent {
-		return // that is this gateway's own doing and says nothing of the host
+		return // caused by this gateway, so it carries no information about the host
 	}
 	if n.Result == balance.Stale {
-		n.Result = balance.OK // the host is well
+		n.Result = balance.OK // the host itself is healthy
 	}
 	now := x.cfg.Clock.Now()
 	if n.At = now; made.NotAfter > 0 {
@@ -32,7 +33,7 @@
 	}
 }
 
-// gossipOffsets are the offsets of this clock for what gateways tell each other.
+// gossipOffsets returns the offset of the fleet's clock for encoding and decoding gossip messages.
 func (x *Exchange) gossipOffsets() gossip.Offsets {
 	b := x.cfg.Clock.Bounds()
 	offset := b.At(x.cfg.Clock.Now())
@@ -42,7 +43,7 @@
 	return gossip.Offsets{Least: offset.Least, Most: offset.Most, Bounded: b.Bounded}
 }
 
-// tell sends what is due to the other gateways.
+// tell sends a gossip message to the other gateways if one is due.
 func (x *Exchange) tell(now time.Duration) {
 	if x.cfg.Gossip == nil {
 		return
@@ -52,7 +53,7 @@
 	}
 }
 
-// receive hands the module what another gateway tells.
+// receive passes the entries of a gossip message to the module.
 func (x *Exchange) receive(b []byte) {
 	if x.cfg.Gossip == nil {
 		return
@@ -61,7 +62,7 @@
 	x.heard = heard
 	if err != nil {
 		x.cfg.Counters.HeardBad.Add(1)
-		x.cfg.Log.Debug("datagram not used", zap.Error(err))
+		x.cfg.Log.Debug("invalid gossip message", zap.Error(err))
 		return
 	}
 	x.cfg.Counters.Heard.Add(int64(len(heard)))
--- a/internal/memory/exchange/handover.go
+++ b/internal/memory/exchange/handover.go
@@ -10,14 +10,17 @@
 	"yokemast/internal/disk/handover"
 )
 
+// surveying is the event of a call to Survey.
 type surveying struct{ done chan handover.Knowledge }
 
+// inheriting is the event of a call to Inherit.
 type inheriting struct {
 	known handover.Knowledge
-	list  members // of the hosts that it names
+	list  members // the hosts of known as an applied list
 }
 
-// Survey says what is known of the hosts, for a process that follows this one. The list's revision is not known here.
+// Survey returns the handover state for the new process of a hot restart. The revision of the endpoint list is
+// not known here and left negative.
 func (x *Exchange) Survey(ctx context.Context) (handover.Knowledge, error) {
 	s := surveying{make(chan handover.Knowledge, 1)}
 	x.post(s)
@@ -29,10 +32,10 @@
 	}
 }
 
-// Inherit takes what an earlier process of this gateway knew, which was asked for at a time.
+// Inherit applies the handover state of the old process, which was requested at askedAt.
 //
-// How long ago the earlier process was notified of a drain counts from when it was asked, not from when it answered: that is
-// never later than it was.
+// The age of a drain notification is subtracted from askedAt rather than from the time of the answer, so that
+// the resulting time is never later than the actual notification.
 func (x *Exchange) Inherit(askedAt time.Duration, k handover.Knowledge) {
 	if k.ClockKnown {
 		x.cfg.Clock.Inherit(k.At, k.Ahead)
@@ -52,6 +55,7 @@
 	x.post(inheriting{known: k, list: x.bounds.take(l)})
 }
 
+// survey collects the handover state.
 func (x *Exchange) survey() handover.Knowledge {
 	now := x.cfg.Clock.Now()
 	b := x.cfg.Clock.Bounds()
@@ -76,8 +80,8 @@
 	return k
 }
 
-// recall is what the module knows of the hosts, for another one that takes its place after a panic. Where even that fails, each
-// host counts as a follower until it says otherwise.
+// recall returns the module's evidence about the hosts, for the module that replaces it after a panic. If
+// collecting it panics too, each host counts as a follower until it states otherwise.
 func (x *Exchange) recall() (out []balance.Inherited) {
 	now := x.cfg.Clock.Now()
 	defer func() {
@@ -95,7 +99,8 @@
 	return out
 }
 
-// inherit hands the module the list, and what was known of each host. A host that was set aside is probed before it is used.
+// inherit passes the inherited list and the evidence about each host to the module. A host that the old process
+// had ejected is probed before it is used.
 func (x *Exchange) inherit(e inheriting) {
 	k := e.known
 	x.members(e.list)
@@ -104,14 +109,16 @@
 	}
 	s := x.cfg.Settings
 	if s.Restarted = true; !s.TokensCarried {
-		// What each session wrote stays behind: to a read of any, the last write of all counts as its own.
+		// The positions of the individual sessions' writes are not handed over, so a read of any session must
+		// see the newest write of all sessions.
 		s.Floor = max(s.Floor, k.Newest)
 	}
 	x.cfg.Settings = s
 	x.decide(balance.Retune{Settings: s})
 }
 
-// wrote notes the last write that the module remembers of any session.
+// wrote records the position of a session's write. If the position of the commit is unknown (0), it takes the
+// latest time that the fleet's clock may show.
 func (x *Exchange) wrote(now, commit time.Duration) {
 	if commit == 0 {
 		commit = x.cfg.Clock.fleetAtMost(now)
--- a/internal/memory/exchange/members.go
+++ b/internal/memory/exchange/members.go
@@ -12,42 +12,44 @@
 	"yokemast/internal/control/draining"
 )
 
-// Member is an entry of the list of hosts, with the address that this gateway reaches it at.
+// Member is an entry of the endpoint list, with the address at which this gateway reaches the host.
 type Member struct {
 	balance.Member
 	Address string
-	// NotifiedAt is when an earlier process of this gateway was notified that it drains or is gone; 0: not known.
+	// NotifiedAt is when an earlier process of this gateway was notified that the host drains or was removed,
+	// or 0 if unknown.
 	NotifiedAt time.Duration
-	ToldBy     string // agent of discovery that told that earlier process so; "": not known
-	ToldIn     int64  // the revision of its list
+	ToldBy     string // agent of discovery that notified the earlier process, or "" if unknown
+	ToldIn     int64  // revision of the endpoint list with that notification
 }
 
-// List is what an agent of discovery told: all hosts, or entries that changed.
+// List is an endpoint list from an agent of discovery: a snapshot of all hosts, or a delta with the changed
+// entries.
 type List struct {
-	Agent    string // its address
+	Agent    string // address of the agent
 	Revision int64
-	At       time.Duration // when it arrived, or earlier, where the gateway counts as notified since then
-	Whole    bool
+	At       time.Duration // when it arrived, or earlier if the gateway counts as notified from an earlier time
+	Whole    bool          // a snapshot
 	Hosts    []Member
 
-	inherited bool // it is what an earlier process knew, with starts that were rounded up
+	inherited bool // comes from the handover state of an earlier process, with start times rounded up
 }
 
-// members is a list whose states are those that hold.
+// members is the event of an endpoint list whose states and start times are the effective ones.
 type members struct {
 	whole bool
 	list  []Member
 }
 
-// bounds holds until when new requests may be sent to which host. A list binds from the moment that it is handed over, however
-// far the event loop is behind; so it is safe for concurrent use.
+// bounds holds the time until which new requests may be sent to each host. An endpoint list takes effect as
+// soon as it is passed to Members, however far the event loop is behind, so bounds is safe for concurrent use.
 type bounds struct {
-	begunAt time.Duration // the process's first moment
+	begunAt time.Duration // start of the process
 	mu      sync.Mutex
 	drains  *draining.Tracker
-	known   map[string]time.Duration // hosts, with the latest start that was told of them
-	agent   string                   // of the last list
-	hosts   Hosts                    // nil until Run
+	known   map[string]time.Duration // latest listed start time of each known host
+	agent   string                   // agent of discovery that sent the latest list
+	hosts   Hosts                    // nil until Run is called
 }
 
 func newBounds(s balance.Settings, begunAt time.Duration) *bounds {
@@ -58,14 +60,17 @@
 	return draining.Rules{Grace: s.DrainGrace, DroppedStayOpen: s.DroppedStayOpen}
 }
 
+// drainStates maps the module's states of a host to those of package draining.
 var drainStates = map[balance.State]draining.State{balance.Active: draining.Serving, balance.Draining: draining.Draining,
 	balance.Left: draining.Gone}
 
-// states is drainStates the other way round.
+// states is the inverse of drainStates.
 var states = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Gone: balance.Left}
 
-// take puts a list in force, and gives it with the states that hold, and the latest starts: a list that is behind takes none back. A host that drains when the process first hears of it may have done so
-// since before the process began: what discovery's agent has counts as notified from the process's first moment.
+// take applies a list and returns it with the effective states and the latest known start times, so that an
+// outdated list reverts neither. A host that drains when it is first listed may have been draining since before
+// the process started. What the agent of discovery already has counts as notified from the start of the
+// process.
 func (b *bounds) take(l List) members {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,7 +92,8 @@
 	return e
 }
 
-// wordLocked is what a list tells of a host. Of an earlier process's, that a host serves ends no drain: what another list told may be later.
+// wordLocked returns the statement of a list about a host. In an inherited list a serving state ends no drain,
+// as the statement of another list may be newer.
 func (b *bounds) wordLocked(l List, m Member) draining.Word {
 	w := draining.Word{Server: m.Server, State: drainStates[m.State], At: l.At, Since: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
 		Started: m.Started}
@@ -98,7 +104,7 @@
 	if w.State != draining.Serving {
 		w.Started = max(latest, w.Started)
 	}
-	if m.Started < farAhead { // else an earlier process could not say when
+	if m.Started < farAhead { // otherwise the earlier process did not know the start time
 		latest = max(latest, m.Started)
 	}
 	if b.known[m.Server] = latest; l.inherited {
@@ -109,13 +115,14 @@
 	return w
 }
 
+// tellLocked sets the send deadline of a host at the host side.
 func (b *bounds) tellLocked(bound draining.Bound) {
 	if b.hosts != nil {
 		b.hosts.Until(bound.Server, bound.By)
 	}
 }
 
-// retune puts the rules of new settings in force; changed says that bounds have moved.
+// retune applies the drain rules of new settings and reports whether any send deadline changed.
 func (b *bounds) retune(s balance.Settings) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,33 +133,36 @@
 	return len(moved) > 0
 }
 
-// renew tells the host side the bound that holds for a host now: it had not heard of the host before.
+// renew sets the current send deadline of a host at the host side, which may not have known the host before.
 func (b *bounds) renew(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tellLocked(draining.Bound{Server: server, By: b.drains.Until(server)})
 }
 
+// until returns the time until which new requests may be sent to a host.
 func (b *bounds) until(server string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.drains.Until(server)
 }
 
-// toldBy is the agent of discovery that told last that a host drains or is gone, and the revision of its list.
+// toldBy returns the agent of discovery that last notified the gateway that a host drains or was removed, and
+// the revision of its list.
 func (b *bounds) toldBy(server string) (agent string, revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.drains.ToldBy(server)
 }
 
-// lastAgent is the agent of discovery whose list was taken last; "": none was.
+// lastAgent returns the agent of discovery that sent the latest list, or "" if there was none.
 func (b *bounds) lastAgent() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.agent
 }
 
+// notifiedAt returns when the gateway was notified that a host drains or was removed.
 func (b *bounds) notifiedAt(server string) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,26 +176,27 @@
 	delete(b.known, server)
 }
 
+// serve sets the host side that send deadlines are passed to.
 func (b *bounds) serve(hosts Hosts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = hosts
 }
 
-// Members hands over a list of hosts. What it says of hosts that drain or are gone binds at once.
+// Members accepts an endpoint list. Drains and removals in it take effect immediately.
 func (x *Exchange) Members(l List) {
 	e := x.bounds.take(l)
 	for i, m := range e.list {
 		if l.Hosts[i].State == balance.Active && m.State != balance.Active {
 			toldBy, _ := x.bounds.toldBy(m.Server)
-			x.cfg.Log.Info("host kept out: the list may be behind the one that told its drain", zap.String("host", m.Server),
+			x.cfg.Log.Info("host stays excluded: the endpoint list may be older than its drain notification", zap.String("host", m.Server),
 				zap.String("agent", l.Agent), zap.String("told_by", toldBy))
 		}
 	}
 	x.post(e)
 }
 
-// members takes a list. Its bounds may be older than what holds by now.
+// members handles an endpoint list. Send deadlines may have changed since it was applied.
 func (x *Exchange) members(e members) {
 	now := x.cfg.Clock.Now()
 	ev := balance.Members{Whole: e.whole, List: make([]balance.Member, 0, len(e.list))}
@@ -224,15 +235,16 @@
 }
 
 const (
-	// clockProbeCount is how many hosts are asked for the time at once, clockProbePause how long after that others are, and
-	// clockProbeRounds how often: a host may be dead, or have no report yet.
+	// clockProbeCount is the number of hosts probed for the clock in one round, clockProbePause the time
+	// between two rounds and clockProbeRounds the maximum number of rounds. There are several rounds as a host
+	// may be dead or may not report its position yet.
 	clockProbeCount  = 2
 	clockProbePause  = 50 * time.Millisecond
 	clockProbeRounds = 8
 )
 
-// askClock asks hosts for a position: until one has told any, each host that has ever started counts as one that has just done so.
-// Primaries' positions are the newest, so they are asked where the list names any.
+// askClock probes hosts for a position: until one is known, each host with a listed start counts as just
+// started. Primaries have the newest positions, so only they are probed if any are listed.
 func (x *Exchange) askClock() {
 	now := x.cfg.Clock.Now()
 	if x.cfg.Clock.Bounds().Told || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
@@ -257,7 +269,7 @@
 	x.clockRounds++
 	x.clockAskAt = now + clockProbePause
 	slices.Sort(serving)
-	rng := rand.New(rand.NewPCG(x.cfg.Seed, 0x636c6f636b+uint64(x.clockRounds))) // every gateway asks others, each time
+	rng := rand.New(rand.NewPCG(x.cfg.Seed, 0x636c6f636b+uint64(x.clockRounds))) // each gateway probes different hosts in each round
 	for _, i := range rng.Perm(len(serving))[:min(clockProbeCount, len(serving))] {
 		if x.clockProbes == nil {
 			x.clockProbes = map[string]bool{}
@@ -268,15 +280,17 @@
 	}
 }
 
-// bound is a list's entry as the module gets it: with until when anything new may go there, and times by this clock.
+// bound returns a list's entry as the module expects it: with its send deadline, and with times by the local
+// clock.
 func (x *Exchange) bound(m Member) balance.Member {
 	m.Member.SendUntil = x.bounds.until(m.Server)
 	m.Member.Started, m.Member.Incarnation = x.startedAt(m.Started), m.Started
 	return m.Member
 }
 
-// startedAt is the latest time by this clock at which a host may have started: one that is taken for warm too early falls. Before any
-// host has told its position it may have just done so.
+// startedAt converts a start time of the fleet's clock to the latest possible time by the local clock, as a
+// host that counts as warm too early would be overloaded. Until the position of any host is known the host
+// counts as just started.
 func (x *Exchange) startedAt(fleet time.Duration) time.Duration {
 	if fleet == 0 {
 		return 0
@@ -288,8 +302,9 @@
 	return min(fleet-b.At(now).Least, now)
 }
 
-// noticeClock puts in force what is known by now of how this clock stands to the fleet's, and hands everybody the list anew where that
-// changes starts by much.
+// noticeClock notifies the module of changes to the known offset of the fleet's clock. If the offset became
+// known, bounded or contradicted, or was replaced, it handles the endpoint list again, as start times may have
+// moved by much.
 func (x *Exchange) noticeClock() {
 	x.askClock()
 	if known := x.cfg.Clock.ForModule(); known != x.clock {
@@ -312,7 +327,7 @@
 	x.members(e)
 }
 
-// forgetHost drops a host that left long ago: a fleet that is replaced again and again must not fill memory.
+// forgetHost drops a host that was removed more than forgetAfter ago.
 func (x *Exchange) forgetHost(now time.Duration, server string) {
 	at, notified := x.bounds.notifiedAt(server)
 	if !notified || now-at <= forgetAfter || x.bounds.until(server) == draining.Open {
@@ -326,7 +341,7 @@
 	x.hosts.Forget(server)
 }
 
-// rebind hands the module the bounds that new settings have moved.
+// rebind passes the send deadlines that a settings update has changed to the module.
 func (x *Exchange) rebind() {
 	ev := balance.Members{}
 	for _, m := range x.list {
--- a/internal/memory/exchange/outcome.go
+++ b/internal/memory/exchange/outcome.go
@@ -4,21 +4,21 @@
 	"yokemast/balance"
 )
 
-// What becomes of attempts, and what hosts say of themselves with them and beside them.
-
+// learning is the event of a host's statement that is not part of an outcome.
 type learning struct {
 	heard  balance.Heard
 	made   balance.Made
 	report balance.Report
 }
 
-// Learned takes what a host said of itself beside the outcomes: behind one, or in an answer that may yet break off.
+// Learned accepts a statement of a host that is not part of an outcome: one received after the outcome, or in
+// an answer that is not complete and may yet fail.
 func (x *Exchange) Learned(h balance.Heard, made balance.Made, r balance.Report) {
 	x.post(learning{h, made, r})
 }
 
-// dropOutdated takes out what was dated by bounds of the fleet's clock that have turned out wrong since. That a host is no primary, and
-// its position, stand whatever the clock.
+// dropOutdated removes what was dated with bounds of the fleet's clock that have since proved wrong. The
+// statement that a host is not primary and its position do not depend on these bounds and are kept.
 func (x *Exchange) dropOutdated(made balance.Made, role *balance.Role, report *balance.Report) {
 	if made.Epoch == x.clockEpoch {
 		return
@@ -34,7 +34,7 @@
 
 func (x *Exchange) learned(e learning) {
 	x.dropOutdated(e.made, &e.heard.Role, &e.report)
-	if e.heard.Source != balance.FromPart { // the outcome of the same answer tells the others: a note is dear in a large fleet
+	if e.heard.Source != balance.FromPart { // the outcome of the same answer is gossiped; entries are expensive in a large fleet
 		x.note(e.heard, e.made, e.report)
 	}
 	if e.report.Has {
@@ -44,6 +44,7 @@
 	x.decide(e.heard)
 }
 
+// outcome handles the outcome of an attempt.
 func (x *Exchange) outcome(e Outcome) {
 	x.dropOutdated(e.Made, &e.Role, &e.Report)
 	if x.stale(e.Outcome) {
@@ -52,7 +53,7 @@
 	x.cfg.Counters.Outcomes[e.Result].Add(1)
 	o := x.open[e.ID]
 	if o == nil || e.Attempt != o.attempts-1 || !o.out {
-		return // of a request that a panic cut off
+		return // the request was dropped after a panic of the module
 	}
 	o.out, o.last = false, e.Result
 	if o.ranAt == 0 && !e.Result.NeverRan() {
@@ -75,8 +76,9 @@
 	x.forget(o)
 }
 
-// stale asks the module whether an answer proves that its read ran on data that is too old. A panic there says that it does not.
+// stale reports whether an answer proves that its read used data that is too old, as judged by the module. It
+// returns false if the module panics.
 func (x *Exchange) stale(e balance.Outcome) (stale bool) {
-	defer func() { _ = recover() }() // the same outcome is handed to the module next, which answers for the panic
+	defer func() { _ = recover() }() // the same outcome is passed to decide next, which handles a panic
 	return x.router.Stale(x.cfg.Clock.Now(), e)
 }
--- a/internal/memory/exchange/ownread_test.go
+++ b/internal/memory/exchange/ownread_test.go
@@ -8,7 +8,7 @@
 	"yokemast/internal/control/fleetclock"
 )
 
-// A module that takes the place of one that panicked has no memory of what sessions wrote.
+// A module that replaces one that panicked does not know the positions of sessions' writes.
 func TestAnOwnReadAfterAPanicSeesWhatWasWrittenBefore(t *testing.T) {
 	x, h := pair(t, known())
 	s := x.cfg.Settings
@@ -22,11 +22,12 @@
 	learn(x, "r", balance.Replica, x.newest-time.Millisecond)
 	x.restart()
 	if read := h.ask(x, "own", 0); read == nil || read.Server != "p" {
-		t.Errorf("a read of the session is sent as %+v, want one to the primary", read)
+		t.Errorf("a read of the session is sent as %+v, want it sent to the primary", read)
 	}
 }
 
-// The first answer of a primary was slow on its way back, so that positions seem to lie ahead of this clock.
+// The first answer of a primary was delayed on its way back. The known offset of the fleet's clock must not let
+// a replica that lacks the session's write serve the read.
 func TestAnOwnReadIsNotServedByAReplicaBehindItAfterASlowFirstAnswer(t *testing.T) {
 	for name, way := range map[string]time.Duration{"a slow answer": 40 * time.Millisecond, "a quick answer": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -39,12 +40,12 @@
 			stopped := clock.Now()
 			time.Sleep(5 * time.Millisecond)
 			if a := h.ask(x, "own", stopped+3*time.Millisecond); a != nil {
-				t.Fatalf("it goes to %s on %+v", a.Server, a.Grounds)
+				t.Fatalf("the read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 			}
-			time.Sleep(350 * time.Millisecond) // until replicas are asked, too
+			time.Sleep(350 * time.Millisecond) // until replicas may serve it, too
 			learn(x, "r", balance.Replica, stopped)
 			if n := len(h.sent); n > 0 {
-				t.Errorf("it goes to %s, which is 3 ms behind it, on %+v; offset %+v", h.sent[0].Server, h.sent[0].Grounds, clock.Offset())
+				t.Errorf("the read is sent to %s, which is 3 ms behind it, on %+v; offset %+v", h.sent[0].Server, h.sent[0].Grounds, clock.Offset())
 			}
 		})
 	}
--- a/internal/memory/exchange/request.go
+++ b/internal/memory/exchange/request.go
@@ -7,7 +7,8 @@
 	"yokemast/internal/control/cells"
 )
 
-// request takes a request: what makes no sense is rejected, all else is the module's.
+// request handles a new request. Invalid requests are rejected; all others are passed to the module, or to a
+// fence.
 func (x *Exchange) request(r *Request) {
 	x.cfg.Counters.Taken.Add(1)
 	if x.cfg.Gossip != nil {
@@ -28,12 +29,12 @@
 		reject(Undefined, "unknown class")
 		return
 	case r.Write != (class.Need == balance.Write):
-		// A write under a read's class would be repeated as freely as a read.
+		// A write in a class for reads would be retried as freely as a read.
 		reject(Undefined, "the statement does not fit its class")
 		return
 	case x.open[r.ID] != nil:
-		// The module takes no notice of a doubled id, so its answer would never come.
-		reject(Duplicate, "a request of this id is held")
+		// The module ignores a request with an id in use, so it would never be answered.
+		reject(Duplicate, "a request with this id is pending")
 		return
 	}
 	wait := class.Deadline
@@ -42,12 +43,12 @@
 	}
 	patience := time.Duration(0)
 	if r.Lease > 0 {
-		// What waits for a host waits no longer than any of its class would.
+		// A request that checks out a host waits for it no longer than other requests of its class would.
 		patience, wait = wait/2, r.Lease
 	}
 	o := &open{Request: r, patience: patience, class: class, deadline: r.Arrived + max(wait-answerMargin, wait/2)}
 	if x.endBy > 0 {
-		o.deadline = min(o.deadline, x.endBy) // what is unanswered when the process ends is lost
+		o.deadline = min(o.deadline, x.endBy) // unanswered requests are lost when the process exits
 	}
 	v, err := x.admit(o)
 	switch {
@@ -56,7 +57,7 @@
 		reject(Forbidden, err.Error())
 		return
 	case !x.groups[v.Group]:
-		// The module would hold it for a member that may never come.
+		// The module would hold the request for a member that may never be listed.
 		reject(Refused, "no host of that group is listed")
 		x.done(o)
 		return
@@ -65,7 +66,7 @@
 	x.pass(o, v)
 }
 
-// pass hands a request to the module, or lets it wait at a fence.
+// pass passes a request to the module, or leaves it waiting at a fence.
 func (x *Exchange) pass(o *open, v cells.Verdict) {
 	r := o.Request
 	if o.waits = v.Kind == cells.Hold; o.waits {
--- a/internal/memory/exchange/retune.go
+++ b/internal/memory/exchange/retune.go
@@ -9,11 +9,13 @@
 	"yokemast/internal/control/draining"
 )
 
+// retuning is the event of a settings update.
 type retuning struct{ settings balance.Settings }
 
-// Retune takes new settings, whole. They are to be as Checked gives them.
+// Retune replaces the settings. They must have been returned by balance.Settings.Checked.
 func (x *Exchange) Retune(s balance.Settings) { x.post(retuning{s}) }
 
+// retune records the new settings as the newest version.
 func (x *Exchange) retune(s balance.Settings) {
 	s.HoldUp = draining.HoldUp
 	if x.versions.Take(x.cfg.Clock.Now(), s) {
@@ -21,17 +23,18 @@
 	}
 }
 
-// settle puts the newest version in force alone once it is binding.
+// settle makes the newest version of the settings the only one in force once it is binding.
 func (x *Exchange) settle(now time.Duration) {
 	if x.versions.Settle(now) {
 		x.force("settled")
 	}
 }
 
-// force has what is in force now used everywhere. Requests that are open keep the class that they came with.
+// force applies the settings that are in force now everywhere. Pending requests keep the class that they
+// arrived with.
 func (x *Exchange) force(what string) {
 	s := x.versions.InForce()
-	s.Floor, s.Restarted = x.cfg.Settings.Floor, x.cfg.Settings.Restarted // no file says that
+	s.Floor, s.Restarted = x.cfg.Settings.Floor, x.cfg.Settings.Restarted // not part of any settings file
 	x.use(s)
 	if x.cfg.Gossip != nil {
 		x.cfg.Gossip.Classes(s.Classes)
@@ -47,7 +50,7 @@
 	x.cfg.Log.Info("settings "+what, zap.Strings("classes", names), zap.Int("attempts", s.MaxAttempts), zap.Int("open", len(x.open)))
 }
 
-// use notes the settings that hold for what comes.
+// use sets the settings for requests that arrive from now on.
 func (x *Exchange) use(s balance.Settings) {
 	x.cfg.Settings, x.classes = s, map[string]*balance.Class{}
 	for i := range s.Classes {
--- a/internal/memory/exchange/stale_answer_test.go
+++ b/internal/memory/exchange/stale_answer_test.go
@@ -7,10 +7,11 @@
 	"yokemast/balance"
 )
 
+// A read must not be served if the position in its own answer shows that the data was older than allowed.
 func TestAReadWhoseOwnAnswerTellsOlderDataThanAllowedIsNotServed(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   string
-		age     time.Duration // of the position that the answer tells, when the read was sent
+		age     time.Duration // of the answer's position when the read was sent
 		expired bool
 	}{
 		"bounded, inside":         {"view", 900 * time.Millisecond, false},
@@ -28,7 +29,7 @@
 			}
 			x.handle(now, &Request{ID: "read", Class: c.class, Group: 1, Arrived: now, After: after, Answer: answer})
 			if len(h.sent) != 1 || h.sent[0].Server != "r" || h.sent[0].Demand == (balance.Demand{}) {
-				t.Fatalf("sent %+v", h.sent)
+				t.Fatalf("sent %+v, want one attempt to r with a demand", h.sent)
 			}
 			sent := h.sent[0].Sent
 			x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "read", Server: "r", Result: balance.OK, Role: balance.Replica,
--- a/internal/memory/exchange/startunknown_test.go
+++ b/internal/memory/exchange/startunknown_test.go
@@ -8,6 +8,7 @@
 	"yokemast/balance"
 )
 
+// While no position is known, a host that starts later must still count as just started.
 func TestAHostThatStartsLaterIsColdThoughNoHostHasToldAPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := NewClock()
@@ -23,6 +24,7 @@
 	})
 }
 
+// An outdated list must not move a known start to an earlier time.
 func TestAListThatIsBehindTakesNoStartBack(t *testing.T) {
 	x, _, _ := fresh(t)
 	host := only(balance.Active).list[0]
@@ -31,7 +33,7 @@
 		x.handle(x.begunAt, x.bounds.take(List{Agent: "a", At: x.begunAt, Hosts: []Member{host}, inherited: i == 0}))
 		x.router.Look(x.cfg.Clock.Now(), func(s balance.Seen) {
 			if s.Started < x.begunAt {
-				t.Errorf("a host whose start was told counts as started %s before it once a list tells %s", x.begunAt-s.Started, started)
+				t.Errorf("a host with a known start counts as started %s before it after a list with start %s", x.begunAt-s.Started, started)
 			}
 		})
 	}
--- a/internal/memory/exchange/timers.go
+++ b/internal/memory/exchange/timers.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
+// timer is a timer that the module requested.
 type timer struct {
 	due time.Duration
 	tag int64
 	seq uint64
 }
 
-// timers is a heap; of timers due at the same time the one asked for first comes first.
+// timers is a heap of timers by due time. Timers due at the same time expire in the order in which they were
+// set.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
--- a/internal/memory/exchange/trace.go
+++ b/internal/memory/exchange/trace.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// tracedReads is how many reads are kept, the newest ones.
+	// tracedReads is the number of the newest reads that are kept.
 	tracedReads = 512
-	// traceBefore and traceFor are how long before and after doubt about the clock reads are logged.
+	// traceBefore and traceFor are how long before and after a contradiction of the clock reads are logged.
 	traceBefore, traceFor = 2 * time.Second, time.Second
-	// tracePause is between two lines: the log takes ten of a kind a second.
+	// tracePause is the time between two lines, as the log keeps at most ten lines of a kind a second.
 	tracePause = 150 * time.Millisecond
 )
 
-// tracedRead is a read that was served on a replica's position.
+// tracedRead is a read that was sent to a replica because of its position, and served.
 type tracedRead struct {
-	id     [16]byte // copied: the request's own is a part of its statement, which must not be held for it
+	id     [16]byte // a copy, as the request's id shares memory with its statement, which must not be retained
 	server string
 	sentAt time.Duration
-	age    time.Duration // of the position that it was sent on, as it was held to be
+	age    time.Duration // believed age of the position that it was sent on
 }
 
-// trace keeps the reads that were served lately on a replica's position, whose age only the clock tells. Where what is believed of
-// that clock is contradicted or replaced they are logged, with those of the second after: any of them may have been stale.
+// trace keeps the reads that were recently served on a replica's position, whose age is derived from the
+// fleet's clock alone. If the known offset of that clock is contradicted or replaced, these reads and those of
+// the following second are logged, as any of them may have been stale.
 type trace struct {
 	reads   [tracedReads]tracedRead
-	count   int // of all that were kept since the last line
-	until   time.Duration
-	lineAt  time.Duration // when the next line is due; 0: none is
-	doubted int           // contradictions that have been noticed
+	count   int           // reads kept since the last line, including overwritten ones
+	until   time.Duration // when logging ends
+	lineAt  time.Duration // when the next line is due, or 0 if none is
+	doubted int           // contradictions handled so far
 }
 
-// keep takes a read that was served.
+// keep adds a served read.
 func (t *trace) keep(o *open, server string) {
 	r := &t.reads[t.count%tracedReads]
 	r.id = [16]byte{}
@@ -46,7 +47,7 @@
 	t.count++
 }
 
-// doubt has reads logged from now on, with those of the time before.
+// doubt starts logging reads, including those served during the preceding traceBefore.
 func (t *trace) doubt(now time.Duration) {
 	t.until = now + traceFor
 	if t.lineAt == 0 {
@@ -54,7 +55,8 @@
 	}
 }
 
-// take gives the reads since the last line, oldest first, and how many more there were, once a line is due.
+// take returns the reads since the last line, oldest first, and the number of reads that were overwritten. It
+// returns nothing if no line is due.
 func (t *trace) take(now time.Duration) (reads []string, more int) {
 	if t.lineAt == 0 || now < t.lineAt {
 		return nil, 0
@@ -74,7 +76,7 @@
 	return reads, first
 }
 
-// logTrace logs the reads that are due to be, after looking whether the clock has come into doubt.
+// logTrace checks for new contradictions of the fleet's clock and logs the kept reads if a line is due.
 func (x *Exchange) logTrace(now time.Duration) {
 	if n := x.cfg.Clock.Doubts(); n != x.trace.doubted {
 		x.trace.doubted = n
@@ -85,10 +87,10 @@
 		return
 	}
 	fields := []zap.Field{zap.Strings("reads", reads), zap.Int("more", more), zap.Int("doubts", x.trace.doubted)}
-	x.cfg.Log.Info("reads served near doubt about the clock", append(fields, clockFields("", x.cfg.Clock.Bounds(), now)...)...)
+	x.cfg.Log.Info("reads served near a contradiction of the clock", append(fields, clockFields("", x.cfg.Clock.Bounds(), now)...)...)
 }
 
-// endTrace logs what has not been logged yet when the process ends.
+// endTrace logs the remaining reads at shutdown.
 func (x *Exchange) endTrace(now time.Duration) {
 	if x.trace.lineAt > 0 {
 		x.trace.lineAt = now
@@ -96,7 +98,7 @@
 	}
 }
 
-// keepTrace keeps a read that was served on a replica's position.
+// keepTrace adds a served read to the trace if it relied on a replica's position.
 func (x *Exchange) keepTrace(o *open, server string) {
 	if o.grounds.Kind == balance.ByPosition {
 		x.trace.keep(o, server)
--- a/internal/memory/exchange/trace_test.go
+++ b/internal/memory/exchange/trace_test.go
@@ -14,30 +14,30 @@
 	"yokemast/internal/control/fleetclock"
 )
 
-// serveFrom has a bounded read served by the replica r on its position, and gives its id.
+// serveFrom lets the replica r serve a bounded read on its position and returns the read's id.
 func serveFrom(t *testing.T, x *Exchange, h *hosts) string {
 	t.Helper()
 	learn(x, "r", balance.Replica, x.cfg.Clock.Now())
 	a := h.ask(x, "view", 0)
 	if a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition {
-		t.Fatalf("a read goes to %+v", a)
+		t.Fatalf("a read is sent as %+v, want it sent to r on its position", a)
 	}
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: a.ID, Attempt: a.Number, Server: "r", Result: balance.OK}})
 	return a.ID
 }
 
-// contradict has a primary's answer speak against what is believed of the clock, once.
+// contradict observes one answer of a primary that contradicts the known offset of the clock.
 func contradict(clock Clock) {
 	now := clock.Now()
 	clock.Observe(fleetclock.Observation{Host: "p", Present: now + 300*time.Millisecond, Sent: now, Received: now + time.Millisecond})
 }
 
-// traced gives what is logged by then.
+// traced returns the reads that are logged by the given time.
 func traced(x *Exchange, logs *observer.ObservedLogs, now time.Duration) string {
 	x.logTrace(now)
 	var out []string
 	for _, e := range logs.TakeAll() {
-		if e.Message == "reads served near doubt about the clock" {
+		if e.Message == "reads served near a contradiction of the clock" {
 			out = append(out, fmt.Sprint(e.ContextMap()["reads"], " more ", e.ContextMap()["more"]))
 		}
 	}
@@ -53,23 +53,23 @@
 	before := serveFrom(t, x, h)
 	now := clock.Now()
 	if got := traced(x, logs, now); got != "" {
-		t.Errorf("while nothing contradicts the clock: %q", got)
+		t.Errorf("logged without a contradiction: %q", got)
 	}
 	contradict(clock)
 	if got := traced(x, logs, now); !strings.Contains(got, before+" r sent_ms ") {
-		t.Errorf("the read before is not in %q", got)
+		t.Errorf("the read before the contradiction is not in %q", got)
 	}
 	after := serveFrom(t, x, h)
 	if got := traced(x, logs, now+tracePause/2); got != "" {
-		t.Errorf("before the next line is due: %q", got)
+		t.Errorf("logged before the next line is due: %q", got)
 	}
 	if got := traced(x, logs, now+tracePause); !strings.Contains(got, after+" r sent_ms ") || strings.Contains(got, before+" ") {
-		t.Errorf("the read after is not alone in %q", got)
+		t.Errorf("want only the read after the contradiction in %q", got)
 	}
 	_ = traced(x, logs, now+traceFor)
 	serveFrom(t, x, h)
 	if got := traced(x, logs, now+traceFor+tracePause); got != "" {
-		t.Errorf("a second later: %q", got)
+		t.Errorf("logged a second later: %q", got)
 	}
 }
 
@@ -83,7 +83,7 @@
 	tr.doubt(now)
 	reads, more := tr.take(now)
 	if len(reads) != tracedReads-1 || more != 8 || !strings.HasPrefix(reads[0], fmt.Sprintf("%016x r ", 8)) {
-		t.Errorf("%d reads and %d more, the first %q", len(reads), more, reads[0])
+		t.Errorf("%d reads and %d more, the first is %q", len(reads), more, reads[0])
 	}
 }
 
--- a/internal/memory/exchange/types.go
+++ b/internal/memory/exchange/types.go
@@ -6,20 +6,20 @@
 	"yokemast/balance"
 )
 
-// Request is what a client asks for.
+// Request is a client's request. Its times are by the local clock unless stated otherwise.
 type Request struct {
 	ID, Class, Session string
-	User, Tenant       string // of its connection; that it claims to be of
+	User, Tenant       string // user of the connection, and the tenant that the request claims
 	Group              int
 	Write, Retry       bool
 	Arrived            time.Duration
-	Wait               time.Duration // the client's, from when it sent; 0: the class's deadline
-	After              time.Duration // position that the read must see, by the fleet's clock; 0: none
-	Over               time.Duration // above 0: more than its front lets it have; refused, to come back after as long
-	Lease              time.Duration // it keeps its host until its client is through, for so long at most; 0: it does not
-	Left               func() bool   // says, without waiting, whether its client has left; nil: that is not known before Gone
-	Command            any           // for the host side: what to run
-	Answer             chan<- Answer // takes the one answer; must have room for it
+	Wait               time.Duration // how long the client waits from when it sent the request, or 0 for the class's deadline
+	After              time.Duration // position that the read must see, by the fleet's clock, or 0 for none
+	Over               time.Duration // if positive, the client is over its quota: the request is refused with this retryAfter
+	Lease              time.Duration // maximum time for which the request checks out its host, or 0 if it does not
+	Left               func() bool   // reports without blocking whether the client has disconnected; nil if unknown before Gone
+	Command            any           // what the host side executes
+	Answer             chan<- Answer // receives the single answer; must have buffer capacity for it
 }
 
 // Kind is the kind of a final answer.
@@ -27,51 +27,53 @@
 
 const (
 	Served    Kind = iota
-	Refused        // it did not run, or may be run again: trying again is harmless
-	Failed         // no promise
-	Undefined      // it names a class that the settings lack, or does not fit its class
-	Duplicate      // a request of that id is still held
-	Forbidden      // its user may not act for its tenant
+	Refused        // not executed, or safe to execute again: the client may retry
+	Failed         // it may or may not have been executed
+	Undefined      // unknown class, or the statement does not fit its class
+	Duplicate      // a request with the same id is pending
+	Forbidden      // the user may not act for the tenant
 )
 
-// Answer is a request's final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Kind       Kind
-	Value      any // of a served one, as the host side gave it
+	Value      any // value of a served request, as returned by the host side
 	Reason     string
-	RetryAfter time.Duration // of a refused one; 0: no advice
+	RetryAfter time.Duration // when the client of a refused request may retry, or 0 if unspecified
 }
 
-// Attempt is a request on its way to a host.
+// Attempt is one send of a request to a host.
 type Attempt struct {
 	ID      string
 	Number  int
 	Server  string
 	Command any
-	Left    func() bool   // as the request's
-	Sent    time.Duration // when it was decided on
-	Until   time.Duration // the gateway stops waiting then
-	StartBy time.Duration // it must not go out any later; 0: no such bound
-	WriteBy time.Duration // nor may its last byte: a host begins with it then; 0: no such bound
+	Left    func() bool   // as in Request
+	Sent    time.Duration // when the module decided on it
+	Until   time.Duration // when the gateway stops waiting for the answer
+	StartBy time.Duration // latest time at which its first byte may be sent, or 0 for no limit
+	WriteBy time.Duration // latest time for its last byte, with which a host starts execution, or 0 for no limit
 	Grounds balance.Grounds
-	Demand  balance.Demand // for an answer that is passed on before its outcome is told
-	Keyed   bool           // its answer may be that of an earlier write with the same key
+	Demand  balance.Demand // for checking an answer that is relayed before its outcome is reported
+	Keyed   bool           // the answer may be that of an earlier write with the same key
 }
 
-// Outcome ends an attempt: the module's outcome, and the value if it was served.
+// Outcome is the end of an attempt: the outcome for the module, and the value if the request was served.
 type Outcome struct {
 	balance.Outcome
 	Value any
 }
 
-// Hosts is the host side. No call may wait for the network; each Send ends in one Outcome, each Probe in one Probed.
+// Hosts is the host side. No method may wait for the network. Each Send results in one call to Exchange.Outcome
+// and each Probe in one call to Exchange.Probed.
 type Hosts interface {
 	Send(Attempt)
 	Cancel(id string, attempt int)
-	Withdraw(id string, attempt int) // ends it as not sent, if nothing of it has gone out yet; else it goes on
+	Withdraw(id string, attempt int) // ends an attempt as not sent if none of it has been sent, else has no effect
 	Probe(server string)
-	Members(list []Member) // entries that are new or changed
-	// Until says that nothing new may go out to a host later than by, however long ago it was decided on; 0: it may again.
+	Members(list []Member) // new or changed entries
+	// Until sets the time after which no new request may be sent to a host, whenever it was decided on. 0
+	// removes the limit.
 	Until(server string, by time.Duration)
-	Forget(server string) // it is gone for good
+	Forget(server string) // drops all state of a host that is removed for good
 }
