--- a/internal/disk/handover/handover.go
+++ b/internal/disk/handover/handover.go
@@ -27,17 +27,17 @@
 const (
 	magic   = "ymho"
 	version = 3
-	// dated is the version with positions and the newest write by the clock of the process. earlier is the
-	// version with a role and the time at which the answer that stated it was handled. Of both versions only
-	// what counts against a host is used.
-	dated, earlier = 2, 1
-	headSize       = 16
+	// versionLocalClock is the version with positions and the newest write by the clock of the process.
+	// versionRoles is the version with a role and the time at which the answer that stated it was handled. Of
+	// both versions only what counts against a host is used.
+	versionLocalClock, versionRoles = 2, 1
+	headerSize                      = 16
 	// MaxBytes is the maximum size of encoded handover state, enough for some thousands of hosts. Longer data
 	// is invalid.
 	MaxBytes = 4 << 20
-	// oldest is the maximum age of handover state. It passes directly from process to process, so a later
+	// maxAge is the maximum age of handover state. It passes directly from process to process, so a later
 	// arrival means that it was stuck.
-	oldest = 10 * time.Second
+	maxAge = 10 * time.Second
 )
 
 // Host is what the old process knew of one host.
@@ -82,8 +82,8 @@
 	Newest    int64  `json:"newest"`
 	Hosts     []host `json:"hosts"`
 	Clock     bool   `json:"clock"`
-	Ahead     int64  `json:"ahead_least"`
-	Most      int64  `json:"ahead_most"`
+	OffsetMin int64  `json:"ahead_least"`
+	OffsetMax int64  `json:"ahead_most"`
 }
 
 type host struct {
@@ -103,111 +103,111 @@
 	ToldIn   int64   `json:"told_in"`
 }
 
-// down and up convert to milliseconds, rounding towards negative and positive infinity.
-func down(d time.Duration) int64 {
+// floorMillis and ceilMillis convert to milliseconds, rounding towards negative and positive infinity.
+func floorMillis(d time.Duration) int64 {
 	ms := d.Milliseconds()
-	if of(ms) > d {
+	if fromMillis(ms) > d {
 		ms--
 	}
 	return ms
 }
-func up(d time.Duration) int64  { return -down(-d) }
-func of(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func ceilMillis(d time.Duration) int64  { return -floorMillis(-d) }
+func fromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Encode encodes handover state.
 func Encode(k Knowledge) ([]byte, error) {
-	at := down(k.At)
-	back := k.At - of(at) // the clock is set back by this duration
-	b := body{At: at, Revision: k.Revision, Agent: k.Agent, Discovery: k.Discovery, First: k.FirstDiscovery, Newest: up(k.Newest), Hosts: make([]host, 0, len(k.Hosts)),
-		Clock: k.ClockKnown, Ahead: down(k.Ahead.Least + back), Most: up(k.Ahead.Most + back)}
+	at := floorMillis(k.At)
+	setBack := k.At - fromMillis(at) // the clock is set back by this duration
+	b := body{At: at, Revision: k.Revision, Agent: k.Agent, Discovery: k.Discovery, First: k.FirstDiscovery, Newest: ceilMillis(k.Newest), Hosts: make([]host, 0, len(k.Hosts)),
+		Clock: k.ClockKnown, OffsetMin: floorMillis(k.Ahead.Least + setBack), OffsetMax: ceilMillis(k.Ahead.Most + setBack)}
 	for _, h := range k.Hosts {
-		b.Hosts = append(b.Hosts, host{h.Server, h.Address, h.Group, int(h.State), h.Listed, h.Weight, up(moved(h.Started, -back)),
-			down(moved(h.Leads, -back)), up(moved(h.Follows, -back)), down(h.Position), h.Alive, up(h.NotifiedFor), h.ToldBy, h.ToldIn})
+		b.Hosts = append(b.Hosts, host{h.Server, h.Address, h.Group, int(h.State), h.Listed, h.Weight, ceilMillis(shift(h.Started, -setBack)),
+			floorMillis(shift(h.Leads, -setBack)), ceilMillis(shift(h.Follows, -setBack)), floorMillis(h.Position), h.Alive, ceilMillis(h.NotifiedFor), h.ToldBy, h.ToldIn})
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return append(head(version, text), text...), nil
+	return append(header(version, text), text...), nil
 }
 
-// moved converts a time to a clock that is ahead by the given duration. 0 stands for no time and stays 0.
-func moved(t, by time.Duration) time.Duration {
+// shift converts a time to a clock that is ahead by the given duration. 0 stands for no time and stays 0.
+func shift(t, by time.Duration) time.Duration {
 	if t == 0 {
 		return 0
 	}
 	return t + by
 }
 
-func headVersion(b []byte) uint16 { return binary.BigEndian.Uint16(b[4:]) }
+func headerVersion(b []byte) uint16 { return binary.BigEndian.Uint16(b[4:]) }
 
-func head(version uint16, text []byte) []byte {
-	out := append(make([]byte, 0, headSize+len(text)), magic...)
+func header(version uint16, text []byte) []byte {
+	out := append(make([]byte, 0, headerSize+len(text)), magic...)
 	out = binary.BigEndian.AppendUint16(out, version)
 	out = binary.BigEndian.AppendUint16(out, 0)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(text)))
 	return binary.BigEndian.AppendUint32(out, crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// Later stands for the newest write if its position is unknown. It is later than any position.
-const Later = time.Duration(math.MaxInt64 / 2)
+// UnknownWrite stands for the newest write if its position is unknown. It is later than any position.
+const UnknownWrite = time.Duration(math.MaxInt64 / 2)
 
 // Errors for handover state that is not used.
 var (
-	ErrTorn    = errors.New("handover: incomplete or corrupt")
-	ErrVersion = errors.New("handover: unsupported version")
-	ErrOld     = errors.New("handover: too old")
-	ErrHost    = errors.New("handover: invalid host")
+	ErrCorrupt     = errors.New("handover: incomplete or corrupt")
+	ErrVersion     = errors.New("handover: unsupported version")
+	ErrTooOld      = errors.New("handover: too old")
+	ErrInvalidHost = errors.New("handover: invalid host")
 )
 
-// Decode decodes handover state that was requested at asked and has arrived by now, both by this process's
-// clock, to which it converts all times. The machine's clock may have been stepped by any amount between the
-// starts of the two processes. The state was collected between the request and its arrival, which bounds the
-// difference of the two clocks on both sides. Each time is converted with the safe bound: statements that a
-// host leads never get later than they were, statements that it does not lead and starts never get earlier, and
-// the interval of the fleet's clock's offset still contains the actual offset.
-func Decode(asked, now time.Duration, b []byte) (Knowledge, error) {
+// Decode decodes handover state that was requested at requestedAt and has arrived by now, both by this
+// process's clock, to which it converts all times. The machine's clock may have been stepped by any amount
+// between the starts of the two processes. The state was collected between the request and its arrival, which
+// bounds the difference of the two clocks on both sides. Each time is converted with the safe bound: statements
+// that a host leads never get later than they were, statements that it does not lead and starts never get
+// earlier, and the interval of the fleet's clock's offset still contains the actual offset.
+func Decode(requestedAt, now time.Duration, b []byte) (Knowledge, error) {
 	switch {
-	case now-asked > oldest:
-		return Knowledge{}, fmt.Errorf("%w: arrived after %s", ErrOld, now-asked)
-	case len(b) < headSize || len(b) > MaxBytes || string(b[:4]) != magic:
-		return Knowledge{}, fmt.Errorf("%w: %d bytes", ErrTorn, len(b))
-	case headVersion(b) != version && headVersion(b) != dated && headVersion(b) != earlier:
-		return Knowledge{}, fmt.Errorf("%w: %d, expected %d", ErrVersion, headVersion(b), version)
+	case now-requestedAt > maxAge:
+		return Knowledge{}, fmt.Errorf("%w: arrived after %s", ErrTooOld, now-requestedAt)
+	case len(b) < headerSize || len(b) > MaxBytes || string(b[:4]) != magic:
+		return Knowledge{}, fmt.Errorf("%w: %d bytes", ErrCorrupt, len(b))
+	case headerVersion(b) != version && headerVersion(b) != versionLocalClock && headerVersion(b) != versionRoles:
+		return Knowledge{}, fmt.Errorf("%w: %d, expected %d", ErrVersion, headerVersion(b), version)
 	}
-	text := b[headSize:]
-	if string(head(headVersion(b), text)) != string(b[:headSize]) || !gjson.ValidBytes(text) {
-		return Knowledge{}, fmt.Errorf("%w: wrong length, checksum or JSON", ErrTorn)
+	text := b[headerSize:]
+	if string(header(headerVersion(b), text)) != string(b[:headerSize]) || !gjson.ValidBytes(text) {
+		return Knowledge{}, fmt.Errorf("%w: wrong length, checksum or JSON", ErrCorrupt)
 	}
 	root := gjson.ParseBytes(text)
-	k := Knowledge{At: of(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
-		FirstDiscovery: root.Get("first_discovery").Str, Newest: of(root.Get("newest").Int())}
-	k.ClockKnown = root.Get("clock").Bool() && headVersion(b) == version // earlier versions treated a nearly correct clock as exact
-	k.Ahead = fleetclock.Interval{Least: of(root.Get("ahead_least").Int()), Most: of(root.Get("ahead_most").Int())}
-	if headVersion(b) != version && k.Newest > 0 {
-		k.Newest = Later
+	k := Knowledge{At: fromMillis(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
+		FirstDiscovery: root.Get("first_discovery").Str, Newest: fromMillis(root.Get("newest").Int())}
+	k.ClockKnown = root.Get("clock").Bool() && headerVersion(b) == version // earlier versions treated a nearly correct clock as exact
+	k.Ahead = fleetclock.Interval{Least: fromMillis(root.Get("ahead_least").Int()), Most: fromMillis(root.Get("ahead_most").Int())}
+	if headerVersion(b) != version && k.Newest > 0 {
+		k.Newest = UnknownWrite
 	}
-	least, most := asked-k.At, now-k.At // bounds of this process's clock minus the old one's
-	k.At, k.Ahead = asked, fleetclock.Interval{Least: k.Ahead.Least - most, Most: k.Ahead.Most - least}
+	minDiff, maxDiff := requestedAt-k.At, now-k.At // bounds of this process's clock minus the old one's
+	k.At, k.Ahead = requestedAt, fleetclock.Interval{Least: k.Ahead.Least - maxDiff, Most: k.Ahead.Most - minDiff}
 	for i, e := range root.Get("hosts").Array() {
 		h := Host{Server: e.Get("id").Str, Address: e.Get("address").Str, Group: int(e.Get("group").Int()),
 			State: balance.State(e.Get("state").Int()), Listed: e.Get("listed").Bool(), Weight: e.Get("weight").Num,
-			Started: of(e.Get("started").Int()), Leads: of(e.Get("leads").Int()), Follows: of(e.Get("follows").Int()),
-			Position: of(e.Get("position").Int()), Alive: e.Get("alive").Bool(),
-			NotifiedFor: of(e.Get("notified_for").Int()), ToldBy: e.Get("told_by").Str,
+			Started: fromMillis(e.Get("started").Int()), Leads: fromMillis(e.Get("leads").Int()), Follows: fromMillis(e.Get("follows").Int()),
+			Position: fromMillis(e.Get("position").Int()), Alive: e.Get("alive").Bool(),
+			NotifiedFor: fromMillis(e.Get("notified_for").Int()), ToldBy: e.Get("told_by").Str,
 			ToldIn: e.Get("told_in").Int()}
-		if headVersion(b) != version {
+		if headerVersion(b) != version {
 			h.Position, h.Leads = 0, 0 // dated by a clock that may have been wrong
-			if headVersion(b) == earlier && balance.Role(e.Get("role").Int()) == balance.Replica {
-				h.Follows = of(e.Get("role_at").Int()) // not earlier than the answer
+			if headerVersion(b) == versionRoles && balance.Role(e.Get("role").Int()) == balance.Replica {
+				h.Follows = fromMillis(e.Get("role_at").Int()) // not earlier than the answer
 			}
 		}
-		h.Leads, h.Started, h.Follows = moved(h.Leads, least), moved(h.Started, most), moved(h.Follows, most)
+		h.Leads, h.Started, h.Follows = shift(h.Leads, minDiff), shift(h.Started, maxDiff), shift(h.Follows, maxDiff)
 		// Times in the future would make stale data count as fresh indefinitely.
 		if h.Server == "" || h.State < balance.Active || h.State > balance.Left || h.Leads > now ||
 			k.ClockKnown && h.Position > now+k.Ahead.Most+time.Millisecond ||
 			h.Position < 0 || h.Leads < 0 || h.Follows < 0 || h.Started < 0 || h.NotifiedFor < 0 {
-			return Knowledge{}, fmt.Errorf("%w: hosts.%d", ErrHost, i)
+			return Knowledge{}, fmt.Errorf("%w: hosts.%d", ErrInvalidHost, i)
 		}
 		k.Hosts = append(k.Hosts, h)
 	}
--- a/internal/disk/handover/handover_test.go
+++ b/internal/disk/handover/handover_test.go
@@ -13,7 +13,7 @@
 
 const now = 1_767_225_600 * time.Second
 
-func known() Knowledge {
+func sampleState() Knowledge {
 	ms := time.Millisecond
 	return Knowledge{At: now - 3*ms, Revision: 41, Agent: "a", Discovery: "c", FirstDiscovery: "d", Newest: now - 200*ms, Hosts: []Host{
 		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, Leads: now - 5*ms, Follows: now - time.Minute,
@@ -22,35 +22,35 @@
 			NotifiedFor: 300 * ms, ToldBy: "b", ToldIn: 40}}, ClockKnown: true, Ahead: fleetclock.Interval{Least: -30 * ms, Most: 2 * time.Second}}
 }
 
-func TestThereAndBack(t *testing.T) {
-	b, err := Encode(known())
+func TestRoundTrip(t *testing.T) {
+	b, err := Encode(sampleState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := known().At
+	at := sampleState().At
 	got, err := Decode(at, at, b) // the difference of the clocks is known to be 0
-	if d := cmp.Diff(known(), got); d != "" || err != nil {
+	if d := cmp.Diff(sampleState(), got); d != "" || err != nil {
 		t.Error(err, d)
 	}
 }
 
-func TestWhatIsRoundedOffErrsToTheSafeSide(t *testing.T) {
+func TestRoundingIsSafe(t *testing.T) {
 	const part = 700 * time.Microsecond
-	told := known()
-	told.At += part
-	b, err := Encode(told)
+	encoded := sampleState()
+	encoded.At += part
+	b, err := Encode(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Decode(told.At, told.At, b)
+	got, err := Decode(encoded.At, encoded.At, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Ahead.Least > told.Ahead.Least || got.Ahead.Most < told.Ahead.Most {
-		t.Errorf("decoded clock offset %v does not contain the encoded %v", got.Ahead, told.Ahead)
+	if got.Ahead.Least > encoded.Ahead.Least || got.Ahead.Most < encoded.Ahead.Most {
+		t.Errorf("decoded clock offset %v does not contain the encoded %v", got.Ahead, encoded.Ahead)
 	}
 	for i, h := range got.Hosts {
-		was := told.Hosts[i]
+		was := encoded.Hosts[i]
 		if h.Leads > was.Leads || h.Follows < was.Follows || h.Started < was.Started || h.Position > was.Position {
 			t.Errorf("decoded %+v, encoded %+v", h, was)
 		}
@@ -59,8 +59,8 @@
 
 // Handover state that is truncated, corrupted in any byte, too old or of an unsupported version is rejected as
 // a whole.
-func TestTornOldOrOther(t *testing.T) {
-	b, _ := Encode(known())
+func TestRejectsInvalidState(t *testing.T) {
+	b, _ := Encode(sampleState())
 	for i := range b {
 		if k, err := Decode(now-5*time.Millisecond, now, b[:i]); err == nil || len(k.Hosts) > 0 {
 			t.Fatalf("state truncated to %d of %d bytes is accepted", i, len(b))
@@ -79,35 +79,35 @@
 	if _, err := Decode(now-5*time.Millisecond, now, other); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
-	if _, err := Decode(now, now+time.Minute, b); !errors.Is(err, ErrOld) {
+	if _, err := Decode(now, now+time.Minute, b); !errors.Is(err, ErrTooOld) {
 		t.Error(err)
 	}
-	ahead := known()
+	ahead := sampleState()
 	ahead.Hosts[0].Position = now + time.Hour
 	b, _ = Encode(ahead)
-	if _, err := Decode(now-5*time.Millisecond, now, b); !errors.Is(err, ErrHost) {
+	if _, err := Decode(now-5*time.Millisecond, now, b); !errors.Is(err, ErrInvalidHost) {
 		t.Error(err)
 	}
 }
 
 // The machine's wall clock is stepped between the starts of the two processes. The new process must convert all
 // times to its own clock, with the uncertainty of when the state was collected.
-func TestAStepBetweenTheProcesses(t *testing.T) {
+func TestClockStepBetweenProcesses(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, 0} {
-		b, _ := Encode(known())
-		asked := now + step
-		came := asked + 4*time.Millisecond
-		got, err := Decode(asked, came, b)
+		b, _ := Encode(sampleState())
+		requestedAt := now + step
+		arrived := requestedAt + 4*time.Millisecond
+		got, err := Decode(requestedAt, arrived, b)
 		if err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
-		want := known()
-		least, most := asked-want.At, came-want.At
-		want.At, want.Ahead = asked, fleetclock.Interval{Least: want.Ahead.Least - most, Most: want.Ahead.Most - least}
-		want.Hosts[0].Leads += least
-		want.Hosts[0].Follows += most
-		want.Hosts[1].Follows += most
-		want.Hosts[1].Started += most
+		want := sampleState()
+		minDiff, maxDiff := requestedAt-want.At, arrived-want.At
+		want.At, want.Ahead = requestedAt, fleetclock.Interval{Least: want.Ahead.Least - maxDiff, Most: want.Ahead.Most - minDiff}
+		want.Hosts[0].Leads += minDiff
+		want.Hosts[0].Follows += maxDiff
+		want.Hosts[1].Follows += maxDiff
+		want.Hosts[1].Started += maxDiff
 		if d := cmp.Diff(want, got); d != "" {
 			t.Errorf("%s: %s", step, d)
 		}
@@ -116,16 +116,16 @@
 
 // Earlier versions dated leadership, positions and writes by a clock that may have been wrong. Only the
 // statement that a host is a replica is used from them, and the position of the newest write counts as unknown.
-func TestAHandoverOfTheVersionsBefore(t *testing.T) {
+func TestEarlierVersions(t *testing.T) {
 	text := []byte(`{"at":1767225599997,"revision":41,"newest":0,"clock":true,"ahead":0,"hosts":[
 		{"id":"s-1","address":"127.0.0.9:5432","group":3,"listed":true,"weight":1,"role":1,"role_at":1767225599995,"position":1767225599991,"alive":true},
 		{"id":"s-2","address":"127.0.0.8:5432","group":3,"listed":true,"weight":1,"role":2,"role_at":1767225599990,"position":1767225599980,"alive":true}]}`)
-	at := known().At
-	got, err := Decode(at, at, append(head(earlier, text), text...))
-	b, _ := Encode(known())
-	two, err2 := Decode(at, at, append(head(dated, b[headSize:]), b[headSize:]...))
-	want2 := known()
-	want2.ClockKnown, want2.Newest, want2.Hosts[0].Position, want2.Hosts[0].Leads = false, Later, 0, 0
+	at := sampleState().At
+	got, err := Decode(at, at, append(header(versionRoles, text), text...))
+	b, _ := Encode(sampleState())
+	two, err2 := Decode(at, at, append(header(versionLocalClock, b[headerSize:]), b[headerSize:]...))
+	want2 := sampleState()
+	want2.ClockKnown, want2.Newest, want2.Hosts[0].Position, want2.Hosts[0].Leads = false, UnknownWrite, 0, 0
 	if d := cmp.Diff(want2, two); d != "" || err2 != nil {
 		t.Error(err2, d)
 	}
@@ -140,14 +140,14 @@
 // The old process knew the offset of the fleet's clock to the millisecond, and the machine's clock was stepped
 // by less than a second, or by 3 s, between the starts of the two processes. The decoded interval must contain
 // the new offset.
-func TestASmallStepBetweenTheProcessesIsInsideTheClockThatIsHandedOver(t *testing.T) {
+func TestSmallStepStaysInClockInterval(t *testing.T) {
 	ms := time.Millisecond
 	for _, step := range []time.Duration{-900 * ms, -400 * ms, -100 * ms, 100 * ms, 400 * ms, 900 * ms, 3 * time.Second} {
 		for _, survey := range []time.Duration{0, 800 * ms} { // delay between the request and the collection
-			asked, elder := now, now+survey-step // by the new and by the old clock
-			k := Knowledge{At: elder, ClockKnown: true, Ahead: fleetclock.Interval{Least: step - ms, Most: step + ms}}
+			requestedAt, oldTime := now, now+survey-step // by the new and by the old clock
+			k := Knowledge{At: oldTime, ClockKnown: true, Ahead: fleetclock.Interval{Least: step - ms, Most: step + ms}}
 			b, _ := Encode(k)
-			got, err := Decode(asked, asked+survey+ms, b)
+			got, err := Decode(requestedAt, requestedAt+survey+ms, b)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/disk/handover/small_step_test.go
+++ b/internal/disk/handover/small_step_test.go
@@ -8,27 +8,27 @@
 
 // The wall clock is set back by less than a second between the starts of the two processes. Decoded positions
 // and leadership statements must not seem newer than they are.
-func TestASmallStepBetweenTheProcessesMakesNothingSeemFresher(t *testing.T) {
+func TestSmallStepMakesNothingFresher(t *testing.T) {
 	for _, step := range []time.Duration{-900 * time.Millisecond, -300 * time.Millisecond, -60 * time.Millisecond} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
-			told := known()
-			told.Hosts[0].Position, told.Hosts[0].Leads = told.At+told.Ahead.Most-2*time.Second, told.At-2*time.Second
-			b, err := Encode(told)
+			encoded := sampleState()
+			encoded.Hosts[0].Position, encoded.Hosts[0].Leads = encoded.At+encoded.Ahead.Most-2*time.Second, encoded.At-2*time.Second
+			b, err := Encode(encoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			asked := told.At + step // the new process starts after the wall clock was stepped
-			got, err := Decode(asked, asked+4*time.Millisecond, b)
+			requestedAt := encoded.At + step // the new process starts after the wall clock was stepped
+			got, err := Decode(requestedAt, requestedAt+4*time.Millisecond, b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if age := asked + got.Ahead.Most - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
+			if age := requestedAt + got.Ahead.Most - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
 				t.Errorf("the decoded age of a position is %s, want at least 2 s", age)
 			}
-			if ago := asked - got.Hosts[0].Leads; ago < 2*time.Second-time.Millisecond {
+			if ago := requestedAt - got.Hosts[0].Leads; ago < 2*time.Second-time.Millisecond {
 				t.Errorf("the decoded age of a leadership statement is %s, want at least 2 s", ago)
 			}
-			if want := told.Ahead.Most - step; got.Ahead.Most < want {
+			if want := encoded.Ahead.Most - step; got.Ahead.Most < want {
 				t.Errorf("the upper bound of the clock offset is %s, want at least %s", got.Ahead.Most, want)
 			}
 		})
--- a/internal/memory/counters/counters.go
+++ b/internal/memory/counters/counters.go
@@ -21,11 +21,11 @@
 
 // Set holds the counters of one gateway. Its zero value is ready to use.
 type Set struct {
-	// Requests by result. Rejected ones were not passed to the module; Gone counts those whose client
-	// disconnected.
-	Taken, Served, Refused, Failed, Rejected, Gone Count
-	// Again counts client retries among the requests passed to the module.
-	Again Count
+	// Requests by result. Rejected ones were not passed to the module; RequestsCanceled counts those whose
+	// client disconnected.
+	Taken, Served, Refused, Failed, Rejected, RequestsCanceled Count
+	// ClientRetries counts client retries among the requests passed to the module.
+	ClientRetries Count
 	// Attempts sent, attempts canceled, and probes sent.
 	Sent, Canceled, Probes Count
 	// Outcomes counts attempts by result, in the order of balance.Result.
@@ -52,12 +52,12 @@
 	Operators, BadOperators Count
 	// Requests over the quota of their cell or tenant, requests whose user may not act for the tenant, and
 	// requests held at a fence.
-	Over, Denied, Held Count
+	OverQuota, Denied, Held Count
 	// Moves counts how often moves of tenants reached each stage.
 	Moves [5]Count
 	// Gossip: messages sent, entries dropped for lack of capacity, entries received, invalid messages, socket
 	// errors.
-	Told, Untold, Heard, HeardBad, TellErrors Count
+	Told, GossipDropped, GossipReceived, GossipInvalid, TellErrors Count
 	// Statements that were already prepared on the host connection, and those that had to be prepared.
 	PreparedHits, PreparedMisses Count
 	// The admin address: calls, calls with a negative answer, and connections closed in favor of new ones.
@@ -74,8 +74,8 @@
 	LogDropped Count
 	// Grounds counts attempts by the kind of evidence on which they were sent.
 	Grounds [4]Count
-	// Primaries counts changes of the host that is considered a group's primary.
-	Primaries Count
+	// PrimaryChanges counts changes of the host that is considered a group's primary.
+	PrimaryChanges Count
 	// Stalls counts how often events were queued for too long.
 	Stalls Count
 	// Answers that contradicted the known offset of the fleet's clock, and replacements of its interval.
@@ -125,8 +125,8 @@
 func (s *Set) all() []named {
 	out := []named{
 		{"requests_taken", &s.Taken}, {"requests_served", &s.Served}, {"requests_refused", &s.Refused},
-		{"requests_failed", &s.Failed}, {"requests_rejected", &s.Rejected}, {"requests_gone", &s.Gone},
-		{"requests_again", &s.Again}, {"attempts_sent", &s.Sent}, {"attempts_canceled", &s.Canceled}, {"probes_sent", &s.Probes},
+		{"requests_failed", &s.Failed}, {"requests_rejected", &s.Rejected}, {"requests_gone", &s.RequestsCanceled},
+		{"requests_again", &s.ClientRetries}, {"attempts_sent", &s.Sent}, {"attempts_canceled", &s.Canceled}, {"probes_sent", &s.Probes},
 		{"clients_accepted", &s.Clients}, {"clients_open", &s.ClientsOpen}, {"clients_over", &s.ClientsOver},
 		{"clients_dropped", &s.ClientsDropped}, {"clients_evicted", &s.ClientsEvicted}, {"clients_slow", &s.ClientsSlow},
 		{"accept_errors", &s.AcceptErrors}, {"clients_pressed", &s.ClientsPressed}, {"clients_overrun", &s.ClientsOverrun},
@@ -136,15 +136,15 @@
 		{"lists", &s.Lists}, {"lists_bad", &s.BadLists}, {"list_errors", &s.ListErrors},
 		{"reloads", &s.Reloads}, {"reloads_bad", &s.BadReloads},
 		{"operators", &s.Operators}, {"operators_bad", &s.BadOperators},
-		{"requests_over", &s.Over}, {"requests_denied", &s.Denied}, {"writes_held", &s.Held},
+		{"requests_over", &s.OverQuota}, {"requests_denied", &s.Denied}, {"writes_held", &s.Held},
 		{"prepared_hits", &s.PreparedHits}, {"prepared_misses", &s.PreparedMisses},
-		{"peers_told", &s.Told}, {"peers_untold", &s.Untold}, {"peers_heard", &s.Heard}, {"peers_bad", &s.HeardBad},
+		{"peers_told", &s.Told}, {"peers_untold", &s.GossipDropped}, {"peers_heard", &s.GossipReceived}, {"peers_bad", &s.GossipInvalid},
 		{"peer_errors", &s.TellErrors},
 		{"calls", &s.Calls}, {"calls_no", &s.CallsNo}, {"callers_dropped", &s.CallersDropped},
 		{"clients_passed", &s.ClientsPassed}, {"clients_adopted", &s.ClientsAdopted},
 		{"streams", &s.Streams}, {"streams_open", &s.StreamsOpen}, {"streams_cut", &s.StreamsCut},
 		{"statements_large", &s.Large}, {"statements_large_refused", &s.LargeRefused}, {"statements_large_held", &s.LargeHeld},
-		{"drains", &s.Drains}, {"resumes", &s.Resumes}, {"primary_changes", &s.Primaries},
+		{"drains", &s.Drains}, {"resumes", &s.Resumes}, {"primary_changes", &s.PrimaryChanges},
 		{"log_dropped", &s.LogDropped}, {"stalls", &s.Stalls}, {"clock_contradicted", &s.ClockContradicted}, {"clock_replaced", &s.ClockReplaced},
 		{"clock_width_us", &s.ClockWidth},
 		{"panics", &s.Panics}, {"timers_pending", &s.Timers},
--- a/internal/memory/exchange/bench_test.go
+++ b/internal/memory/exchange/bench_test.go
@@ -26,7 +26,7 @@
 	for i, role := range []bool{true, false, false, false} {
 		all = append(all, Member{Address: "h:1", Member: balance.Member{Server: fmt.Sprint("s", i), Group: 1, State: balance.Active, Primary: role, Weight: 1}})
 	}
-	x.handle(x.cfg.Clock.Now(), members{true, all})
+	x.handle(x.cfg.Clock.Now(), endpointList{true, all})
 	answers := make(chan Answer, 1)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/memory/exchange/cells.go
+++ b/internal/memory/exchange/cells.go
@@ -11,29 +11,29 @@
 	"yokemast/internal/control/cells"
 )
 
-// lookEvery is the interval at which the cells get the module's view of the hosts and moves progress.
-const lookEvery = 50 * time.Millisecond
+// cellsSyncInterval is the interval at which the cells get the module's view of the hosts and moves progress.
+const cellsSyncInterval = 50 * time.Millisecond
 
 // ErrNoCells is returned if the operator's file configures no cells.
 var ErrNoCells = errors.New("there are no cells: the operator's file configures none")
 
-// configuring is the event of a new configuration of the cells.
-type configuring struct{ cells *cells.Config }
+// cellsUpdate is the event of a new configuration of the cells.
+type cellsUpdate struct{ cells *cells.Config }
 
-// asking is the event of a call by Cells.
-type asking struct {
+// cellsCall is the event of a call by Cells.
+type cellsCall struct {
 	do   func(now time.Duration, s *cells.State) ([]cells.Action, error)
 	done chan error
 }
 
 // Configure sets the cells that the operator's file names, or nil for none. The configuration must have been
 // validated.
-func (x *Exchange) Configure(c *cells.Config) { x.post(configuring{c}) }
+func (x *Exchange) Configure(c *cells.Config) { x.post(cellsUpdate{c}) }
 
 // Cells calls do with the state of the cells between two events and performs the actions that do returns. It
 // returns the error of do, or ErrNoCells.
 func (x *Exchange) Cells(ctx context.Context, do func(now time.Duration, s *cells.State) ([]cells.Action, error)) error {
-	a := asking{do, make(chan error, 1)}
+	a := cellsCall{do, make(chan error, 1)}
 	x.post(a)
 	select {
 	case err := <-a.done:
@@ -43,26 +43,26 @@
 	}
 }
 
-func (x *Exchange) ask(do func(time.Duration, *cells.State) ([]cells.Action, error)) error {
+func (x *Exchange) callCells(do func(time.Duration, *cells.State) ([]cells.Action, error)) error {
 	if x.cells == nil {
 		return ErrNoCells
 	}
-	acts, err := do(x.cfg.Clock.Now(), x.cells)
-	x.carryOut(acts)
+	actions, err := do(x.cfg.Clock.Now(), x.cells)
+	x.performCells(actions)
 	return err
 }
 
-// configure applies a configuration of the cells. If it removes the cells, requests held at a fence go to the
+// updateCells applies a configuration of the cells. If it removes the cells, requests held at a fence go to the
 // group that they named.
-func (x *Exchange) configure(c *cells.Config) {
+func (x *Exchange) updateCells(c *cells.Config) {
 	now := x.cfg.Clock.Now()
 	if c == nil {
 		x.cells = nil
 		x.decide(balance.Cells{})
-		for _, o := range x.open {
+		for _, o := range x.pending {
 			o.ticket = cells.Ticket{}
-			if o.waits {
-				x.pass(o, cells.Verdict{Group: o.Group})
+			if o.fenced {
+				x.dispatch(o, cells.Verdict{Group: o.Group})
 			}
 		}
 		return
@@ -70,11 +70,11 @@
 	own := *c
 	own.Gateways = max(1, x.cfg.Settings.Routers)
 	if x.cells != nil {
-		acts, err := x.cells.Configure(now, own)
+		actions, err := x.cells.Configure(now, own)
 		if err != nil {
 			x.cfg.Log.Error("cells configuration rejected", zap.Error(err))
 		}
-		x.carryOut(acts)
+		x.performCells(actions)
 		return
 	}
 	s, err := cells.New(own)
@@ -82,28 +82,28 @@
 		x.cfg.Log.Error("cells configuration rejected", zap.Error(err))
 		return
 	}
-	x.cells, x.lookAt = s, now
-	list := make([]balance.Member, 0, len(x.list))
-	for _, m := range x.list {
+	x.cells, x.nextCellsSync = s, now
+	list := make([]balance.Member, 0, len(x.listed))
+	for _, m := range x.listed {
 		list = append(list, m.Member)
 	}
-	x.carryOut(s.Hosts(now, true, list))
+	x.performCells(s.Hosts(now, true, list))
 	x.decide(s.Cells())
 }
 
-// question returns the cells' view of a request.
-func question(o *open) cells.Ask {
+// cellsRequest returns the cells' view of a request.
+func cellsRequest(o *pendingRequest) cells.Ask {
 	return cells.Ask{ID: o.ID, User: o.User, Claim: o.Tenant, Key: o.Session, Group: o.Group, Write: o.Write,
 		Deadline: o.deadline}
 }
 
 // admit passes a request to the admission of the cells. It returns an error if the user may not act for the
 // tenant.
-func (x *Exchange) admit(o *open) (cells.Verdict, error) {
+func (x *Exchange) admit(o *pendingRequest) (cells.Verdict, error) {
 	if x.cells == nil {
 		return cells.Verdict{Group: o.Group}, nil
 	}
-	v := x.cells.Admit(x.cfg.Clock.Now(), question(o))
+	v := x.cells.Admit(x.cfg.Clock.Now(), cellsRequest(o))
 	if v.Kind == cells.Denied {
 		return v, errors.New(v.Reason)
 	}
@@ -111,40 +111,40 @@
 	return v, nil
 }
 
-// done returns the request's ticket to the cells. Further calls have no effect.
-func (x *Exchange) done(o *open) {
+// releaseTicket returns the request's ticket to the cells. Further calls have no effect.
+func (x *Exchange) releaseTicket(o *pendingRequest) {
 	if x.cells != nil {
 		x.cells.Done(x.cfg.Clock.Now(), o.ticket)
 	}
 	o.ticket = cells.Ticket{}
 }
 
-// look passes the module's view of the hosts to the cells if that is due.
-func (x *Exchange) look(now time.Duration) {
-	if x.cells == nil || now < x.lookAt {
+// syncCells passes the module's view of the hosts to the cells if that is due.
+func (x *Exchange) syncCells(now time.Duration) {
+	if x.cells == nil || now < x.nextCellsSync {
 		return
 	}
-	x.lookAt = now + lookEvery
+	x.nextCellsSync = now + cellsSyncInterval
 	x.seen = x.seen[:0]
 	x.router.Look(now, func(s balance.Seen) { x.seen = append(x.seen, s) })
-	x.carryOut(x.cells.Look(now, x.seen))
+	x.performCells(x.cells.Look(now, x.seen))
 }
 
-// carryOut performs the actions that the cells returned.
-func (x *Exchange) carryOut(acts []cells.Action) {
-	for _, a := range acts {
+// performCells performs the actions that the cells returned.
+func (x *Exchange) performCells(actions []cells.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case cells.Placed:
 			x.decide(a.Cells)
 		case cells.Release:
-			if o := x.open[a.ID]; o != nil && o.waits && !o.answered {
-				v := x.cells.Resume(x.cfg.Clock.Now(), question(o), o.ticket)
+			if o := x.pending[a.ID]; o != nil && o.fenced && !o.answered {
+				v := x.cells.Resume(x.cfg.Clock.Now(), cellsRequest(o), o.ticket)
 				o.ticket = v.Ticket
-				x.pass(o, v)
+				x.dispatch(o, v)
 			}
 		case cells.GiveUp:
-			if o := x.open[a.ID]; o != nil && o.waits && !o.answered {
-				x.pass(o, cells.Verdict{Kind: cells.Over, Group: o.Group, After: a.After})
+			if o := x.pending[a.ID]; o != nil && o.fenced && !o.answered {
+				x.dispatch(o, cells.Verdict{Kind: cells.Over, Group: o.Group, After: a.After})
 			}
 		case cells.Changed:
 			m := a.Move
--- a/internal/memory/exchange/clock.go
+++ b/internal/memory/exchange/clock.go
@@ -17,30 +17,30 @@
 // readings are Unix time by this machine's wall clock, which may have been stepped. Positions are readings of
 // the fleet's clock and are never converted; Bounds relates the two clocks.
 type Clock struct {
-	start time.Time
-	hold  func() // called between reading the clock and returning; nil in production
-	fleet *fleetTime
+	start    time.Time
+	readHook func() // called between reading the clock and returning; nil in production
+	fleet    *fleetTime
 }
 
 // fleetTime holds the estimate of the fleet's clock. It is safe for concurrent use.
 type fleetTime struct {
-	mu       sync.Mutex
-	estimate *fleetclock.Estimate
-	doubts   int         // answers that contradicted the estimate
-	log      *zap.Logger // logs contradictions unless nil
-	counts   *counters.Set
+	mu             sync.Mutex
+	estimate       *fleetclock.Estimate
+	contradictions int         // answers that contradicted the estimate
+	log            *zap.Logger // logs contradictions unless nil
+	counts         *counters.Set
 
 	now atomic.Pointer[fleetNow]
 }
 
 // fleetNow is a snapshot of fleetTime.
 type fleetNow struct {
-	bounds        fleetclock.Bounds
-	epoch, doubts int
+	bounds                fleetclock.Bounds
+	epoch, contradictions int
 }
 
-// farAhead is later than any position that a log can reach.
-const farAhead = time.Duration(math.MaxInt64 / 2)
+// unreachedPosition is later than any position that a log can reach.
+const unreachedPosition = time.Duration(math.MaxInt64 / 2)
 
 // NewClock returns a Clock that starts from the current wall time.
 func NewClock() Clock {
@@ -63,15 +63,15 @@
 // Held returns a copy of the clock that calls hold between reading the clock and returning the reading. Tests
 // use it to stop a goroutine between reading the clock and acting on the reading.
 func (c Clock) Held(hold func()) Clock {
-	c.hold = hold
+	c.readHook = hold
 	return c
 }
 
 // Now returns the time since the start of 1970.
 func (c Clock) Now() time.Duration {
 	now := time.Duration(c.start.UnixNano()) + time.Since(c.start)
-	if c.hold != nil {
-		c.hold()
+	if c.readHook != nil {
+		c.readHook()
 	}
 	return now
 }
@@ -89,11 +89,11 @@
 	if !b.Bounded {
 		return balance.ClockBounds{}
 	}
-	return balance.ClockBounds{Known: true, Ages: up(b.Ages(now)), Most: up(b.At(now).Most)}
+	return balance.ClockBounds{Known: true, Ages: ceilToMillis(b.Ages(now)), Most: ceilToMillis(b.At(now).Most)}
 }
 
-// up rounds up to a multiple of a millisecond.
-func up(t time.Duration) time.Duration {
+// ceilToMillis rounds up to a multiple of a millisecond.
+func ceilToMillis(t time.Duration) time.Duration {
 	whole := t.Truncate(time.Millisecond)
 	if whole < t {
 		whole += time.Millisecond
@@ -105,8 +105,8 @@
 // dated in another epoch are no longer valid.
 func (c Clock) Epoch() int { return c.fleet.now.Load().epoch }
 
-// Doubts returns the number of answers that contradicted the estimate of the fleet's clock.
-func (c Clock) Doubts() int { return c.fleet.now.Load().doubts }
+// Contradictions returns the number of answers that contradicted the estimate of the fleet's clock.
+func (c Clock) Contradictions() int { return c.fleet.now.Load().contradictions }
 
 // Earliest returns the earliest time by this clock at which the fleet's clock showed a position. It returns
 // false if there is no such bound.
@@ -120,13 +120,13 @@
 
 // FleetAtMost returns the latest time that the fleet's clock may show now, or a time later than any position if
 // it has no upper bound.
-func (c Clock) FleetAtMost() time.Duration { return c.fleetAtMost(c.Now()) }
+func (c Clock) FleetAtMost() time.Duration { return c.maxFleetTime(c.Now()) }
 
-// fleetAtMost returns the latest time that the fleet's clock may have shown at time t of this clock.
-func (c Clock) fleetAtMost(t time.Duration) time.Duration {
+// maxFleetTime returns the latest time that the fleet's clock may have shown at time t of this clock.
+func (c Clock) maxFleetTime(t time.Duration) time.Duration {
 	b := c.Bounds()
 	if !b.Bounded {
-		return farAhead
+		return unreachedPosition
 	}
 	return t + b.At(c.Now()).Most
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	if change == fleetclock.Contradicted {
-		f.doubts++
+		f.contradictions++
 	}
 	f.publish()
 	if f.log != nil && (change == fleetclock.Contradicted || change == fleetclock.Replaced) {
@@ -178,12 +178,12 @@
 
 // clockFields returns log fields with the known ends of the offset's interval.
 func clockFields(prefix string, b fleetclock.Bounds, now time.Duration) (fields []zap.Field) {
-	i := b.At(now)
+	offset := b.At(now)
 	if b.Told {
-		fields = append(fields, zap.Duration(prefix+"least", i.Least))
+		fields = append(fields, zap.Duration(prefix+"least", offset.Least))
 	}
 	if b.Bounded {
-		fields = append(fields, zap.Duration(prefix+"most", i.Most))
+		fields = append(fields, zap.Duration(prefix+"most", offset.Most))
 	}
 	return fields
 }
@@ -191,7 +191,7 @@
 // publish makes the current estimate visible to readers. The caller holds mu.
 func (f *fleetTime) publish() {
 	b := f.estimate.Bounds()
-	f.now.Store(&fleetNow{b, f.estimate.Epoch(), f.doubts})
+	f.now.Store(&fleetNow{b, f.estimate.Epoch(), f.contradictions})
 	if f.counts == nil {
 		return
 	}
--- a/internal/memory/exchange/evidence_test.go
+++ b/internal/memory/exchange/evidence_test.go
@@ -13,9 +13,9 @@
 	"yokemast/internal/memory/counters"
 )
 
-// pair returns an exchange with a listed primary p and a replica r. The test calls its handlers directly
+// newPair returns an exchange with a listed primary p and a replica r. The test calls its handlers directly
 // instead of Run.
-func pair(t *testing.T, clock Clock) (*Exchange, *hosts) {
+func newPair(t *testing.T, clock Clock) (*Exchange, *hosts) {
 	t.Helper()
 	read := balance.Class{Aim: time.Minute, Deadline: time.Minute}
 	view, own, order := read, read, read
@@ -29,17 +29,17 @@
 	}
 	h := &hosts{}
 	x.hosts = h
-	x.bounds.serve(h)
-	list := members{whole: true}
+	x.sendDeadlines.setHosts(h)
+	list := endpointList{snapshot: true}
 	for _, id := range []string{"p", "r"} {
-		list.list = append(list.list, Member{Address: "h:1", Member: balance.Member{Server: id, Group: 1, Primary: id == "p", Weight: 1}})
+		list.hosts = append(list.hosts, Member{Address: "h:1", Member: balance.Member{Server: id, Group: 1, Primary: id == "p", Weight: 1}})
 	}
-	take(x, clock.Now(), list)
+	applyList(x, clock.Now(), list)
 	return x, h
 }
 
-// ask submits a request and returns the attempt that it results in, or nil.
-func (h *hosts) ask(x *Exchange, class string, after time.Duration) *Attempt {
+// request submits a request and returns the attempt that it results in, or nil.
+func (h *hosts) request(x *Exchange, class string, after time.Duration) *Attempt {
 	sent := len(h.sent)
 	x.handle(x.cfg.Clock.Now(), &Request{ID: fmt.Sprint("request ", x.cfg.Counters.Taken.Get()), Class: class, Group: 1, Arrived: x.cfg.Clock.Now(), After: after,
 		Write: class == "order", Answer: make(chan Answer, 1)})
@@ -49,15 +49,15 @@
 	return &h.sent[len(h.sent)-1]
 }
 
-// learn handles a statement that a host makes now.
-func learn(x *Exchange, server string, role balance.Role, position time.Duration) {
+// handleStatement handles a statement that a host makes now.
+func handleStatement(x *Exchange, server string, role balance.Role, position time.Duration) {
 	now := x.cfg.Clock.Now()
-	x.handle(now, learning{balance.Heard{Server: server, Result: balance.OK, Role: role, Position: position},
+	x.handle(now, hostStatement{balance.Heard{Server: server, Result: balance.OK, Role: role, Position: position},
 		balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
 }
 
-// known returns a clock that is known to agree with the fleet's.
-func known() Clock {
+// knownClock returns a clock that is known to agree with the fleet's.
+func knownClock() Clock {
 	c := NewClock()
 	c.Inherit(c.Now(), fleetclock.Interval{})
 	return c
@@ -65,23 +65,23 @@
 
 // A module that replaces one that panicked keeps the hosts' own statements, so that the endpoint list does not
 // override them.
-func TestAPanicForgetsNoEvidence(t *testing.T) {
-	x, h := pair(t, known())
-	learn(x, "p", balance.Replica, 0)
+func TestEvidenceSurvivesPanic(t *testing.T) {
+	x, h := newPair(t, knownClock())
+	handleStatement(x, "p", balance.Replica, 0)
 	x.restart()
-	if a := h.ask(x, "own", x.cfg.Clock.Now()); a != nil {
+	if a := h.request(x, "own", x.cfg.Clock.Now()); a != nil {
 		t.Errorf("a read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 	}
-	learn(x, "r", balance.Primary, 0)
+	handleStatement(x, "r", balance.Primary, 0)
 	x.restart()
-	if a := h.ask(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.LeaderWord {
+	if a := h.request(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.LeaderWord {
 		t.Errorf("a read is sent as %+v, want it sent to r on its statement", a)
 	}
 }
 
-// behind lets answers of two primaries at different times prove that the clock is behind the fleet's by the
-// given time.
-func behind(clock Clock, by time.Duration) {
+// proveBehind lets answers of two primaries at different times prove that the clock is behind the fleet's by
+// the given time.
+func proveBehind(clock Clock, by time.Duration) {
 	now := clock.Now()
 	for i, host := range []string{"p", "q", "p", "q"} {
 		at := now + time.Duration(i-4)*20*time.Millisecond
@@ -92,101 +92,101 @@
 // Answers prove that the clock was behind. Data must count as older at once, also for reads that were already
 // decided on, and statements dated by the wrong clock must be dropped. Positions are by the fleet's clock and
 // are kept.
-func TestDataIsOlderAsSoonAsTheClockTurnsOutBehind(t *testing.T) {
-	clock := known()
-	x, h := pair(t, clock)
-	x.noticeClock()
+func TestReplacedClockAgesData(t *testing.T) {
+	clock := knownClock()
+	x, h := newPair(t, clock)
+	x.checkClock()
 	now := clock.Now()
-	learn(x, "r", balance.Replica, now-600*time.Millisecond) // the class's bound is 1 s
-	a := h.ask(x, "view", 0)
+	handleStatement(x, "r", balance.Replica, now-600*time.Millisecond) // the class's bound is 1 s
+	a := h.request(x, "view", 0)
 	if a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition || a.Grounds.Expired(clock.Now(), clock.ForModule()) {
 		t.Fatalf("a read is sent as %+v, want it sent to r on its position", a)
 	}
-	behind(clock, 600*time.Millisecond)
+	proveBehind(clock, 600*time.Millisecond)
 	if clock.Epoch() == 0 {
 		t.Fatal("the interval of the clock is not replaced")
 	}
 	if !a.Grounds.Expired(clock.Now(), clock.ForModule()) {
 		t.Error("a read that was decided on before may still be sent")
 	}
-	x.noticeClock()
+	x.checkClock()
 	// A statement that was dated in the previous epoch is handled in the new one.
 	dated := clock.Now() // after all other statements of r
-	x.handle(dated, learning{balance.Heard{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.Made{NotBefore: dated,
+	x.handle(dated, hostStatement{balance.Heard{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.Made{NotBefore: dated,
 		NotAfter: dated, Epoch: x.clockEpoch - 1}, balance.Report{}})
 	x.router.Look(clock.Now(), func(s balance.Seen) {
 		if s.Leads > 0 {
 			t.Errorf("%s counts as primary by a statement that the wrong clock dated", s.Server)
 		}
 	})
-	if a := h.ask(x, "view", 0); a != nil && a.Grounds.Kind != balance.Excused {
+	if a := h.request(x, "view", 0); a != nil && a.Grounds.Kind != balance.Excused {
 		t.Errorf("a read is sent to %s on %+v, want none or an excused one", a.Server, a.Grounds)
 	}
-	learn(x, "r", balance.Replica, clock.Now()+500*time.Millisecond)
-	if a := h.ask(x, "view", 0); a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition {
+	handleStatement(x, "r", balance.Replica, clock.Now()+500*time.Millisecond)
+	if a := h.request(x, "view", 0); a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition {
 		t.Errorf("with a recent position of r a read is sent as %+v", a)
 	}
 }
 
 // A single answer that contradicts the known offset must remove the upper bound at once.
-func TestOneContradictionTakesTheSafeEnd(t *testing.T) {
-	clock := known()
-	x, h := pair(t, clock)
-	x.noticeClock()
-	learn(x, "r", balance.Replica, clock.Now())
+func TestContradictionRemovesUpperBound(t *testing.T) {
+	clock := knownClock()
+	x, h := newPair(t, clock)
+	x.checkClock()
+	handleStatement(x, "r", balance.Replica, clock.Now())
 	now := clock.Now()
 	clock.Observe(fleetclock.Observation{Host: "r", Position: now + time.Second, Sent: now, Received: now})
-	x.noticeClock()
-	if a := h.ask(x, "view", 0); a != nil && a.Grounds.Kind == balance.ByPosition {
+	x.checkClock()
+	if a := h.request(x, "view", 0); a != nil && a.Grounds.Kind == balance.ByPosition {
 		t.Errorf("a read is sent to %s on a position whose age is unbounded", a.Server)
 	}
 }
 
 // The position that a read must see and the positions of logs are both by the fleet's clock, so they can be
 // compared without knowing the local clock's offset.
-func TestAnOwnReadNeedsNoClock(t *testing.T) {
+func TestSessionReadNeedsNoClock(t *testing.T) {
 	clock := NewClock()
-	x, h := pair(t, clock)
+	x, h := newPair(t, clock)
 	wrote := clock.Now() - 5*time.Second + time.Hour // the clock is an hour behind
-	first := h.ask(x, "own", wrote)
+	first := h.request(x, "own", wrote)
 	if first == nil || first.Server != "p" {
 		t.Fatalf("the read is sent as %+v, want it sent to p", first)
 	}
-	learn(x, "r", balance.Replica, wrote) // hosts round up the position of a commit, so this log may end before it
-	if a := h.ask(x, "own", wrote); a != nil && a.Server == "r" {
+	handleStatement(x, "r", balance.Replica, wrote) // hosts round up the position of a commit, so this log may end before it
+	if a := h.request(x, "own", wrote); a != nil && a.Server == "r" {
 		t.Error("the read is sent to a replica that lacks the write")
 	}
 	clock.Inherit(clock.Now(), fleetclock.Interval{Least: time.Hour, Most: time.Hour})
-	x.noticeClock()
-	if a := h.ask(x, "own", wrote); a != nil && a.Server == "r" {
+	x.checkClock()
+	if a := h.request(x, "own", wrote); a != nil && a.Server == "r" {
 		t.Error("once the clock is known the read is sent to a replica that lacks the write")
 	}
-	learn(x, "r", balance.Replica, wrote+time.Millisecond)
-	if a := h.ask(x, "own", wrote); a == nil || a.Server != "r" {
+	handleStatement(x, "r", balance.Replica, wrote+time.Millisecond)
+	if a := h.request(x, "own", wrote); a == nil || a.Server != "r" {
 		t.Errorf("the read is sent as %+v, want it sent to the replica that has the write", a)
 	}
 }
 
 // The statement that a host is a replica takes effect also while the offset of the clock is unknown.
-func TestAFollowersWordBindsBeforeTheClockIsKnown(t *testing.T) {
-	x, h := pair(t, NewClock())
-	x.handle(x.cfg.Clock.Now(), learning{balance.Heard{Server: "p", Result: balance.OK, Role: balance.Replica},
+func TestReplicaStatementWithUnknownClock(t *testing.T) {
+	x, h := newPair(t, NewClock())
+	x.handle(x.cfg.Clock.Now(), hostStatement{balance.Heard{Server: "p", Result: balance.OK, Role: balance.Replica},
 		balance.Made{NotAfter: x.cfg.Clock.Now()}, balance.Report{}})
-	if a := h.ask(x, "own", x.cfg.Clock.Now()); a != nil {
+	if a := h.request(x, "own", x.cfg.Clock.Now()); a != nil {
 		t.Errorf("a read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 	}
 }
 
 // A host's statement in an answer is gossiped once, with the outcome. Results of clock probes are not gossiped.
-func TestAFollowersWordIsToldOnce(t *testing.T) {
-	x, h := pair(t, known())
+func TestReplicaStatementIsGossipedOnce(t *testing.T) {
+	x, h := newPair(t, knownClock())
 	x.cfg.Gossip = gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes, Burst: 1e6})
 	x.cfg.Gossip.Host("p")
 	x.cfg.Gossip.Host("r")
 	now := x.cfg.Clock.Now()
-	a := h.ask(x, "order", 0)
-	word := balance.Heard{Server: a.Server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart}
-	x.handle(now, learning{word, balance.Made{NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
+	a := h.request(x, "order", 0)
+	statement := balance.Heard{Server: a.Server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart}
+	x.handle(now, hostStatement{statement, balance.Made{NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
 	x.handle(now, Outcome{Outcome: balance.Outcome{ID: a.ID, Attempt: a.Number, Server: a.Server, Result: balance.Miss, Role: balance.Replica,
 		Made: balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}}})
 	x.clockProbes = map[string]bool{"r": true}
@@ -194,18 +194,18 @@
 	other := gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes})
 	other.Host("p")
 	other.Host("r")
-	heard, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.Datagram(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
-	if err != nil || len(heard) != 1 || heard[0].Class != "order" || heard[0].Role != balance.Replica {
-		t.Errorf("gossiped %+v, %v, want one entry", heard, err)
+	entries, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.Datagram(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
+	if err != nil || len(entries) != 1 || entries[0].Class != "order" || entries[0].Role != balance.Replica {
+		t.Errorf("gossiped %+v, %v, want one entry", entries, err)
 	}
 }
 
 // The new process of a hot restart takes the interval of the clock for proven, so a contradicted one is not
 // handed over.
-func TestAClockInDoubtIsNotHandedOver(t *testing.T) {
-	clock := known()
-	x, _ := pair(t, clock)
-	if !x.survey().ClockKnown {
+func TestContradictedClockIsNotHandedOver(t *testing.T) {
+	clock := knownClock()
+	x, _ := newPair(t, clock)
+	if !x.handoverState().ClockKnown {
 		t.Fatal("a known clock is not handed over")
 	}
 	now := clock.Now()
@@ -213,7 +213,7 @@
 	if b := clock.Bounds(); !b.Bounded || !b.Doubted {
 		t.Fatalf("bounds %+v", b)
 	}
-	if x.survey().ClockKnown {
+	if x.handoverState().ClockKnown {
 		t.Error("a contradicted clock is handed over")
 	}
 }
--- a/internal/memory/exchange/exchange.go
+++ b/internal/memory/exchange/exchange.go
@@ -37,46 +37,47 @@
 	// answerMargin is how long before the end of the client's wait a request must be answered. The client
 	// counts its wait from when it sent the request, and the answer takes time to reach it.
 	answerMargin = 15 * time.Millisecond
-	// windowMargin is how long before the end of a keyed class's window the last byte must be written. It
+	// keyWindowMargin is how long before the end of a keyed class's window the last byte must be written. It
 	// covers the network delay to the host and a stall of this process.
-	windowMargin = 20*time.Millisecond + draining.HoldUp
-	// retryAfter is the retry delay for requests to a group without a listed host.
-	retryAfter = 500 * time.Millisecond
-	// forgetAfter is how long a removed host is remembered. It is longer than the module remembers it. Removed
-	// hosts must be forgotten, as a fleet whose hosts are replaced continually would otherwise fill the memory.
-	forgetAfter = 2 * time.Minute
+	keyWindowMargin = 20*time.Millisecond + draining.HoldUp
+	// unlistedRetryAfter is the retry delay for requests to a group without a listed host.
+	unlistedRetryAfter = 500 * time.Millisecond
+	// forgetRemovedAfter is how long a removed host is remembered. It is longer than the module remembers it.
+	// Removed hosts must be forgotten, as a fleet whose hosts are replaced continually would otherwise fill the
+	// memory.
+	forgetRemovedAfter = 2 * time.Minute
 )
 
 // SettleAfter is the time after which new settings are binding, as specified by the operators. It counts from
 // when the settings were passed to the gateway.
 const SettleAfter = 1200 * time.Millisecond
 
-// open is a request that is unanswered or has an attempt in flight.
-type open struct {
+// pendingRequest is a request that is unanswered or has an attempt in flight.
+type pendingRequest struct {
 	*Request
-	class    *balance.Class
-	deadline time.Duration
-	patience time.Duration // maximum wait for a host; set only for requests that check one out
-	attempts int           // attempts sent so far
-	out      bool          // an attempt is in flight
-	answered bool
-	last     balance.Result // result of the previous attempt, if any
-	grounds  balance.Grounds
-	sentAt   time.Duration // when the latest attempt was sent
-	ranAt    time.Duration // when the first possibly executed attempt was sent, or 0 if there is none
-	waits    bool          // held at a fence; not yet passed to the module
-	again    bool          // a client retry
-	ticket   cells.Ticket  // the admission ticket of its cell
+	class              *balance.Class
+	deadline           time.Duration
+	maxHostWait        time.Duration // maximum wait for a host; set only for requests that check one out
+	attempts           int           // attempts sent so far
+	inFlight           bool          // an attempt is in flight
+	answered           bool
+	lastResult         balance.Result // result of the previous attempt, if any
+	grounds            balance.Grounds
+	sentAt             time.Duration // when the latest attempt was sent
+	possiblyExecutedAt time.Duration // when the first possibly executed attempt was sent, or 0 if there is none
+	fenced             bool          // held at a fence; not yet passed to the module
+	clientRetry        bool          // a client retry
+	ticket             cells.Ticket  // the admission ticket of its cell
 }
 
-// posted is an event and the time at which it arrived.
-type posted struct {
-	at time.Duration
-	ev any
+// queuedEvent is an event and the time at which it arrived.
+type queuedEvent struct {
+	at    time.Duration
+	event any
 }
 
-// gone is the event of a client disconnecting before its request was answered.
-type gone struct{ request *Request }
+// canceled is the event of a client disconnecting before its request was answered.
+type canceled struct{ request *Request }
 
 // Exchange runs the event loop. Its exported methods are safe for concurrent use; Run handles the events.
 type Exchange struct {
@@ -84,40 +85,40 @@
 	classes map[string]*balance.Class
 
 	mu    sync.Mutex
-	queue []posted
+	queue []queuedEvent
 	wake  chan struct{}
 
-	bounds *bounds
+	sendDeadlines *sendDeadlines
 
 	// The fields below are used by Run's goroutine only.
-	hosts    Hosts
-	router   *balance.Router
-	versions *reload.Versions
-	tries    *waits.Waits
-	open     map[string]*open
-	groups   map[int]bool
-	list     map[string]Member // hosts by id as listed by discovery, with times by the fleet's clock
-	timers   timers
-	acts     []balance.Action
-	seq      uint64        // sequence number of the latest timer
-	endBy    time.Duration // when the last answer is due during shutdown, or 0 if the gateway does not shut down
-	cells    *cells.State  // nil if no cells are configured
-	lookAt   time.Duration // when the cells next get the module's view of the hosts
-	seen     []balance.Seen
-	heard    []balance.Heard
-	newest   time.Duration // position of the newest write of any session, by the fleet's clock
-	begunAt  time.Duration
-
-	clockProbes map[string]bool // hosts with a clock probe in flight
-	clockRounds int             // rounds of clock probes sent so far
-	clockAskAt  time.Duration   // earliest time of the next round
-	trace       trace
-	// clock, clockTold, clockDoubted, clockBounded and clockEpoch are the state of the fleet's clock that the
-	// module and the host side were last notified of.
-	clock                   balance.ClockBounds
-	clockTold, clockDoubted bool
-	clockBounded            bool
-	clockEpoch              int
+	hosts         Hosts
+	router        *balance.Router
+	versions      *reload.Versions
+	clientRetries *waits.Waits
+	pending       map[string]*pendingRequest
+	groups        map[int]bool
+	listed        map[string]Member // hosts by id as listed by discovery, with times by the fleet's clock
+	timers        timers
+	actions       []balance.Action
+	seq           uint64        // sequence number of the latest timer
+	shutdownBy    time.Duration // when the last answer is due during shutdown, or 0 if the gateway does not shut down
+	cells         *cells.State  // nil if no cells are configured
+	nextCellsSync time.Duration // when the cells next get the module's view of the hosts
+	seen          []balance.Seen
+	gossipEntries []balance.Heard
+	newestWrite   time.Duration // position of the newest write of any session, by the fleet's clock
+	processStart  time.Duration
+
+	clockProbes    map[string]bool // hosts with a clock probe in flight
+	clockRounds    int             // rounds of clock probes sent so far
+	nextClockProbe time.Duration   // earliest time of the next round
+	trace          trace
+	// clock, clockKnown, clockContradicted, clockBounded and clockEpoch are the state of the fleet's clock that
+	// the module and the host side were last notified of.
+	clock                         balance.ClockBounds
+	clockKnown, clockContradicted bool
+	clockBounded                  bool
+	clockEpoch                    int
 }
 
 // New returns an Exchange. It returns an error that names the setting if one is invalid.
@@ -131,20 +132,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	begunAt := cfg.Clock.Now()
-	x := &Exchange{cfg: cfg, router: router, wake: make(chan struct{}, 1), versions: reload.New(s, SettleAfter), tries: waits.New(),
-		open: map[string]*open{}, groups: map[int]bool{}, list: map[string]Member{},
-		bounds: newBounds(s, begunAt), begunAt: begunAt}
-	x.use(s)
+	processStart := cfg.Clock.Now()
+	x := &Exchange{cfg: cfg, router: router, wake: make(chan struct{}, 1), versions: reload.New(s, SettleAfter), clientRetries: waits.New(),
+		pending: map[string]*pendingRequest{}, groups: map[int]bool{}, listed: map[string]Member{},
+		sendDeadlines: newSendDeadlines(s, processStart), processStart: processStart}
+	x.useSettings(s)
 	x.clock = x.cfg.Clock.ForModule()
-	x.router.Handle(x.begunAt, x.clock, nil)
+	x.router.Handle(x.processStart, x.clock, nil)
 	return x, nil
 }
 
 func (x *Exchange) post(ev any) {
 	at := x.cfg.Clock.Now()
 	x.mu.Lock()
-	x.queue = append(x.queue, posted{at, ev})
+	x.queue = append(x.queue, queuedEvent{at, ev})
 	x.mu.Unlock()
 	select {
 	case x.wake <- struct{}{}:
@@ -156,7 +157,7 @@
 func (x *Exchange) Submit(r *Request) { x.post(r) }
 
 // Gone cancels a request whose client has disconnected. It is not answered.
-func (x *Exchange) Gone(r *Request) { x.post(gone{r}) }
+func (x *Exchange) Gone(r *Request) { x.post(canceled{r}) }
 
 // Outcome reports the outcome of an attempt.
 func (x *Exchange) Outcome(o Outcome) { x.post(o) }
@@ -164,46 +165,46 @@
 // Probed reports the result of a probe.
 func (x *Exchange) Probed(p balance.ProbeResult) { x.post(p) }
 
-// datagram is the event of a gossip message from another gateway.
-type datagram []byte
+// gossipMessage is the event of a gossip message from another gateway.
+type gossipMessage []byte
 
 // Heard accepts a gossip message from another gateway.
-func (x *Exchange) Heard(b []byte) { x.post(datagram(b)) }
+func (x *Exchange) Heard(b []byte) { x.post(gossipMessage(b)) }
 
-// ending is the event of a shutdown starting.
-type ending struct{ by time.Duration }
+// shutdownStarted is the event of a shutdown starting.
+type shutdownStarted struct{ by time.Duration }
 
 // Ending starts the shutdown: every request must be answered by the given time, even if its client would wait
 // longer.
-func (x *Exchange) Ending(by time.Duration) { x.post(ending{by}) }
+func (x *Exchange) Ending(by time.Duration) { x.post(shutdownStarted{by}) }
 
 // Run handles events until the context is done. Only Run's goroutine calls the module.
 func (x *Exchange) Run(ctx context.Context, hosts Hosts) error {
 	x.hosts = hosts
-	x.bounds.serve(hosts)
+	x.sendDeadlines.setHosts(hosts)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var batch []posted
+	var batch []queuedEvent
 	for {
 		x.mu.Lock()
 		batch, x.queue = x.queue, batch[:0]
 		x.mu.Unlock()
-		x.stall(batch)
-		x.noticeClock()
+		x.logStall(batch)
+		x.checkClock()
 		for i, p := range batch {
-			x.due(p.at) // timers that expired before the event arrived
-			x.handle(p.at, p.ev)
-			batch[i] = posted{}
+			x.runTimers(p.at) // timers that expired before the event arrived
+			x.handle(p.at, p.event)
+			batch[i] = queuedEvent{}
 		}
-		x.due(x.cfg.Clock.Now())
-		x.settle(x.cfg.Clock.Now())
-		x.tell(x.cfg.Clock.Now())
-		x.look(x.cfg.Clock.Now())
+		x.runTimers(x.cfg.Clock.Now())
+		x.settleSettings(x.cfg.Clock.Now())
+		x.sendGossip(x.cfg.Clock.Now())
+		x.syncCells(x.cfg.Clock.Now())
 		x.logTrace(x.cfg.Clock.Now())
 		if len(batch) > 0 {
 			continue
 		}
-		timer.Reset(x.untilDue(x.cfg.Clock.Now()))
+		timer.Reset(x.untilNextDue(x.cfg.Clock.Now()))
 		select {
 		case <-ctx.Done():
 			x.endTrace(x.cfg.Clock.Now())
@@ -214,12 +215,12 @@
 	}
 }
 
-// longestIdle is the maximum time that Run waits if nothing is due.
-const longestIdle = time.Hour
+// maxIdle is the maximum time that Run waits if nothing is due.
+const maxIdle = time.Hour
 
-// untilDue returns the time until the next timer or periodic task is due, or 0 if one is due already.
-func (x *Exchange) untilDue(now time.Duration) time.Duration {
-	next := now + longestIdle
+// untilNextDue returns the time until the next timer or periodic task is due, or 0 if one is due already.
+func (x *Exchange) untilNextDue(now time.Duration) time.Duration {
+	next := now + maxIdle
 	if len(x.timers) > 0 {
 		next = min(next, x.timers[0].due)
 	}
@@ -232,16 +233,16 @@
 		next = min(next, at)
 	}
 	if x.cells != nil {
-		next = min(next, x.lookAt)
+		next = min(next, x.nextCellsSync)
 	}
-	if x.trace.lineAt > 0 {
-		next = min(next, x.trace.lineAt)
+	if x.trace.nextLineAt > 0 {
+		next = min(next, x.trace.nextLineAt)
 	}
 	return max(next-now, 0)
 }
 
-// due passes the timers that expire at or before the given time to the module.
-func (x *Exchange) due(by time.Duration) {
+// runTimers passes the timers that expire at or before the given time to the module.
+func (x *Exchange) runTimers(by time.Duration) {
 	for len(x.timers) > 0 && x.timers[0].due <= by {
 		x.decide(balance.Timer{Tag: x.timers.pop().tag})
 		x.cfg.Counters.Timers.Add(-1)
@@ -252,17 +253,17 @@
 func (x *Exchange) handle(at time.Duration, ev any) {
 	switch e := ev.(type) {
 	case *Request:
-		x.request(e)
-	case gone:
-		if o := x.open[e.request.ID]; o != nil && o.Request == e.request && !o.answered {
+		x.handleRequest(e)
+	case canceled:
+		if o := x.pending[e.request.ID]; o != nil && o.Request == e.request && !o.answered {
 			o.answered = true
-			x.cfg.Counters.Gone.Add(1)
-			x.unserved(o)
+			x.cfg.Counters.RequestsCanceled.Add(1)
+			x.noteUnserved(o)
 			x.decide(balance.Gone{ID: o.ID})
-			x.forget(o)
+			x.release(o)
 		}
 	case Outcome:
-		x.outcome(e)
+		x.handleOutcome(e)
 	case balance.ProbeResult:
 		forClock := x.clockProbes[e.Server]
 		if delete(x.clockProbes, e.Server); forClock && e.Result != balance.OK {
@@ -270,81 +271,81 @@
 		}
 		x.dropOutdated(e.Made, new(balance.Role), &e.Report)
 		if !forClock { // many gateways that start together would use up their gossip budget on clock probes
-			x.note(balance.Heard{Server: e.Server, Result: e.Result}, e.Made, e.Report)
+			x.addGossip(balance.Heard{Server: e.Server, Result: e.Result}, e.Made, e.Report)
 		}
 		x.decide(e)
-	case learning:
-		x.learned(e)
-	case datagram:
-		x.receive(e)
-	case members:
-		x.members(e)
-	case ending:
-		x.ending(e.by)
-	case surveying:
-		e.done <- x.survey()
-	case inheriting:
-		x.inherit(e)
-	case retuning:
-		x.retune(e.settings)
-	case configuring:
-		x.configure(e.cells)
-	case asking:
-		e.done <- x.ask(e.do)
+	case hostStatement:
+		x.handleStatement(e)
+	case gossipMessage:
+		x.receiveGossip(e)
+	case endpointList:
+		x.handleMembers(e)
+	case shutdownStarted:
+		x.startShutdown(e.by)
+	case stateRequest:
+		e.done <- x.handoverState()
+	case inheritedState:
+		x.handleInherited(e)
+	case settingsUpdate:
+		x.updateSettings(e.settings)
+	case cellsUpdate:
+		x.updateCells(e.cells)
+	case cellsCall:
+		e.done <- x.callCells(e.do)
 	}
 }
 
-// ending shortens the deadlines of all pending requests to the time by which the last answer is due. Requests
-// that are unanswered when the process exits are lost, including those that arrived before the signal and whose
-// clients would wait longer.
-func (x *Exchange) ending(by time.Duration) {
-	if x.endBy == by {
+// startShutdown shortens the deadlines of all pending requests to the time by which the last answer is due.
+// Requests that are unanswered when the process exits are lost, including those that arrived before the signal
+// and whose clients would wait longer.
+func (x *Exchange) startShutdown(by time.Duration) {
+	if x.shutdownBy == by {
 		return
 	}
-	x.endBy = by
-	for _, o := range x.open {
+	x.shutdownBy = by
+	for _, o := range x.pending {
 		if o.deadline <= by {
 			continue
 		}
-		if o.deadline = by; o.waits { // the fence was given the previous deadline and would hold the request until then
-			x.pass(o, cells.Verdict{Kind: cells.Over, Group: o.Group})
+		if o.deadline = by; o.fenced { // the fence was given the previous deadline and would hold the request until then
+			x.dispatch(o, cells.Verdict{Kind: cells.Over, Group: o.Group})
 		}
 	}
 	x.decide(balance.Ending{By: by})
 }
 
 // answer sends the final answer of a request unless it has been answered.
-func (x *Exchange) answer(o *open, a Answer, count *counters.Count) {
+func (x *Exchange) answer(o *pendingRequest, a Answer, count *counters.Count) {
 	if o.answered {
 		return
 	}
 	o.answered = true
 	count.Add(1)
 	if a.Kind != Served {
-		x.unserved(o)
+		x.noteUnserved(o)
 	}
 	o.Answer <- a
-	x.forget(o)
+	x.release(o)
 }
 
-// unserved records that a request ended without being served, so that a client retry may follow.
-func (x *Exchange) unserved(o *open) {
-	if !o.again {
-		x.tries.Unserved(o.Class)
+// noteUnserved records that a request ended without being served, so that a client retry may follow.
+func (x *Exchange) noteUnserved(o *pendingRequest) {
+	if !o.clientRetry {
+		x.clientRetries.Unserved(o.Class)
 	}
 }
 
-// forget drops the record of a request that is answered and has no attempt in flight. If an attempt is in
+// release drops the record of a request that is answered and has no attempt in flight. If an attempt is in
 // flight, it withdraws the attempt in case that still waits for its connection: nothing may be sent to a host
 // for a client that has disconnected or has its answer.
-func (x *Exchange) forget(o *open) {
+func (x *Exchange) release(o *pendingRequest) {
 	switch {
-	case !o.answered || x.open[o.ID] != o:
-	case o.out:
+	case !o.answered || x.pending[o.ID] != o:
+	case o.inFlight:
 		x.hosts.Withdraw(o.ID, o.attempts-1)
 	default:
-		delete(x.open, o.ID)
-		x.done(o)
+		delete(x.pending, o.ID)
+		x.releaseTicket(o)
 	}
 }
 
@@ -359,37 +360,37 @@
 			x.restart()
 		}
 	}()
-	x.acts = x.router.Handle(x.cfg.Clock.Now(), ev, x.acts[:0])
-	for _, a := range x.acts {
-		x.act(a)
+	x.actions = x.router.Handle(x.cfg.Clock.Now(), ev, x.actions[:0])
+	for _, a := range x.actions {
+		x.perform(a)
 	}
 	for _, c := range x.router.Changes() {
-		x.primaryChanged(c)
+		x.logPrimaryChange(c)
 	}
 }
 
 // restart replaces the module after a panic.
 func (x *Exchange) restart() {
-	for _, o := range x.open {
+	for _, o := range x.pending {
 		x.answer(o, Answer{Kind: Failed, Reason: "internal error"}, &x.cfg.Counters.Failed)
 	}
 	x.cfg.Seed++
-	known := x.recall()
+	evidence := x.moduleEvidence()
 	s := x.cfg.Settings
 	s.Restarted = true
 	if !s.TokensCarried { // the positions of the individual sessions' writes are lost
-		s.Floor = max(s.Floor, x.newest)
+		s.Floor = max(s.Floor, x.newestWrite)
 	}
 	x.router, _ = balance.New(s, x.cfg.Seed) // these settings have been accepted before
 	x.cfg.Counters.Timers.Add(-int64(len(x.timers)))
 	x.timers = nil
 	list := balance.Members{Whole: true}
-	for _, m := range x.list {
-		list.List = append(list.List, x.bound(m))
+	for _, m := range x.listed {
+		list.List = append(list.List, x.moduleMember(m))
 	}
 	x.router.Handle(x.cfg.Clock.Now(), x.clock, nil)
 	x.router.Handle(x.cfg.Clock.Now(), list, nil)
-	for _, k := range known {
+	for _, k := range evidence {
 		x.router.Handle(x.cfg.Clock.Now(), k, nil)
 	}
 	if x.cells != nil {
@@ -397,18 +398,18 @@
 	}
 }
 
-func (x *Exchange) act(a balance.Action) {
+func (x *Exchange) perform(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
 		x.send(a)
 	case balance.Refuse:
-		if o := x.open[a.ID]; o != nil {
-			x.gaveUp(o, "refused", a.Why, a.Bad)
+		if o := x.pending[a.ID]; o != nil {
+			x.logGivenUp(o, "refused", a.Why, a.Bad)
 			x.answer(o, Answer{Kind: Refused, Reason: "request refused", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
 		}
 	case balance.Fail:
-		if o := x.open[a.ID]; o != nil {
-			x.gaveUp(o, "failed", a.Why, a.Bad)
+		if o := x.pending[a.ID]; o != nil {
+			x.logGivenUp(o, "failed", a.Why, a.Bad)
 			x.answer(o, Answer{Kind: Failed, Reason: "request failed"}, &x.cfg.Counters.Failed)
 		}
 	case balance.Cancel:
@@ -427,13 +428,13 @@
 
 // send starts an attempt, with the limits on when it may go out.
 func (x *Exchange) send(a balance.Send) {
-	o, now := x.open[a.ID], x.cfg.Clock.Now()
+	o, now := x.pending[a.ID], x.cfg.Clock.Now()
 	if o == nil {
 		return
 	}
 	t := Attempt{ID: a.ID, Number: o.attempts, Server: a.Server, Command: o.Command, Left: o.Left, Sent: now, Until: o.deadline}
 	o.attempts++
-	o.out, o.sentAt = true, now
+	o.inFlight, o.sentAt = true, now
 	x.cfg.Counters.Sent.Add(1)
 	if a.Timeout != 0 {
 		t.Until = min(t.Until, now+a.Timeout)
@@ -443,29 +444,29 @@
 	x.cfg.Counters.Grounds[a.Grounds.Kind].Add(1)
 	if a.Grounds.SendBy > 0 {
 		// The known position is within the staleness bound now. A slow connect must not let the read exceed it.
-		t.writeBy(a.Grounds.SendBy)
+		t.limitWrite(a.Grounds.SendBy)
 	}
-	if by := x.bounds.until(a.Server); by != draining.Open {
+	if by := x.sendDeadlines.deadline(a.Server); by != draining.Open {
 		// Nothing may be sent after the drain grace, however long connecting takes.
-		t.startBy(by)
+		t.limitStart(by)
 	}
-	if o.class.Effect == balance.Keyed && o.ranAt > 0 {
+	if o.class.Effect == balance.Keyed && o.possiblyExecutedAt > 0 {
 		// The module found the key's window open. It must not close while the connection is set up.
-		t.writeBy(o.ranAt + o.class.KeyTTL - windowMargin)
+		t.limitWrite(o.possiblyExecutedAt + o.class.KeyTTL - keyWindowMargin)
 	}
 	x.hosts.Send(t)
 }
 
-// startBy limits the time at which the first byte of the attempt may be sent.
-func (a *Attempt) startBy(t time.Duration) {
+// limitStart limits the time at which the first byte of the attempt may be sent.
+func (a *Attempt) limitStart(t time.Duration) {
 	if a.StartBy == 0 || t < a.StartBy {
 		a.StartBy = t
 	}
 }
 
-// writeBy limits the time at which the last byte of the attempt may be sent.
-func (a *Attempt) writeBy(t time.Duration) {
-	a.startBy(t)
+// limitWrite limits the time at which the last byte of the attempt may be sent.
+func (a *Attempt) limitWrite(t time.Duration) {
+	a.limitStart(t)
 	if a.WriteBy == 0 || t < a.WriteBy {
 		a.WriteBy = t
 	}
--- a/internal/memory/exchange/exchange_test.go
+++ b/internal/memory/exchange/exchange_test.go
@@ -16,9 +16,9 @@
 
 // hosts is a host side that records the calls to it.
 type hosts struct {
-	sent   []Attempt
-	probed []string
-	until  map[string]time.Duration
+	sent      []Attempt
+	probed    []string
+	deadlines map[string]time.Duration
 }
 
 func (h *hosts) Send(a Attempt)       { h.sent = append(h.sent, a) }
@@ -28,15 +28,15 @@
 func (h *hosts) Members([]Member)     {}
 func (h *hosts) Forget(string)        {}
 func (h *hosts) Until(server string, by time.Duration) {
-	if h.until == nil {
-		h.until = map[string]time.Duration{}
+	if h.deadlines == nil {
+		h.deadlines = map[string]time.Duration{}
 	}
-	h.until[server] = by
+	h.deadlines[server] = by
 }
 
-// fresh returns an exchange with one listed primary, its host side and a function that submits a request. The
-// test calls the handlers of the exchange directly instead of Run.
-func fresh(t *testing.T) (*Exchange, *hosts, func(class string) chan Answer) {
+// newSingle returns an exchange with one listed primary, its host side and a function that submits a request.
+// The test calls the handlers of the exchange directly instead of Run.
+func newSingle(t *testing.T) (*Exchange, *hosts, func(class string) chan Answer) {
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
 			Classes: []balance.Class{
@@ -48,8 +48,8 @@
 	}
 	h := &hosts{}
 	x.hosts = h
-	x.bounds.serve(h)
-	list(x, balance.Active)
+	x.sendDeadlines.setHosts(h)
+	listPrimary(x, balance.Active)
 	n := 0
 	return x, h, func(class string) chan Answer {
 		n++
@@ -60,52 +60,52 @@
 	}
 }
 
-// list applies and handles a list that arrives now, with the primary in a state.
-func list(x *Exchange, s balance.State) { take(x, x.cfg.Clock.Now(), only(s)) }
+// listPrimary applies and handles a list that arrives now, with the primary in a state.
+func listPrimary(x *Exchange, s balance.State) { applyList(x, x.cfg.Clock.Now(), singleList(s)) }
 
-// only returns a snapshot with the one primary in a state.
-func only(s balance.State) members {
-	return members{true, []Member{{Address: "h:1", Member: balance.Member{Server: "s", Group: 1, State: s, Primary: true, Weight: 1}}}}
+// singleList returns a snapshot with the one primary in a state.
+func singleList(s balance.State) endpointList {
+	return endpointList{true, []Member{{Address: "h:1", Member: balance.Member{Server: "s", Group: 1, State: s, Primary: true, Weight: 1}}}}
 }
 
-// take applies a list that arrived at the given time, and handles it.
-func take(x *Exchange, at time.Duration, e members) {
-	x.handle(x.cfg.Clock.Now(), x.bounds.take(List{Agent: "a", At: at, Whole: e.whole, Hosts: e.list}))
+// applyList applies a list that arrived at the given time, and handles it.
+func applyList(x *Exchange, at time.Duration, e endpointList) {
+	x.handle(x.cfg.Clock.Now(), x.sendDeadlines.apply(List{Agent: "a", At: at, Whole: e.snapshot, Hosts: e.hosts}))
 }
 
 func TestStartBy(t *testing.T) {
-	x, h, ask := fresh(t)
+	x, h, ask := newSingle(t)
 	before := x.cfg.Clock.Now()
 	ask("view")
 	ask("order")
-	list(x, balance.Draining)
-	told := x.cfg.Clock.Now()
+	listPrimary(x, balance.Draining)
+	listedAt := x.cfg.Clock.Now()
 	ask("order")
 	if len(h.sent) != 3 || h.sent[0].Left == nil {
 		t.Fatalf("sent %v, want 3 attempts", h.sent)
 	}
 	write, excused, draining := h.sent[1].StartBy, h.sent[0], h.sent[2].StartBy
-	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.Excused || draining <= told || draining > told+time.Second {
-		t.Errorf("StartBy of the write %v, of the excused read %v (%v), of the draining host %v after %v", write, excused.StartBy, excused.Grounds, draining-told, told-before)
+	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.Excused || draining <= listedAt || draining > listedAt+time.Second {
+		t.Errorf("StartBy of the write %v, of the excused read %v (%v), of the draining host %v after %v", write, excused.StartBy, excused.Grounds, draining-listedAt, listedAt-before)
 	}
 }
 
-func TestARepeatIsWrittenToItsLastByteInsideItsWindow(t *testing.T) {
-	x, h, ask := fresh(t)
+func TestKeyedRetryStaysInWindow(t *testing.T) {
+	x, h, ask := newSingle(t)
 	ask("pay")
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "b", Server: "s", Result: balance.Reset}})
 	if len(h.sent) != 2 || h.sent[0].WriteBy != 0 {
 		t.Fatalf("sent %+v", h.sent)
 	}
-	if again, end := h.sent[1], h.sent[0].Sent+10*time.Second-windowMargin; again.StartBy != end || again.WriteBy != end {
-		t.Errorf("the retry has StartBy %v and WriteBy %v, want %v for both", again.StartBy, again.WriteBy, end)
+	if retry, end := h.sent[1], h.sent[0].Sent+10*time.Second-keyWindowMargin; retry.StartBy != end || retry.WriteBy != end {
+		t.Errorf("the retry has StartBy %v and WriteBy %v, want %v for both", retry.StartBy, retry.WriteBy, end)
 	}
 }
 
-func TestEndingBoundsTheWait(t *testing.T) {
-	x, h, ask := fresh(t)
+func TestShutdownLimitsNewRequests(t *testing.T) {
+	x, h, ask := newSingle(t)
 	by := x.cfg.Clock.Now() + 50*time.Second
-	x.handle(x.cfg.Clock.Now(), ending{by})
+	x.handle(x.cfg.Clock.Now(), shutdownStarted{by})
 	ask("order")
 	if len(h.sent) != 1 || h.sent[0].Until != by {
 		t.Errorf("sent %v, want one attempt with Until %v", h.sent, by)
@@ -114,14 +114,14 @@
 
 // Requests that are pending when the shutdown starts get its deadline, whether in flight at a host that hangs
 // or held at a fence.
-func TestEndingBoundsWhatIsOpen(t *testing.T) {
-	x, _, ask := fresh(t)
-	out, fenced := ask("order"), make(chan Answer, 1)
-	o := &open{Request: &Request{ID: "fenced", Class: "order", Group: 1, Write: true, Answer: fenced}, class: x.classes["order"],
-		deadline: x.cfg.Clock.Now() + time.Minute, waits: true}
-	x.open[o.ID] = o
+func TestShutdownLimitsPendingRequests(t *testing.T) {
+	x, _, ask := newSingle(t)
+	inFlight, fenced := ask("order"), make(chan Answer, 1)
+	o := &pendingRequest{Request: &Request{ID: "fenced", Class: "order", Group: 1, Write: true, Answer: fenced}, class: x.classes["order"],
+		deadline: x.cfg.Clock.Now() + time.Minute, fenced: true}
+	x.pending[o.ID] = o
 	by := x.cfg.Clock.Now() + 50*time.Second
-	x.handle(x.cfg.Clock.Now(), ending{by})
+	x.handle(x.cfg.Clock.Now(), shutdownStarted{by})
 	select {
 	case a := <-fenced:
 		if a.Kind != Refused {
@@ -130,14 +130,14 @@
 	default:
 		t.Error("the request held at a fence is not answered")
 	}
-	for _, o := range x.open {
+	for _, o := range x.pending {
 		if o.deadline != by {
 			t.Errorf("the deadline of %s is %v, want %v", o.ID, o.deadline, by)
 		}
 	}
-	x.due(by + 10*time.Millisecond) // the module fails requests in flight then
+	x.runTimers(by + 10*time.Millisecond) // the module fails requests in flight then
 	select {
-	case a := <-out:
+	case a := <-inFlight:
 		if a.Kind != Failed {
 			t.Errorf("the request in flight is answered %v, want failed", a)
 		}
@@ -147,83 +147,83 @@
 }
 
 // With DroppedStayOpen a host that was removed without a drain gets no send deadline.
-func TestAHostDroppedWithoutADrainMayStayOpen(t *testing.T) {
+func TestDroppedStayOpen(t *testing.T) {
 	for _, stays := range []bool{false, true} {
-		x, h, _ := fresh(t)
+		x, h, _ := newSingle(t)
 		s := x.cfg.Settings
 		s.DroppedStayOpen = stays
-		x.bounds.retune(s)
-		take(x, x.cfg.Clock.Now(), members{whole: true})
-		if bound := x.bounds.until("s") != draining.Open; bound == stays || h.until["s"] != x.bounds.until("s") {
-			t.Errorf("DroppedStayOpen %v: has a send deadline: %v, deadline at the host side %v", stays, bound, h.until["s"])
+		x.sendDeadlines.updateSettings(s)
+		applyList(x, x.cfg.Clock.Now(), endpointList{snapshot: true})
+		if bound := x.sendDeadlines.deadline("s") != draining.Open; bound == stays || h.deadlines["s"] != x.sendDeadlines.deadline("s") {
+			t.Errorf("DroppedStayOpen %v: has a send deadline: %v, deadline at the host side %v", stays, bound, h.deadlines["s"])
 		}
 	}
 }
 
 // The drain grace counts from when the list arrived, however late the event loop handles it.
-func TestAListCountsFromWhenItCame(t *testing.T) {
-	x, h, ask := fresh(t)
-	came := x.cfg.Clock.Now() - 400*time.Millisecond
-	take(x, came, only(balance.Draining))
+func TestDrainGraceCountsFromArrival(t *testing.T) {
+	x, h, ask := newSingle(t)
+	arrived := x.cfg.Clock.Now() - 400*time.Millisecond
+	applyList(x, arrived, singleList(balance.Draining))
 	ask("order")
-	if want := came + time.Second - 2*draining.HoldUp; len(h.sent) != 1 || h.sent[0].StartBy != want {
+	if want := arrived + time.Second - 2*draining.HoldUp; len(h.sent) != 1 || h.sent[0].StartBy != want {
 		t.Errorf("sent %v, want one attempt with StartBy %v", h.sent, want)
 	}
 }
 
 // A list limits attempts in flight before the event loop handles it.
-func TestAListBindsBeforeItIsHandled(t *testing.T) {
-	x, h, _ := fresh(t)
+func TestDrainBindsBeforeListIsHandled(t *testing.T) {
+	x, h, _ := newSingle(t)
 	at := x.cfg.Clock.Now()
-	x.Members(List{Agent: "a", At: at, Whole: true, Hosts: only(balance.Draining).list})
-	if want := at + time.Second - 2*draining.HoldUp; h.until["s"] != want {
-		t.Errorf("send deadline %v, want %v", h.until["s"], want)
+	x.Members(List{Agent: "a", At: at, Whole: true, Hosts: singleList(balance.Draining).hosts})
+	if want := at + time.Second - 2*draining.HoldUp; h.deadlines["s"] != want {
+		t.Errorf("send deadline %v, want %v", h.deadlines["s"], want)
 	}
 	// An older list that is handled later must not remove the send deadline.
-	x.handle(at, only(balance.Active))
-	if h.until["s"] == draining.Open {
+	x.handle(at, singleList(balance.Active))
+	if h.deadlines["s"] == draining.Open {
 		t.Error("an older list that is handled later removes the send deadline")
 	}
 }
 
 // A settings update changes the drain grace also for hosts that are already draining.
-func TestNewSettingsMoveTheBoundOfADrain(t *testing.T) {
+func TestSettingsUpdateMovesSendDeadline(t *testing.T) {
 	for _, grace := range []time.Duration{400 * time.Millisecond, 5 * time.Second} {
-		x, h, _ := fresh(t)
+		x, h, _ := newSingle(t)
 		at := x.cfg.Clock.Now()
-		take(x, at, only(balance.Draining))
+		applyList(x, at, singleList(balance.Draining))
 		s := x.cfg.Settings
 		s.DrainGrace = grace
-		x.handle(at, retuning{s})
-		x.settle(at + 2*SettleAfter)
-		if want := at + grace - 2*draining.HoldUp; h.until["s"] != want {
-			t.Errorf("grace of %s: send deadline %v, want %v", grace, h.until["s"], want)
+		x.handle(at, settingsUpdate{s})
+		x.settleSettings(at + 2*SettleAfter)
+		if want := at + grace - 2*draining.HoldUp; h.deadlines["s"] != want {
+			t.Errorf("grace of %s: send deadline %v, want %v", grace, h.deadlines["s"], want)
 		}
 	}
 }
 
 // The new process of a hot restart inherits the time of a drain notification and must not start a new grace.
-func TestADrainKeepsItsTimeOverAHandover(t *testing.T) {
-	x, _, _ := fresh(t)
+func TestDrainGraceSurvivesHandover(t *testing.T) {
+	x, _, _ := newSingle(t)
 	const ago = 600 * time.Millisecond
-	take(x, x.cfg.Clock.Now()-ago, only(balance.Draining))
-	known := x.survey()
-	next, h, _ := fresh(t)
-	asked := next.cfg.Clock.Now()
-	next.Inherit(asked, known)
-	if want := asked - ago + time.Second - 2*draining.HoldUp; h.until["s"] > want {
-		t.Errorf("send deadline in the new process %v, want at most %v", h.until["s"], want)
-	}
-	take(next, next.cfg.Clock.Now(), only(balance.Draining)) // discovery lists the drain as well
-	if want := asked - ago + time.Second - 2*draining.HoldUp; h.until["s"] > want {
-		t.Errorf("send deadline after discovery lists the drain %v, want at most %v", h.until["s"], want)
+	applyList(x, x.cfg.Clock.Now()-ago, singleList(balance.Draining))
+	handed := x.handoverState()
+	next, h, _ := newSingle(t)
+	requestedAt := next.cfg.Clock.Now()
+	next.Inherit(requestedAt, handed)
+	if want := requestedAt - ago + time.Second - 2*draining.HoldUp; h.deadlines["s"] > want {
+		t.Errorf("send deadline in the new process %v, want at most %v", h.deadlines["s"], want)
+	}
+	applyList(next, next.cfg.Clock.Now(), singleList(balance.Draining)) // discovery lists the drain as well
+	if want := requestedAt - ago + time.Second - 2*draining.HoldUp; h.deadlines["s"] > want {
+		t.Errorf("send deadline after discovery lists the drain %v, want at most %v", h.deadlines["s"], want)
 	}
 }
 
 // A module that replaces one that panicked gets the drains with their send deadlines.
-func TestADrainSurvivesAPanicOfTheModule(t *testing.T) {
-	x, h, ask := fresh(t)
-	take(x, x.cfg.Clock.Now()-time.Second, only(balance.Draining))
+func TestDrainSurvivesPanic(t *testing.T) {
+	x, h, ask := newSingle(t)
+	applyList(x, x.cfg.Clock.Now()-time.Second, singleList(balance.Draining))
 	x.router = nil // Handle panics
 	x.decide(balance.Timer{})
 	ask("order")
@@ -232,27 +232,27 @@
 	}
 }
 
-func TestPanicOfTheModule(t *testing.T) {
-	x, h, ask := fresh(t)
-	held := ask("order")
+func TestModulePanic(t *testing.T) {
+	x, h, ask := newSingle(t)
+	first := ask("order")
 	x.router = nil // Handle panics
 	x.decide(balance.Timer{})
-	if a := <-held; a.Kind != Failed {
+	if a := <-first; a.Kind != Failed {
 		t.Errorf("the pending request is answered %v, want failed", a)
 	}
 	// The outcome of the attempt that was in flight reaches a module that does not know it.
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: h.sent[0].ID, Server: "s", Result: balance.OK}})
-	again := ask("order")
+	second := ask("order")
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: h.sent[1].ID, Server: "s", Result: balance.OK}, Value: "v"})
-	if diff := cmp.Diff(Answer{Kind: Served, Value: "v"}, <-again); diff != "" {
+	if diff := cmp.Diff(Answer{Kind: Served, Value: "v"}, <-second); diff != "" {
 		t.Error(diff)
 	}
-	if len(x.open) != 0 {
-		t.Errorf("%d pending requests are left, want none", len(x.open))
+	if len(x.pending) != 0 {
+		t.Errorf("%d pending requests are left, want none", len(x.pending))
 	}
 }
 
-func TestTimersComeInOrder(t *testing.T) {
+func TestTimerOrder(t *testing.T) {
 	var ts timers
 	for i, due := range []time.Duration{5, 3, 5, 1} {
 		ts.push(due, int64(i), uint64(i))
@@ -267,19 +267,19 @@
 	}
 }
 
-func TestGoneHostIsForgotten(t *testing.T) {
-	x, _, _ := fresh(t)
-	long := x.cfg.Clock.Now() - 2*forgetAfter
-	take(x, long, members{whole: true})
-	if _, known := x.bounds.notifiedAt("s"); len(x.list) != 0 || len(x.bounds.known) != 0 || known {
-		t.Errorf("kept: %v, %v", x.list, x.bounds.known)
+func TestRemovedHostIsForgotten(t *testing.T) {
+	x, _, _ := newSingle(t)
+	long := x.cfg.Clock.Now() - 2*forgetRemovedAfter
+	applyList(x, long, endpointList{snapshot: true})
+	if _, known := x.sendDeadlines.notifiedAt("s"); len(x.listed) != 0 || len(x.sendDeadlines.latestStart) != 0 || known {
+		t.Errorf("kept: %v, %v", x.listed, x.sendDeadlines.latestStart)
 	}
 }
 
 // A client retry after the latency target of its class: the module gets the time since the first attempt of the
 // client and must not send the request to a host.
-func TestALaterTryThatCanEarnNothingIsNotSent(t *testing.T) {
-	x, h, _ := fresh(t)
+func TestLateClientRetryIsNotSent(t *testing.T) {
+	x, h, _ := newSingle(t)
 	try := func(id string, wait time.Duration) chan Answer {
 		c := make(chan Answer, 1)
 		x.handle(x.cfg.Clock.Now(), &Request{ID: id, Class: "quick", Group: 1, Arrived: x.cfg.Clock.Now(), Wait: wait, Answer: c})
@@ -288,14 +288,14 @@
 	s := x.cfg.Settings
 	s.Classes = append(s.Classes, balance.Class{Name: "quick", Need: balance.Bounded, Bound: time.Second, Aim: 20 * time.Second,
 		Deadline: time.Minute})
-	x.use(s)
+	x.useSettings(s)
 	x.decide(balance.Retune{Settings: s})
 	for _, id := range []string{"0", "1", "2", "5", "6", "7"} {
 		try(id, 40*time.Second)
 	}
 	sent := len(h.sent)
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "0", Server: "s", Result: balance.Garbled}})
-	x.handle(x.cfg.Clock.Now(), gone{x.open["1"].Request})
+	x.handle(x.cfg.Clock.Now(), canceled{x.pending["1"].Request})
 	if a := try("3", 39800*time.Millisecond); len(h.sent) == sent || len(a) != 0 {
 		t.Errorf("a request with nearly the wait of first attempts is not sent")
 	}
@@ -303,17 +303,17 @@
 	if a := try("4", 30*time.Second); len(h.sent) != sent || len(a) != 1 || (<-a).Kind != Refused {
 		t.Errorf("a client retry 30 s after the first attempt, with a latency target of 20 s, is sent to a host")
 	}
-	if got := x.cfg.Counters.Again.Get(); got != 1 {
+	if got := x.cfg.Counters.ClientRetries.Get(); got != 1 {
 		t.Errorf("%d client retries counted, want 1", got)
 	}
 }
 
-func TestAStandstillIsCounted(t *testing.T) {
-	x, _, _ := fresh(t)
-	for _, waited := range []time.Duration{0, stallFor / 2, 2 * stallFor} {
-		x.stall([]posted{{at: x.cfg.Clock.Now() - waited}})
+func TestStallIsCounted(t *testing.T) {
+	x, _, _ := newSingle(t)
+	for _, waited := range []time.Duration{0, stallThreshold / 2, 2 * stallThreshold} {
+		x.logStall([]queuedEvent{{at: x.cfg.Clock.Now() - waited}})
 	}
-	x.stall(nil)
+	x.logStall(nil)
 	if got := x.cfg.Counters.Stalls.Get(); got != 1 {
 		t.Errorf("%d stalls counted, want 1", got)
 	}
@@ -321,12 +321,12 @@
 
 // Until the position of any host is known, a host with a listed start counts as just started. Afterwards its
 // start must not be earlier than it was.
-func TestStartsAreNoEarlierThanHostsProve(t *testing.T) {
+func TestStartTimeConversion(t *testing.T) {
 	for _, off := range []time.Duration{0, time.Hour, -time.Hour} { // of this clock, ahead of the fleet's
-		x, _, _ := fresh(t)
+		x, _, _ := newSingle(t)
 		now := x.cfg.Clock.Now()
 		started := now - off - time.Minute // a minute ago by the fleet's clock
-		if got := x.startedAt(started); got < x.begunAt {
+		if got := x.startedAt(started); got < x.processStart {
 			t.Errorf("clock ahead by %s, no answer yet: a start a minute ago counts as %s ago", off, now-got)
 		}
 		x.cfg.Clock.Observe(fleetclock.Observation{Host: "s", Position: now - off - 2*time.Second, Sent: now, Received: now}) // a lagging replica
@@ -344,9 +344,9 @@
 }
 
 // A new process probes hosts for the clock once. A host that does not answer such a probe is not ejected.
-func TestHostsAreAskedForTheTime(t *testing.T) {
-	x, h, ask := fresh(t)
-	list(x, balance.Active)
+func TestClockProbes(t *testing.T) {
+	x, h, ask := newSingle(t)
+	listPrimary(x, balance.Active)
 	if diff := cmp.Diff([]string{"s"}, h.probed); diff != "" {
 		t.Fatal(diff)
 	}
--- a/internal/memory/exchange/first_list_test.go
+++ b/internal/memory/exchange/first_list_test.go
@@ -11,27 +11,27 @@
 
 // A host that drains in the first list may have been draining since before the process started, so its drain
 // grace counts from the start of the process.
-func TestADrainThatTheFirstListTellsCountsFromTheProcesssStart(t *testing.T) {
-	x, _, _ := fresh(t)
-	arrived := x.begunAt + 400*time.Millisecond // discovery's first answer
-	x.bounds.take(List{Agent: "a", At: arrived, Whole: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
-	if by, want := x.bounds.until("n"), x.begunAt+x.cfg.Settings.DrainGrace-300*time.Millisecond; by > want {
+func TestDrainInFirstListCountsFromProcessStart(t *testing.T) {
+	x, _, _ := newSingle(t)
+	arrived := x.processStart + 400*time.Millisecond // discovery's first answer
+	x.sendDeadlines.apply(List{Agent: "a", At: arrived, Whole: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
+	if by, want := x.sendDeadlines.deadline("n"), x.processStart+x.cfg.Settings.DrainGrace-300*time.Millisecond; by > want {
 		t.Errorf("new requests may be sent until %s after the end of the grace less 300 ms", by-want)
 	}
 }
 
 // The list of another agent of discovery may be older than the one that notified this process or its
 // predecessor of a drain.
-func TestAnotherAgentsListEndsNoDrainUnlessItTellsALaterStart(t *testing.T) {
+func TestOtherAgentEndsNoDrain(t *testing.T) {
 	drained := func(x *Exchange) {
-		x.Members(List{Agent: "a", Revision: 43, At: x.begunAt - time.Minute, Whole: true, Hosts: only(balance.Draining).list})
+		x.Members(List{Agent: "a", Revision: 43, At: x.processStart - time.Minute, Whole: true, Hosts: singleList(balance.Draining).hosts})
 	}
 	inherited := func(x *Exchange) {
-		x.Inherit(x.begunAt, handover.Knowledge{Agent: "b", Hosts: []handover.Host{
+		x.Inherit(x.processStart, handover.Knowledge{Agent: "b", Hosts: []handover.Host{
 			{Server: "s", Address: "h:1", Group: 1, State: balance.Draining, NotifiedFor: time.Minute, ToldBy: "a", ToldIn: 43}}})
 	}
 	for name, c := range map[string]struct {
-		told     func(*Exchange)
+		setUp    func(*Exchange)
 		agent    string
 		revision int64
 		started  time.Duration
@@ -49,20 +49,20 @@
 		"handover state, with a start":                       {drained, "", 0, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, h, ask := fresh(t)
-			c.told(x)
-			host := only(balance.Active).list[0]
+			x, h, ask := newSingle(t)
+			c.setUp(x)
+			host := singleList(balance.Active).hosts[0]
 			if host.Started = c.started; c.agent == "" {
-				x.Inherit(x.begunAt, handover.Knowledge{Agent: "a", Hosts: []handover.Host{{Server: "s", Address: "h:1", Group: 1, Listed: true, Weight: 1, Started: c.started}}})
+				x.Inherit(x.processStart, handover.Knowledge{Agent: "a", Hosts: []handover.Host{{Server: "s", Address: "h:1", Group: 1, Listed: true, Weight: 1, Started: c.started}}})
 			} else {
-				x.Members(List{Agent: c.agent, Revision: c.revision, At: x.begunAt, Whole: true, Hosts: []Member{host}})
+				x.Members(List{Agent: c.agent, Revision: c.revision, At: x.processStart, Whole: true, Hosts: []Member{host}})
 			}
 			for _, p := range x.queue {
-				x.handle(p.at, p.ev)
+				x.handle(p.at, p.event)
 			}
 			ask("order")
-			if sent := len(h.sent) > 0; sent != c.serves || (h.until["s"] == draining.Open) != c.serves {
-				t.Errorf("a write is sent: %t, send deadline %s, want the host to serve: %t", sent, h.until["s"], c.serves)
+			if sent := len(h.sent) > 0; sent != c.serves || (h.deadlines["s"] == draining.Open) != c.serves {
+				t.Errorf("a write is sent: %t, send deadline %s, want the host to serve: %t", sent, h.deadlines["s"], c.serves)
 			}
 		})
 	}
--- a/internal/memory/exchange/gossip.go
+++ b/internal/memory/exchange/gossip.go
@@ -9,27 +9,27 @@
 	"yokemast/internal/control/gossip"
 )
 
-// note queues a gossip entry with the result of an attempt or a probe, and with the host's statement about its
-// role and the time of that statement.
-func (x *Exchange) note(n balance.Heard, made balance.Made, rep balance.Report) {
-	if x.cfg.Gossip == nil || n.Result == balance.Cancelled || n.Result == balance.NotSent {
+// addGossip queues a gossip entry with the result of an attempt or a probe, and with the host's statement about
+// its role and the time of that statement.
+func (x *Exchange) addGossip(entry balance.Heard, timeBounds balance.Made, rep balance.Report) {
+	if x.cfg.Gossip == nil || entry.Result == balance.Cancelled || entry.Result == balance.NotSent {
 		return // caused by this gateway, so it carries no information about the host
 	}
-	if n.Result == balance.Stale {
-		n.Result = balance.OK // the host itself is healthy
+	if entry.Result == balance.Stale {
+		entry.Result = balance.OK // the host itself is healthy
 	}
 	now := x.cfg.Clock.Now()
-	if n.At = now; made.NotAfter > 0 {
-		n.At = made.NotAfter
+	if entry.At = now; timeBounds.NotAfter > 0 {
+		entry.At = timeBounds.NotAfter
 	}
 	if rep.Has {
-		n.Position = max(n.Position, rep.Position)
-		if n.Role == balance.Unknown {
-			n.Role = rep.Role
+		entry.Position = max(entry.Position, rep.Position)
+		if entry.Role == balance.Unknown {
+			entry.Role = rep.Role
 		}
 	}
-	if !x.cfg.Gossip.Note(now, n) {
-		x.cfg.Counters.Untold.Add(1)
+	if !x.cfg.Gossip.Note(now, entry) {
+		x.cfg.Counters.GossipDropped.Add(1)
 	}
 }
 
@@ -43,8 +43,8 @@
 	return gossip.Offsets{Least: offset.Least, Most: offset.Most, Bounded: b.Bounded}
 }
 
-// tell sends a gossip message to the other gateways if one is due.
-func (x *Exchange) tell(now time.Duration) {
+// sendGossip sends a gossip message to the other gateways if one is due.
+func (x *Exchange) sendGossip(now time.Duration) {
 	if x.cfg.Gossip == nil {
 		return
 	}
@@ -53,20 +53,20 @@
 	}
 }
 
-// receive passes the entries of a gossip message to the module.
-func (x *Exchange) receive(b []byte) {
+// receiveGossip passes the entries of a gossip message to the module.
+func (x *Exchange) receiveGossip(b []byte) {
 	if x.cfg.Gossip == nil {
 		return
 	}
-	heard, err := x.cfg.Gossip.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), b, x.heard[:0])
-	x.heard = heard
+	entries, err := x.cfg.Gossip.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), b, x.gossipEntries[:0])
+	x.gossipEntries = entries
 	if err != nil {
-		x.cfg.Counters.HeardBad.Add(1)
+		x.cfg.Counters.GossipInvalid.Add(1)
 		x.cfg.Log.Debug("invalid gossip message", zap.Error(err))
 		return
 	}
-	x.cfg.Counters.Heard.Add(int64(len(heard)))
-	for _, n := range heard {
+	x.cfg.Counters.GossipReceived.Add(int64(len(entries)))
+	for _, n := range entries {
 		x.decide(n)
 	}
 }
--- a/internal/memory/exchange/members.go
+++ b/internal/memory/exchange/members.go
@@ -35,25 +35,26 @@
 	inherited bool // comes from the handover state of an earlier process, with start times rounded up
 }
 
-// members is the event of an endpoint list whose states and start times are the effective ones.
-type members struct {
-	whole bool
-	list  []Member
+// endpointList is the event of an endpoint list whose states and start times are the effective ones.
+type endpointList struct {
+	snapshot bool
+	hosts    []Member
 }
 
-// bounds holds the time until which new requests may be sent to each host. An endpoint list takes effect as
-// soon as it is passed to Members, however far the event loop is behind, so bounds is safe for concurrent use.
-type bounds struct {
-	begunAt time.Duration // start of the process
-	mu      sync.Mutex
-	drains  *draining.Tracker
-	known   map[string]time.Duration // latest listed start time of each known host
-	agent   string                   // agent of discovery that sent the latest list
-	hosts   Hosts                    // nil until Run is called
+// sendDeadlines holds the time until which new requests may be sent to each host. An endpoint list takes effect
+// as soon as it is passed to Members, however far the event loop is behind, so sendDeadlines is safe for
+// concurrent use.
+type sendDeadlines struct {
+	processStart time.Duration // start of the process
+	mu           sync.Mutex
+	tracker      *draining.Tracker
+	latestStart  map[string]time.Duration // latest listed start time of each known host
+	agent        string                   // agent of discovery that sent the latest list
+	hosts        Hosts                    // nil until Run is called
 }
 
-func newBounds(s balance.Settings, begunAt time.Duration) *bounds {
-	return &bounds{begunAt: begunAt, drains: draining.New(drainRules(s)), known: map[string]time.Duration{}}
+func newSendDeadlines(s balance.Settings, processStart time.Duration) *sendDeadlines {
+	return &sendDeadlines{processStart: processStart, tracker: draining.New(drainRules(s)), latestStart: map[string]time.Duration{}}
 }
 
 func drainRules(s balance.Settings) draining.Rules {
@@ -64,120 +65,120 @@
 var drainStates = map[balance.State]draining.State{balance.Active: draining.Serving, balance.Draining: draining.Draining,
 	balance.Left: draining.Gone}
 
-// states is the inverse of drainStates.
-var states = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Gone: balance.Left}
+// memberStates is the inverse of drainStates.
+var memberStates = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Gone: balance.Left}
 
-// take applies a list and returns it with the effective states and the latest known start times, so that an
+// apply applies a list and returns it with the effective states and the latest known start times, so that an
 // outdated list reverts neither. A host that drains when it is first listed may have been draining since before
 // the process started. What the agent of discovery already has counts as notified from the start of the
 // process.
-func (b *bounds) take(l List) members {
+func (b *sendDeadlines) apply(l List) endpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, named := members{l.Whole, slices.Clone(l.Hosts)}, map[string]bool{}
-	for i, m := range e.list {
+	applied, named := endpointList{l.Whole, slices.Clone(l.Hosts)}, map[string]bool{}
+	for i, m := range applied.hosts {
 		named[m.Server] = true
-		b.tellLocked(b.drains.Set(b.wordLocked(l, m)))
-		e.list[i].State, e.list[i].Started = states[b.drains.State(m.Server)], max(m.Started, b.known[m.Server])
+		b.setLocked(b.tracker.Set(b.statementLocked(l, m)))
+		applied.hosts[i].State, applied.hosts[i].Started = memberStates[b.tracker.State(m.Server)], max(m.Started, b.latestStart[m.Server])
 	}
 	if !l.Whole {
-		return e
+		return applied
 	}
-	for server, started := range b.known {
+	for server, started := range b.latestStart {
 		if !named[server] {
-			b.tellLocked(b.drains.Set(draining.Word{Server: server, State: draining.Gone, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
+			b.setLocked(b.tracker.Set(draining.Word{Server: server, State: draining.Gone, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
 				Started: started}))
 		}
 	}
-	return e
+	return applied
 }
 
-// wordLocked returns the statement of a list about a host. In an inherited list a serving state ends no drain,
-// as the statement of another list may be newer.
-func (b *bounds) wordLocked(l List, m Member) draining.Word {
-	w := draining.Word{Server: m.Server, State: drainStates[m.State], At: l.At, Since: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
+// statementLocked returns the statement of a list about a host. In an inherited list a serving state ends no
+// drain, as the statement of another list may be newer.
+func (b *sendDeadlines) statementLocked(l List, m Member) draining.Word {
+	statement := draining.Word{Server: m.Server, State: drainStates[m.State], At: l.At, Since: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
 		Started: m.Started}
-	latest, known := b.known[m.Server]
+	latest, known := b.latestStart[m.Server]
 	if !known {
-		w.At = min(l.At, b.begunAt)
+		statement.At = min(l.At, b.processStart)
 	}
-	if w.State != draining.Serving {
-		w.Started = max(latest, w.Started)
+	if statement.State != draining.Serving {
+		statement.Started = max(latest, statement.Started)
 	}
-	if m.Started < farAhead { // otherwise the earlier process did not know the start time
+	if m.Started < unreachedPosition { // otherwise the earlier process did not know the start time
 		latest = max(latest, m.Started)
 	}
-	if b.known[m.Server] = latest; l.inherited {
-		w.Agent, w.Revision = m.ToldBy, m.ToldIn
-		return w
+	if b.latestStart[m.Server] = latest; l.inherited {
+		statement.Agent, statement.Revision = m.ToldBy, m.ToldIn
+		return statement
 	}
 	b.agent = l.Agent
-	return w
+	return statement
 }
 
-// tellLocked sets the send deadline of a host at the host side.
-func (b *bounds) tellLocked(bound draining.Bound) {
+// setLocked sets the send deadline of a host at the host side.
+func (b *sendDeadlines) setLocked(bound draining.Bound) {
 	if b.hosts != nil {
 		b.hosts.Until(bound.Server, bound.By)
 	}
 }
 
-// retune applies the drain rules of new settings and reports whether any send deadline changed.
-func (b *bounds) retune(s balance.Settings) (changed bool) {
+// updateSettings applies the drain rules of new settings and reports whether any send deadline changed.
+func (b *sendDeadlines) updateSettings(s balance.Settings) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	moved := b.drains.Retune(drainRules(s))
+	moved := b.tracker.Retune(drainRules(s))
 	for _, bound := range moved {
-		b.tellLocked(bound)
+		b.setLocked(bound)
 	}
 	return len(moved) > 0
 }
 
-// renew sets the current send deadline of a host at the host side, which may not have known the host before.
-func (b *bounds) renew(server string) {
+// resend sets the current send deadline of a host at the host side, which may not have known the host before.
+func (b *sendDeadlines) resend(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tellLocked(draining.Bound{Server: server, By: b.drains.Until(server)})
+	b.setLocked(draining.Bound{Server: server, By: b.tracker.Until(server)})
 }
 
-// until returns the time until which new requests may be sent to a host.
-func (b *bounds) until(server string) time.Duration {
+// deadline returns the time until which new requests may be sent to a host.
+func (b *sendDeadlines) deadline(server string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.Until(server)
+	return b.tracker.Until(server)
 }
 
-// toldBy returns the agent of discovery that last notified the gateway that a host drains or was removed, and
-// the revision of its list.
-func (b *bounds) toldBy(server string) (agent string, revision int64) {
+// notifiedBy returns the agent of discovery that last notified the gateway that a host drains or was removed,
+// and the revision of its list.
+func (b *sendDeadlines) notifiedBy(server string) (agent string, revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.ToldBy(server)
+	return b.tracker.ToldBy(server)
 }
 
 // lastAgent returns the agent of discovery that sent the latest list, or "" if there was none.
-func (b *bounds) lastAgent() string {
+func (b *sendDeadlines) lastAgent() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.agent
 }
 
 // notifiedAt returns when the gateway was notified that a host drains or was removed.
-func (b *bounds) notifiedAt(server string) (time.Duration, bool) {
+func (b *sendDeadlines) notifiedAt(server string) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.NotifiedAt(server)
+	return b.tracker.NotifiedAt(server)
 }
 
-func (b *bounds) forget(server string) {
+func (b *sendDeadlines) forget(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.drains.Forget(server)
-	delete(b.known, server)
+	b.tracker.Forget(server)
+	delete(b.latestStart, server)
 }
 
-// serve sets the host side that send deadlines are passed to.
-func (b *bounds) serve(hosts Hosts) {
+// setHosts sets the host side that send deadlines are passed to.
+func (b *sendDeadlines) setHosts(hosts Hosts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = hosts
@@ -185,52 +186,52 @@
 
 // Members accepts an endpoint list. Drains and removals in it take effect immediately.
 func (x *Exchange) Members(l List) {
-	e := x.bounds.take(l)
-	for i, m := range e.list {
+	e := x.sendDeadlines.apply(l)
+	for i, m := range e.hosts {
 		if l.Hosts[i].State == balance.Active && m.State != balance.Active {
-			toldBy, _ := x.bounds.toldBy(m.Server)
+			notifiedBy, _ := x.sendDeadlines.notifiedBy(m.Server)
 			x.cfg.Log.Info("host stays excluded: the endpoint list may be older than its drain notification", zap.String("host", m.Server),
-				zap.String("agent", l.Agent), zap.String("told_by", toldBy))
+				zap.String("agent", l.Agent), zap.String("told_by", notifiedBy))
 		}
 	}
 	x.post(e)
 }
 
-// members handles an endpoint list. Send deadlines may have changed since it was applied.
-func (x *Exchange) members(e members) {
+// handleMembers handles an endpoint list. Send deadlines may have changed since it was applied.
+func (x *Exchange) handleMembers(e endpointList) {
 	now := x.cfg.Clock.Now()
-	ev := balance.Members{Whole: e.whole, List: make([]balance.Member, 0, len(e.list))}
-	local, named := make([]Member, 0, len(e.list)), map[string]bool{}
-	for _, m := range e.list {
+	ev := balance.Members{Whole: e.snapshot, List: make([]balance.Member, 0, len(e.hosts))}
+	local, named := make([]Member, 0, len(e.hosts)), map[string]bool{}
+	for _, m := range e.hosts {
 		named[m.Server] = true
-		x.noteState(now, m)
-		x.list[m.Server] = m
+		x.logStateChange(now, m)
+		x.listed[m.Server] = m
 		if x.cfg.Gossip != nil {
 			x.cfg.Gossip.Host(m.Server)
 		}
 		x.groups[m.Group] = true
-		m.Member = x.bound(m)
+		m.Member = x.moduleMember(m)
 		ev.List = append(ev.List, m.Member)
 		local = append(local, m)
 	}
 	x.hosts.Members(local)
-	for _, m := range e.list {
-		x.bounds.renew(m.Server)
+	for _, m := range e.hosts {
+		x.sendDeadlines.resend(m.Server)
 	}
-	for server, m := range x.list {
-		if e.whole && !named[server] && m.State != balance.Left {
+	for server, m := range x.listed {
+		if e.snapshot && !named[server] && m.State != balance.Left {
 			m.State = balance.Left
-			x.noteState(now, m)
-			x.list[server] = m
+			x.logStateChange(now, m)
+			x.listed[server] = m
 		}
 		if m.State == balance.Left {
 			x.forgetHost(now, server)
 		}
 	}
 	x.decide(ev)
-	x.askClock()
+	x.probeForClock()
 	if x.cells != nil {
-		x.carryOut(x.cells.Hosts(now, e.whole, ev.List))
+		x.performCells(x.cells.Hosts(now, e.snapshot, ev.List))
 	}
 }
 
@@ -243,16 +244,16 @@
 	clockProbeRounds = 8
 )
 
-// askClock probes hosts for a position: until one is known, each host with a listed start counts as just
+// probeForClock probes hosts for a position: until one is known, each host with a listed start counts as just
 // started. Primaries have the newest positions, so only they are probed if any are listed.
-func (x *Exchange) askClock() {
+func (x *Exchange) probeForClock() {
 	now := x.cfg.Clock.Now()
 	if x.cfg.Clock.Bounds().Told || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
-		now < x.clockAskAt {
+		now < x.nextClockProbe {
 		return
 	}
 	var serving, primaries []string
-	for _, m := range x.list {
+	for _, m := range x.listed {
 		if m.State != balance.Active {
 			continue
 		}
@@ -267,7 +268,7 @@
 		return
 	}
 	x.clockRounds++
-	x.clockAskAt = now + clockProbePause
+	x.nextClockProbe = now + clockProbePause
 	slices.Sort(serving)
 	rng := rand.New(rand.NewPCG(x.cfg.Seed, 0x636c6f636b+uint64(x.clockRounds))) // each gateway probes different hosts in each round
 	for _, i := range rng.Perm(len(serving))[:min(clockProbeCount, len(serving))] {
@@ -280,10 +281,10 @@
 	}
 }
 
-// bound returns a list's entry as the module expects it: with its send deadline, and with times by the local
-// clock.
-func (x *Exchange) bound(m Member) balance.Member {
-	m.Member.SendUntil = x.bounds.until(m.Server)
+// moduleMember returns a list's entry as the module expects it: with its send deadline, and with times by the
+// local clock.
+func (x *Exchange) moduleMember(m Member) balance.Member {
+	m.Member.SendUntil = x.sendDeadlines.deadline(m.Server)
 	m.Member.Started, m.Member.Incarnation = x.startedAt(m.Started), m.Started
 	return m.Member
 }
@@ -302,11 +303,11 @@
 	return min(fleet-b.At(now).Least, now)
 }
 
-// noticeClock notifies the module of changes to the known offset of the fleet's clock. If the offset became
+// checkClock notifies the module of changes to the known offset of the fleet's clock. If the offset became
 // known, bounded or contradicted, or was replaced, it handles the endpoint list again, as start times may have
 // moved by much.
-func (x *Exchange) noticeClock() {
-	x.askClock()
+func (x *Exchange) checkClock() {
+	x.probeForClock()
 	if known := x.cfg.Clock.ForModule(); known != x.clock {
 		x.clock = known
 		x.decide(known)
@@ -315,38 +316,38 @@
 	if x.clockEpoch != epoch {
 		x.clockEpoch = epoch
 		x.decide(balance.ClockReplaced{})
-	} else if x.clockTold == b.Told && x.clockDoubted == b.Doubted && x.clockBounded == b.Bounded {
+	} else if x.clockKnown == b.Told && x.clockContradicted == b.Doubted && x.clockBounded == b.Bounded {
 		return
 	}
-	x.clockTold, x.clockDoubted, x.clockBounded = b.Told, b.Doubted, b.Bounded
+	x.clockKnown, x.clockContradicted, x.clockBounded = b.Told, b.Doubted, b.Bounded
 	x.cfg.Log.Info("fleet's clock", append([]zap.Field{zap.Bool("doubted", b.Doubted), zap.Int("epoch", epoch)}, clockFields("", b, x.cfg.Clock.Now())...)...)
-	e := members{}
-	for _, m := range x.list {
-		e.list = append(e.list, m)
+	e := endpointList{}
+	for _, m := range x.listed {
+		e.hosts = append(e.hosts, m)
 	}
-	x.members(e)
+	x.handleMembers(e)
 }
 
-// forgetHost drops a host that was removed more than forgetAfter ago.
+// forgetHost drops a host that was removed more than forgetRemovedAfter ago.
 func (x *Exchange) forgetHost(now time.Duration, server string) {
-	at, notified := x.bounds.notifiedAt(server)
-	if !notified || now-at <= forgetAfter || x.bounds.until(server) == draining.Open {
+	at, notified := x.sendDeadlines.notifiedAt(server)
+	if !notified || now-at <= forgetRemovedAfter || x.sendDeadlines.deadline(server) == draining.Open {
 		return
 	}
-	delete(x.list, server)
-	x.bounds.forget(server)
+	delete(x.listed, server)
+	x.sendDeadlines.forget(server)
 	if x.cfg.Gossip != nil {
 		x.cfg.Gossip.Forget(server)
 	}
 	x.hosts.Forget(server)
 }
 
-// rebind passes the send deadlines that a settings update has changed to the module.
-func (x *Exchange) rebind() {
+// updateSendDeadlines passes the send deadlines that a settings update has changed to the module.
+func (x *Exchange) updateSendDeadlines() {
 	ev := balance.Members{}
-	for _, m := range x.list {
+	for _, m := range x.listed {
 		if m.State != balance.Active {
-			ev.List = append(ev.List, x.bound(m))
+			ev.List = append(ev.List, x.moduleMember(m))
 		}
 	}
 	x.decide(ev)
--- a/internal/memory/exchange/outcome.go
+++ b/internal/memory/exchange/outcome.go
@@ -4,23 +4,23 @@
 	"yokemast/balance"
 )
 
-// learning is the event of a host's statement that is not part of an outcome.
-type learning struct {
-	heard  balance.Heard
-	made   balance.Made
-	report balance.Report
+// hostStatement is the event of a host's statement that is not part of an outcome.
+type hostStatement struct {
+	statement  balance.Heard
+	timeBounds balance.Made
+	report     balance.Report
 }
 
 // Learned accepts a statement of a host that is not part of an outcome: one received after the outcome, or in
 // an answer that is not complete and may yet fail.
-func (x *Exchange) Learned(h balance.Heard, made balance.Made, r balance.Report) {
-	x.post(learning{h, made, r})
+func (x *Exchange) Learned(h balance.Heard, timeBounds balance.Made, r balance.Report) {
+	x.post(hostStatement{h, timeBounds, r})
 }
 
 // dropOutdated removes what was dated with bounds of the fleet's clock that have since proved wrong. The
 // statement that a host is not primary and its position do not depend on these bounds and are kept.
-func (x *Exchange) dropOutdated(made balance.Made, role *balance.Role, report *balance.Report) {
-	if made.Epoch == x.clockEpoch {
+func (x *Exchange) dropOutdated(timeBounds balance.Made, role *balance.Role, report *balance.Report) {
+	if timeBounds.Epoch == x.clockEpoch {
 		return
 	}
 	if *role == balance.Primary {
@@ -32,53 +32,53 @@
 	report.NotBefore = 0
 }
 
-func (x *Exchange) learned(e learning) {
-	x.dropOutdated(e.made, &e.heard.Role, &e.report)
-	if e.heard.Source != balance.FromPart { // the outcome of the same answer is gossiped; entries are expensive in a large fleet
-		x.note(e.heard, e.made, e.report)
+func (x *Exchange) handleStatement(e hostStatement) {
+	x.dropOutdated(e.timeBounds, &e.statement.Role, &e.report)
+	if e.statement.Source != balance.FromPart { // the outcome of the same answer is gossiped; entries are expensive in a large fleet
+		x.addGossip(e.statement, e.timeBounds, e.report)
 	}
 	if e.report.Has {
-		e.heard.Position = max(e.heard.Position, e.report.Position)
+		e.statement.Position = max(e.statement.Position, e.report.Position)
 	}
-	e.heard.At, e.heard.NotBefore, e.heard.NotAfter = e.made.NotAfter, e.made.NotBefore, e.made.NotAfter
-	x.decide(e.heard)
+	e.statement.At, e.statement.NotBefore, e.statement.NotAfter = e.timeBounds.NotAfter, e.timeBounds.NotBefore, e.timeBounds.NotAfter
+	x.decide(e.statement)
 }
 
-// outcome handles the outcome of an attempt.
-func (x *Exchange) outcome(e Outcome) {
+// handleOutcome handles the outcome of an attempt.
+func (x *Exchange) handleOutcome(e Outcome) {
 	x.dropOutdated(e.Made, &e.Role, &e.Report)
-	if x.stale(e.Outcome) {
+	if x.isStale(e.Outcome) {
 		e.Result, e.Value = balance.Stale, nil
 	}
 	x.cfg.Counters.Outcomes[e.Result].Add(1)
-	o := x.open[e.ID]
-	if o == nil || e.Attempt != o.attempts-1 || !o.out {
+	o := x.pending[e.ID]
+	if o == nil || e.Attempt != o.attempts-1 || !o.inFlight {
 		return // the request was dropped after a panic of the module
 	}
-	o.out, o.last = false, e.Result
-	if o.ranAt == 0 && !e.Result.NeverRan() {
-		o.ranAt = o.sentAt
+	o.inFlight, o.lastResult = false, e.Result
+	if o.possiblyExecutedAt == 0 && !e.Result.NeverRan() {
+		o.possiblyExecutedAt = o.sentAt
 	}
 	if e.Result == balance.OK {
-		x.served(o, e)
+		x.logServed(o, e)
 	} else {
-		x.attemptEnded(o, e)
+		x.logAttemptEnded(o, e)
 	}
 	if e.Result == balance.OK && o.Write {
-		x.wrote(x.cfg.Clock.Now(), e.Position)
+		x.recordWrite(x.cfg.Clock.Now(), e.Position)
 	}
 	if e.Result == balance.OK {
 		x.answer(o, Answer{Kind: Served, Value: e.Value}, &x.cfg.Counters.Served)
 	}
 	e.Final = o.answered
-	x.note(balance.Heard{Server: e.Server, Class: o.Class, Result: e.Result, Took: e.Took, Role: e.Role, Position: e.Position}, e.Made, e.Report)
+	x.addGossip(balance.Heard{Server: e.Server, Class: o.Class, Result: e.Result, Took: e.Took, Role: e.Role, Position: e.Position}, e.Made, e.Report)
 	x.decide(e.Outcome)
-	x.forget(o)
+	x.release(o)
 }
 
-// stale reports whether an answer proves that its read used data that is too old, as judged by the module. It
+// isStale reports whether an answer proves that its read used data that is too old, as judged by the module. It
 // returns false if the module panics.
-func (x *Exchange) stale(e balance.Outcome) (stale bool) {
+func (x *Exchange) isStale(e balance.Outcome) (stale bool) {
 	defer func() { _ = recover() }() // the same outcome is passed to decide next, which handles a panic
 	return x.router.Stale(x.cfg.Clock.Now(), e)
 }
--- a/internal/memory/exchange/request.go
+++ b/internal/memory/exchange/request.go
@@ -7,9 +7,9 @@
 	"yokemast/internal/control/cells"
 )
 
-// request handles a new request. Invalid requests are rejected; all others are passed to the module, or to a
-// fence.
-func (x *Exchange) request(r *Request) {
+// handleRequest handles a new request. Invalid requests are rejected; all others are passed to the module, or
+// to a fence.
+func (x *Exchange) handleRequest(r *Request) {
 	x.cfg.Counters.Taken.Add(1)
 	if x.cfg.Gossip != nil {
 		x.cfg.Gossip.Credit()
@@ -17,10 +17,10 @@
 	class := x.classes[r.Class]
 	reject := func(k Kind, reason string) {
 		x.cfg.Counters.Rejected.Add(1)
-		x.rejected(r, reason)
+		x.logRejected(r, reason)
 		a := Answer{Kind: k, Reason: reason}
 		if s := x.cfg.Settings; k == Refused && s.RetryAfter {
-			a.RetryAfter = min(retryAfter, s.MaxRetryAfter)
+			a.RetryAfter = min(unlistedRetryAfter, s.MaxRetryAfter)
 		}
 		r.Answer <- a
 	}
@@ -32,7 +32,7 @@
 		// A write in a class for reads would be retried as freely as a read.
 		reject(Undefined, "the statement does not fit its class")
 		return
-	case x.open[r.ID] != nil:
+	case x.pending[r.ID] != nil:
 		// The module ignores a request with an id in use, so it would never be answered.
 		reject(Duplicate, "a request with this id is pending")
 		return
@@ -41,14 +41,14 @@
 	if r.Wait > 0 && (r.Wait < wait || wait == 0) {
 		wait = r.Wait
 	}
-	patience := time.Duration(0)
+	maxHostWait := time.Duration(0)
 	if r.Lease > 0 {
 		// A request that checks out a host waits for it no longer than other requests of its class would.
-		patience, wait = wait/2, r.Lease
+		maxHostWait, wait = wait/2, r.Lease
 	}
-	o := &open{Request: r, patience: patience, class: class, deadline: r.Arrived + max(wait-answerMargin, wait/2)}
-	if x.endBy > 0 {
-		o.deadline = min(o.deadline, x.endBy) // unanswered requests are lost when the process exits
+	o := &pendingRequest{Request: r, maxHostWait: maxHostWait, class: class, deadline: r.Arrived + max(wait-answerMargin, wait/2)}
+	if x.shutdownBy > 0 {
+		o.deadline = min(o.deadline, x.shutdownBy) // unanswered requests are lost when the process exits
 	}
 	v, err := x.admit(o)
 	switch {
@@ -59,33 +59,33 @@
 	case !x.groups[v.Group]:
 		// The module would hold the request for a member that may never be listed.
 		reject(Refused, "no host of that group is listed")
-		x.done(o)
+		x.releaseTicket(o)
 		return
 	}
-	x.open[r.ID] = o
-	x.pass(o, v)
+	x.pending[r.ID] = o
+	x.dispatch(o, v)
 }
 
-// pass passes a request to the module, or leaves it waiting at a fence.
-func (x *Exchange) pass(o *open, v cells.Verdict) {
+// dispatch passes a request to the module, or leaves it waiting at a fence.
+func (x *Exchange) dispatch(o *pendingRequest, v cells.Verdict) {
 	r := o.Request
-	if o.waits = v.Kind == cells.Hold; o.waits {
+	if o.fenced = v.Kind == cells.Hold; o.fenced {
 		x.cfg.Counters.Held.Add(1)
 		return
 	}
 	q := balance.Request{ID: r.ID, Class: r.Class, Session: r.Session, Group: v.Group, Cell: v.Cell, After: r.After,
-		Deadline: o.deadline, Elapsed: x.tries.Try(r.Class, o.class.Deadline, r.Wait), Retry: r.Retry, Lease: r.Lease > 0,
-		Patience: o.patience}
-	if o.again = q.Elapsed > 0; o.again {
-		x.cfg.Counters.Again.Add(1)
+		Deadline: o.deadline, Elapsed: x.clientRetries.Try(r.Class, o.class.Deadline, r.Wait), Retry: r.Retry, Lease: r.Lease > 0,
+		Patience: o.maxHostWait}
+	if o.clientRetry = q.Elapsed > 0; o.clientRetry {
+		x.cfg.Counters.ClientRetries.Add(1)
 	}
 	if v.Since > 0 {
-		q.Since = x.cfg.Clock.fleetAtMost(v.Since)
+		q.Since = x.cfg.Clock.maxFleetTime(v.Since)
 	}
 	if q.Over = r.Over; q.Over > 0 {
-		x.cfg.Counters.Over.Add(1)
+		x.cfg.Counters.OverQuota.Add(1)
 	} else if v.Kind == cells.Over {
-		x.cfg.Counters.Over.Add(1)
+		x.cfg.Counters.OverQuota.Add(1)
 		q.Over = max(v.After, 1)
 	}
 	x.decide(q)
--- a/internal/memory/exchange/stale_answer_test.go
+++ b/internal/memory/exchange/stale_answer_test.go
@@ -8,7 +8,7 @@
 )
 
 // A read must not be served if the position in its own answer shows that the data was older than allowed.
-func TestAReadWhoseOwnAnswerTellsOlderDataThanAllowedIsNotServed(t *testing.T) {
+func TestStaleAnswerIsNotServed(t *testing.T) {
 	for name, c := range map[string]struct {
 		class   string
 		age     time.Duration // of the answer's position when the read was sent
@@ -19,8 +19,8 @@
 		"session, not far enough": {"own", 2 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, h := pair(t, known())
-			learn(x, "r", balance.Replica, x.cfg.Clock.Now())
+			x, h := newPair(t, knownClock())
+			handleStatement(x, "r", balance.Replica, x.cfg.Clock.Now())
 			answer := make(chan Answer, 1)
 			now := x.cfg.Clock.Now()
 			after := time.Duration(0)
--- a/internal/memory/exchange/startunknown_test.go
+++ b/internal/memory/exchange/start_time_test.go
@@ -9,13 +9,13 @@
 )
 
 // While no position is known, a host that starts later must still count as just started.
-func TestAHostThatStartsLaterIsColdThoughNoHostHasToldAPosition(t *testing.T) {
+func TestLateStartIsColdWithoutPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := NewClock()
-		x, _ := pair(t, clock)
+		x, _ := newPair(t, clock)
 		time.Sleep(time.Minute)
 		now := clock.Now()
-		take(x, now, members{list: []Member{{Address: "h:1", Member: balance.Member{Server: "r", Group: 1, Weight: 1, Started: now}}}})
+		applyList(x, now, endpointList{hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "r", Group: 1, Weight: 1, Started: now}}}})
 		x.router.Look(now, func(s balance.Seen) {
 			if s.Server == "r" && s.Started < now {
 				t.Errorf("a host that was listed as just started counts as started %s ago", now-s.Started)
@@ -25,15 +25,15 @@
 }
 
 // An outdated list must not move a known start to an earlier time.
-func TestAListThatIsBehindTakesNoStartBack(t *testing.T) {
-	x, _, _ := fresh(t)
-	host := only(balance.Active).list[0]
-	for i, started := range []time.Duration{x.begunAt, 0, x.begunAt - time.Hour} {
+func TestOutdatedListKeepsStart(t *testing.T) {
+	x, _, _ := newSingle(t)
+	host := singleList(balance.Active).hosts[0]
+	for i, started := range []time.Duration{x.processStart, 0, x.processStart - time.Hour} {
 		host.Started = started
-		x.handle(x.begunAt, x.bounds.take(List{Agent: "a", At: x.begunAt, Hosts: []Member{host}, inherited: i == 0}))
+		x.handle(x.processStart, x.sendDeadlines.apply(List{Agent: "a", At: x.processStart, Hosts: []Member{host}, inherited: i == 0}))
 		x.router.Look(x.cfg.Clock.Now(), func(s balance.Seen) {
-			if s.Started < x.begunAt {
-				t.Errorf("a host with a known start counts as started %s before it after a list with start %s", x.begunAt-s.Started, started)
+			if s.Started < x.processStart {
+				t.Errorf("a host with a known start counts as started %s before it after a list with start %s", x.processStart-s.Started, started)
 			}
 		})
 	}
--- a/internal/memory/exchange/trace_test.go
+++ b/internal/memory/exchange/trace_test.go
@@ -17,8 +17,8 @@
 // serveFrom lets the replica r serve a bounded read on its position and returns the read's id.
 func serveFrom(t *testing.T, x *Exchange, h *hosts) string {
 	t.Helper()
-	learn(x, "r", balance.Replica, x.cfg.Clock.Now())
-	a := h.ask(x, "view", 0)
+	handleStatement(x, "r", balance.Replica, x.cfg.Clock.Now())
+	a := h.request(x, "view", 0)
 	if a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition {
 		t.Fatalf("a read is sent as %+v, want it sent to r on its position", a)
 	}
@@ -44,12 +44,12 @@
 	return strings.Join(out, "\n")
 }
 
-func TestReadsNearAContradictedClockLeaveATrace(t *testing.T) {
+func TestContradictionLogsReads(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	clock := known()
-	x, h := pair(t, clock)
+	clock := knownClock()
+	x, h := newPair(t, clock)
 	x.cfg.Log = zap.New(core)
-	x.noticeClock()
+	x.checkClock()
 	before := serveFrom(t, x, h)
 	now := clock.Now()
 	if got := traced(x, logs, now); got != "" {
@@ -73,26 +73,26 @@
 	}
 }
 
-func TestATraceOfManyReadsIsBounded(t *testing.T) {
+func TestTraceIsBounded(t *testing.T) {
 	var tr trace
 	now := 10 * time.Second
-	for i := range tracedReads + 7 {
-		tr.keep(&open{Request: &Request{ID: fmt.Sprintf("%016x", i)}, sentAt: now}, "r")
+	for i := range maxTracedReads + 7 {
+		tr.add(&pendingRequest{Request: &Request{ID: fmt.Sprintf("%016x", i)}, sentAt: now}, "r")
 	}
-	tr.keep(&open{Request: &Request{ID: "old"}, sentAt: now - traceBefore - 1}, "r")
-	tr.doubt(now)
+	tr.add(&pendingRequest{Request: &Request{ID: "old"}, sentAt: now - traceBefore - 1}, "r")
+	tr.contradicted(now)
 	reads, more := tr.take(now)
-	if len(reads) != tracedReads-1 || more != 8 || !strings.HasPrefix(reads[0], fmt.Sprintf("%016x r ", 8)) {
+	if len(reads) != maxTracedReads-1 || more != 8 || !strings.HasPrefix(reads[0], fmt.Sprintf("%016x r ", 8)) {
 		t.Errorf("%d reads and %d more, the first is %q", len(reads), more, reads[0])
 	}
 }
 
-func TestATraceIsLoggedToItsEndWhenTheProcessEnds(t *testing.T) {
+func TestTraceIsLoggedAtShutdown(t *testing.T) {
 	core, logs := observer.New(zap.InfoLevel)
-	clock := known()
-	x, h := pair(t, clock)
+	clock := knownClock()
+	x, h := newPair(t, clock)
 	x.cfg.Log = zap.New(core)
-	x.noticeClock()
+	x.checkClock()
 	ended, end := context.WithCancel(context.Background())
 	end()
 	contradict(clock)
@@ -109,9 +109,9 @@
 
 func BenchmarkKeepTrace(b *testing.B) {
 	var tr trace
-	o := &open{Request: &Request{ID: "0123456789abcdef"}}
+	o := &pendingRequest{Request: &Request{ID: "0123456789abcdef"}}
 	b.ReportAllocs()
 	for b.Loop() {
-		tr.keep(o, "s-b1db1642")
+		tr.add(o, "s-b1db1642")
 	}
 }
--- a/internal/memory/exchange/types.go
+++ b/internal/memory/exchange/types.go
@@ -17,7 +17,7 @@
 	After              time.Duration // position that the read must see, by the fleet's clock, or 0 for none
 	Over               time.Duration // if positive, the client is over its quota: the request is refused with this retryAfter
 	Lease              time.Duration // maximum time for which the request checks out its host, or 0 if it does not
-	Left               func() bool   // reports without blocking whether the client has disconnected; nil if unknown before Gone
+	Left               func() bool   // reports without blocking whether the client has disconnected; nil if that cannot be checked
 	Command            any           // what the host side executes
 	Answer             chan<- Answer // receives the single answer; must have buffer capacity for it
 }
