--- a/internal/memory/exchange/evidence_test.go
+++ b/internal/memory/exchange/evidence_test.go
@@ -196,7 +196,7 @@
 	other.Host("r")
 	entries, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.Datagram(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
 	if err != nil || len(entries) != 1 || entries[0].Class != "order" || entries[0].Role != balance.Replica {
-		t.Errorf("gossiped %+v, %v, want one entry", entries, err)
+		t.Errorf("gossiped %+v, %v, want one entry of class order with the replica role", entries, err)
 	}
 }
 
@@ -211,7 +211,7 @@
 	now := clock.Now()
 	clock.Observe(fleetclock.Observation{Host: "p", Present: now - time.Second, Sent: now, Received: now})
 	if b := clock.Bounds(); !b.Bounded || !b.Doubted {
-		t.Fatalf("bounds %+v", b)
+		t.Fatalf("bounds %+v, want bounded and contradicted", b)
 	}
 	if x.handoverState().ClockKnown {
 		t.Error("a contradicted clock is handed over")
--- a/internal/memory/exchange/exchange_test.go
+++ b/internal/memory/exchange/exchange_test.go
@@ -95,7 +95,7 @@
 	ask("pay")
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "b", Server: "s", Result: balance.Reset}})
 	if len(h.sent) != 2 || h.sent[0].WriteBy != 0 {
-		t.Fatalf("sent %+v", h.sent)
+		t.Fatalf("sent %+v, want two attempts, the first without WriteBy", h.sent)
 	}
 	if retry, end := h.sent[1], h.sent[0].Sent+10*time.Second-keyWindowMargin; retry.StartBy != end || retry.WriteBy != end {
 		t.Errorf("the retry has StartBy %v and WriteBy %v, want %v for both", retry.StartBy, retry.WriteBy, end)
@@ -272,7 +272,7 @@
 	long := x.cfg.Clock.Now() - 2*forgetRemovedAfter
 	applyList(x, long, endpointList{snapshot: true})
 	if _, known := x.sendDeadlines.notifiedAt("s"); len(x.listed) != 0 || len(x.sendDeadlines.latestStart) != 0 || known {
-		t.Errorf("kept: %v, %v", x.listed, x.sendDeadlines.latestStart)
+		t.Errorf("the removed host is kept: listed %v, starts %v", x.listed, x.sendDeadlines.latestStart)
 	}
 }
 
