--- a/internal/disk/handover/handover.go
+++ b/internal/disk/handover/handover.go
@@ -42,23 +42,23 @@
 
 // Host is what the old process knew of one host.
 type Host struct {
-	Server, Address string
-	Group           int
-	State           balance.State
-	Listed          bool // listed as primary
-	Weight          float64
-	Started         time.Duration // latest start that was listed or observed, or 0 if long ago
-	Leads           time.Duration // notBefore of the newest statement that it is primary, or 0 if none
-	Follows         time.Duration // notAfter of the newest statement that it is not primary, or 0 if none
-	Position        time.Duration // replay position of its log, or 0 if unknown
-	Alive           bool          // not ejected after failures
-	NotifiedFor     time.Duration // time since the drain notification when the state was collected, or 0 if it does not drain
-	ToldBy          string        // agent of discovery that sent the latest drain notification, or "" if unknown
-	ToldIn          int64         // revision of the endpoint list with that notification
+	Server, Address  string
+	Group            int
+	State            balance.State
+	Listed           bool // listed as primary
+	Weight           float64
+	Started          time.Duration // latest start that was listed or observed, or 0 if long ago
+	PrimaryNotBefore time.Duration // notBefore of the newest statement that it is primary, or 0 if none
+	ReplicaNotAfter  time.Duration // notAfter of the newest statement that it is not primary, or 0 if none
+	Position         time.Duration // replay position of its log, or 0 if unknown
+	Alive            bool          // not ejected after failures
+	NotifiedFor      time.Duration // time since the drain notification when the state was collected, or 0 if it does not drain
+	NotifiedBy       string        // agent of discovery that sent the latest drain notification, or "" if unknown
+	NotifiedRevision int64         // revision of the endpoint list with that notification
 }
 
-// Knowledge is the handover state.
-type Knowledge struct {
+// State is the handover state.
+type State struct {
 	At       time.Duration // when the state was collected; after decoding, the earliest time at which it may have been
 	Revision int64         // revision of the endpoint list, or negative if none
 	Agent    string        // agent of discovery that sent the list, or "" if unknown
@@ -69,7 +69,7 @@
 	Hosts                     []Host
 
 	ClockKnown bool                // whether Ahead is known
-	Ahead      fleetclock.Interval // offset of the fleet's clock from the clock of At
+	Offset     fleetclock.Interval // offset of the fleet's clock from the clock of At
 }
 
 // body defines the keys of the JSON body. Decode uses the same keys.
@@ -115,14 +115,14 @@
 func fromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Encode encodes handover state.
-func Encode(k Knowledge) ([]byte, error) {
+func Encode(k State) ([]byte, error) {
 	at := floorMillis(k.At)
 	setBack := k.At - fromMillis(at) // the clock is set back by this duration
 	b := body{At: at, Revision: k.Revision, Agent: k.Agent, Discovery: k.Discovery, First: k.FirstDiscovery, Newest: ceilMillis(k.Newest), Hosts: make([]host, 0, len(k.Hosts)),
-		Clock: k.ClockKnown, OffsetMin: floorMillis(k.Ahead.Least + setBack), OffsetMax: ceilMillis(k.Ahead.Most + setBack)}
+		Clock: k.ClockKnown, OffsetMin: floorMillis(k.Offset.Min + setBack), OffsetMax: ceilMillis(k.Offset.Max + setBack)}
 	for _, h := range k.Hosts {
 		b.Hosts = append(b.Hosts, host{h.Server, h.Address, h.Group, int(h.State), h.Listed, h.Weight, ceilMillis(shift(h.Started, -setBack)),
-			floorMillis(shift(h.Leads, -setBack)), ceilMillis(shift(h.Follows, -setBack)), floorMillis(h.Position), h.Alive, ceilMillis(h.NotifiedFor), h.ToldBy, h.ToldIn})
+			floorMillis(shift(h.PrimaryNotBefore, -setBack)), ceilMillis(shift(h.ReplicaNotAfter, -setBack)), floorMillis(h.Position), h.Alive, ceilMillis(h.NotifiedFor), h.NotifiedBy, h.NotifiedRevision})
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
@@ -166,48 +166,48 @@
 // bounds the difference of the two clocks on both sides. Each time is converted with the safe bound: statements
 // that a host leads never get later than they were, statements that it does not lead and starts never get
 // earlier, and the interval of the fleet's clock's offset still contains the actual offset.
-func Decode(requestedAt, now time.Duration, b []byte) (Knowledge, error) {
+func Decode(requestedAt, now time.Duration, b []byte) (State, error) {
 	switch {
 	case now-requestedAt > maxAge:
-		return Knowledge{}, fmt.Errorf("%w: arrived after %s", ErrTooOld, now-requestedAt)
+		return State{}, fmt.Errorf("%w: arrived after %s", ErrTooOld, now-requestedAt)
 	case len(b) < headerSize || len(b) > MaxBytes || string(b[:4]) != magic:
-		return Knowledge{}, fmt.Errorf("%w: %d bytes", ErrCorrupt, len(b))
+		return State{}, fmt.Errorf("%w: %d bytes", ErrCorrupt, len(b))
 	case headerVersion(b) != version && headerVersion(b) != versionLocalClock && headerVersion(b) != versionRoles:
-		return Knowledge{}, fmt.Errorf("%w: %d, expected %d", ErrVersion, headerVersion(b), version)
+		return State{}, fmt.Errorf("%w: %d, expected %d", ErrVersion, headerVersion(b), version)
 	}
 	text := b[headerSize:]
 	if string(header(headerVersion(b), text)) != string(b[:headerSize]) || !gjson.ValidBytes(text) {
-		return Knowledge{}, fmt.Errorf("%w: wrong length, checksum or JSON", ErrCorrupt)
+		return State{}, fmt.Errorf("%w: wrong length, checksum or JSON", ErrCorrupt)
 	}
 	root := gjson.ParseBytes(text)
-	k := Knowledge{At: fromMillis(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
+	k := State{At: fromMillis(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
 		FirstDiscovery: root.Get("first_discovery").Str, Newest: fromMillis(root.Get("newest").Int())}
 	k.ClockKnown = root.Get("clock").Bool() && headerVersion(b) == version // earlier versions treated a nearly correct clock as exact
-	k.Ahead = fleetclock.Interval{Least: fromMillis(root.Get("ahead_least").Int()), Most: fromMillis(root.Get("ahead_most").Int())}
+	k.Offset = fleetclock.Interval{Min: fromMillis(root.Get("ahead_least").Int()), Max: fromMillis(root.Get("ahead_most").Int())}
 	if headerVersion(b) != version && k.Newest > 0 {
 		k.Newest = UnknownWrite
 	}
 	minDiff, maxDiff := requestedAt-k.At, now-k.At // bounds of this process's clock minus the old one's
-	k.At, k.Ahead = requestedAt, fleetclock.Interval{Least: k.Ahead.Least - maxDiff, Most: k.Ahead.Most - minDiff}
+	k.At, k.Offset = requestedAt, fleetclock.Interval{Min: k.Offset.Min - maxDiff, Max: k.Offset.Max - minDiff}
 	for i, e := range root.Get("hosts").Array() {
 		h := Host{Server: e.Get("id").Str, Address: e.Get("address").Str, Group: int(e.Get("group").Int()),
 			State: balance.State(e.Get("state").Int()), Listed: e.Get("listed").Bool(), Weight: e.Get("weight").Num,
-			Started: fromMillis(e.Get("started").Int()), Leads: fromMillis(e.Get("leads").Int()), Follows: fromMillis(e.Get("follows").Int()),
+			Started: fromMillis(e.Get("started").Int()), PrimaryNotBefore: fromMillis(e.Get("leads").Int()), ReplicaNotAfter: fromMillis(e.Get("follows").Int()),
 			Position: fromMillis(e.Get("position").Int()), Alive: e.Get("alive").Bool(),
-			NotifiedFor: fromMillis(e.Get("notified_for").Int()), ToldBy: e.Get("told_by").Str,
-			ToldIn: e.Get("told_in").Int()}
+			NotifiedFor: fromMillis(e.Get("notified_for").Int()), NotifiedBy: e.Get("told_by").Str,
+			NotifiedRevision: e.Get("told_in").Int()}
 		if headerVersion(b) != version {
-			h.Position, h.Leads = 0, 0 // dated by a clock that may have been wrong
+			h.Position, h.PrimaryNotBefore = 0, 0 // dated by a clock that may have been wrong
 			if headerVersion(b) == versionRoles && balance.Role(e.Get("role").Int()) == balance.Replica {
-				h.Follows = fromMillis(e.Get("role_at").Int()) // not earlier than the answer
+				h.ReplicaNotAfter = fromMillis(e.Get("role_at").Int()) // not earlier than the answer
 			}
 		}
-		h.Leads, h.Started, h.Follows = shift(h.Leads, minDiff), shift(h.Started, maxDiff), shift(h.Follows, maxDiff)
+		h.PrimaryNotBefore, h.Started, h.ReplicaNotAfter = shift(h.PrimaryNotBefore, minDiff), shift(h.Started, maxDiff), shift(h.ReplicaNotAfter, maxDiff)
 		// Times in the future would make stale data count as fresh indefinitely.
-		if h.Server == "" || h.State < balance.Active || h.State > balance.Left || h.Leads > now ||
-			k.ClockKnown && h.Position > now+k.Ahead.Most+time.Millisecond ||
-			h.Position < 0 || h.Leads < 0 || h.Follows < 0 || h.Started < 0 || h.NotifiedFor < 0 {
-			return Knowledge{}, fmt.Errorf("%w: hosts.%d", ErrInvalidHost, i)
+		if h.Server == "" || h.State < balance.Active || h.State > balance.Removed || h.PrimaryNotBefore > now ||
+			k.ClockKnown && h.Position > now+k.Offset.Max+time.Millisecond ||
+			h.Position < 0 || h.PrimaryNotBefore < 0 || h.ReplicaNotAfter < 0 || h.Started < 0 || h.NotifiedFor < 0 {
+			return State{}, fmt.Errorf("%w: hosts.%d", ErrInvalidHost, i)
 		}
 		k.Hosts = append(k.Hosts, h)
 	}
--- a/internal/disk/handover/handover_test.go
+++ b/internal/disk/handover/handover_test.go
@@ -13,13 +13,13 @@
 
 const now = 1_767_225_600 * time.Second
 
-func sampleState() Knowledge {
+func sampleState() State {
 	ms := time.Millisecond
-	return Knowledge{At: now - 3*ms, Revision: 41, Agent: "a", Discovery: "c", FirstDiscovery: "d", Newest: now - 200*ms, Hosts: []Host{
-		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, Leads: now - 5*ms, Follows: now - time.Minute,
+	return State{At: now - 3*ms, Revision: 41, Agent: "a", Discovery: "c", FirstDiscovery: "d", Newest: now - 200*ms, Hosts: []Host{
+		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, PrimaryNotBefore: now - 5*ms, ReplicaNotAfter: now - time.Minute,
 			Position: now - 9*ms, Alive: true},
-		{Server: "s-2", Address: "127.0.0.8:5432", State: balance.Draining, Weight: 0.5, Started: now - time.Second, Follows: now - ms,
-			NotifiedFor: 300 * ms, ToldBy: "b", ToldIn: 40}}, ClockKnown: true, Ahead: fleetclock.Interval{Least: -30 * ms, Most: 2 * time.Second}}
+		{Server: "s-2", Address: "127.0.0.8:5432", State: balance.Draining, Weight: 0.5, Started: now - time.Second, ReplicaNotAfter: now - ms,
+			NotifiedFor: 300 * ms, NotifiedBy: "b", NotifiedRevision: 40}}, ClockKnown: true, Offset: fleetclock.Interval{Min: -30 * ms, Max: 2 * time.Second}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -46,12 +46,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Ahead.Least > encoded.Ahead.Least || got.Ahead.Most < encoded.Ahead.Most {
-		t.Errorf("decoded clock offset %v does not contain the encoded %v", got.Ahead, encoded.Ahead)
+	if got.Offset.Min > encoded.Offset.Min || got.Offset.Max < encoded.Offset.Max {
+		t.Errorf("decoded clock offset %v does not contain the encoded %v", got.Offset, encoded.Offset)
 	}
 	for i, h := range got.Hosts {
 		was := encoded.Hosts[i]
-		if h.Leads > was.Leads || h.Follows < was.Follows || h.Started < was.Started || h.Position > was.Position {
+		if h.PrimaryNotBefore > was.PrimaryNotBefore || h.ReplicaNotAfter < was.ReplicaNotAfter || h.Started < was.Started || h.Position > was.Position {
 			t.Errorf("decoded %+v, encoded %+v", h, was)
 		}
 	}
@@ -103,10 +103,10 @@
 		}
 		want := sampleState()
 		minDiff, maxDiff := requestedAt-want.At, arrived-want.At
-		want.At, want.Ahead = requestedAt, fleetclock.Interval{Least: want.Ahead.Least - maxDiff, Most: want.Ahead.Most - minDiff}
-		want.Hosts[0].Leads += minDiff
-		want.Hosts[0].Follows += maxDiff
-		want.Hosts[1].Follows += maxDiff
+		want.At, want.Offset = requestedAt, fleetclock.Interval{Min: want.Offset.Min - maxDiff, Max: want.Offset.Max - minDiff}
+		want.Hosts[0].PrimaryNotBefore += minDiff
+		want.Hosts[0].ReplicaNotAfter += maxDiff
+		want.Hosts[1].ReplicaNotAfter += maxDiff
 		want.Hosts[1].Started += maxDiff
 		if d := cmp.Diff(want, got); d != "" {
 			t.Errorf("%s: %s", step, d)
@@ -125,13 +125,13 @@
 	b, _ := Encode(sampleState())
 	two, err2 := Decode(at, at, append(header(versionLocalClock, b[headerSize:]), b[headerSize:]...))
 	want2 := sampleState()
-	want2.ClockKnown, want2.Newest, want2.Hosts[0].Position, want2.Hosts[0].Leads = false, UnknownWrite, 0, 0
+	want2.ClockKnown, want2.Newest, want2.Hosts[0].Position, want2.Hosts[0].PrimaryNotBefore = false, UnknownWrite, 0, 0
 	if d := cmp.Diff(want2, two); d != "" || err2 != nil {
 		t.Error(err2, d)
 	}
-	want := Knowledge{At: now - 3*time.Millisecond, Revision: 41, Hosts: []Host{
+	want := State{At: now - 3*time.Millisecond, Revision: 41, Hosts: []Host{
 		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, Alive: true},
-		{Server: "s-2", Address: "127.0.0.8:5432", Group: 3, Listed: true, Weight: 1, Follows: now - 10*time.Millisecond, Alive: true}}}
+		{Server: "s-2", Address: "127.0.0.8:5432", Group: 3, Listed: true, Weight: 1, ReplicaNotAfter: now - 10*time.Millisecond, Alive: true}}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
 		t.Error(err, d)
 	}
@@ -145,13 +145,13 @@
 	for _, step := range []time.Duration{-900 * ms, -400 * ms, -100 * ms, 100 * ms, 400 * ms, 900 * ms, 3 * time.Second} {
 		for _, survey := range []time.Duration{0, 800 * ms} { // delay between the request and the collection
 			requestedAt, oldTime := now, now+survey-step // by the new and by the old clock
-			k := Knowledge{At: oldTime, ClockKnown: true, Ahead: fleetclock.Interval{Least: step - ms, Most: step + ms}}
+			k := State{At: oldTime, ClockKnown: true, Offset: fleetclock.Interval{Min: step - ms, Max: step + ms}}
 			b, _ := Encode(k)
 			got, err := Decode(requestedAt, requestedAt+survey+ms, b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if i := got.Ahead; got.ClockKnown && (i.Least > 0 || i.Most < 0) {
+			if i := got.Offset; got.ClockKnown && (i.Min > 0 || i.Max < 0) {
 				t.Errorf("step of %s, state collected after %s: offset 0 is not in the decoded %+v", step, survey, i)
 			}
 		}
--- a/internal/disk/handover/small_step_test.go
+++ b/internal/disk/handover/small_step_test.go
@@ -12,7 +12,7 @@
 	for _, step := range []time.Duration{-900 * time.Millisecond, -300 * time.Millisecond, -60 * time.Millisecond} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			encoded := sampleState()
-			encoded.Hosts[0].Position, encoded.Hosts[0].Leads = encoded.At+encoded.Ahead.Most-2*time.Second, encoded.At-2*time.Second
+			encoded.Hosts[0].Position, encoded.Hosts[0].PrimaryNotBefore = encoded.At+encoded.Offset.Max-2*time.Second, encoded.At-2*time.Second
 			b, err := Encode(encoded)
 			if err != nil {
 				t.Fatal(err)
@@ -22,14 +22,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if age := requestedAt + got.Ahead.Most - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
+			if age := requestedAt + got.Offset.Max - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
 				t.Errorf("the decoded age of a position is %s, want at least 2 s", age)
 			}
-			if ago := requestedAt - got.Hosts[0].Leads; ago < 2*time.Second-time.Millisecond {
+			if ago := requestedAt - got.Hosts[0].PrimaryNotBefore; ago < 2*time.Second-time.Millisecond {
 				t.Errorf("the decoded age of a leadership statement is %s, want at least 2 s", ago)
 			}
-			if want := encoded.Ahead.Most - step; got.Ahead.Most < want {
-				t.Errorf("the upper bound of the clock offset is %s, want at least %s", got.Ahead.Most, want)
+			if want := encoded.Offset.Max - step; got.Offset.Max < want {
+				t.Errorf("the upper bound of the clock offset is %s, want at least %s", got.Offset.Max, want)
 			}
 		})
 	}
--- a/internal/memory/counters/counters.go
+++ b/internal/memory/counters/counters.go
@@ -31,11 +31,11 @@
 	// Outcomes counts attempts by result, in the order of balance.Result.
 	Outcomes [11]Count
 	// Client connections: accepted, currently open, and refused because of the connection limit.
-	Clients, ClientsOpen, ClientsOver Count
+	Clients, ClientsOpen, ClientsRefused Count
 	// Client connections that were closed immediately, evicted in favor of others, and closed as too slow.
 	ClientsDropped, ClientsEvicted, ClientsSlow Count
-	// ClientsPressed counts the evicted connections that were closed early because places ran short.
-	ClientsPressed Count
+	// ClientsEvictedEarly counts the evicted connections that were closed early because places ran short.
+	ClientsEvictedEarly Count
 	// AcceptErrors counts temporary errors of accepting connections.
 	AcceptErrors Count
 	// ClientsOverrun counts client connections closed because too many commands were queued.
@@ -57,11 +57,11 @@
 	Moves [5]Count
 	// Gossip: messages sent, entries dropped for lack of capacity, entries received, invalid messages, socket
 	// errors.
-	Told, GossipDropped, GossipReceived, GossipInvalid, TellErrors Count
+	GossipSent, GossipDropped, GossipReceived, GossipInvalid, GossipErrors Count
 	// Statements that were already prepared on the host connection, and those that had to be prepared.
 	PreparedHits, PreparedMisses Count
 	// The admin address: calls, calls with a negative answer, and connections closed in favor of new ones.
-	Calls, CallsNo, CallersDropped Count
+	Calls, CallsFailed, CallersDropped Count
 	// Client connections passed to the new process and adopted from the old one in a hot restart.
 	ClientsPassed, ClientsAdopted Count
 	// Large values relayed as streams: started, in progress, and incomplete ones.
@@ -127,9 +127,9 @@
 		{"requests_taken", &s.Taken}, {"requests_served", &s.Served}, {"requests_refused", &s.Refused},
 		{"requests_failed", &s.Failed}, {"requests_rejected", &s.Rejected}, {"requests_gone", &s.RequestsCanceled},
 		{"requests_again", &s.ClientRetries}, {"attempts_sent", &s.Sent}, {"attempts_canceled", &s.Canceled}, {"probes_sent", &s.Probes},
-		{"clients_accepted", &s.Clients}, {"clients_open", &s.ClientsOpen}, {"clients_over", &s.ClientsOver},
+		{"clients_accepted", &s.Clients}, {"clients_open", &s.ClientsOpen}, {"clients_over", &s.ClientsRefused},
 		{"clients_dropped", &s.ClientsDropped}, {"clients_evicted", &s.ClientsEvicted}, {"clients_slow", &s.ClientsSlow},
-		{"accept_errors", &s.AcceptErrors}, {"clients_pressed", &s.ClientsPressed}, {"clients_overrun", &s.ClientsOverrun},
+		{"accept_errors", &s.AcceptErrors}, {"clients_pressed", &s.ClientsEvictedEarly}, {"clients_overrun", &s.ClientsOverrun},
 		{"messages_bad", &s.BadMessages}, {"statements_bad", &s.BadStatements},
 		{"hosts_dialed", &s.HostsDialed}, {"hosts_open", &s.HostsOpen}, {"hosts_closed", &s.HostsClosed},
 		{"hosts_full", &s.HostsFull},
@@ -138,9 +138,9 @@
 		{"operators", &s.Operators}, {"operators_bad", &s.BadOperators},
 		{"requests_over", &s.OverQuota}, {"requests_denied", &s.Denied}, {"writes_held", &s.Held},
 		{"prepared_hits", &s.PreparedHits}, {"prepared_misses", &s.PreparedMisses},
-		{"peers_told", &s.Told}, {"peers_untold", &s.GossipDropped}, {"peers_heard", &s.GossipReceived}, {"peers_bad", &s.GossipInvalid},
-		{"peer_errors", &s.TellErrors},
-		{"calls", &s.Calls}, {"calls_no", &s.CallsNo}, {"callers_dropped", &s.CallersDropped},
+		{"peers_told", &s.GossipSent}, {"peers_untold", &s.GossipDropped}, {"peers_heard", &s.GossipReceived}, {"peers_bad", &s.GossipInvalid},
+		{"peer_errors", &s.GossipErrors},
+		{"calls", &s.Calls}, {"calls_no", &s.CallsFailed}, {"callers_dropped", &s.CallersDropped},
 		{"clients_passed", &s.ClientsPassed}, {"clients_adopted", &s.ClientsAdopted},
 		{"streams", &s.Streams}, {"streams_open", &s.StreamsOpen}, {"streams_cut", &s.StreamsCut},
 		{"statements_large", &s.Large}, {"statements_large_refused", &s.LargeRefused}, {"statements_large_held", &s.LargeHeld},
--- a/internal/memory/exchange/cells.go
+++ b/internal/memory/exchange/cells.go
@@ -87,13 +87,13 @@
 	for _, m := range x.listed {
 		list = append(list, m.Member)
 	}
-	x.performCells(s.Hosts(now, true, list))
+	x.performCells(s.UpdateMembers(now, true, list))
 	x.decide(s.Cells())
 }
 
 // cellsRequest returns the cells' view of a request.
-func cellsRequest(o *pendingRequest) cells.Ask {
-	return cells.Ask{ID: o.ID, User: o.User, Claim: o.Tenant, Key: o.Session, Group: o.Group, Write: o.Write,
+func cellsRequest(o *pendingRequest) cells.Request {
+	return cells.Request{ID: o.ID, User: o.User, Claim: o.Tenant, Key: o.Session, Group: o.Group, Write: o.Write,
 		Deadline: o.deadline}
 }
 
@@ -126,15 +126,15 @@
 	}
 	x.nextCellsSync = now + cellsSyncInterval
 	x.seen = x.seen[:0]
-	x.router.Look(now, func(s balance.Seen) { x.seen = append(x.seen, s) })
-	x.performCells(x.cells.Look(now, x.seen))
+	x.router.Views(now, func(s balance.MemberView) { x.seen = append(x.seen, s) })
+	x.performCells(x.cells.ObserveMembers(now, x.seen))
 }
 
 // performCells performs the actions that the cells returned.
 func (x *Exchange) performCells(actions []cells.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case cells.Placed:
+		case cells.CellsUpdated:
 			x.decide(a.Cells)
 		case cells.Release:
 			if o := x.pending[a.ID]; o != nil && o.fenced && !o.answered {
@@ -142,11 +142,11 @@
 				o.ticket = v.Ticket
 				x.dispatch(o, v)
 			}
-		case cells.GiveUp:
+		case cells.HoldExpired:
 			if o := x.pending[a.ID]; o != nil && o.fenced && !o.answered {
-				x.dispatch(o, cells.Verdict{Kind: cells.Over, Group: o.Group, After: a.After})
+				x.dispatch(o, cells.Verdict{Kind: cells.OverLimit, Group: o.Group, RetryAfter: a.RetryAfter})
 			}
-		case cells.Changed:
+		case cells.MoveChanged:
 			m := a.Move
 			x.cfg.Counters.Moves[m.Stage].Add(1)
 			x.cfg.Log.Info("move", zap.String("tenant", m.Tenant), zap.Stringer("stage", m.Stage), zap.String("from", m.From),
--- a/internal/memory/exchange/clock.go
+++ b/internal/memory/exchange/clock.go
@@ -50,9 +50,9 @@
 	return c
 }
 
-// Watched returns the same clock, which now logs and counts hosts' answers that contradict the estimate of the
+// WithContradictionLog returns the same clock, which now logs and counts hosts' answers that contradict the estimate of the
 // fleet's clock.
-func (c Clock) Watched(log *zap.Logger, counts *counters.Set) Clock {
+func (c Clock) WithContradictionLog(log *zap.Logger, counts *counters.Set) Clock {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	c.fleet.log, c.fleet.counts = log, counts
@@ -60,9 +60,9 @@
 	return c
 }
 
-// Held returns a copy of the clock that calls hold between reading the clock and returning the reading. Tests
+// WithReadHook returns a copy of the clock that calls hold between reading the clock and returning the reading. Tests
 // use it to stop a goroutine between reading the clock and acting on the reading.
-func (c Clock) Held(hold func()) Clock {
+func (c Clock) WithReadHook(hold func()) Clock {
 	c.readHook = hold
 	return c
 }
@@ -86,10 +86,10 @@
 // module need not be notified of each small change.
 func (c Clock) ForModule() balance.ClockBounds {
 	now, b := c.Now(), c.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return balance.ClockBounds{}
 	}
-	return balance.ClockBounds{Known: true, Ages: ceilToMillis(b.Ages(now)), Most: ceilToMillis(b.At(now).Most)}
+	return balance.ClockBounds{Known: true, AgeOffset: ceilToMillis(b.AgeOffset(now)), MaxOffset: ceilToMillis(b.At(now).Max)}
 }
 
 // ceilToMillis rounds up to a multiple of a millisecond.
@@ -112,23 +112,23 @@
 // false if there is no such bound.
 func (c Clock) Earliest(position time.Duration) (t time.Duration, ok bool) {
 	b := c.Bounds()
-	if !b.Bounded || position <= 0 {
+	if !b.HasMax || position <= 0 {
 		return 0, false
 	}
-	return position - b.At(c.Now()).Most, true
+	return position - b.At(c.Now()).Max, true
 }
 
-// FleetAtMost returns the latest time that the fleet's clock may show now, or a time later than any position if
+// MaxFleetTime returns the latest time that the fleet's clock may show now, or a time later than any position if
 // it has no upper bound.
-func (c Clock) FleetAtMost() time.Duration { return c.maxFleetTime(c.Now()) }
+func (c Clock) MaxFleetTime() time.Duration { return c.maxFleetTime(c.Now()) }
 
 // maxFleetTime returns the latest time that the fleet's clock may have shown at time t of this clock.
 func (c Clock) maxFleetTime(t time.Duration) time.Duration {
 	b := c.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return unreachedPosition
 	}
-	return t + b.At(c.Now()).Most
+	return t + b.At(c.Now()).Max
 }
 
 // Observe updates the estimate of the fleet's clock from a host's answer.
@@ -166,10 +166,10 @@
 		what, count = "fleet's clock replaced", &c.fleet.counts.ClockReplaced
 	}
 	count.Add(1)
-	proves := o.Proves()
-	fields := []zap.Field{zap.String("host", o.Host), zap.Bool("primary", o.Present > 0), zap.Duration("answer_least", proves.Least)}
-	if o.Present > 0 {
-		fields = append(fields, zap.Duration("answer_most", proves.Most))
+	proves := o.OffsetInterval()
+	fields := []zap.Field{zap.String("host", o.Host), zap.Bool("primary", o.PrimaryPosition > 0), zap.Duration("answer_least", proves.Min)}
+	if o.PrimaryPosition > 0 {
+		fields = append(fields, zap.Duration("answer_most", proves.Max))
 	}
 	fields = append(fields, clockFields("before_", before, o.Received)...)
 	fields = append(fields, clockFields("now_", c.Bounds(), o.Received)...)
@@ -179,11 +179,11 @@
 // clockFields returns log fields with the known ends of the offset's interval.
 func clockFields(prefix string, b fleetclock.Bounds, now time.Duration) (fields []zap.Field) {
 	offset := b.At(now)
-	if b.Told {
-		fields = append(fields, zap.Duration(prefix+"least", offset.Least))
+	if b.HasMin {
+		fields = append(fields, zap.Duration(prefix+"least", offset.Min))
 	}
-	if b.Bounded {
-		fields = append(fields, zap.Duration(prefix+"most", offset.Most))
+	if b.HasMax {
+		fields = append(fields, zap.Duration(prefix+"most", offset.Max))
 	}
 	return fields
 }
@@ -196,7 +196,7 @@
 		return
 	}
 	width := int64(-1)
-	if b.Told && b.Bounded {
+	if b.HasMin && b.HasMax {
 		width = b.Width().Microseconds()
 	}
 	f.counts.ClockWidth.Set(width)
--- a/internal/memory/exchange/evidence_test.go
+++ b/internal/memory/exchange/evidence_test.go
@@ -17,7 +17,7 @@
 // instead of Run.
 func newPair(t *testing.T, clock Clock) (*Exchange, *hosts) {
 	t.Helper()
-	read := balance.Class{Aim: time.Minute, Deadline: time.Minute}
+	read := balance.Class{LatencyTarget: time.Minute, Deadline: time.Minute}
 	view, own, order := read, read, read
 	view.Name, view.Need, view.Bound = "view", balance.Bounded, time.Second
 	own.Name, own.Need = "own", balance.Session
@@ -52,8 +52,8 @@
 // handleStatement handles a statement that a host makes now.
 func handleStatement(x *Exchange, server string, role balance.Role, position time.Duration) {
 	now := x.cfg.Clock.Now()
-	x.handle(now, hostStatement{balance.Heard{Server: server, Result: balance.OK, Role: role, Position: position},
-		balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
+	x.handle(now, hostStatement{balance.RemoteOutcome{Server: server, Result: balance.OK, Role: role, Position: position},
+		balance.TimeBounds{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
 }
 
 // knownClock returns a clock that is known to agree with the fleet's.
@@ -74,7 +74,7 @@
 	}
 	handleStatement(x, "r", balance.Primary, 0)
 	x.restart()
-	if a := h.request(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.LeaderWord {
+	if a := h.request(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.PrimaryStatement {
 		t.Errorf("a read is sent as %+v, want it sent to r on its statement", a)
 	}
 }
@@ -85,7 +85,7 @@
 	now := clock.Now()
 	for i, host := range []string{"p", "q", "p", "q"} {
 		at := now + time.Duration(i-4)*20*time.Millisecond
-		clock.Observe(fleetclock.Observation{Host: host, Present: at + by, Sent: at, Received: at})
+		clock.Observe(fleetclock.Observation{Host: host, PrimaryPosition: at + by, Sent: at, Received: at})
 	}
 }
 
@@ -112,14 +112,14 @@
 	x.checkClock()
 	// A statement that was dated in the previous epoch is handled in the new one.
 	dated := clock.Now() // after all other statements of r
-	x.handle(dated, hostStatement{balance.Heard{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.Made{NotBefore: dated,
+	x.handle(dated, hostStatement{balance.RemoteOutcome{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.TimeBounds{NotBefore: dated,
 		NotAfter: dated, Epoch: x.clockEpoch - 1}, balance.Report{}})
-	x.router.Look(clock.Now(), func(s balance.Seen) {
-		if s.Leads > 0 {
+	x.router.Views(clock.Now(), func(s balance.MemberView) {
+		if s.PrimaryNotBefore > 0 {
 			t.Errorf("%s counts as primary by a statement that the wrong clock dated", s.Server)
 		}
 	})
-	if a := h.request(x, "view", 0); a != nil && a.Grounds.Kind != balance.Excused {
+	if a := h.request(x, "view", 0); a != nil && a.Grounds.Kind != balance.PresumedPrimary {
 		t.Errorf("a read is sent to %s on %+v, want none or an excused one", a.Server, a.Grounds)
 	}
 	handleStatement(x, "r", balance.Replica, clock.Now()+500*time.Millisecond)
@@ -156,7 +156,7 @@
 	if a := h.request(x, "own", wrote); a != nil && a.Server == "r" {
 		t.Error("the read is sent to a replica that lacks the write")
 	}
-	clock.Inherit(clock.Now(), fleetclock.Interval{Least: time.Hour, Most: time.Hour})
+	clock.Inherit(clock.Now(), fleetclock.Interval{Min: time.Hour, Max: time.Hour})
 	x.checkClock()
 	if a := h.request(x, "own", wrote); a != nil && a.Server == "r" {
 		t.Error("once the clock is known the read is sent to a replica that lacks the write")
@@ -170,8 +170,8 @@
 // The statement that a host is a replica takes effect also while the offset of the clock is unknown.
 func TestReplicaStatementWithUnknownClock(t *testing.T) {
 	x, h := newPair(t, NewClock())
-	x.handle(x.cfg.Clock.Now(), hostStatement{balance.Heard{Server: "p", Result: balance.OK, Role: balance.Replica},
-		balance.Made{NotAfter: x.cfg.Clock.Now()}, balance.Report{}})
+	x.handle(x.cfg.Clock.Now(), hostStatement{balance.RemoteOutcome{Server: "p", Result: balance.OK, Role: balance.Replica},
+		balance.TimeBounds{NotAfter: x.cfg.Clock.Now()}, balance.Report{}})
 	if a := h.request(x, "own", x.cfg.Clock.Now()); a != nil {
 		t.Errorf("a read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 	}
@@ -181,20 +181,20 @@
 func TestReplicaStatementIsGossipedOnce(t *testing.T) {
 	x, h := newPair(t, knownClock())
 	x.cfg.Gossip = gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes, Burst: 1e6})
-	x.cfg.Gossip.Host("p")
-	x.cfg.Gossip.Host("r")
+	x.cfg.Gossip.AddHost("p")
+	x.cfg.Gossip.AddHost("r")
 	now := x.cfg.Clock.Now()
 	a := h.request(x, "order", 0)
-	statement := balance.Heard{Server: a.Server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart}
-	x.handle(now, hostStatement{statement, balance.Made{NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
-	x.handle(now, Outcome{Outcome: balance.Outcome{ID: a.ID, Attempt: a.Number, Server: a.Server, Result: balance.Miss, Role: balance.Replica,
-		Made: balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}}})
+	statement := balance.RemoteOutcome{Server: a.Server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer}
+	x.handle(now, hostStatement{statement, balance.TimeBounds{NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
+	x.handle(now, Outcome{Outcome: balance.Outcome{ID: a.ID, Attempt: a.Number, Server: a.Server, Result: balance.Misdirected, Role: balance.Replica,
+		StatedAt: balance.TimeBounds{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}}})
 	x.clockProbes = map[string]bool{"r": true}
-	x.handle(now, balance.ProbeResult{Server: "r", Result: balance.OK, Made: balance.Made{NotAfter: now, Epoch: x.clockEpoch}})
+	x.handle(now, balance.ProbeResult{Server: "r", Result: balance.OK, StatedAt: balance.TimeBounds{NotAfter: now, Epoch: x.clockEpoch}})
 	other := gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes})
-	other.Host("p")
-	other.Host("r")
-	entries, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.Datagram(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
+	other.AddHost("p")
+	other.AddHost("r")
+	entries, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.AppendMessage(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
 	if err != nil || len(entries) != 1 || entries[0].Class != "order" || entries[0].Role != balance.Replica {
 		t.Errorf("gossiped %+v, %v, want one entry of class order with the replica role", entries, err)
 	}
@@ -209,8 +209,8 @@
 		t.Fatal("a known clock is not handed over")
 	}
 	now := clock.Now()
-	clock.Observe(fleetclock.Observation{Host: "p", Present: now - time.Second, Sent: now, Received: now})
-	if b := clock.Bounds(); !b.Bounded || !b.Doubted {
+	clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now - time.Second, Sent: now, Received: now})
+	if b := clock.Bounds(); !b.HasMax || !b.Contradicted {
 		t.Fatalf("bounds %+v, want bounded and contradicted", b)
 	}
 	if x.handoverState().ClockKnown {
--- a/internal/memory/exchange/exchange.go
+++ b/internal/memory/exchange/exchange.go
@@ -24,13 +24,13 @@
 
 // Config holds the settings and dependencies of an Exchange.
 type Config struct {
-	Settings balance.Settings
-	Seed     uint64
-	Clock    Clock
-	Log      *zap.Logger
-	Counters *counters.Set
-	Gossip   *gossip.State // state of the gossip between gateways, or nil if they exchange none
-	Tell     func([]byte)  // sends a gossip message to the other gateways; must not block
+	Settings   balance.Settings
+	Seed       uint64
+	Clock      Clock
+	Log        *zap.Logger
+	Counters   *counters.Set
+	Gossip     *gossip.State // state of the gossip between gateways, or nil if they exchange none
+	SendGossip func([]byte)  // sends a gossip message to the other gateways; must not block
 }
 
 const (
@@ -39,7 +39,7 @@
 	answerMargin = 15 * time.Millisecond
 	// keyWindowMargin is how long before the end of a keyed class's window the last byte must be written. It
 	// covers the network delay to the host and a stall of this process.
-	keyWindowMargin = 20*time.Millisecond + draining.HoldUp
+	keyWindowMargin = 20*time.Millisecond + draining.MaxSendDelay
 	// unlistedRetryAfter is the retry delay for requests to a group without a listed host.
 	unlistedRetryAfter = 500 * time.Millisecond
 	// forgetRemovedAfter is how long a removed host is remembered. It is longer than the module remembers it.
@@ -94,7 +94,7 @@
 	hosts         Hosts
 	router        *balance.Router
 	versions      *reload.Versions
-	clientRetries *waits.Waits
+	clientRetries *waits.Estimator
 	pending       map[string]*pendingRequest
 	groups        map[int]bool
 	listed        map[string]Member // hosts by id as listed by discovery, with times by the fleet's clock
@@ -104,8 +104,8 @@
 	shutdownBy    time.Duration // when the last answer is due during shutdown, or 0 if the gateway does not shut down
 	cells         *cells.State  // nil if no cells are configured
 	nextCellsSync time.Duration // when the cells next get the module's view of the hosts
-	seen          []balance.Seen
-	gossipEntries []balance.Heard
+	seen          []balance.MemberView
+	gossipEntries []balance.RemoteOutcome
 	newestWrite   time.Duration // position of the newest write of any session, by the fleet's clock
 	processStart  time.Duration
 
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s.HoldUp = draining.HoldUp
+	s.MaxSendDelay = draining.MaxSendDelay
 	router, err := balance.New(s, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -156,8 +156,8 @@
 // Submit accepts a request. The answer is sent on the request's Answer channel.
 func (x *Exchange) Submit(r *Request) { x.post(r) }
 
-// Gone cancels a request whose client has disconnected. It is not answered.
-func (x *Exchange) Gone(r *Request) { x.post(canceled{r}) }
+// CancelRequest cancels a request whose client has disconnected. It is not answered.
+func (x *Exchange) CancelRequest(r *Request) { x.post(canceled{r}) }
 
 // Outcome reports the outcome of an attempt.
 func (x *Exchange) Outcome(o Outcome) { x.post(o) }
@@ -168,15 +168,15 @@
 // gossipMessage is the event of a gossip message from another gateway.
 type gossipMessage []byte
 
-// Heard accepts a gossip message from another gateway.
-func (x *Exchange) Heard(b []byte) { x.post(gossipMessage(b)) }
+// ReceiveGossip accepts a gossip message from another gateway.
+func (x *Exchange) ReceiveGossip(b []byte) { x.post(gossipMessage(b)) }
 
 // shutdownStarted is the event of a shutdown starting.
 type shutdownStarted struct{ by time.Duration }
 
-// Ending starts the shutdown: every request must be answered by the given time, even if its client would wait
+// BeginShutdown starts the shutdown: every request must be answered by the given time, even if its client would wait
 // longer.
-func (x *Exchange) Ending(by time.Duration) { x.post(shutdownStarted{by}) }
+func (x *Exchange) BeginShutdown(by time.Duration) { x.post(shutdownStarted{by}) }
 
 // Run handles events until the context is done. Only Run's goroutine calls the module.
 func (x *Exchange) Run(ctx context.Context, hosts Hosts) error {
@@ -259,7 +259,7 @@
 			o.answered = true
 			x.cfg.Counters.RequestsCanceled.Add(1)
 			x.noteUnserved(o)
-			x.decide(balance.Gone{ID: o.ID})
+			x.decide(balance.RequestCanceled{ID: o.ID})
 			x.release(o)
 		}
 	case Outcome:
@@ -269,9 +269,9 @@
 		if delete(x.clockProbes, e.Server); forClock && e.Result != balance.OK {
 			return // the module did not request this probe, so its failure must not eject the host
 		}
-		x.dropOutdated(e.Made, new(balance.Role), &e.Report)
+		x.dropOutdated(e.StatedAt, new(balance.Role), &e.Report)
 		if !forClock { // many gateways that start together would use up their gossip budget on clock probes
-			x.addGossip(balance.Heard{Server: e.Server, Result: e.Result}, e.Made, e.Report)
+			x.addGossip(balance.RemoteOutcome{Server: e.Server, Result: e.Result}, e.StatedAt, e.Report)
 		}
 		x.decide(e)
 	case hostStatement:
@@ -308,10 +308,10 @@
 			continue
 		}
 		if o.deadline = by; o.fenced { // the fence was given the previous deadline and would hold the request until then
-			x.dispatch(o, cells.Verdict{Kind: cells.Over, Group: o.Group})
+			x.dispatch(o, cells.Verdict{Kind: cells.OverLimit, Group: o.Group})
 		}
 	}
-	x.decide(balance.Ending{By: by})
+	x.decide(balance.Shutdown{By: by})
 }
 
 // answer sends the final answer of a request unless it has been answered.
@@ -342,7 +342,7 @@
 	switch {
 	case !o.answered || x.pending[o.ID] != o:
 	case o.inFlight:
-		x.hosts.Withdraw(o.ID, o.attempts-1)
+		x.hosts.CancelUnsent(o.ID, o.attempts-1)
 	default:
 		delete(x.pending, o.ID)
 		x.releaseTicket(o)
@@ -364,7 +364,7 @@
 	for _, a := range x.actions {
 		x.perform(a)
 	}
-	for _, c := range x.router.Changes() {
+	for _, c := range x.router.PrimaryChanges() {
 		x.logPrimaryChange(c)
 	}
 }
@@ -384,7 +384,7 @@
 	x.router, _ = balance.New(s, x.cfg.Seed) // these settings have been accepted before
 	x.cfg.Counters.Timers.Add(-int64(len(x.timers)))
 	x.timers = nil
-	list := balance.Members{Whole: true}
+	list := balance.Members{Snapshot: true}
 	for _, m := range x.listed {
 		list.List = append(list.List, x.moduleMember(m))
 	}
@@ -404,12 +404,12 @@
 		x.send(a)
 	case balance.Refuse:
 		if o := x.pending[a.ID]; o != nil {
-			x.logGivenUp(o, "refused", a.Why, a.Bad)
+			x.logGivenUp(o, "refused", a.Reason, a.Bad)
 			x.answer(o, Answer{Kind: Refused, Reason: "request refused", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
 		}
 	case balance.Fail:
 		if o := x.pending[a.ID]; o != nil {
-			x.logGivenUp(o, "failed", a.Why, a.Bad)
+			x.logGivenUp(o, "failed", a.Reason, a.Bad)
 			x.answer(o, Answer{Kind: Failed, Reason: "request failed"}, &x.cfg.Counters.Failed)
 		}
 	case balance.Cancel:
@@ -418,7 +418,7 @@
 	case balance.Probe:
 		x.cfg.Counters.Probes.Add(1)
 		x.hosts.Probe(a.Server)
-	case balance.After:
+	case balance.StartTimer:
 		x.seq++
 		x.timers.push(x.cfg.Clock.Now()+a.Wait, a.Tag, x.seq)
 		x.cfg.Counters.Timers.Add(1)
@@ -432,12 +432,12 @@
 	if o == nil {
 		return
 	}
-	t := Attempt{ID: a.ID, Number: o.attempts, Server: a.Server, Command: o.Command, Left: o.Left, Sent: now, Until: o.deadline}
+	t := Attempt{ID: a.ID, Number: o.attempts, Server: a.Server, Command: o.Command, ClientDisconnected: o.ClientDisconnected, Sent: now, Deadline: o.deadline}
 	o.attempts++
 	o.inFlight, o.sentAt = true, now
 	x.cfg.Counters.Sent.Add(1)
 	if a.Timeout != 0 {
-		t.Until = min(t.Until, now+a.Timeout)
+		t.Deadline = min(t.Deadline, now+a.Timeout)
 	}
 	t.Grounds, t.Demand, o.grounds = a.Grounds, a.Demand, a.Grounds
 	t.Keyed = o.Write && o.class.Effect == balance.Keyed
--- a/internal/memory/exchange/exchange_test.go
+++ b/internal/memory/exchange/exchange_test.go
@@ -21,13 +21,13 @@
 	deadlines map[string]time.Duration
 }
 
-func (h *hosts) Send(a Attempt)       { h.sent = append(h.sent, a) }
-func (h *hosts) Cancel(string, int)   {}
-func (h *hosts) Withdraw(string, int) {}
-func (h *hosts) Probe(server string)  { h.probed = append(h.probed, server) }
-func (h *hosts) Members([]Member)     {}
-func (h *hosts) Forget(string)        {}
-func (h *hosts) Until(server string, by time.Duration) {
+func (h *hosts) Send(a Attempt)           { h.sent = append(h.sent, a) }
+func (h *hosts) Cancel(string, int)       {}
+func (h *hosts) CancelUnsent(string, int) {}
+func (h *hosts) Probe(server string)      { h.probed = append(h.probed, server) }
+func (h *hosts) Members([]Member)         {}
+func (h *hosts) Forget(string)            {}
+func (h *hosts) SetSendDeadline(server string, by time.Duration) {
 	if h.deadlines == nil {
 		h.deadlines = map[string]time.Duration{}
 	}
@@ -40,9 +40,9 @@
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
 			Classes: []balance.Class{
-				{Name: "view", Need: balance.Bounded, Bound: time.Second, Aim: time.Minute, Deadline: time.Minute},
-				{Name: "order", Need: balance.Write, Effect: balance.Unsafe, Aim: time.Minute, Deadline: time.Minute},
-				{Name: "pay", Need: balance.Write, Effect: balance.Keyed, KeyTTL: 10 * time.Second, Aim: time.Minute, Deadline: time.Minute}}}})
+				{Name: "view", Need: balance.Bounded, Bound: time.Second, LatencyTarget: time.Minute, Deadline: time.Minute},
+				{Name: "order", Need: balance.Write, Effect: balance.Unsafe, LatencyTarget: time.Minute, Deadline: time.Minute},
+				{Name: "pay", Need: balance.Write, Effect: balance.Keyed, KeyTTL: 10 * time.Second, LatencyTarget: time.Minute, Deadline: time.Minute}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		n++
 		c := make(chan Answer, 1)
 		x.handle(x.cfg.Clock.Now(), &Request{ID: string(rune('a' + n)), Class: class, Group: 1, Write: class != "view",
-			Left: func() bool { return false }, Arrived: x.cfg.Clock.Now(), Answer: c})
+			ClientDisconnected: func() bool { return false }, Arrived: x.cfg.Clock.Now(), Answer: c})
 		return c
 	}
 }
@@ -70,7 +70,7 @@
 
 // applyList applies a list that arrived at the given time, and handles it.
 func applyList(x *Exchange, at time.Duration, e endpointList) {
-	x.handle(x.cfg.Clock.Now(), x.sendDeadlines.apply(List{Agent: "a", At: at, Whole: e.snapshot, Hosts: e.hosts}))
+	x.handle(x.cfg.Clock.Now(), x.sendDeadlines.apply(List{Agent: "a", At: at, Snapshot: e.snapshot, Hosts: e.hosts}))
 }
 
 func TestStartBy(t *testing.T) {
@@ -81,11 +81,11 @@
 	listPrimary(x, balance.Draining)
 	listedAt := x.cfg.Clock.Now()
 	ask("order")
-	if len(h.sent) != 3 || h.sent[0].Left == nil {
+	if len(h.sent) != 3 || h.sent[0].ClientDisconnected == nil {
 		t.Fatalf("sent %v, want 3 attempts", h.sent)
 	}
 	write, excused, draining := h.sent[1].StartBy, h.sent[0], h.sent[2].StartBy
-	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.Excused || draining <= listedAt || draining > listedAt+time.Second {
+	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.PresumedPrimary || draining <= listedAt || draining > listedAt+time.Second {
 		t.Errorf("StartBy of the write %v, of the excused read %v (%v), of the draining host %v after %v", write, excused.StartBy, excused.Grounds, draining-listedAt, listedAt-before)
 	}
 }
@@ -107,7 +107,7 @@
 	by := x.cfg.Clock.Now() + 50*time.Second
 	x.handle(x.cfg.Clock.Now(), shutdownStarted{by})
 	ask("order")
-	if len(h.sent) != 1 || h.sent[0].Until != by {
+	if len(h.sent) != 1 || h.sent[0].Deadline != by {
 		t.Errorf("sent %v, want one attempt with Until %v", h.sent, by)
 	}
 }
@@ -166,7 +166,7 @@
 	arrived := x.cfg.Clock.Now() - 400*time.Millisecond
 	applyList(x, arrived, singleList(balance.Draining))
 	ask("order")
-	if want := arrived + time.Second - 2*draining.HoldUp; len(h.sent) != 1 || h.sent[0].StartBy != want {
+	if want := arrived + time.Second - 2*draining.MaxSendDelay; len(h.sent) != 1 || h.sent[0].StartBy != want {
 		t.Errorf("sent %v, want one attempt with StartBy %v", h.sent, want)
 	}
 }
@@ -175,8 +175,8 @@
 func TestDrainBindsBeforeListIsHandled(t *testing.T) {
 	x, h, _ := newSingle(t)
 	at := x.cfg.Clock.Now()
-	x.Members(List{Agent: "a", At: at, Whole: true, Hosts: singleList(balance.Draining).hosts})
-	if want := at + time.Second - 2*draining.HoldUp; h.deadlines["s"] != want {
+	x.Members(List{Agent: "a", At: at, Snapshot: true, Hosts: singleList(balance.Draining).hosts})
+	if want := at + time.Second - 2*draining.MaxSendDelay; h.deadlines["s"] != want {
 		t.Errorf("send deadline %v, want %v", h.deadlines["s"], want)
 	}
 	// An older list that is handled later must not remove the send deadline.
@@ -196,7 +196,7 @@
 		s.DrainGrace = grace
 		x.handle(at, settingsUpdate{s})
 		x.settleSettings(at + 2*SettleAfter)
-		if want := at + grace - 2*draining.HoldUp; h.deadlines["s"] != want {
+		if want := at + grace - 2*draining.MaxSendDelay; h.deadlines["s"] != want {
 			t.Errorf("grace of %s: send deadline %v, want %v", grace, h.deadlines["s"], want)
 		}
 	}
@@ -211,11 +211,11 @@
 	next, h, _ := newSingle(t)
 	requestedAt := next.cfg.Clock.Now()
 	next.Inherit(requestedAt, handed)
-	if want := requestedAt - ago + time.Second - 2*draining.HoldUp; h.deadlines["s"] > want {
+	if want := requestedAt - ago + time.Second - 2*draining.MaxSendDelay; h.deadlines["s"] > want {
 		t.Errorf("send deadline in the new process %v, want at most %v", h.deadlines["s"], want)
 	}
 	applyList(next, next.cfg.Clock.Now(), singleList(balance.Draining)) // discovery lists the drain as well
-	if want := requestedAt - ago + time.Second - 2*draining.HoldUp; h.deadlines["s"] > want {
+	if want := requestedAt - ago + time.Second - 2*draining.MaxSendDelay; h.deadlines["s"] > want {
 		t.Errorf("send deadline after discovery lists the drain %v, want at most %v", h.deadlines["s"], want)
 	}
 }
@@ -286,10 +286,10 @@
 		return c
 	}
 	s := x.cfg.Settings
-	s.Classes = append(s.Classes, balance.Class{Name: "quick", Need: balance.Bounded, Bound: time.Second, Aim: 20 * time.Second,
+	s.Classes = append(s.Classes, balance.Class{Name: "quick", Need: balance.Bounded, Bound: time.Second, LatencyTarget: 20 * time.Second,
 		Deadline: time.Minute})
 	x.useSettings(s)
-	x.decide(balance.Retune{Settings: s})
+	x.decide(balance.SettingsUpdate{Settings: s})
 	for _, id := range []string{"0", "1", "2", "5", "6", "7"} {
 		try(id, 40*time.Second)
 	}
@@ -335,7 +335,7 @@
 		}
 		for i, host := range []string{"s", "t"} {
 			at := now + time.Duration(i-5)*20*time.Millisecond // round trips at different times
-			x.cfg.Clock.Observe(fleetclock.Observation{Host: host, Present: at - off, Sent: at, Received: at})
+			x.cfg.Clock.Observe(fleetclock.Observation{Host: host, PrimaryPosition: at - off, Sent: at, Received: at})
 		}
 		if got := x.startedAt(started); (now - got - time.Minute).Abs() > 5*time.Millisecond {
 			t.Errorf("clock ahead by %s, offset known: a start a minute ago counts as %s ago", off, now-got)
--- a/internal/memory/exchange/first_list_test.go
+++ b/internal/memory/exchange/first_list_test.go
@@ -14,7 +14,7 @@
 func TestDrainInFirstListCountsFromProcessStart(t *testing.T) {
 	x, _, _ := newSingle(t)
 	arrived := x.processStart + 400*time.Millisecond // discovery's first answer
-	x.sendDeadlines.apply(List{Agent: "a", At: arrived, Whole: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
+	x.sendDeadlines.apply(List{Agent: "a", At: arrived, Snapshot: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
 	if by, want := x.sendDeadlines.deadline("n"), x.processStart+x.cfg.Settings.DrainGrace-300*time.Millisecond; by > want {
 		t.Errorf("new requests may be sent until %s after the end of the grace less 300 ms", by-want)
 	}
@@ -24,11 +24,11 @@
 // predecessor of a drain.
 func TestOtherAgentEndsNoDrain(t *testing.T) {
 	drained := func(x *Exchange) {
-		x.Members(List{Agent: "a", Revision: 43, At: x.processStart - time.Minute, Whole: true, Hosts: singleList(balance.Draining).hosts})
+		x.Members(List{Agent: "a", Revision: 43, At: x.processStart - time.Minute, Snapshot: true, Hosts: singleList(balance.Draining).hosts})
 	}
 	inherited := func(x *Exchange) {
-		x.Inherit(x.processStart, handover.Knowledge{Agent: "b", Hosts: []handover.Host{
-			{Server: "s", Address: "h:1", Group: 1, State: balance.Draining, NotifiedFor: time.Minute, ToldBy: "a", ToldIn: 43}}})
+		x.Inherit(x.processStart, handover.State{Agent: "b", Hosts: []handover.Host{
+			{Server: "s", Address: "h:1", Group: 1, State: balance.Draining, NotifiedFor: time.Minute, NotifiedBy: "a", NotifiedRevision: 43}}})
 	}
 	for name, c := range map[string]struct {
 		setUp    func(*Exchange)
@@ -53,9 +53,9 @@
 			c.setUp(x)
 			host := singleList(balance.Active).hosts[0]
 			if host.Started = c.started; c.agent == "" {
-				x.Inherit(x.processStart, handover.Knowledge{Agent: "a", Hosts: []handover.Host{{Server: "s", Address: "h:1", Group: 1, Listed: true, Weight: 1, Started: c.started}}})
+				x.Inherit(x.processStart, handover.State{Agent: "a", Hosts: []handover.Host{{Server: "s", Address: "h:1", Group: 1, Listed: true, Weight: 1, Started: c.started}}})
 			} else {
-				x.Members(List{Agent: c.agent, Revision: c.revision, At: x.processStart, Whole: true, Hosts: []Member{host}})
+				x.Members(List{Agent: c.agent, Revision: c.revision, At: x.processStart, Snapshot: true, Hosts: []Member{host}})
 			}
 			for _, p := range x.queue {
 				x.handle(p.at, p.event)
--- a/internal/memory/exchange/gossip.go
+++ b/internal/memory/exchange/gossip.go
@@ -11,8 +11,8 @@
 
 // addGossip queues a gossip entry with the result of an attempt or a probe, and with the host's statement about
 // its role and the time of that statement.
-func (x *Exchange) addGossip(entry balance.Heard, timeBounds balance.Made, rep balance.Report) {
-	if x.cfg.Gossip == nil || entry.Result == balance.Cancelled || entry.Result == balance.NotSent {
+func (x *Exchange) addGossip(entry balance.RemoteOutcome, timeBounds balance.TimeBounds, rep balance.Report) {
+	if x.cfg.Gossip == nil || entry.Result == balance.Canceled || entry.Result == balance.NotSent {
 		return // caused by this gateway, so it carries no information about the host
 	}
 	if entry.Result == balance.Stale {
@@ -22,13 +22,13 @@
 	if entry.At = now; timeBounds.NotAfter > 0 {
 		entry.At = timeBounds.NotAfter
 	}
-	if rep.Has {
+	if rep.Valid {
 		entry.Position = max(entry.Position, rep.Position)
 		if entry.Role == balance.Unknown {
 			entry.Role = rep.Role
 		}
 	}
-	if !x.cfg.Gossip.Note(now, entry) {
+	if !x.cfg.Gossip.AddEntry(now, entry) {
 		x.cfg.Counters.GossipDropped.Add(1)
 	}
 }
@@ -37,10 +37,10 @@
 func (x *Exchange) gossipOffsets() gossip.Offsets {
 	b := x.cfg.Clock.Bounds()
 	offset := b.At(x.cfg.Clock.Now())
-	if !b.Told {
-		offset.Least = 0
+	if !b.HasMin {
+		offset.Min = 0
 	}
-	return gossip.Offsets{Least: offset.Least, Most: offset.Most, Bounded: b.Bounded}
+	return gossip.Offsets{Min: offset.Min, Max: offset.Max, Bounded: b.HasMax}
 }
 
 // sendGossip sends a gossip message to the other gateways if one is due.
@@ -49,7 +49,7 @@
 		return
 	}
 	if at, ok := x.cfg.Gossip.Due(); ok && at <= now {
-		x.cfg.Tell(x.cfg.Gossip.Datagram(now, x.gossipOffsets(), nil))
+		x.cfg.SendGossip(x.cfg.Gossip.AppendMessage(now, x.gossipOffsets(), nil))
 	}
 }
 
--- a/internal/memory/exchange/handover.go
+++ b/internal/memory/exchange/handover.go
@@ -11,24 +11,24 @@
 )
 
 // stateRequest is the event of a call to Survey.
-type stateRequest struct{ done chan handover.Knowledge }
+type stateRequest struct{ done chan handover.State }
 
 // inheritedState is the event of a call to Inherit.
 type inheritedState struct {
-	state handover.Knowledge
+	state handover.State
 	list  endpointList // its hosts as an applied list
 }
 
-// Survey returns the handover state for the new process of a hot restart. The revision of the endpoint list is
+// HandoverState returns the handover state for the new process of a hot restart. The revision of the endpoint list is
 // not known here and left negative.
-func (x *Exchange) Survey(ctx context.Context) (handover.Knowledge, error) {
-	s := stateRequest{make(chan handover.Knowledge, 1)}
+func (x *Exchange) HandoverState(ctx context.Context) (handover.State, error) {
+	s := stateRequest{make(chan handover.State, 1)}
 	x.post(s)
 	select {
 	case k := <-s.done:
 		return k, nil
 	case <-ctx.Done():
-		return handover.Knowledge{}, ctx.Err()
+		return handover.State{}, ctx.Err()
 	}
 }
 
@@ -36,13 +36,13 @@
 //
 // The age of a drain notification is subtracted from requestedAt rather than from the time of the answer, so
 // that the resulting time is never later than the actual notification.
-func (x *Exchange) Inherit(requestedAt time.Duration, state handover.Knowledge) {
+func (x *Exchange) Inherit(requestedAt time.Duration, state handover.State) {
 	if state.ClockKnown {
-		x.cfg.Clock.Inherit(state.At, state.Ahead)
+		x.cfg.Clock.Inherit(state.At, state.Offset)
 	}
-	l := List{Agent: state.Agent, Revision: state.Revision, At: x.cfg.Clock.Now(), Whole: true, Hosts: make([]Member, 0, len(state.Hosts)), inherited: true}
+	l := List{Agent: state.Agent, Revision: state.Revision, At: x.cfg.Clock.Now(), Snapshot: true, Hosts: make([]Member, 0, len(state.Hosts)), inherited: true}
 	for _, h := range state.Hosts {
-		m := Member{Address: h.Address, ToldBy: h.ToldBy, ToldIn: h.ToldIn, Member: balance.Member{Server: h.Server, Group: h.Group, State: h.State,
+		m := Member{Address: h.Address, NotifiedBy: h.NotifiedBy, NotifiedRevision: h.NotifiedRevision, Member: balance.Member{Server: h.Server, Group: h.Group, State: h.State,
 			Primary: h.Listed, Weight: h.Weight}}
 		if h.Started > 0 {
 			m.Started = x.cfg.Clock.maxFleetTime(h.Started)
@@ -56,23 +56,23 @@
 }
 
 // handoverState collects the handover state.
-func (x *Exchange) handoverState() handover.Knowledge {
+func (x *Exchange) handoverState() handover.State {
 	now := x.cfg.Clock.Now()
 	b := x.cfg.Clock.Bounds()
-	state := handover.Knowledge{At: now, Revision: -1, Agent: x.sendDeadlines.lastAgent(), Newest: max(x.newestWrite, x.cfg.Settings.Floor), ClockKnown: b.Bounded && !b.Doubted}
+	state := handover.State{At: now, Revision: -1, Agent: x.sendDeadlines.lastAgent(), Newest: max(x.newestWrite, x.cfg.Settings.Floor), ClockKnown: b.HasMax && !b.Contradicted}
 	if state.ClockKnown {
-		state.Ahead = b.At(now)
+		state.Offset = b.At(now)
 	}
-	x.router.Look(now, func(s balance.Seen) {
+	x.router.Views(now, func(s balance.MemberView) {
 		m, listed := x.listed[s.Server]
-		if !listed || m.State == balance.Left {
+		if !listed || m.State == balance.Removed {
 			return
 		}
 		h := handover.Host{Server: s.Server, Address: m.Address, Group: m.Group, State: m.State, Listed: m.Primary,
-			Weight: m.Weight, Started: s.Started, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable || s.Primary}
+			Weight: m.Weight, Started: s.Started, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: s.Usable || s.Primary}
 		if at, ok := x.sendDeadlines.notifiedAt(s.Server); ok {
 			h.NotifiedFor = now - at
-			h.ToldBy, h.ToldIn = x.sendDeadlines.notifiedBy(s.Server)
+			h.NotifiedBy, h.NotifiedRevision = x.sendDeadlines.notifiedBy(s.Server)
 		}
 		state.Hosts = append(state.Hosts, h)
 	})
@@ -82,7 +82,7 @@
 
 // moduleEvidence returns the module's evidence about the hosts, for the module that replaces it after a panic.
 // If collecting it panics too, each host counts as a follower until it states otherwise.
-func (x *Exchange) moduleEvidence() (evidence []balance.Inherited) {
+func (x *Exchange) moduleEvidence() (evidence []balance.PriorEvidence) {
 	now := x.cfg.Clock.Now()
 	defer func() {
 		if p := recover(); p == nil {
@@ -90,11 +90,11 @@
 		}
 		evidence = nil
 		for server := range x.listed {
-			evidence = append(evidence, balance.Inherited{Server: server, Follows: now, Alive: true})
+			evidence = append(evidence, balance.PriorEvidence{Server: server, ReplicaNotAfter: now, Alive: true})
 		}
 	}()
-	x.router.Look(now, func(s balance.Seen) {
-		evidence = append(evidence, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
+	x.router.Views(now, func(s balance.MemberView) {
+		evidence = append(evidence, balance.PriorEvidence{Server: s.Server, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: true})
 	})
 	return evidence
 }
@@ -105,7 +105,7 @@
 	state := e.state
 	x.handleMembers(e.list)
 	for _, h := range state.Hosts {
-		x.decide(balance.Inherited{Server: h.Server, Leads: h.Leads, Follows: h.Follows, Position: h.Position, Alive: h.Alive})
+		x.decide(balance.PriorEvidence{Server: h.Server, PrimaryNotBefore: h.PrimaryNotBefore, ReplicaNotAfter: h.ReplicaNotAfter, Position: h.Position, Alive: h.Alive})
 	}
 	s := x.cfg.Settings
 	if s.Restarted = true; !s.TokensCarried {
@@ -114,7 +114,7 @@
 		s.Floor = max(s.Floor, state.Newest)
 	}
 	x.cfg.Settings = s
-	x.decide(balance.Retune{Settings: s})
+	x.decide(balance.SettingsUpdate{Settings: s})
 }
 
 // recordWrite records the position of a session's write. If the position of the commit is unknown (0), it takes
--- a/internal/memory/exchange/log.go
+++ b/internal/memory/exchange/log.go
@@ -12,9 +12,9 @@
 // keeps a limited number of lines of each kind a second and counts the rest.
 
 // logGivenUp logs that a request failed or was refused, and why.
-func (x *Exchange) logGivenUp(o *pendingRequest, how string, why balance.Why, bad float64) {
+func (x *Exchange) logGivenUp(o *pendingRequest, how string, why balance.Reason, bad float64) {
 	reason := why.String()
-	if o.Over > 0 {
+	if o.QuotaRetryAfter > 0 {
 		reason = "over its share"
 	}
 	last := "none"
@@ -62,11 +62,11 @@
 	x.cfg.Counters.PrimaryChanges.Add(1)
 	now := x.cfg.Clock.Now()
 	fields := []zap.Field{zap.Int("group", c.Group), zap.String("from", c.From), zap.String("to", c.To), zap.Stringer("source", c.Source),
-		zap.String("about", c.About)}
+		zap.String("about", c.Server)}
 	for _, age := range []struct {
 		name string
 		at   time.Duration
-	}{{"led_ago", c.Leads}, {"followed_ago", c.Follows}, {"started_ago", c.Started}} {
+	}{{"led_ago", c.PrimaryNotBefore}, {"followed_ago", c.ReplicaNotAfter}, {"started_ago", c.Started}} {
 		if age.at > 0 {
 			fields = append(fields, zap.Duration(age.name, (now-age.at).Round(time.Microsecond)))
 		}
@@ -83,10 +83,10 @@
 	}
 	fields := []zap.Field{zap.Stringer("grounds", g.Kind), zap.Stringer("grounds_source", g.Source)}
 	if g.Position > 0 {
-		fields = append(fields, zap.Duration("position_age", (o.sentAt+g.Ages-g.Position).Round(time.Millisecond)))
+		fields = append(fields, zap.Duration("position_age", (o.sentAt+g.AgeOffset-g.Position).Round(time.Millisecond)))
 	}
-	if g.Leads > 0 {
-		fields = append(fields, zap.Duration("led_ago", (o.sentAt-g.Leads).Round(time.Millisecond)))
+	if g.PrimaryNotBefore > 0 {
+		fields = append(fields, zap.Duration("led_ago", (o.sentAt-g.PrimaryNotBefore).Round(time.Millisecond)))
 	}
 	return fields
 }
@@ -96,7 +96,7 @@
 func (x *Exchange) logServed(o *pendingRequest, e Outcome) {
 	x.keepTrace(o, e.Server)
 	g := o.grounds
-	if !g.NeedsLeader() && (g.SendBy == 0 || g.SendBy-o.sentAt > o.class.Bound/2) {
+	if !g.NeedsPrimary() && (g.SendBy == 0 || g.SendBy-o.sentAt > o.class.Bound/2) {
 		return
 	}
 	fields := []zap.Field{zap.String("id", o.ID), zap.Int("attempt", e.Attempt), zap.String("host", e.Server), zap.String("class", o.Class),
--- a/internal/memory/exchange/members.go
+++ b/internal/memory/exchange/members.go
@@ -18,9 +18,9 @@
 	Address string
 	// NotifiedAt is when an earlier process of this gateway was notified that the host drains or was removed,
 	// or 0 if unknown.
-	NotifiedAt time.Duration
-	ToldBy     string // agent of discovery that notified the earlier process, or "" if unknown
-	ToldIn     int64  // revision of the endpoint list with that notification
+	NotifiedAt       time.Duration
+	NotifiedBy       string // agent of discovery that notified the earlier process, or "" if unknown
+	NotifiedRevision int64  // revision of the endpoint list with that notification
 }
 
 // List is an endpoint list from an agent of discovery: a snapshot of all hosts, or a delta with the changed
@@ -29,7 +29,7 @@
 	Agent    string // address of the agent
 	Revision int64
 	At       time.Duration // when it arrived, or earlier if the gateway counts as notified from an earlier time
-	Whole    bool          // a snapshot
+	Snapshot bool          // a snapshot
 	Hosts    []Member
 
 	inherited bool // comes from the handover state of an earlier process, with start times rounded up
@@ -63,10 +63,10 @@
 
 // drainStates maps the module's states of a host to those of package draining.
 var drainStates = map[balance.State]draining.State{balance.Active: draining.Serving, balance.Draining: draining.Draining,
-	balance.Left: draining.Gone}
+	balance.Removed: draining.Removed}
 
 // memberStates is the inverse of drainStates.
-var memberStates = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Gone: balance.Left}
+var memberStates = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Removed: balance.Removed}
 
 // apply applies a list and returns it with the effective states and the latest known start times, so that an
 // outdated list reverts neither. A host that drains when it is first listed may have been draining since before
@@ -75,18 +75,18 @@
 func (b *sendDeadlines) apply(l List) endpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	applied, named := endpointList{l.Whole, slices.Clone(l.Hosts)}, map[string]bool{}
+	applied, named := endpointList{l.Snapshot, slices.Clone(l.Hosts)}, map[string]bool{}
 	for i, m := range applied.hosts {
 		named[m.Server] = true
 		b.setLocked(b.tracker.Set(b.statementLocked(l, m)))
 		applied.hosts[i].State, applied.hosts[i].Started = memberStates[b.tracker.State(m.Server)], max(m.Started, b.latestStart[m.Server])
 	}
-	if !l.Whole {
+	if !l.Snapshot {
 		return applied
 	}
 	for server, started := range b.latestStart {
 		if !named[server] {
-			b.setLocked(b.tracker.Set(draining.Word{Server: server, State: draining.Gone, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
+			b.setLocked(b.tracker.Set(draining.Notification{Server: server, State: draining.Removed, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
 				Started: started}))
 		}
 	}
@@ -95,8 +95,8 @@
 
 // statementLocked returns the statement of a list about a host. In an inherited list a serving state ends no
 // drain, as the statement of another list may be newer.
-func (b *sendDeadlines) statementLocked(l List, m Member) draining.Word {
-	statement := draining.Word{Server: m.Server, State: drainStates[m.State], At: l.At, Since: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
+func (b *sendDeadlines) statementLocked(l List, m Member) draining.Notification {
+	statement := draining.Notification{Server: m.Server, State: drainStates[m.State], At: l.At, NotifiedAt: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
 		Started: m.Started}
 	latest, known := b.latestStart[m.Server]
 	if !known {
@@ -109,7 +109,7 @@
 		latest = max(latest, m.Started)
 	}
 	if b.latestStart[m.Server] = latest; l.inherited {
-		statement.Agent, statement.Revision = m.ToldBy, m.ToldIn
+		statement.Agent, statement.Revision = m.NotifiedBy, m.NotifiedRevision
 		return statement
 	}
 	b.agent = l.Agent
@@ -119,7 +119,7 @@
 // setLocked sets the send deadline of a host at the host side.
 func (b *sendDeadlines) setLocked(bound draining.Bound) {
 	if b.hosts != nil {
-		b.hosts.Until(bound.Server, bound.By)
+		b.hosts.SetSendDeadline(bound.Server, bound.SendUntil)
 	}
 }
 
@@ -127,7 +127,7 @@
 func (b *sendDeadlines) updateSettings(s balance.Settings) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	moved := b.tracker.Retune(drainRules(s))
+	moved := b.tracker.SetRules(drainRules(s))
 	for _, bound := range moved {
 		b.setLocked(bound)
 	}
@@ -138,7 +138,7 @@
 func (b *sendDeadlines) resend(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.setLocked(draining.Bound{Server: server, By: b.tracker.Until(server)})
+	b.setLocked(draining.Bound{Server: server, SendUntil: b.tracker.Until(server)})
 }
 
 // deadline returns the time until which new requests may be sent to a host.
@@ -153,7 +153,7 @@
 func (b *sendDeadlines) notifiedBy(server string) (agent string, revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.tracker.ToldBy(server)
+	return b.tracker.NotifiedBy(server)
 }
 
 // lastAgent returns the agent of discovery that sent the latest list, or "" if there was none.
@@ -200,14 +200,14 @@
 // handleMembers handles an endpoint list. Send deadlines may have changed since it was applied.
 func (x *Exchange) handleMembers(e endpointList) {
 	now := x.cfg.Clock.Now()
-	ev := balance.Members{Whole: e.snapshot, List: make([]balance.Member, 0, len(e.hosts))}
+	ev := balance.Members{Snapshot: e.snapshot, List: make([]balance.Member, 0, len(e.hosts))}
 	local, named := make([]Member, 0, len(e.hosts)), map[string]bool{}
 	for _, m := range e.hosts {
 		named[m.Server] = true
 		x.logStateChange(now, m)
 		x.listed[m.Server] = m
 		if x.cfg.Gossip != nil {
-			x.cfg.Gossip.Host(m.Server)
+			x.cfg.Gossip.AddHost(m.Server)
 		}
 		x.groups[m.Group] = true
 		m.Member = x.moduleMember(m)
@@ -219,19 +219,19 @@
 		x.sendDeadlines.resend(m.Server)
 	}
 	for server, m := range x.listed {
-		if e.snapshot && !named[server] && m.State != balance.Left {
-			m.State = balance.Left
+		if e.snapshot && !named[server] && m.State != balance.Removed {
+			m.State = balance.Removed
 			x.logStateChange(now, m)
 			x.listed[server] = m
 		}
-		if m.State == balance.Left {
+		if m.State == balance.Removed {
 			x.forgetHost(now, server)
 		}
 	}
 	x.decide(ev)
 	x.probeForClock()
 	if x.cells != nil {
-		x.performCells(x.cells.Hosts(now, e.snapshot, ev.List))
+		x.performCells(x.cells.UpdateMembers(now, e.snapshot, ev.List))
 	}
 }
 
@@ -248,7 +248,7 @@
 // started. Primaries have the newest positions, so only they are probed if any are listed.
 func (x *Exchange) probeForClock() {
 	now := x.cfg.Clock.Now()
-	if x.cfg.Clock.Bounds().Told || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
+	if x.cfg.Clock.Bounds().HasMin || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
 		now < x.nextClockProbe {
 		return
 	}
@@ -297,10 +297,10 @@
 		return 0
 	}
 	now, b := x.cfg.Clock.Now(), x.cfg.Clock.Bounds()
-	if !b.Told {
+	if !b.HasMin {
 		return now
 	}
-	return min(fleet-b.At(now).Least, now)
+	return min(fleet-b.At(now).Min, now)
 }
 
 // checkClock notifies the module of changes to the known offset of the fleet's clock. If the offset became
@@ -316,11 +316,11 @@
 	if x.clockEpoch != epoch {
 		x.clockEpoch = epoch
 		x.decide(balance.ClockReplaced{})
-	} else if x.clockKnown == b.Told && x.clockContradicted == b.Doubted && x.clockBounded == b.Bounded {
+	} else if x.clockKnown == b.HasMin && x.clockContradicted == b.Contradicted && x.clockBounded == b.HasMax {
 		return
 	}
-	x.clockKnown, x.clockContradicted, x.clockBounded = b.Told, b.Doubted, b.Bounded
-	x.cfg.Log.Info("fleet's clock", append([]zap.Field{zap.Bool("doubted", b.Doubted), zap.Int("epoch", epoch)}, clockFields("", b, x.cfg.Clock.Now())...)...)
+	x.clockKnown, x.clockContradicted, x.clockBounded = b.HasMin, b.Contradicted, b.HasMax
+	x.cfg.Log.Info("fleet's clock", append([]zap.Field{zap.Bool("doubted", b.Contradicted), zap.Int("epoch", epoch)}, clockFields("", b, x.cfg.Clock.Now())...)...)
 	e := endpointList{}
 	for _, m := range x.listed {
 		e.hosts = append(e.hosts, m)
@@ -337,7 +337,7 @@
 	delete(x.listed, server)
 	x.sendDeadlines.forget(server)
 	if x.cfg.Gossip != nil {
-		x.cfg.Gossip.Forget(server)
+		x.cfg.Gossip.RemoveHost(server)
 	}
 	x.hosts.Forget(server)
 }
--- a/internal/memory/exchange/outcome.go
+++ b/internal/memory/exchange/outcome.go
@@ -6,20 +6,20 @@
 
 // hostStatement is the event of a host's statement that is not part of an outcome.
 type hostStatement struct {
-	statement  balance.Heard
-	timeBounds balance.Made
+	statement  balance.RemoteOutcome
+	timeBounds balance.TimeBounds
 	report     balance.Report
 }
 
 // Learned accepts a statement of a host that is not part of an outcome: one received after the outcome, or in
 // an answer that is not complete and may yet fail.
-func (x *Exchange) Learned(h balance.Heard, timeBounds balance.Made, r balance.Report) {
+func (x *Exchange) Learned(h balance.RemoteOutcome, timeBounds balance.TimeBounds, r balance.Report) {
 	x.post(hostStatement{h, timeBounds, r})
 }
 
 // dropOutdated removes what was dated with bounds of the fleet's clock that have since proved wrong. The
 // statement that a host is not primary and its position do not depend on these bounds and are kept.
-func (x *Exchange) dropOutdated(timeBounds balance.Made, role *balance.Role, report *balance.Report) {
+func (x *Exchange) dropOutdated(timeBounds balance.TimeBounds, role *balance.Role, report *balance.Report) {
 	if timeBounds.Epoch == x.clockEpoch {
 		return
 	}
@@ -34,10 +34,10 @@
 
 func (x *Exchange) handleStatement(e hostStatement) {
 	x.dropOutdated(e.timeBounds, &e.statement.Role, &e.report)
-	if e.statement.Source != balance.FromPart { // the outcome of the same answer is gossiped; entries are expensive in a large fleet
+	if e.statement.Source != balance.FromPartialAnswer { // the outcome of the same answer is gossiped; entries are expensive in a large fleet
 		x.addGossip(e.statement, e.timeBounds, e.report)
 	}
-	if e.report.Has {
+	if e.report.Valid {
 		e.statement.Position = max(e.statement.Position, e.report.Position)
 	}
 	e.statement.At, e.statement.NotBefore, e.statement.NotAfter = e.timeBounds.NotAfter, e.timeBounds.NotBefore, e.timeBounds.NotAfter
@@ -46,7 +46,7 @@
 
 // handleOutcome handles the outcome of an attempt.
 func (x *Exchange) handleOutcome(e Outcome) {
-	x.dropOutdated(e.Made, &e.Role, &e.Report)
+	x.dropOutdated(e.StatedAt, &e.Role, &e.Report)
 	if x.isStale(e.Outcome) {
 		e.Result, e.Value = balance.Stale, nil
 	}
@@ -56,7 +56,7 @@
 		return // the request was dropped after a panic of the module
 	}
 	o.inFlight, o.lastResult = false, e.Result
-	if o.possiblyExecutedAt == 0 && !e.Result.NeverRan() {
+	if o.possiblyExecutedAt == 0 && !e.Result.NotExecuted() {
 		o.possiblyExecutedAt = o.sentAt
 	}
 	if e.Result == balance.OK {
@@ -71,7 +71,7 @@
 		x.answer(o, Answer{Kind: Served, Value: e.Value}, &x.cfg.Counters.Served)
 	}
 	e.Final = o.answered
-	x.addGossip(balance.Heard{Server: e.Server, Class: o.Class, Result: e.Result, Took: e.Took, Role: e.Role, Position: e.Position}, e.Made, e.Report)
+	x.addGossip(balance.RemoteOutcome{Server: e.Server, Class: o.Class, Result: e.Result, Took: e.Took, Role: e.Role, Position: e.Position}, e.StatedAt, e.Report)
 	x.decide(e.Outcome)
 	x.release(o)
 }
--- a/internal/memory/exchange/request.go
+++ b/internal/memory/exchange/request.go
@@ -42,9 +42,9 @@
 		wait = r.Wait
 	}
 	maxHostWait := time.Duration(0)
-	if r.Lease > 0 {
+	if r.Checkout > 0 {
 		// A request that checks out a host waits for it no longer than other requests of its class would.
-		maxHostWait, wait = wait/2, r.Lease
+		maxHostWait, wait = wait/2, r.Checkout
 	}
 	o := &pendingRequest{Request: r, maxHostWait: maxHostWait, class: class, deadline: r.Arrived + max(wait-answerMargin, wait/2)}
 	if x.shutdownBy > 0 {
@@ -69,24 +69,24 @@
 // dispatch passes a request to the module, or leaves it waiting at a fence.
 func (x *Exchange) dispatch(o *pendingRequest, v cells.Verdict) {
 	r := o.Request
-	if o.fenced = v.Kind == cells.Hold; o.fenced {
+	if o.fenced = v.Kind == cells.Held; o.fenced {
 		x.cfg.Counters.Held.Add(1)
 		return
 	}
-	q := balance.Request{ID: r.ID, Class: r.Class, Session: r.Session, Group: v.Group, Cell: v.Cell, After: r.After,
-		Deadline: o.deadline, Elapsed: x.clientRetries.Try(r.Class, o.class.Deadline, r.Wait), Retry: r.Retry, Lease: r.Lease > 0,
-		Patience: o.maxHostWait}
+	q := balance.Request{ID: r.ID, Class: r.Class, Session: r.Session, Group: v.Group, Cell: v.Cell, SessionPosition: r.After,
+		Deadline: o.deadline, Elapsed: x.clientRetries.Observe(r.Class, o.class.Deadline, r.Wait), Retry: r.Retry, Checkout: r.Checkout > 0,
+		MaxWait: o.maxHostWait}
 	if o.clientRetry = q.Elapsed > 0; o.clientRetry {
 		x.cfg.Counters.ClientRetries.Add(1)
 	}
 	if v.Since > 0 {
-		q.Since = x.cfg.Clock.maxFleetTime(v.Since)
+		q.MinPosition = x.cfg.Clock.maxFleetTime(v.Since)
 	}
-	if q.Over = r.Over; q.Over > 0 {
+	if q.QuotaRetryAfter = r.QuotaRetryAfter; q.QuotaRetryAfter > 0 {
 		x.cfg.Counters.OverQuota.Add(1)
-	} else if v.Kind == cells.Over {
+	} else if v.Kind == cells.OverLimit {
 		x.cfg.Counters.OverQuota.Add(1)
-		q.Over = max(v.After, 1)
+		q.QuotaRetryAfter = max(v.RetryAfter, 1)
 	}
 	x.decide(q)
 }
--- a/internal/memory/exchange/session_read_test.go
+++ b/internal/memory/exchange/session_read_test.go
@@ -34,7 +34,7 @@
 			clock := NewClock()
 			x, h := newPair(t, clock)
 			now := clock.Now()
-			clock.Observe(fleetclock.Observation{Host: "p", Present: now - way, Sent: now - way, Received: now})
+			clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now - way, Sent: now - way, Received: now})
 			x.checkClock()
 			handleStatement(x, "p", balance.Replica, 0)
 			stopped := clock.Now()
--- a/internal/memory/exchange/settings.go
+++ b/internal/memory/exchange/settings.go
@@ -12,13 +12,13 @@
 // settingsUpdate is the event of a settings update.
 type settingsUpdate struct{ settings balance.Settings }
 
-// Retune replaces the settings. They must have been returned by balance.Settings.Checked.
-func (x *Exchange) Retune(s balance.Settings) { x.post(settingsUpdate{s}) }
+// UpdateSettings replaces the settings. They must have been returned by balance.Settings.Checked.
+func (x *Exchange) UpdateSettings(s balance.Settings) { x.post(settingsUpdate{s}) }
 
 // updateSettings records the new settings as the newest version.
 func (x *Exchange) updateSettings(s balance.Settings) {
-	s.HoldUp = draining.HoldUp
-	if x.versions.Take(x.cfg.Clock.Now(), s) {
+	s.MaxSendDelay = draining.MaxSendDelay
+	if x.versions.Update(x.cfg.Clock.Now(), s) {
 		x.applySettings("taken")
 	}
 }
@@ -37,9 +37,9 @@
 	s.Floor, s.Restarted = x.cfg.Settings.Floor, x.cfg.Settings.Restarted // not part of any settings file
 	x.useSettings(s)
 	if x.cfg.Gossip != nil {
-		x.cfg.Gossip.Classes(s.Classes)
+		x.cfg.Gossip.SetClasses(s.Classes)
 	}
-	x.decide(balance.Retune{Settings: s})
+	x.decide(balance.SettingsUpdate{Settings: s})
 	if x.sendDeadlines.updateSettings(s) {
 		x.updateSendDeadlines()
 	}
--- a/internal/memory/exchange/start_time_test.go
+++ b/internal/memory/exchange/start_time_test.go
@@ -16,7 +16,7 @@
 		time.Sleep(time.Minute)
 		now := clock.Now()
 		applyList(x, now, endpointList{hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "r", Group: 1, Weight: 1, Started: now}}}})
-		x.router.Look(now, func(s balance.Seen) {
+		x.router.Views(now, func(s balance.MemberView) {
 			if s.Server == "r" && s.Started < now {
 				t.Errorf("a host that was listed as just started counts as started %s ago", now-s.Started)
 			}
@@ -31,7 +31,7 @@
 	for i, started := range []time.Duration{x.processStart, 0, x.processStart - time.Hour} {
 		host.Started = started
 		x.handle(x.processStart, x.sendDeadlines.apply(List{Agent: "a", At: x.processStart, Hosts: []Member{host}, inherited: i == 0}))
-		x.router.Look(x.cfg.Clock.Now(), func(s balance.Seen) {
+		x.router.Views(x.cfg.Clock.Now(), func(s balance.MemberView) {
 			if s.Started < x.processStart {
 				t.Errorf("a host with a known start counts as started %s before it after a list with start %s", x.processStart-s.Started, started)
 			}
--- a/internal/memory/exchange/trace.go
+++ b/internal/memory/exchange/trace.go
@@ -43,7 +43,7 @@
 	r := &t.reads[t.count%maxTracedReads]
 	r.id = [16]byte{}
 	copy(r.id[:], o.ID)
-	r.server, r.sentAt, r.age = server, o.sentAt, o.sentAt+o.grounds.Ages-o.grounds.Position
+	r.server, r.sentAt, r.age = server, o.sentAt, o.sentAt+o.grounds.AgeOffset-o.grounds.Position
 	t.count++
 }
 
--- a/internal/memory/exchange/trace_test.go
+++ b/internal/memory/exchange/trace_test.go
@@ -29,7 +29,7 @@
 // contradict observes one answer of a primary that contradicts the known offset of the clock.
 func contradict(clock Clock) {
 	now := clock.Now()
-	clock.Observe(fleetclock.Observation{Host: "p", Present: now + 300*time.Millisecond, Sent: now, Received: now + time.Millisecond})
+	clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now + 300*time.Millisecond, Sent: now, Received: now + time.Millisecond})
 }
 
 // traced returns the reads that are logged by the given time.
--- a/internal/memory/exchange/types.go
+++ b/internal/memory/exchange/types.go
@@ -15,9 +15,9 @@
 	Arrived            time.Duration
 	Wait               time.Duration // how long the client waits from when it sent the request, or 0 for the class's deadline
 	After              time.Duration // position that the read must see, by the fleet's clock, or 0 for none
-	Over               time.Duration // if positive, the client is over its quota: the request is refused with this retryAfter
-	Lease              time.Duration // maximum time for which the request checks out its host, or 0 if it does not
-	Left               func() bool   // reports without blocking whether the client has disconnected; nil if that cannot be checked
+	QuotaRetryAfter    time.Duration // if positive, the client is over its quota: the request is refused with this retryAfter
+	Checkout           time.Duration // maximum time for which the request checks out its host, or 0 if it does not
+	ClientDisconnected func() bool   // reports without blocking whether the client has disconnected; nil if that cannot be checked
 	Command            any           // what the host side executes
 	Answer             chan<- Answer // receives the single answer; must have buffer capacity for it
 }
@@ -44,18 +44,18 @@
 
 // Attempt is one send of a request to a host.
 type Attempt struct {
-	ID      string
-	Number  int
-	Server  string
-	Command any
-	Left    func() bool   // as in Request
-	Sent    time.Duration // when the module decided on it
-	Until   time.Duration // when the gateway stops waiting for the answer
-	StartBy time.Duration // latest time at which its first byte may be sent, or 0 for no limit
-	WriteBy time.Duration // latest time for its last byte, with which a host starts execution, or 0 for no limit
-	Grounds balance.Grounds
-	Demand  balance.Demand // for checking an answer that is relayed before its outcome is reported
-	Keyed   bool           // the answer may be that of an earlier write with the same key
+	ID                 string
+	Number             int
+	Server             string
+	Command            any
+	ClientDisconnected func() bool   // as in Request
+	Sent               time.Duration // when the module decided on it
+	Deadline           time.Duration // when the gateway stops waiting for the answer
+	StartBy            time.Duration // latest time at which its first byte may be sent, or 0 for no limit
+	WriteBy            time.Duration // latest time for its last byte, with which a host starts execution, or 0 for no limit
+	Grounds            balance.Grounds
+	Demand             balance.Demand // for checking an answer that is relayed before its outcome is reported
+	Keyed              bool           // the answer may be that of an earlier write with the same key
 }
 
 // Outcome is the end of an attempt: the outcome for the module, and the value if the request was served.
@@ -69,11 +69,11 @@
 type Hosts interface {
 	Send(Attempt)
 	Cancel(id string, attempt int)
-	Withdraw(id string, attempt int) // ends an attempt as not sent if none of it has been sent, else has no effect
+	CancelUnsent(id string, attempt int) // ends an attempt as not sent if none of it has been sent, else has no effect
 	Probe(server string)
 	Members(list []Member) // new or changed entries
-	// Until sets the time after which no new request may be sent to a host, whenever it was decided on. 0
+	// SetSendDeadline sets the time after which no new request may be sent to a host, whenever it was decided on. 0
 	// removes the limit.
-	Until(server string, by time.Duration)
+	SetSendDeadline(server string, by time.Duration)
 	Forget(server string) // drops all state of a host that is removed for good
 }
