--- a/internal/memory/exchange/exchange.go
+++ b/internal/memory/exchange/exchange.go
@@ -1,6 +1,7 @@
-// Package exchange is where the client side and the host side of the gateway meet, in terms of no protocol:
-// requests come in, attempts go out, outcomes come back, answers go out. One goroutine owns the decision module,
-// hands it every event in order and carries out its actions. Nothing is decided here.
+// Package exchange is the event loop between the client side and the host side of the gateway. It is
+// independent of any wire protocol: it receives requests, sends attempts, handles their outcomes and answers
+// the requests. One goroutine owns the decision module (balance.Router), passes it every event in order and
+// performs the actions that it returns. The package itself makes no routing decisions.
 package exchange
 
 import (
@@ -21,99 +22,106 @@
 	"yokemast/internal/memory/counters"
 )
 
-// Config is what an Exchange needs to know.
+// Config holds the settings and dependencies of an Exchange.
 type Config struct {
 	Settings   balance.Settings
 	Seed       uint64
 	Clock      Clock
 	Log        *zap.Logger
 	Counters   *counters.Set
-	Gossip     *gossip.State // what gateways tell each other; nil: nothing
-	SendGossip func([]byte)  // sends a datagram to the other gateways; must not wait
+	Gossip     *gossip.State // state of the gossip between gateways, or nil if they exchange none
+	SendGossip func([]byte)  // sends a gossip message to the other gateways; must not block
 }
 
 const (
-	// answerMargin is kept free before the client stops waiting: its wait runs from when it sent, and the answer has
-	// to travel.
+	// answerMargin is how long before the end of the client's wait a request must be answered. The client
+	// counts its wait from when it sent the request, and the answer takes time to reach it.
 	answerMargin = 15 * time.Millisecond
-	// windowMargin is kept free before the end of a keyed class's window, for the way to the host and a process that is held up.
-	windowMargin = 20*time.Millisecond + draining.MaxSendDelay
-	// retryAfter is when a client may try a group again that no list has named yet.
-	retryAfter = 500 * time.Millisecond
-	// forgetAfter is how long a host that left is remembered, later than the module forgets it: a fleet that is
-	// replaced again and again must not fill memory.
-	forgetAfter = 2 * time.Minute
+	// keyWindowMargin is how long before the end of a keyed class's window the last byte must be written. It
+	// covers the network delay to the host and a stall of this process.
+	keyWindowMargin = 20*time.Millisecond + draining.MaxSendDelay
+	// unlistedRetryAfter is the retry delay for requests to a group without a listed host.
+	unlistedRetryAfter = 500 * time.Millisecond
+	// forgetRemovedAfter is how long a removed host is remembered. It is longer than the module remembers it.
+	// Removed hosts must be forgotten, as a fleet whose hosts are replaced continually would otherwise fill the
+	// memory.
+	forgetRemovedAfter = 2 * time.Minute
 )
 
-// SettleAfter is how long after they were given new settings are binding, by the operators' word.
+// SettleAfter is the time after which new settings are binding, as specified by the operators. It counts from
+// when the settings were passed to the gateway.
 const SettleAfter = 1200 * time.Millisecond
 
-type open struct {
+// pendingRequest is a request that is unanswered or has an attempt in flight.
+type pendingRequest struct {
 	*Request
-	class    *balance.Class
-	deadline time.Duration
-	patience time.Duration
-	attempts int
-	out      bool // an attempt has no outcome yet
-	answered bool
-	last     balance.Result // of the attempt before, if there was one
-	grounds  balance.Grounds
-	sentAt   time.Duration // of the last attempt
-	ranAt    time.Duration // when the first attempt was sent that may have run; 0: none has
-	waits    bool          // at a fence; the module has not got it yet
-	again    bool          // its client has tried before
-	ticket   cells.Ticket  // of its cell
+	class              *balance.Class
+	deadline           time.Duration
+	maxHostWait        time.Duration // maximum wait for a host; set only for requests that check one out
+	attempts           int           // attempts sent so far
+	inFlight           bool          // an attempt is in flight
+	answered           bool
+	lastResult         balance.Result // result of the previous attempt, if any
+	grounds            balance.Grounds
+	sentAt             time.Duration // when the latest attempt was sent
+	possiblyExecutedAt time.Duration // when the first possibly executed attempt was sent, or 0 if there is none
+	fenced             bool          // held at a fence; not yet passed to the module
+	clientRetry        bool          // a client retry
+	ticket             cells.Ticket  // the admission ticket of its cell
 }
 
-type posted struct {
-	at time.Duration
-	ev any
+// queuedEvent is an event and the time at which it arrived.
+type queuedEvent struct {
+	at    time.Duration
+	event any
 }
 
-type gone struct{ request *Request }
+// canceled is the event of a client disconnecting before its request was answered.
+type canceled struct{ request *Request }
 
-// Exchange is safe for concurrent use; Run does the work.
+// Exchange runs the event loop. Its exported methods are safe for concurrent use; Run handles the events.
 type Exchange struct {
 	cfg     Config
 	classes map[string]*balance.Class
 
 	mu    sync.Mutex
-	queue []posted
+	queue []queuedEvent
 	wake  chan struct{}
 
-	bounds *bounds
-
-	// All below belongs to Run.
-	hosts    Hosts
-	router   *balance.Router
-	versions *reload.Versions
-	tries    *waits.Estimator
-	open     map[string]*open
-	groups   map[int]bool
-	list     map[string]Member // as discovery tells it, with times by the fleet's clock
-	timers   timers
-	acts     []balance.Action
-	seq      uint64        // of timers
-	endBy    time.Duration // the gateway ends; 0: it does not
-	cells    *cells.State  // nil: there are none
-	lookAt   time.Duration // when the cells are next told what the module believes
-	seen     []balance.MemberView
-	heard    []balance.RemoteOutcome
-	newest   time.Duration // of sessions' writes
-	begunAt  time.Duration
-
-	clockProbes map[string]bool // hosts that are being asked for the time
-	clockRounds int             // how often some were
-	clockAskAt  time.Duration   // not again before
-	trace       trace
-	// What is known of the fleet's clock, as far as it is in force everywhere.
-	clock                   balance.ClockBounds
-	clockTold, clockDoubted bool
-	clockBounded            bool
-	clockEpoch              int
+	sendDeadlines *sendDeadlines
+
+	// The fields below are used by Run's goroutine only.
+	hosts         Hosts
+	router        *balance.Router
+	versions      *reload.Versions
+	clientRetries *waits.Estimator
+	pending       map[string]*pendingRequest
+	groups        map[int]bool
+	listed        map[string]Member // hosts by id as listed by discovery, with times by the fleet's clock
+	timers        timers
+	actions       []balance.Action
+	seq           uint64        // sequence number of the latest timer
+	shutdownBy    time.Duration // when the last answer is due during shutdown, or 0 if the gateway does not shut down
+	cells         *cells.State  // nil if no cells are configured
+	nextCellsSync time.Duration // when the cells next get the module's view of the hosts
+	seen          []balance.MemberView
+	gossipEntries []balance.RemoteOutcome
+	newestWrite   time.Duration // position of the newest write of any session, by the fleet's clock
+	processStart  time.Duration
+
+	clockProbes    map[string]bool // hosts with a clock probe in flight
+	clockRounds    int             // rounds of clock probes sent so far
+	nextClockProbe time.Duration   // earliest time of the next round
+	trace          trace
+	// clock, clockKnown, clockContradicted, clockBounded and clockEpoch are the state of the fleet's clock that
+	// the module and the host side were last notified of.
+	clock                         balance.ClockBounds
+	clockKnown, clockContradicted bool
+	clockBounded                  bool
+	clockEpoch                    int
 }
 
-// New makes an exchange; the error names the setting that makes no sense.
+// New returns an Exchange. It returns an error that names the setting if one is invalid.
 func New(cfg Config) (*Exchange, error) {
 	s, err := cfg.Settings.Checked()
 	if err != nil {
@@ -124,20 +132,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	begunAt := cfg.Clock.Now()
-	x := &Exchange{cfg: cfg, router: router, wake: make(chan struct{}, 1), versions: reload.New(s, SettleAfter), tries: waits.New(),
-		open: map[string]*open{}, groups: map[int]bool{}, list: map[string]Member{},
-		bounds: newBounds(s, begunAt), begunAt: begunAt}
-	x.use(s)
+	processStart := cfg.Clock.Now()
+	x := &Exchange{cfg: cfg, router: router, wake: make(chan struct{}, 1), versions: reload.New(s, SettleAfter), clientRetries: waits.New(),
+		pending: map[string]*pendingRequest{}, groups: map[int]bool{}, listed: map[string]Member{},
+		sendDeadlines: newSendDeadlines(s, processStart), processStart: processStart}
+	x.useSettings(s)
 	x.clock = x.cfg.Clock.ForModule()
-	x.router.Handle(x.begunAt, x.clock, nil)
+	x.router.Handle(x.processStart, x.clock, nil)
 	return x, nil
 }
 
 func (x *Exchange) post(ev any) {
 	at := x.cfg.Clock.Now()
 	x.mu.Lock()
-	x.queue = append(x.queue, posted{at, ev})
+	x.queue = append(x.queue, queuedEvent{at, ev})
 	x.mu.Unlock()
 	select {
 	case x.wake <- struct{}{}:
@@ -145,55 +153,58 @@
 	}
 }
 
-// Submit takes a request; its answer comes on its channel.
+// Submit accepts a request. The answer is sent on the request's Answer channel.
 func (x *Exchange) Submit(r *Request) { x.post(r) }
 
-// CancelRequest says that a request's client has left; no answer is owed.
-func (x *Exchange) CancelRequest(r *Request) { x.post(gone{r}) }
+// CancelRequest cancels a request whose client has disconnected. It is not answered.
+func (x *Exchange) CancelRequest(r *Request) { x.post(canceled{r}) }
 
-// Outcome ends an attempt.
+// Outcome reports the outcome of an attempt.
 func (x *Exchange) Outcome(o Outcome) { x.post(o) }
 
-// Probed ends a probe.
+// Probed reports the result of a probe.
 func (x *Exchange) Probed(p balance.ProbeResult) { x.post(p) }
 
-type datagram []byte
+// gossipMessage is the event of a gossip message from another gateway.
+type gossipMessage []byte
 
-// ReceiveGossip takes a datagram of another gateway.
-func (x *Exchange) ReceiveGossip(b []byte) { x.post(datagram(b)) }
+// ReceiveGossip accepts a gossip message from another gateway.
+func (x *Exchange) ReceiveGossip(b []byte) { x.post(gossipMessage(b)) }
 
-type ending struct{ by time.Duration }
+// shutdownStarted is the event of a shutdown starting.
+type shutdownStarted struct{ by time.Duration }
 
-// BeginShutdown says that requests that come from now on must be answered by then, however long their clients would wait.
-func (x *Exchange) BeginShutdown(by time.Duration) { x.post(ending{by}) }
+// BeginShutdown starts the shutdown: every request must be answered by the given time, even if its client would wait
+// longer.
+func (x *Exchange) BeginShutdown(by time.Duration) { x.post(shutdownStarted{by}) }
 
-// Run handles events until the context ends. It alone touches the module.
+// Run handles events until the context is done. Only Run's goroutine calls the module.
 func (x *Exchange) Run(ctx context.Context, hosts Hosts) error {
 	x.hosts = hosts
-	x.bounds.serve(hosts)
+	x.sendDeadlines.setHosts(hosts)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var batch []posted
+	var batch []queuedEvent
 	for {
 		x.mu.Lock()
 		batch, x.queue = x.queue, batch[:0]
 		x.mu.Unlock()
-		x.stall(batch)
-		x.noticeClock()
+		x.logStall(batch)
+		x.checkClock()
 		for i, p := range batch {
-			x.due(p.at) // what was due before this came
-			x.handle(p.at, p.ev)
-			batch[i] = posted{}
+			x.runTimers(p.at) // timers that expired before the event arrived
+			x.handle(p.at, p.event)
+			batch[i] = queuedEvent{}
 		}
-		x.due(x.cfg.Clock.Now())
-		x.settle(x.cfg.Clock.Now())
-		x.tell(x.cfg.Clock.Now())
-		x.look(x.cfg.Clock.Now())
+		x.runTimers(x.cfg.Clock.Now())
+		x.settleSettings(x.cfg.Clock.Now())
+		x.sendGossip(x.cfg.Clock.Now())
+		x.syncCells(x.cfg.Clock.Now())
 		x.logTrace(x.cfg.Clock.Now())
 		if len(batch) > 0 {
 			continue
 		}
-		timer.Reset(x.untilDue(x.cfg.Clock.Now()))
+		timer.Reset(x.untilNextDue(x.cfg.Clock.Now()))
 		select {
 		case <-ctx.Done():
 			x.endTrace(x.cfg.Clock.Now())
@@ -204,12 +215,12 @@
 	}
 }
 
-// longestIdle is for how long Run waits at most where nothing is due.
-const longestIdle = time.Hour
+// maxIdle is the maximum time that Run waits if nothing is due.
+const maxIdle = time.Hour
 
-// untilDue is how long it is until something is due without an event, 0 where it is due already.
-func (x *Exchange) untilDue(now time.Duration) time.Duration {
-	next := now + longestIdle
+// untilNextDue returns the time until the next timer or periodic task is due, or 0 if one is due already.
+func (x *Exchange) untilNextDue(now time.Duration) time.Duration {
+	next := now + maxIdle
 	if len(x.timers) > 0 {
 		next = min(next, x.timers[0].due)
 	}
@@ -222,122 +233,125 @@
 		next = min(next, at)
 	}
 	if x.cells != nil {
-		next = min(next, x.lookAt)
+		next = min(next, x.nextCellsSync)
 	}
-	if x.trace.lineAt > 0 {
-		next = min(next, x.trace.lineAt)
+	if x.trace.nextLineAt > 0 {
+		next = min(next, x.trace.nextLineAt)
 	}
 	return max(next-now, 0)
 }
 
-// due hands over the timers that were due by then.
-func (x *Exchange) due(by time.Duration) {
+// runTimers passes the timers that expire at or before the given time to the module.
+func (x *Exchange) runTimers(by time.Duration) {
 	for len(x.timers) > 0 && x.timers[0].due <= by {
 		x.decide(balance.Timer{Tag: x.timers.pop().tag})
 		x.cfg.Counters.Timers.Add(-1)
 	}
 }
 
-// handle takes what came at a time, which may be a while ago where the process got no time.
+// handle handles an event that arrived at the given time, which may be well in the past if the process stalled.
 func (x *Exchange) handle(at time.Duration, ev any) {
 	switch e := ev.(type) {
 	case *Request:
-		x.request(e)
-	case gone:
-		if o := x.open[e.request.ID]; o != nil && o.Request == e.request && !o.answered {
+		x.handleRequest(e)
+	case canceled:
+		if o := x.pending[e.request.ID]; o != nil && o.Request == e.request && !o.answered {
 			o.answered = true
-			x.cfg.Counters.Gone.Add(1)
-			x.unserved(o)
+			x.cfg.Counters.RequestsCanceled.Add(1)
+			x.noteUnserved(o)
 			x.decide(balance.RequestCanceled{ID: o.ID})
-			x.forget(o)
+			x.release(o)
 		}
 	case Outcome:
-		x.outcome(e)
+		x.handleOutcome(e)
 	case balance.ProbeResult:
 		forClock := x.clockProbes[e.Server]
 		if delete(x.clockProbes, e.Server); forClock && e.Result != balance.OK {
-			return // it was not the module that asked: a host is not set aside for it
+			return // the module did not request this probe, so its failure must not eject the host
 		}
 		x.dropOutdated(e.StatedAt, new(balance.Role), &e.Report)
-		if !forClock { // many gateways that start would spend on it what they may tell
-			x.note(balance.RemoteOutcome{Server: e.Server, Result: e.Result}, e.StatedAt, e.Report)
+		if !forClock { // many gateways that start together would use up their gossip budget on clock probes
+			x.addGossip(balance.RemoteOutcome{Server: e.Server, Result: e.Result}, e.StatedAt, e.Report)
 		}
 		x.decide(e)
-	case learning:
-		x.learned(e)
-	case datagram:
-		x.receive(e)
-	case members:
-		x.members(e)
-	case ending:
-		x.ending(e.by)
-	case surveying:
-		e.done <- x.survey()
-	case inheriting:
-		x.inherit(e)
-	case retuning:
-		x.retune(e.settings)
-	case configuring:
-		x.configure(e.cells)
-	case asking:
-		e.done <- x.ask(e.do)
+	case hostStatement:
+		x.handleStatement(e)
+	case gossipMessage:
+		x.receiveGossip(e)
+	case endpointList:
+		x.handleMembers(e)
+	case shutdownStarted:
+		x.startShutdown(e.by)
+	case stateRequest:
+		e.done <- x.handoverState()
+	case inheritedState:
+		x.handleInherited(e)
+	case settingsUpdate:
+		x.updateSettings(e.settings)
+	case cellsUpdate:
+		x.updateCells(e.cells)
+	case cellsCall:
+		e.done <- x.callCells(e.do)
 	}
 }
 
-// ending shortens what is open to when the last answer is due: what is unanswered when the process ends is lost, also what
-// was taken before the signal and whose client would wait for longer.
-func (x *Exchange) ending(by time.Duration) {
-	if x.endBy == by {
+// startShutdown shortens the deadlines of all pending requests to the time by which the last answer is due.
+// Requests that are unanswered when the process exits are lost, including those that arrived before the signal
+// and whose clients would wait longer.
+func (x *Exchange) startShutdown(by time.Duration) {
+	if x.shutdownBy == by {
 		return
 	}
-	x.endBy = by
-	for _, o := range x.open {
+	x.shutdownBy = by
+	for _, o := range x.pending {
 		if o.deadline <= by {
 			continue
 		}
-		if o.deadline = by; o.waits { // at a fence, which counts with the deadline that it was told
-			x.pass(o, cells.Verdict{Kind: cells.OverLimit, Group: o.Group})
+		if o.deadline = by; o.fenced { // the fence was given the previous deadline and would hold the request until then
+			x.dispatch(o, cells.Verdict{Kind: cells.OverLimit, Group: o.Group})
 		}
 	}
 	x.decide(balance.Shutdown{By: by})
 }
 
-// answer gives the final answer, once.
-func (x *Exchange) answer(o *open, a Answer, count *counters.Count) {
+// answer sends the final answer of a request unless it has been answered.
+func (x *Exchange) answer(o *pendingRequest, a Answer, count *counters.Count) {
 	if o.answered {
 		return
 	}
 	o.answered = true
 	count.Add(1)
 	if a.Kind != Served {
-		x.unserved(o)
+		x.noteUnserved(o)
 	}
 	o.Answer <- a
-	x.forget(o)
+	x.release(o)
 }
 
-// unserved says that a request ended without being served: its client may come again.
-func (x *Exchange) unserved(o *open) {
-	if !o.again {
-		x.tries.Unserved(o.Class)
+// noteUnserved records that a request ended without being served, so that a client retry may follow.
+func (x *Exchange) noteUnserved(o *pendingRequest) {
+	if !o.clientRetry {
+		x.clientRetries.Unserved(o.Class)
 	}
 }
 
-// forget drops the record of a request that is answered and has no attempt out. One that still waits for its connection must
-// not go out: nothing is sent on for a client that has left, or that has its answer.
-func (x *Exchange) forget(o *open) {
+// release drops the record of a request that is answered and has no attempt in flight. If an attempt is in
+// flight, it withdraws the attempt in case that still waits for its connection: nothing may be sent to a host
+// for a client that has disconnected or has its answer.
+func (x *Exchange) release(o *pendingRequest) {
 	switch {
-	case !o.answered || x.open[o.ID] != o:
-	case o.out:
+	case !o.answered || x.pending[o.ID] != o:
+	case o.inFlight:
 		x.hosts.CancelUnsent(o.ID, o.attempts-1)
 	default:
-		delete(x.open, o.ID)
-		x.done(o)
+		delete(x.pending, o.ID)
+		x.releaseTicket(o)
 	}
 }
 
-// decide hands the module one event and carries out what it answers. A panic there must not end the process: what
-// is open is answered, and a new module starts from the list, as after a restart.
+// decide passes one event to the module and performs the actions that it returns. A panic of the module must
+// not end the process: all pending requests are answered, and a new module starts from the endpoint list, as
+// after a restart.
 func (x *Exchange) decide(ev balance.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -346,36 +360,37 @@
 			x.restart()
 		}
 	}()
-	x.acts = x.router.Handle(x.cfg.Clock.Now(), ev, x.acts[:0])
-	for _, a := range x.acts {
-		x.act(a)
+	x.actions = x.router.Handle(x.cfg.Clock.Now(), ev, x.actions[:0])
+	for _, a := range x.actions {
+		x.perform(a)
 	}
 	for _, c := range x.router.PrimaryChanges() {
-		x.primaryChanged(c)
+		x.logPrimaryChange(c)
 	}
 }
 
+// restart replaces the module after a panic.
 func (x *Exchange) restart() {
-	for _, o := range x.open {
+	for _, o := range x.pending {
 		x.answer(o, Answer{Kind: Failed, Reason: "internal error"}, &x.cfg.Counters.Failed)
 	}
 	x.cfg.Seed++
-	known := x.recall()
+	evidence := x.moduleEvidence()
 	s := x.cfg.Settings
 	s.Restarted = true
-	if !s.TokensCarried { // what each session wrote is lost
-		s.Floor = max(s.Floor, x.newest)
+	if !s.TokensCarried { // the positions of the individual sessions' writes are lost
+		s.Floor = max(s.Floor, x.newestWrite)
 	}
-	x.router, _ = balance.New(s, x.cfg.Seed) // New took these settings before
+	x.router, _ = balance.New(s, x.cfg.Seed) // these settings have been accepted before
 	x.cfg.Counters.Timers.Add(-int64(len(x.timers)))
 	x.timers = nil
 	list := balance.Members{Snapshot: true}
-	for _, m := range x.list {
-		list.List = append(list.List, x.bound(m))
+	for _, m := range x.listed {
+		list.List = append(list.List, x.moduleMember(m))
 	}
 	x.router.Handle(x.cfg.Clock.Now(), x.clock, nil)
 	x.router.Handle(x.cfg.Clock.Now(), list, nil)
-	for _, k := range known {
+	for _, k := range evidence {
 		x.router.Handle(x.cfg.Clock.Now(), k, nil)
 	}
 	if x.cells != nil {
@@ -383,19 +398,19 @@
 	}
 }
 
-func (x *Exchange) act(a balance.Action) {
+func (x *Exchange) perform(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
 		x.send(a)
 	case balance.Refuse:
-		if o := x.open[a.ID]; o != nil {
-			x.gaveUp(o, "refused", a.Reason, a.Bad)
-			x.answer(o, Answer{Kind: Refused, Reason: "turned away", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
+		if o := x.pending[a.ID]; o != nil {
+			x.logGivenUp(o, "refused", a.Reason, a.Bad)
+			x.answer(o, Answer{Kind: Refused, Reason: "request refused", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
 		}
 	case balance.Fail:
-		if o := x.open[a.ID]; o != nil {
-			x.gaveUp(o, "failed", a.Reason, a.Bad)
-			x.answer(o, Answer{Kind: Failed, Reason: "given up"}, &x.cfg.Counters.Failed)
+		if o := x.pending[a.ID]; o != nil {
+			x.logGivenUp(o, "failed", a.Reason, a.Bad)
+			x.answer(o, Answer{Kind: Failed, Reason: "request failed"}, &x.cfg.Counters.Failed)
 		}
 	case balance.Cancel:
 		x.cfg.Counters.Canceled.Add(1)
@@ -407,18 +422,19 @@
 		x.seq++
 		x.timers.push(x.cfg.Clock.Now()+a.Wait, a.Tag, x.seq)
 		x.cfg.Counters.Timers.Add(1)
-	case balance.Watch: // the list is always watched
+	case balance.Watch: // discovery is always watched
 	}
 }
 
+// send starts an attempt, with the limits on when it may go out.
 func (x *Exchange) send(a balance.Send) {
-	o, now := x.open[a.ID], x.cfg.Clock.Now()
+	o, now := x.pending[a.ID], x.cfg.Clock.Now()
 	if o == nil {
 		return
 	}
 	t := Attempt{ID: a.ID, Number: o.attempts, Server: a.Server, Command: o.Command, ClientDisconnected: o.ClientDisconnected, Sent: now, Deadline: o.deadline}
 	o.attempts++
-	o.out, o.sentAt = true, now
+	o.inFlight, o.sentAt = true, now
 	x.cfg.Counters.Sent.Add(1)
 	if a.Timeout != 0 {
 		t.Deadline = min(t.Deadline, now+a.Timeout)
@@ -427,30 +443,30 @@
 	t.Keyed = o.Write && o.class.Effect == balance.Keyed
 	x.cfg.Counters.Grounds[a.Grounds.Kind].Add(1)
 	if a.Grounds.SendBy > 0 {
-		// The known position is inside the bound now; a slow connect must not carry the read past it.
-		t.writeBy(a.Grounds.SendBy)
+		// The known position is within the staleness bound now. A slow connect must not let the read exceed it.
+		t.limitWrite(a.Grounds.SendBy)
 	}
-	if by := x.bounds.until(a.Server); by != draining.Open {
-		// Nothing may go out after the grace, however long the connection takes to come up.
-		t.startBy(by)
+	if by := x.sendDeadlines.deadline(a.Server); by != draining.Open {
+		// Nothing may be sent after the drain grace, however long connecting takes.
+		t.limitStart(by)
 	}
-	if o.class.Effect == balance.Keyed && o.ranAt > 0 {
-		// The module found its window open; it must not close while the connection comes up.
-		t.writeBy(o.ranAt + o.class.KeyTTL - windowMargin)
+	if o.class.Effect == balance.Keyed && o.possiblyExecutedAt > 0 {
+		// The module found the key's window open. It must not close while the connection is set up.
+		t.limitWrite(o.possiblyExecutedAt + o.class.KeyTTL - keyWindowMargin)
 	}
 	x.hosts.Send(t)
 }
 
-// startBy bounds when the attempt may go out.
-func (a *Attempt) startBy(t time.Duration) {
+// limitStart limits the time at which the first byte of the attempt may be sent.
+func (a *Attempt) limitStart(t time.Duration) {
 	if a.StartBy == 0 || t < a.StartBy {
 		a.StartBy = t
 	}
 }
 
-// writeBy bounds when the attempt may go out to its last byte.
-func (a *Attempt) writeBy(t time.Duration) {
-	a.startBy(t)
+// limitWrite limits the time at which the last byte of the attempt may be sent.
+func (a *Attempt) limitWrite(t time.Duration) {
+	a.limitStart(t)
 	if a.WriteBy == 0 || t < a.WriteBy {
 		a.WriteBy = t
 	}
--- a/internal/memory/exchange/gossip.go
+++ b/internal/memory/exchange/gossip.go
@@ -9,30 +9,31 @@
 	"yokemast/internal/control/gossip"
 )
 
-// note tells the other gateways how an attempt or a probe ended, and when the host said what it said of its role.
-func (x *Exchange) note(n balance.RemoteOutcome, made balance.TimeBounds, rep balance.Report) {
-	if x.cfg.Gossip == nil || n.Result == balance.Canceled || n.Result == balance.NotSent {
-		return // that is this gateway's own doing and says nothing of the host
+// addGossip queues a gossip entry with the result of an attempt or a probe, and with the host's statement about
+// its role and the time of that statement.
+func (x *Exchange) addGossip(entry balance.RemoteOutcome, timeBounds balance.TimeBounds, rep balance.Report) {
+	if x.cfg.Gossip == nil || entry.Result == balance.Canceled || entry.Result == balance.NotSent {
+		return // caused by this gateway, so it carries no information about the host
 	}
-	if n.Result == balance.Stale {
-		n.Result = balance.OK // the host is well
+	if entry.Result == balance.Stale {
+		entry.Result = balance.OK // the host itself is healthy
 	}
 	now := x.cfg.Clock.Now()
-	if n.At = now; made.NotAfter > 0 {
-		n.At = made.NotAfter
+	if entry.At = now; timeBounds.NotAfter > 0 {
+		entry.At = timeBounds.NotAfter
 	}
 	if rep.Valid {
-		n.Position = max(n.Position, rep.Position)
-		if n.Role == balance.Unknown {
-			n.Role = rep.Role
+		entry.Position = max(entry.Position, rep.Position)
+		if entry.Role == balance.Unknown {
+			entry.Role = rep.Role
 		}
 	}
-	if !x.cfg.Gossip.AddEntry(now, n) {
-		x.cfg.Counters.Untold.Add(1)
+	if !x.cfg.Gossip.AddEntry(now, entry) {
+		x.cfg.Counters.GossipDropped.Add(1)
 	}
 }
 
-// gossipOffsets are the offsets of this clock for what gateways tell each other.
+// gossipOffsets returns the offset of the fleet's clock for encoding and decoding gossip messages.
 func (x *Exchange) gossipOffsets() gossip.Offsets {
 	b := x.cfg.Clock.Bounds()
 	offset := b.At(x.cfg.Clock.Now())
@@ -42,8 +43,8 @@
 	return gossip.Offsets{Min: offset.Min, Max: offset.Max, Bounded: b.HasMax}
 }
 
-// tell sends what is due to the other gateways.
-func (x *Exchange) tell(now time.Duration) {
+// sendGossip sends a gossip message to the other gateways if one is due.
+func (x *Exchange) sendGossip(now time.Duration) {
 	if x.cfg.Gossip == nil {
 		return
 	}
@@ -52,20 +53,20 @@
 	}
 }
 
-// receive hands the module what another gateway tells.
-func (x *Exchange) receive(b []byte) {
+// receiveGossip passes the entries of a gossip message to the module.
+func (x *Exchange) receiveGossip(b []byte) {
 	if x.cfg.Gossip == nil {
 		return
 	}
-	heard, err := x.cfg.Gossip.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), b, x.heard[:0])
-	x.heard = heard
+	entries, err := x.cfg.Gossip.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), b, x.gossipEntries[:0])
+	x.gossipEntries = entries
 	if err != nil {
-		x.cfg.Counters.HeardBad.Add(1)
-		x.cfg.Log.Debug("datagram not used", zap.Error(err))
+		x.cfg.Counters.GossipInvalid.Add(1)
+		x.cfg.Log.Debug("invalid gossip message", zap.Error(err))
 		return
 	}
-	x.cfg.Counters.Heard.Add(int64(len(heard)))
-	for _, n := range heard {
+	x.cfg.Counters.GossipReceived.Add(int64(len(entries)))
+	for _, n := range entries {
 		x.decide(n)
 	}
 }
--- a/internal/memory/exchange/members.go
+++ b/internal/memory/exchange/members.go
@@ -12,235 +12,248 @@
 	"yokemast/internal/control/draining"
 )
 
-// Member is an entry of the list of hosts, with the address that this gateway reaches it at.
+// Member is an entry of the endpoint list, with the address at which this gateway reaches the host.
 type Member struct {
 	balance.Member
 	Address string
-	// NotifiedAt is when an earlier process of this gateway was notified that it drains or is gone; 0: not known.
+	// NotifiedAt is when an earlier process of this gateway was notified that the host drains or was removed,
+	// or 0 if unknown.
 	NotifiedAt       time.Duration
-	NotifiedBy       string // agent of discovery that told that earlier process so; "": not known
-	NotifiedRevision int64  // the revision of its list
+	NotifiedBy       string // agent of discovery that notified the earlier process, or "" if unknown
+	NotifiedRevision int64  // revision of the endpoint list with that notification
 }
 
-// List is what an agent of discovery told: all hosts, or entries that changed.
+// List is an endpoint list from an agent of discovery: a snapshot of all hosts, or a delta with the changed
+// entries.
 type List struct {
-	Agent    string // its address
+	Agent    string // address of the agent
 	Revision int64
-	At       time.Duration // when it arrived, or earlier, where the gateway counts as notified since then
-	Snapshot bool
+	At       time.Duration // when it arrived, or earlier if the gateway counts as notified from an earlier time
+	Snapshot bool          // a snapshot
 	Hosts    []Member
 
-	inherited bool // it is what an earlier process knew, with starts that were rounded up
+	inherited bool // comes from the handover state of an earlier process, with start times rounded up
 }
 
-// members is a list whose states are those that hold.
-type members struct {
-	whole bool
-	list  []Member
+// endpointList is the event of an endpoint list whose states and start times are the effective ones.
+type endpointList struct {
+	snapshot bool
+	hosts    []Member
 }
 
-// bounds holds until when new requests may be sent to which host. A list binds from the moment that it is handed over, however
-// far the event loop is behind; so it is safe for concurrent use.
-type bounds struct {
-	begunAt time.Duration // the process's first moment
-	mu      sync.Mutex
-	drains  *draining.Tracker
-	known   map[string]time.Duration // hosts, with the latest start that was told of them
-	agent   string                   // of the last list
-	hosts   Hosts                    // nil until Run
+// sendDeadlines holds the time until which new requests may be sent to each host. An endpoint list takes effect
+// as soon as it is passed to Members, however far the event loop is behind, so sendDeadlines is safe for
+// concurrent use.
+type sendDeadlines struct {
+	processStart time.Duration // start of the process
+	mu           sync.Mutex
+	tracker      *draining.Tracker
+	latestStart  map[string]time.Duration // latest listed start time of each known host
+	agent        string                   // agent of discovery that sent the latest list
+	hosts        Hosts                    // nil until Run is called
 }
 
-func newBounds(s balance.Settings, begunAt time.Duration) *bounds {
-	return &bounds{begunAt: begunAt, drains: draining.New(drainRules(s)), known: map[string]time.Duration{}}
+func newSendDeadlines(s balance.Settings, processStart time.Duration) *sendDeadlines {
+	return &sendDeadlines{processStart: processStart, tracker: draining.New(drainRules(s)), latestStart: map[string]time.Duration{}}
 }
 
 func drainRules(s balance.Settings) draining.Rules {
 	return draining.Rules{Grace: s.DrainGrace, DroppedStayOpen: s.DroppedStayOpen}
 }
 
+// drainStates maps the module's states of a host to those of package draining.
 var drainStates = map[balance.State]draining.State{balance.Active: draining.Serving, balance.Draining: draining.Draining,
 	balance.Removed: draining.Removed}
 
-// states is drainStates the other way round.
-var states = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Removed: balance.Removed}
+// memberStates is the inverse of drainStates.
+var memberStates = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Removed: balance.Removed}
 
-// take puts a list in force, and gives it with the states that hold, and the latest starts: a list that is behind takes none back. A host that drains when the process first hears of it may have done so
-// since before the process began: what discovery's agent has counts as notified from the process's first moment.
-func (b *bounds) take(l List) members {
+// apply applies a list and returns it with the effective states and the latest known start times, so that an
+// outdated list reverts neither. A host that drains when it is first listed may have been draining since before
+// the process started. What the agent of discovery already has counts as notified from the start of the
+// process.
+func (b *sendDeadlines) apply(l List) endpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, named := members{l.Snapshot, slices.Clone(l.Hosts)}, map[string]bool{}
-	for i, m := range e.list {
+	applied, named := endpointList{l.Snapshot, slices.Clone(l.Hosts)}, map[string]bool{}
+	for i, m := range applied.hosts {
 		named[m.Server] = true
-		b.tellLocked(b.drains.Set(b.wordLocked(l, m)))
-		e.list[i].State, e.list[i].Started = states[b.drains.State(m.Server)], max(m.Started, b.known[m.Server])
+		b.setLocked(b.tracker.Set(b.statementLocked(l, m)))
+		applied.hosts[i].State, applied.hosts[i].Started = memberStates[b.tracker.State(m.Server)], max(m.Started, b.latestStart[m.Server])
 	}
 	if !l.Snapshot {
-		return e
+		return applied
 	}
-	for server, started := range b.known {
+	for server, started := range b.latestStart {
 		if !named[server] {
-			b.tellLocked(b.drains.Set(draining.Notification{Server: server, State: draining.Removed, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
+			b.setLocked(b.tracker.Set(draining.Notification{Server: server, State: draining.Removed, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
 				Started: started}))
 		}
 	}
-	return e
+	return applied
 }
 
-// wordLocked is what a list tells of a host. Of an earlier process's, that a host serves ends no drain: what another list told may be later.
-func (b *bounds) wordLocked(l List, m Member) draining.Notification {
-	w := draining.Notification{Server: m.Server, State: drainStates[m.State], At: l.At, NotifiedAt: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
+// statementLocked returns the statement of a list about a host. In an inherited list a serving state ends no
+// drain, as the statement of another list may be newer.
+func (b *sendDeadlines) statementLocked(l List, m Member) draining.Notification {
+	statement := draining.Notification{Server: m.Server, State: drainStates[m.State], At: l.At, NotifiedAt: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
 		Started: m.Started}
-	latest, known := b.known[m.Server]
+	latest, known := b.latestStart[m.Server]
 	if !known {
-		w.At = min(l.At, b.begunAt)
+		statement.At = min(l.At, b.processStart)
 	}
-	if w.State != draining.Serving {
-		w.Started = max(latest, w.Started)
+	if statement.State != draining.Serving {
+		statement.Started = max(latest, statement.Started)
 	}
-	if m.Started < farAhead { // else an earlier process could not say when
+	if m.Started < unreachedPosition { // otherwise the earlier process did not know the start time
 		latest = max(latest, m.Started)
 	}
-	if b.known[m.Server] = latest; l.inherited {
-		w.Agent, w.Revision = m.NotifiedBy, m.NotifiedRevision
-		return w
+	if b.latestStart[m.Server] = latest; l.inherited {
+		statement.Agent, statement.Revision = m.NotifiedBy, m.NotifiedRevision
+		return statement
 	}
 	b.agent = l.Agent
-	return w
+	return statement
 }
 
-func (b *bounds) tellLocked(bound draining.Bound) {
+// setLocked sets the send deadline of a host at the host side.
+func (b *sendDeadlines) setLocked(bound draining.Bound) {
 	if b.hosts != nil {
 		b.hosts.SetSendDeadline(bound.Server, bound.SendUntil)
 	}
 }
 
-// retune puts the rules of new settings in force; changed says that bounds have moved.
-func (b *bounds) retune(s balance.Settings) (changed bool) {
+// updateSettings applies the drain rules of new settings and reports whether any send deadline changed.
+func (b *sendDeadlines) updateSettings(s balance.Settings) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	moved := b.drains.SetRules(drainRules(s))
+	moved := b.tracker.SetRules(drainRules(s))
 	for _, bound := range moved {
-		b.tellLocked(bound)
+		b.setLocked(bound)
 	}
 	return len(moved) > 0
 }
 
-// renew tells the host side the bound that holds for a host now: it had not heard of the host before.
-func (b *bounds) renew(server string) {
+// resend sets the current send deadline of a host at the host side, which may not have known the host before.
+func (b *sendDeadlines) resend(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tellLocked(draining.Bound{Server: server, SendUntil: b.drains.Until(server)})
+	b.setLocked(draining.Bound{Server: server, SendUntil: b.tracker.Until(server)})
 }
 
-func (b *bounds) until(server string) time.Duration {
+// deadline returns the time until which new requests may be sent to a host.
+func (b *sendDeadlines) deadline(server string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.Until(server)
+	return b.tracker.Until(server)
 }
 
-// toldBy is the agent of discovery that told last that a host drains or is gone, and the revision of its list.
-func (b *bounds) toldBy(server string) (agent string, revision int64) {
+// notifiedBy returns the agent of discovery that last notified the gateway that a host drains or was removed,
+// and the revision of its list.
+func (b *sendDeadlines) notifiedBy(server string) (agent string, revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.NotifiedBy(server)
+	return b.tracker.NotifiedBy(server)
 }
 
-// lastAgent is the agent of discovery whose list was taken last; "": none was.
-func (b *bounds) lastAgent() string {
+// lastAgent returns the agent of discovery that sent the latest list, or "" if there was none.
+func (b *sendDeadlines) lastAgent() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.agent
 }
 
-func (b *bounds) notifiedAt(server string) (time.Duration, bool) {
+// notifiedAt returns when the gateway was notified that a host drains or was removed.
+func (b *sendDeadlines) notifiedAt(server string) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.NotifiedAt(server)
+	return b.tracker.NotifiedAt(server)
 }
 
-func (b *bounds) forget(server string) {
+func (b *sendDeadlines) forget(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.drains.Forget(server)
-	delete(b.known, server)
+	b.tracker.Forget(server)
+	delete(b.latestStart, server)
 }
 
-func (b *bounds) serve(hosts Hosts) {
+// setHosts sets the host side that send deadlines are passed to.
+func (b *sendDeadlines) setHosts(hosts Hosts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = hosts
 }
 
-// Members hands over a list of hosts. What it says of hosts that drain or are gone binds at once.
+// Members accepts an endpoint list. Drains and removals in it take effect immediately.
 func (x *Exchange) Members(l List) {
-	e := x.bounds.take(l)
-	for i, m := range e.list {
+	e := x.sendDeadlines.apply(l)
+	for i, m := range e.hosts {
 		if l.Hosts[i].State == balance.Active && m.State != balance.Active {
-			toldBy, _ := x.bounds.toldBy(m.Server)
-			x.cfg.Log.Info("host kept out: the list may be behind the one that told its drain", zap.String("host", m.Server),
-				zap.String("agent", l.Agent), zap.String("told_by", toldBy))
+			notifiedBy, _ := x.sendDeadlines.notifiedBy(m.Server)
+			x.cfg.Log.Info("host stays excluded: the endpoint list may be older than its drain notification", zap.String("host", m.Server),
+				zap.String("agent", l.Agent), zap.String("told_by", notifiedBy))
 		}
 	}
 	x.post(e)
 }
 
-// members takes a list. Its bounds may be older than what holds by now.
-func (x *Exchange) members(e members) {
+// handleMembers handles an endpoint list. Send deadlines may have changed since it was applied.
+func (x *Exchange) handleMembers(e endpointList) {
 	now := x.cfg.Clock.Now()
-	ev := balance.Members{Snapshot: e.whole, List: make([]balance.Member, 0, len(e.list))}
-	local, named := make([]Member, 0, len(e.list)), map[string]bool{}
-	for _, m := range e.list {
+	ev := balance.Members{Snapshot: e.snapshot, List: make([]balance.Member, 0, len(e.hosts))}
+	local, named := make([]Member, 0, len(e.hosts)), map[string]bool{}
+	for _, m := range e.hosts {
 		named[m.Server] = true
-		x.noteState(now, m)
-		x.list[m.Server] = m
+		x.logStateChange(now, m)
+		x.listed[m.Server] = m
 		if x.cfg.Gossip != nil {
 			x.cfg.Gossip.AddHost(m.Server)
 		}
 		x.groups[m.Group] = true
-		m.Member = x.bound(m)
+		m.Member = x.moduleMember(m)
 		ev.List = append(ev.List, m.Member)
 		local = append(local, m)
 	}
 	x.hosts.Members(local)
-	for _, m := range e.list {
-		x.bounds.renew(m.Server)
+	for _, m := range e.hosts {
+		x.sendDeadlines.resend(m.Server)
 	}
-	for server, m := range x.list {
-		if e.whole && !named[server] && m.State != balance.Removed {
+	for server, m := range x.listed {
+		if e.snapshot && !named[server] && m.State != balance.Removed {
 			m.State = balance.Removed
-			x.noteState(now, m)
-			x.list[server] = m
+			x.logStateChange(now, m)
+			x.listed[server] = m
 		}
 		if m.State == balance.Removed {
 			x.forgetHost(now, server)
 		}
 	}
 	x.decide(ev)
-	x.askClock()
+	x.probeForClock()
 	if x.cells != nil {
-		x.carryOut(x.cells.UpdateMembers(now, e.whole, ev.List))
+		x.performCells(x.cells.UpdateMembers(now, e.snapshot, ev.List))
 	}
 }
 
 const (
-	// clockProbeCount is how many hosts are asked for the time at once, clockProbePause how long after that others are, and
-	// clockProbeRounds how often: a host may be dead, or have no report yet.
+	// clockProbeCount is the number of hosts probed for the clock in one round, clockProbePause the time
+	// between two rounds and clockProbeRounds the maximum number of rounds. There are several rounds as a host
+	// may be dead or may not report its position yet.
 	clockProbeCount  = 2
 	clockProbePause  = 50 * time.Millisecond
 	clockProbeRounds = 8
 )
 
-// askClock asks hosts for a position: until one has told any, each host that has ever started counts as one that has just done so.
-// Primaries' positions are the newest, so they are asked where the list names any.
-func (x *Exchange) askClock() {
+// probeForClock probes hosts for a position: until one is known, each host with a listed start counts as just
+// started. Primaries have the newest positions, so only they are probed if any are listed.
+func (x *Exchange) probeForClock() {
 	now := x.cfg.Clock.Now()
 	if x.cfg.Clock.Bounds().HasMin || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
-		now < x.clockAskAt {
+		now < x.nextClockProbe {
 		return
 	}
 	var serving, primaries []string
-	for _, m := range x.list {
+	for _, m := range x.listed {
 		if m.State != balance.Active {
 			continue
 		}
@@ -255,9 +268,9 @@
 		return
 	}
 	x.clockRounds++
-	x.clockAskAt = now + clockProbePause
+	x.nextClockProbe = now + clockProbePause
 	slices.Sort(serving)
-	rng := rand.New(rand.NewPCG(x.cfg.Seed, 0x636c6f636b+uint64(x.clockRounds))) // every gateway asks others, each time
+	rng := rand.New(rand.NewPCG(x.cfg.Seed, 0x636c6f636b+uint64(x.clockRounds))) // each gateway probes different hosts in each round
 	for _, i := range rng.Perm(len(serving))[:min(clockProbeCount, len(serving))] {
 		if x.clockProbes == nil {
 			x.clockProbes = map[string]bool{}
@@ -268,15 +281,17 @@
 	}
 }
 
-// bound is a list's entry as the module gets it: with until when anything new may go there, and times by this clock.
-func (x *Exchange) bound(m Member) balance.Member {
-	m.Member.SendUntil = x.bounds.until(m.Server)
+// moduleMember returns a list's entry as the module expects it: with its send deadline, and with times by the
+// local clock.
+func (x *Exchange) moduleMember(m Member) balance.Member {
+	m.Member.SendUntil = x.sendDeadlines.deadline(m.Server)
 	m.Member.Started, m.Member.Incarnation = x.startedAt(m.Started), m.Started
 	return m.Member
 }
 
-// startedAt is the latest time by this clock at which a host may have started: one that is taken for warm too early falls. Before any
-// host has told its position it may have just done so.
+// startedAt converts a start time of the fleet's clock to the latest possible time by the local clock, as a
+// host that counts as warm too early would be overloaded. Until the position of any host is known the host
+// counts as just started.
 func (x *Exchange) startedAt(fleet time.Duration) time.Duration {
 	if fleet == 0 {
 		return 0
@@ -288,10 +303,11 @@
 	return min(fleet-b.At(now).Min, now)
 }
 
-// noticeClock puts in force what is known by now of how this clock stands to the fleet's, and hands everybody the list anew where that
-// changes starts by much.
-func (x *Exchange) noticeClock() {
-	x.askClock()
+// checkClock notifies the module of changes to the known offset of the fleet's clock. If the offset became
+// known, bounded or contradicted, or was replaced, it handles the endpoint list again, as start times may have
+// moved by much.
+func (x *Exchange) checkClock() {
+	x.probeForClock()
 	if known := x.cfg.Clock.ForModule(); known != x.clock {
 		x.clock = known
 		x.decide(known)
@@ -300,38 +316,38 @@
 	if x.clockEpoch != epoch {
 		x.clockEpoch = epoch
 		x.decide(balance.ClockReplaced{})
-	} else if x.clockTold == b.HasMin && x.clockDoubted == b.Contradicted && x.clockBounded == b.HasMax {
+	} else if x.clockKnown == b.HasMin && x.clockContradicted == b.Contradicted && x.clockBounded == b.HasMax {
 		return
 	}
-	x.clockTold, x.clockDoubted, x.clockBounded = b.HasMin, b.Contradicted, b.HasMax
+	x.clockKnown, x.clockContradicted, x.clockBounded = b.HasMin, b.Contradicted, b.HasMax
 	x.cfg.Log.Info("fleet's clock", append([]zap.Field{zap.Bool("doubted", b.Contradicted), zap.Int("epoch", epoch)}, clockFields("", b, x.cfg.Clock.Now())...)...)
-	e := members{}
-	for _, m := range x.list {
-		e.list = append(e.list, m)
+	e := endpointList{}
+	for _, m := range x.listed {
+		e.hosts = append(e.hosts, m)
 	}
-	x.members(e)
+	x.handleMembers(e)
 }
 
-// forgetHost drops a host that left long ago: a fleet that is replaced again and again must not fill memory.
+// forgetHost drops a host that was removed more than forgetRemovedAfter ago.
 func (x *Exchange) forgetHost(now time.Duration, server string) {
-	at, notified := x.bounds.notifiedAt(server)
-	if !notified || now-at <= forgetAfter || x.bounds.until(server) == draining.Open {
+	at, notified := x.sendDeadlines.notifiedAt(server)
+	if !notified || now-at <= forgetRemovedAfter || x.sendDeadlines.deadline(server) == draining.Open {
 		return
 	}
-	delete(x.list, server)
-	x.bounds.forget(server)
+	delete(x.listed, server)
+	x.sendDeadlines.forget(server)
 	if x.cfg.Gossip != nil {
 		x.cfg.Gossip.RemoveHost(server)
 	}
 	x.hosts.Forget(server)
 }
 
-// rebind hands the module the bounds that new settings have moved.
-func (x *Exchange) rebind() {
+// updateSendDeadlines passes the send deadlines that a settings update has changed to the module.
+func (x *Exchange) updateSendDeadlines() {
 	ev := balance.Members{}
-	for _, m := range x.list {
+	for _, m := range x.listed {
 		if m.State != balance.Active {
-			ev.List = append(ev.List, x.bound(m))
+			ev.List = append(ev.List, x.moduleMember(m))
 		}
 	}
 	x.decide(ev)
