--- a/internal/control/gossip/corrected_clock_test.go
+++ b/internal/control/gossip/corrected_clock_test.go
@@ -6,20 +6,21 @@
 	"yokemast/balance"
 )
 
+// A position recorded while the offset was wrong must not be sent as later than the host's after the correction.
 func TestAPositionKeptBeforeTheClockIsCorrectedIsNotToldAsNewer(t *testing.T) {
-	const wrong = -2400 * ms  // that the fleet's clock was believed to show more than this one
-	position := now - 1500*ms // by the fleet's clock, which this one shows too
+	const wrong = -2400 * ms  // assumed offset; the real one is 0
+	position := now - 1500*ms // by the fleet's clock, which equals the local clock
 	for _, before := range []Offsets{{Least: wrong, Most: wrong, Bounded: true}, {}} {
 		s, to := state(nil), state(nil)
 		s.Note(now, balance.Heard{Server: "s-1", Position: position, At: now})
 		for _, ahead := range []Offsets{before, {Bounded: true}} {
 			out, err := to.Receive(now+40*ms, Offsets{Bounded: true}, s.Datagram(now+30*ms, ahead, nil), nil)
 			if err != nil && ahead == (Offsets{Bounded: true}) {
-				continue // the first datagram took the note
+				continue // the first message contained the entry
 			}
 			for _, n := range out {
 				if n.Position > position {
-					t.Errorf("a position is told as later by %s than the host's", n.Position-position)
+					t.Errorf("received position is %s later than the host's", n.Position-position)
 				}
 			}
 		}
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -1,15 +1,18 @@
-// Package gossip decides what gateways tell each other of the hosts, and reads what others tell. Where many gateways
-// stand before many hosts, each of them sees little of any host; all of them together see it all. It does no I/O.
+// Package gossip encodes and decodes the messages in which gateways share observations about hosts. Where many
+// gateways serve many hosts, each gateway sees little of any one host, while all gateways together see all of its
+// traffic. The package does no I/O.
 //
-// A datagram is a head of 5 bytes (version, and the fleet's clock as the sender bounds it from below, in whole milliseconds, modulo 2^32) and notes of 6
-// bytes each, one for an attempt or a probe that has ended:
+// A gossip message is one datagram: a header of 5 bytes (1 byte version, 4 bytes fleet clock: the lower bound that
+// the sender has for it, in whole milliseconds, modulo 2^32), followed by entries of 6 bytes each. Each entry
+// describes one attempt or probe that has ended:
 //
-//	3 bytes  the host: a hash of its id
-//	2 bytes  from the top: 4 bits how it ended, 2 bits the host's role, 2 bits the class (3: none), 4 bits the time
-//	         that it took (k stands for 4 ms * 2^(k/2), rounded to the nearest), 4 bits how long before the head's
-//	         clock it ended, in steps of 16 ms, rounded up; a role seen longer ago than 15 is not told
-//	1 byte   the host's log position: 1 + its age at the head's clock in steps of 4 ms, rounded up; 0: not told. A primary's is
-//	         the present: its role is told by the time of its position, and not at all without one
+//	3 bytes  host: a hash of its id
+//	2 bytes  from the most significant bit: 4 bits result, 2 bits role of the host, 2 bits class (3: none), 4 bits
+//	         duration (k stands for 4 ms * 2^(k/2), rounded to the nearest), 4 bits time from the end of the attempt
+//	         to the header's clock, in steps of 16 ms, rounded up; if that is more than 15 steps, the role is left out
+//	1 byte   log position of the host: 1 + its age at the header's clock in steps of 4 ms, rounded up, or 0 if it is
+//	         not sent. The position of a primary is the current time, so the position also dates its role; the role
+//	         of a primary is ignored if the entry has no position.
 //
 // Numbers are big-endian.
 package gossip
@@ -27,10 +30,11 @@
 )
 
 const (
-	version  = 2 // 1 told of a primary when its answer was handled, which may be long after it was made
+	// Version 1 dated a primary by the time its answer was handled, which may be long after the answer was made.
+	version  = 2
 	headSize = 5
 	noteSize = 6
-	maxBytes = 256 // of a datagram, by the platform's protocol
+	maxBytes = 256 // size limit of a datagram in the platform's protocol
 	maxNotes = (maxBytes - headSize) / noteSize
 
 	durationStep = 4 * time.Millisecond
@@ -38,50 +42,52 @@
 	ageStep      = 4 * time.Millisecond
 	noClass      = 3
 
-	endedMost    = 15  // steps of endedStep that a note has room for
-	durationMost = 15  // the highest code of a duration
-	ageStepsMost = 254 // steps of ageStep that a note has room for
+	endedMost    = 15  // largest number of steps of endedStep that an entry can hold
+	durationMost = 15  // largest duration code
+	ageStepsMost = 254 // largest number of steps of ageStep that an entry can hold
 
-	// maxAge is how old a datagram may be. They travel for tens of milliseconds; one that comes much later, or from a
-	// clock that went wrong, says nothing of now.
+	// maxAge is the maximum age of a message. Messages travel for tens of milliseconds; one that arrives much later,
+	// or was sent by a gateway with a wrong clock, does not describe the current state of a host.
 	maxAge = 2 * time.Second
-	// maxAhead is how far ahead of this clock a datagram may be: clocks are read apart.
+	// maxAhead is the tolerance for messages from the future, as sender and receiver read their clocks independently.
 	maxAhead = 5 * time.Millisecond
 )
 
-// Offsets are what the fleet's clock shows more than the one of this gateway: at least, and at most where that is Bounded.
+// Offsets holds the lower and the upper bound of the fleet's clock minus the local clock. The upper bound is only
+// valid if Bounded is set.
 type Offsets struct {
 	Least, Most time.Duration
 	Bounded     bool
 }
 
-// Config says what a State works with.
+// Config is the configuration of a State.
 type Config struct {
-	Gateways int             // of the tier, this one included
+	Gateways int             // number of gateways in the tier, including this one
 	Classes  []balance.Class // in the order of the settings, which all gateways share
-	Hold     time.Duration   // how long a note may wait for others to go with it
-	PerTake  float64         // bytes that may be delivered to others for each request taken here
-	Burst    float64         // bytes that may be saved up
+	Hold     time.Duration   // maximum delay of an entry while more entries are collected for its message
+	PerTake  float64         // bytes added to the send budget for each request that this gateway accepts
+	Burst    float64         // maximum send budget in bytes
 }
 
-// State is what one gateway tells and hears. It is not safe for concurrent use.
+// State holds the pending entries, the send budget and the known hosts of one gateway. It is not safe for
+// concurrent use.
 type State struct {
 	cfg     Config
 	classes map[string]int
-	hosts   map[uint32]string // by hash; "": more than one
+	hosts   map[uint32]string // host id by hash, or "" if several hosts share the hash
 	pending []balance.Heard
 	budget  float64
-	due     time.Duration // when the pending notes go out
+	due     time.Duration // when the pending entries are to be sent
 }
 
-// New makes a state.
+// New returns a State without hosts whose send budget is full.
 func New(cfg Config) *State {
 	s := &State{cfg: cfg, hosts: map[uint32]string{}, budget: cfg.Burst}
 	s.Classes(cfg.Classes)
 	return s
 }
 
-// Classes takes the classes anew, in the order that all gateways share.
+// Classes replaces the classes, which must be in the order that all gateways share.
 func (s *State) Classes(list []balance.Class) {
 	s.cfg.Classes, s.classes = list, map[string]int{}
 	for i, c := range list {
@@ -93,7 +99,7 @@
 
 func hash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
 
-// Host makes a host known. What is told of two that share a hash is not believed of either.
+// Host adds a host. Entries about hosts that share a hash are ignored.
 func (s *State) Host(id string) {
 	h := hash(id)
 	if old, known := s.hosts[h]; known && old != id {
@@ -102,17 +108,18 @@
 	s.hosts[h] = id
 }
 
-// Forget lets go of a host that is gone for good.
+// Forget removes a host.
 func (s *State) Forget(id string) {
 	if h := hash(id); s.hosts[h] == id {
 		delete(s.hosts, h)
 	}
 }
 
-// Credit adds to the budget what one request that came in allows to be told.
+// Credit adds the share of one accepted request to the send budget.
 func (s *State) Credit() { s.budget = min(s.budget+s.cfg.PerTake, s.cfg.Burst) }
 
-// Note takes how an attempt or a probe ended here; told says that others will hear of it.
+// Note adds the result of an attempt or a probe of this gateway to the pending entries. It returns false if the
+// budget is spent or the pending message is full; the result is then not sent.
 func (s *State) Note(now time.Duration, n balance.Heard) (told bool) {
 	cost := float64(noteSize * (s.cfg.Gateways - 1))
 	if len(s.pending) == 0 {
@@ -131,15 +138,16 @@
 	return true
 }
 
-// Due says when a datagram is to be sent; not ok: there is none.
+// Due returns when the pending message is to be sent; ok is false if there is none.
 func (s *State) Due() (at time.Duration, ok bool) { return s.due, len(s.pending) > 0 }
 
-// Datagram appends the datagram that is due.
+// Datagram appends the pending message to out and clears the pending entries.
 //
-// Positions are told by the fleet's clock, as hosts told them: how exactly the sender knows its own does not add to their age.
+// Positions are encoded by the fleet's clock, as hosts report them, so that the uncertainty of the sender's offset
+// does not add to their age.
 func (s *State) Datagram(now time.Duration, ahead Offsets, out []byte) []byte {
 	out = append(out, version)
-	fleet := (now + ahead.Least) / time.Millisecond // rounded down: what is counted back from it is never later than it was
+	fleet := (now + ahead.Least) / time.Millisecond // rounded down, so that no encoded time is later than the real one
 	out = binary.BigEndian.AppendUint32(out, uint32(fleet))
 	fleetHead := fleet * time.Millisecond
 	head := fleetHead - ahead.Least
@@ -150,14 +158,15 @@
 	return out
 }
 
-// appendNote appends one note to a datagram whose head is a time by this gateway's clock, and by the fleet's.
+// appendNote appends one entry to a message. The time in the message's header is passed by the local clock and by
+// the fleet's clock.
 func (s *State) appendNote(out []byte, n balance.Heard, head, fleetHead time.Duration) []byte {
 	class, known := s.classes[n.Class]
 	if !known {
 		class = noClass
 	}
 	h := hash(n.Server)
-	// Roles count by their time: one told as later than it was seen would bring back a primary that is none any more.
+	// The latest role wins: one dated later than it was observed could reinstate a former primary.
 	ended := (max(head-n.At, 0) + endedStep - 1) / endedStep
 	if ended > endedMost {
 		ended, n.Role = endedMost, balance.Unknown
@@ -177,29 +186,31 @@
 	return time.Duration(float64(durationStep) * math.Pow(2, float64(code)/2))
 }
 
-// ageCode rounds up: a position told must not be later than the host's.
+// ageCode encodes the age of a position, or 0 if there is no position or it is too old. It rounds up, as a decoded
+// position must not be later than the host's.
 func ageCode(age, position time.Duration) byte {
 	if position <= 0 {
 		return 0
 	}
 	steps := (max(age, 0) + ageStep - 1) / ageStep
 	if steps > ageStepsMost {
-		return 0 // too old to be of use
+		return 0
 	}
 	return byte(1 + steps)
 }
 
-// Errors of datagrams that can't be read.
+// Errors returned by Receive.
 var (
 	ErrVersion = errors.New("gossip: unknown version")
-	ErrLength  = errors.New("gossip: length of no datagram")
-	ErrClock   = errors.New("gossip: sent too long ago, or in the future")
-	ErrNote    = errors.New("gossip: a note with an unknown result or role")
+	ErrLength  = errors.New("gossip: invalid message length")
+	ErrClock   = errors.New("gossip: message too old or from the future")
+	ErrNote    = errors.New("gossip: entry with an unknown result or role")
 )
 
-// Receive reads a datagram. One that is at fault in any part is not used at all. Notes on hosts that this gateway's list does not
-// name are left out. Positions come by the fleet's clock; when an attempt ended, and since when a host leads, by the clock that now is read from as the
-// earliest that it may have been. Without an upper bound of the fleet's clock neither is known.
+// Receive decodes a message and appends its entries to out. It rejects the whole message if any part of it is
+// invalid, and skips entries about unknown hosts. Positions are by the fleet's clock. The end of an attempt and the
+// time since when a host is primary are by the local clock, the one that now is read from, and are the earliest
+// possible times. Without an upper bound of the fleet's clock both are unknown.
 func (s *State) Receive(now time.Duration, ahead Offsets, b []byte, out []balance.Heard) ([]balance.Heard, error) {
 	switch {
 	case len(b) < 1 || b[0] != version:
@@ -207,7 +218,7 @@
 	case len(b) < headSize+noteSize || len(b) > maxBytes || (len(b)-headSize)%noteSize != 0:
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
-	// The head: the reading of the fleet's clock, modulo 2^32, that is nearest to now.
+	// The header holds the fleet's clock modulo 2^32: take the value nearest to now.
 	ms := (now + ahead.Least) / time.Millisecond
 	head := (ms + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(ms)))) * time.Millisecond
 	if ahead.Bounded && head-ahead.Most > now+maxAhead || head-ahead.Least < now-maxAge {
@@ -227,7 +238,8 @@
 	return out, nil
 }
 
-// readNote reads the first note of b into n, from a datagram whose head is a time by the fleet's clock. No server: it is not known.
+// readNote decodes the first entry of b into n. The time in the message's header is passed by the fleet's clock.
+// It leaves the server empty if the host is unknown.
 func (s *State) readNote(now time.Duration, ahead Offsets, head time.Duration, b []byte, n *balance.Heard) error {
 	info := binary.BigEndian.Uint16(b[3:])
 	n.Server, n.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
@@ -242,11 +254,12 @@
 		n.Class = s.cfg.Classes[class].Name
 	}
 	if b[5] > 0 {
-		n.Position = head - time.Duration(b[5]-1)*ageStep // by the fleet's clock
+		n.Position = head - time.Duration(b[5]-1)*ageStep
 		n.NotBefore = min(n.Position-ahead.Most, now)
 	}
 	if n.Role == balance.Primary && (n.Position == 0 || !ahead.Bounded) {
-		n.Role = balance.Unknown // a primary's position is the time of its word; without one, or bounds, that is not known
+		// The position dates the role of a primary; without it, or without an upper bound, the date is unknown.
+		n.Role = balance.Unknown
 	}
 	return nil
 }
--- a/internal/control/gossip/gossip_test.go
+++ b/internal/control/gossip/gossip_test.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-// hear passes what is due at from on to another gateway.
+// hear sends the pending message of one gateway to another and returns the decoded entries.
 func hear(t *testing.T, from, to *State, sent, come time.Duration) []balance.Heard {
 	t.Helper()
 	out, err := to.Receive(come, Offsets{Bounded: true}, from.Datagram(sent, Offsets{Bounded: true}, nil), nil)
@@ -44,40 +44,40 @@
 		name       string
 		told, want balance.Heard
 	}{
-		{"an answer", balance.Heard{Server: "s-1", Class: "own", Result: balance.OK, Took: 64 * ms, Role: balance.Replica, Position: now - 100*ms, At: now - 32*ms},
+		{"answer of a replica", balance.Heard{Server: "s-1", Class: "own", Result: balance.OK, Took: 64 * ms, Role: balance.Replica, Position: now - 100*ms, At: now - 32*ms},
 			balance.Heard{Server: "s-1", Class: "own", Result: balance.OK, Took: 64 * ms, Role: balance.Replica, Position: now - 100*ms, At: now - 32*ms}},
-		{"a position rounds down", balance.Heard{Server: "s-2", Class: "list", Position: now - 101*ms, At: now},
+		{"position is rounded down", balance.Heard{Server: "s-2", Class: "list", Position: now - 101*ms, At: now},
 			balance.Heard{Server: "s-2", Class: "list", Took: 4 * ms, Position: now - 104*ms, At: now}},
-		{"one that is too old is not told", balance.Heard{Server: "s-2", Result: balance.TimedOut, Class: "save", Took: time.Hour, Position: now - 2*time.Second, At: now},
+		{"position that is too old is left out", balance.Heard{Server: "s-2", Result: balance.TimedOut, Class: "save", Took: time.Hour, Position: now - 2*time.Second, At: now},
 			balance.Heard{Server: "s-2", Result: balance.TimedOut, Class: "save", Took: durationOf(15), At: now}},
-		{"a role is never told as seen later", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, Position: now - 33*ms, At: now - 33*ms},
+		{"role is not dated later than observed", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, Position: now - 33*ms, At: now - 33*ms},
 			balance.Heard{Server: "s-1", Class: "own", Took: 4 * ms, Role: balance.Primary, Position: now - 36*ms, At: now - 48*ms}},
-		{"nor where it is not known when", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, At: now - 33*ms},
+		{"primary role without a position is left out", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, At: now - 33*ms},
 			balance.Heard{Server: "s-1", Class: "own", Took: 4 * ms, At: now - 48*ms}},
-		{"an old one not at all", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, At: now - 250*ms},
+		{"old role is left out", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, At: now - 250*ms},
 			balance.Heard{Server: "s-1", Class: "own", Took: 4 * ms, At: now - 240*ms}},
-		{"a probe has no class", balance.Heard{Server: "s-1", Role: balance.Primary, Position: now, At: now},
+		{"probe has no class", balance.Heard{Server: "s-1", Role: balance.Primary, Position: now, At: now},
 			balance.Heard{Server: "s-1", Took: 4 * ms, Role: balance.Primary, Position: now, At: now}},
-		{"a class beyond the third neither", balance.Heard{Server: "s-1", Class: "fourth", At: now}, balance.Heard{Server: "s-1", Took: 4 * ms, At: now}},
+		{"class beyond the third is left out", balance.Heard{Server: "s-1", Class: "fourth", At: now}, balance.Heard{Server: "s-1", Took: 4 * ms, At: now}},
 	} {
 		s, to := state(nil), state(nil)
 		if !s.Note(now, c.told) {
-			t.Fatalf("%s: not told", c.name)
+			t.Fatalf("%s: entry was not accepted", c.name)
 		}
-		c.want.Source, c.want.NotBefore = balance.FromGossip, c.want.Position // a primary's position is the time of its word
+		c.want.Source, c.want.NotBefore = balance.FromGossip, c.want.Position // the position dates the role of a primary
 		if diff := cmp.Diff([]balance.Heard{c.want}, hear(t, s, to, now, now+20*ms)); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
 	}
 }
 
-// A position that is passed on must never be later than the host's: reads would be sent to stale data.
+// A received position that is later than the host's would direct reads to stale data.
 func TestNoPositionIsHeardThatIsLaterThanTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := now + time.Duration(rapid.Int64Range(0, int64(100*24*time.Hour)).Draw(t, "clock"))
 		position := at - time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "age"))
 		sent := at + time.Duration(rapid.Int64Range(0, int64(100*ms)).Draw(t, "held"))
-		come := sent + time.Duration(rapid.Int64Range(-int64(maxAhead), int64(maxAge)-int64(ms)).Draw(t, "on its way"))
+		come := sent + time.Duration(rapid.Int64Range(-int64(maxAhead), int64(maxAge)-int64(ms)).Draw(t, "network delay"))
 		s, to := state(nil), state(nil)
 		s.Note(at, balance.Heard{Server: "s-1", Position: position, At: at})
 		out, err := to.Receive(come, Offsets{Bounded: true}, s.Datagram(sent, Offsets{Bounded: true}, nil), nil)
@@ -85,7 +85,7 @@
 			t.Fatalf("%v, %v", out, err)
 		}
 		if n := out[0]; n.Position > position || n.At > sent || n.At > come {
-			t.Errorf("position %s, at %s after it was told as it was", n.Position-position, n.At-at)
+			t.Errorf("received position is %s, received end %s later than sent", n.Position-position, n.At-at)
 		}
 	})
 }
@@ -109,9 +109,9 @@
 		b    []byte
 		want error
 	}{
-		{"empty", nil, ErrVersion}, {"another version", with(0, 9), ErrVersion}, {"cut off", good[:len(good)-1], ErrLength},
-		{"no note", good[:headSize], ErrLength}, {"too long", append(append([]byte(nil), good...), make([]byte, 252)...), ErrLength},
-		{"old", aged, ErrClock}, {"ahead of the clock", ahead, ErrClock}, {"unknown result", with(headSize+noteSize+3, 0xf0), ErrNote},
+		{"empty", nil, ErrVersion}, {"unknown version", with(0, 9), ErrVersion}, {"truncated", good[:len(good)-1], ErrLength},
+		{"no entry", good[:headSize], ErrLength}, {"too long", append(append([]byte(nil), good...), make([]byte, 252)...), ErrLength},
+		{"too old", aged, ErrClock}, {"from the future", ahead, ErrClock}, {"unknown result", with(headSize+noteSize+3, 0xf0), ErrNote},
 		{"unknown role", with(headSize+3, 0x0c), ErrNote},
 	} {
 		if out, err := state(nil).Receive(now, Offsets{Bounded: true}, c.b, nil); !errors.Is(err, c.want) || len(out) > 0 {
@@ -124,10 +124,10 @@
 	s, to := state(nil), state(nil)
 	s.Note(now, balance.Heard{Server: "s-1", At: now})
 	s.Note(now, balance.Heard{Server: "unlisted", At: now})
-	to.hosts[hash("s-1")] = "another of the same hash"
+	to.hosts[hash("s-1")] = "another host with the same hash"
 	to.Host("s-1")
 	if out := hear(t, s, to, now, now); len(out) > 0 {
-		t.Errorf("heard %v", out)
+		t.Errorf("received %v, want no entries", out)
 	}
 }
 
@@ -143,20 +143,20 @@
 		return n
 	}
 	if n := told(); n != 2 {
-		t.Errorf("%d notes for what was saved up, want 2", n)
+		t.Errorf("%d entries accepted with the initial budget, want 2", n)
 	}
 	for range 9 {
 		s.Credit()
 	}
 	if n := told(); n != 2 {
-		t.Errorf("%d notes for nine requests, want 2", n)
+		t.Errorf("%d entries accepted for nine requests, want 2", n)
 	}
 }
 
 func TestNotesWaitForOthersButNotInAFullDatagram(t *testing.T) {
 	s := state(func(c *Config) { c.Burst = 1e6 })
 	if _, ok := s.Due(); ok {
-		t.Error("something is due before anything happened")
+		t.Error("a message is due without entries")
 	}
 	s.Note(now, balance.Heard{Server: "s-1", At: now})
 	if at, ok := s.Due(); !ok || at != now+50*ms {
@@ -166,13 +166,13 @@
 		s.Note(now+ms, balance.Heard{Server: "s-2", At: now})
 	}
 	if at, _ := s.Due(); at != now+ms {
-		t.Errorf("a full datagram is due after %s", at-now)
+		t.Errorf("full message is due after %s, want 1ms", at-now)
 	}
 	if b := s.Datagram(now, Offsets{Bounded: true}, nil); len(b) > maxBytes {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("message of %d bytes exceeds the limit of 256", len(b))
 	}
 	if _, ok := s.Due(); ok {
-		t.Error("something is due after all was told")
+		t.Error("a message is due after all entries were sent")
 	}
 }
 
@@ -203,18 +203,19 @@
 	}
 }
 
-// Two gateways whose clocks stand differently, and are known only within some milliseconds: nothing is heard as later than it was.
+// The clocks of the two gateways differ, and their offsets are only known within bounds. No received time may be later
+// than the real one.
 func TestNothingIsHeardAsLaterThanItWasAcrossClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, least, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
 		}
-		// The fleet's clock shows so much more than the sender's and the receiver's.
+		// The fleet's clock minus the sender's clock, and minus the receiver's clock.
 		from, to := draw("sender's offset", -time.Second, time.Second), draw("receiver's offset", -time.Second, time.Second)
-		below, above := draw("not known below", 0, 4*ms), draw("not known above", 0, 100*ms)
+		below, above := draw("slack below", 0, 4*ms), draw("slack above", 0, 100*ms)
 		position, led := now-draw("age", 0, 300*ms), now-draw("led", 0, 200*ms) // by the fleet's clock
 		s, r := state(nil), state(nil)
-		// The sender's own knowledge is never later than it was.
+		// What the sender itself knows is never dated too late.
 		s.Note(now-from, balance.Heard{Server: "s-1", Role: balance.Primary, Position: position, At: led - from})
 		offsets := Offsets{Least: to - below, Most: to + above, Bounded: true}
 		out, err := r.Receive(now-to+20*ms, offsets, s.Datagram(now-from, Offsets{Least: from - below, Most: from + above, Bounded: true}, nil), nil)
@@ -222,21 +223,21 @@
 			t.Fatalf("%v, %v", out, err)
 		}
 		if n := out[0]; n.Position > position || n.Position < position-below-3*ageStep || n.Role == balance.Primary && n.NotBefore+to > position {
-			t.Errorf("a position %s too new, a word %s too new", n.Position-position, n.NotBefore+to-position)
+			t.Errorf("position is %s too late, NotBefore %s too late", n.Position-position, n.NotBefore+to-position)
 		}
 	})
 }
 
 func TestAnEndIsNotHeardAsLaterThanItWasWhereLittleIsKnownOfTheClock(t *testing.T) {
 	for name, offsets := range map[string]Offsets{
-		"known below alone, by a log that is behind": {Least: -1500 * ms},
-		"in doubt": {Least: -1500 * ms, Most: 5 * ms, Bounded: true},
+		"lower bound only, from a log that lags": {Least: -1500 * ms},
+		"wide bounds":                            {Least: -1500 * ms, Most: 5 * ms, Bounded: true},
 	} {
 		s, r := state(nil), state(nil)
 		s.Note(now, balance.Heard{Server: "s-1", At: now})
 		out, err := r.Receive(now+1600*ms, offsets, s.Datagram(now, Offsets{Bounded: true}, nil), nil)
 		if err == nil && out[0].At > now+10*ms {
-			t.Errorf("%s: what ended 1.6 s ago is heard as ended %s ago", name, now+1600*ms-out[0].At)
+			t.Errorf("%s: attempt that ended 1.6 s ago is received as ended %s ago", name, now+1600*ms-out[0].At)
 		}
 	}
 }
@@ -246,6 +247,6 @@
 	s.Note(now, balance.Heard{Server: "s-1", At: now, Role: balance.Replica, Position: now - 10*ms})
 	out, err := r.Receive(now+60*ms, Offsets{Least: -200 * ms}, s.Datagram(now, Offsets{Bounded: true}, nil), nil)
 	if err != nil || len(out) != 1 {
-		t.Errorf("what ended 60 ms ago, with a log known to be 200 ms behind: %v, %v", out, err)
+		t.Errorf("attempt that ended 60 ms ago, with a log that lags by 200 ms: %v, %v", out, err)
 	}
 }
--- a/internal/control/leases/bench_test.go
+++ b/internal/control/leases/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkApplyRenew is a renewal of one of 300 leases at the voters, the hot path of the machine.
+// BenchmarkApplyRenew measures the renewal of one of 300 leases at a voter, the hot path of the machine.
 func BenchmarkApplyRenew(b *testing.B) {
 	var m Machine
 	names := make([]string, 300)
@@ -26,7 +26,7 @@
 	}
 }
 
-// BenchmarkCodec is an entry encoded and decoded, as each is on its way through the log.
+// BenchmarkCodec measures encoding and decoding an entry, as for each entry of the log.
 func BenchmarkCodec(b *testing.B) {
 	e := Entry{Op: Renew, Name: "scout/cell-3", Holder: "n217", Token: 99, TTL: 2 * time.Second, Term: 4}
 	buf := make([]byte, 0, MaxEncoded)
--- a/internal/control/leases/codec.go
+++ b/internal/control/leases/codec.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// An entry travels in the replicated log as
+// An entry is encoded in the replicated log as
 //
 //	1 byte   format version (1)
 //	1 byte   Op
-//	8 bytes  proposal: who proposed it and which of its proposals this is, for answering the proposer
+//	8 bytes  proposal number: identifies the proposing node and its proposal, so that the proposer gets the result
 //	8 bytes  Term
 //	8 bytes  Now, in nanoseconds
 //	8 bytes  TTL, in nanoseconds
@@ -19,18 +19,18 @@
 //	1 byte   length of Name, then Name
 //	1 byte   length of Holder, then Holder
 //
-// Numbers are big-endian. The log's own checksums guard the bytes; this format guards their meaning.
+// Numbers are big-endian. The format has no checksum: the log protects its content against corruption.
 const (
 	codecVersion = 1
 	codecHead    = 2 + 8*5
-	// MaxEncoded bounds an encoded entry, in bytes.
+	// MaxEncoded is the maximum size of an encoded entry in bytes.
 	MaxEncoded = codecHead + 2 + 2*MaxName
 )
 
-// ErrCodec is what Decode says of bytes that are no entry of this format.
+// ErrCodec is returned by Decode for bytes that are not an entry of this format.
 var ErrCodec = errors.New("not a lease entry")
 
-// Encode appends an entry and the proposal it answers to b.
+// Encode appends an encoded entry with its proposal number to b.
 func Encode(b []byte, proposal uint64, e Entry) []byte {
 	b = append(b, codecVersion, byte(e.Op))
 	b = binary.BigEndian.AppendUint64(b, proposal)
@@ -44,7 +44,7 @@
 	return append(b, e.Holder...)
 }
 
-// Decode reads what Encode wrote. It checks the form, not the sense: Apply checks that.
+// Decode decodes an entry written by Encode. It checks the encoding only; Machine.Apply validates the entry.
 func Decode(b []byte) (proposal uint64, e Entry, err error) {
 	if len(b) < codecHead+2 || len(b) > MaxEncoded {
 		return 0, Entry{}, fmt.Errorf("%d bytes: %w", len(b), ErrCodec)
@@ -61,16 +61,17 @@
 	rest := b[codecHead:]
 	name, rest, ok := cut(rest)
 	if !ok {
-		return 0, Entry{}, fmt.Errorf("name runs past the end: %w", ErrCodec)
+		return 0, Entry{}, fmt.Errorf("truncated name: %w", ErrCodec)
 	}
 	holder, rest, ok := cut(rest)
 	if !ok || len(rest) != 0 {
-		return 0, Entry{}, fmt.Errorf("holder runs past the end, or bytes after it: %w", ErrCodec)
+		return 0, Entry{}, fmt.Errorf("truncated holder, or trailing bytes: %w", ErrCodec)
 	}
 	e.Name, e.Holder = string(name), string(holder)
 	return proposal, e, nil
 }
 
+// cut splits a field with a length prefix of one byte from the start of b.
 func cut(b []byte) (field, rest []byte, ok bool) {
 	if len(b) < 1 || len(b) < 1+int(b[0]) {
 		return nil, nil, false
--- a/internal/control/leases/codec_test.go
+++ b/internal/control/leases/codec_test.go
@@ -28,11 +28,11 @@
 func TestCodecRefusesWhatIsNoEntry(t *testing.T) {
 	good := Encode(nil, 1, acq("scout", "n1", 1, 0))
 	bad := map[string][]byte{
-		"empty":     nil,
-		"truncated": good[:len(good)-1],
-		"longer":    append(append([]byte(nil), good...), 0),
-		"version":   append([]byte{9}, good[1:]...),
-		"name over": func() []byte { b := append([]byte(nil), good...); b[codecHead] = 200; return b }(),
+		"empty":           nil,
+		"truncated":       good[:len(good)-1],
+		"trailing byte":   append(append([]byte(nil), good...), 0),
+		"unknown version": append([]byte{9}, good[1:]...),
+		"truncated name":  func() []byte { b := append([]byte(nil), good...); b[codecHead] = 200; return b }(),
 	}
 	for name, b := range bad {
 		if _, _, err := Decode(b); !errors.Is(err, ErrCodec) {
--- a/internal/control/leases/holder.go
+++ b/internal/control/leases/holder.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// HolderConfig says how cautious a holder is. Its clock runs at most Drift faster or slower than any voter's (a
-// fraction: 0.01 is 1%, far more than the 100 parts in a million of an ordinary crystal, to cover a paused virtual
-// machine's catch-up); Margin is further time given up before the voters could let the lease pass, for a process
-// that is descheduled between its check and its act. Fencing at the acted-on side covers what a pause longer than the
-// margin leaves.
+// HolderConfig is the configuration of a lease holder. TTL is the requested time to live. Drift is the maximum
+// difference between the rates of the holder's clock and of any voter's clock, as a fraction: 0.01 is 1%, far more than
+// the 100 parts per million of an ordinary crystal, to allow for the clock of a virtual machine catching up after a
+// pause. Margin is how much earlier the holder stops acting, to allow for a process that is descheduled between its
+// check and its action. If a pause is longer than the margin, the resource is protected by fencing only.
 type HolderConfig struct {
 	TTL    time.Duration
 	Drift  float64
 	Margin time.Duration
 }
 
-// Check says whether a holder so configured stops acting before the voters could grant the lease to another: the
-// voters wait at least TTL/(1+Drift) of real time from a stamp that lies after the request was sent; the holder stops
-// (TTL(1-Drift) - Margin)/(1-Drift) after sending, which is earlier when Margin is more than 2·Drift·TTL.
+// Check returns an error unless a holder with this configuration stops acting before the voters can grant the lease
+// to another. The voters wait for at least TTL/(1+Drift) of real time from a stamp taken after the request was sent.
+// The holder stops (TTL(1-Drift) - Margin)/(1-Drift) after sending, which is earlier if Margin is more than
+// 2·Drift·TTL.
 func (c HolderConfig) Check() error {
 	if c.TTL < MinTTL || c.TTL > MaxTTL {
 		return fmt.Errorf("lease ttl %v not within [%v, %v]", c.TTL, MinTTL, MaxTTL)
@@ -28,28 +29,28 @@
 		return fmt.Errorf("lease drift %v not within [0, 0.1]", c.Drift)
 	}
 	if need := time.Duration(2 * c.Drift * float64(c.TTL)); c.Margin <= need {
-		return fmt.Errorf("lease margin %v must be over 2·drift·ttl = %v", c.Margin, need)
+		return fmt.Errorf("lease margin %v must be greater than 2·drift·ttl = %v", c.Margin, need)
 	}
 	if c.Margin >= c.TTL/2 {
-		return fmt.Errorf("lease margin %v leaves less than half of ttl %v to act in", c.Margin, c.TTL)
+		return fmt.Errorf("lease margin %v must be less than half of ttl %v", c.Margin, c.TTL)
 	}
 	return nil
 }
 
-// ErrNotHeld is what Act says when the holder may not act.
+// ErrNotHeld is returned by Holding.Act if the holder may not act.
 var ErrNotHeld = errors.New("lease not held")
 
-// Holding is one process's view of one lease it asked for. Its zero value holds nothing. Times are on the holder's
-// own monotonic clock. It is not safe for concurrent use.
+// Holding is the view that one process has of a lease it requested. The zero value holds nothing. Times are on the
+// monotonic clock of that process. It is not safe for concurrent use.
 type Holding struct {
 	cfg   HolderConfig
 	token uint64
-	floor uint64        // tokens at or below it were lost or released: no late answer brings them back
-	until time.Duration // acts are allowed strictly before it
-	sent  time.Duration // the sending of the newest request that was answered, for renewals
+	floor uint64        // tokens up to this one were lost or released; answers that grant them are ignored
+	until time.Duration // the holder may act strictly before this time
+	sent  time.Duration // when the newest answered request was sent, to schedule renewals
 }
 
-// NewHolding starts a view of a lease with a checked configuration.
+// NewHolding returns a view that holds nothing yet. It returns an error if the configuration is invalid.
 func NewHolding(cfg HolderConfig) (*Holding, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -57,18 +58,17 @@
 	return &Holding{cfg: cfg}, nil
 }
 
-// Granted takes an answer that the lease is held with a token, to a request sent at sentAt. An answer to a request
-// sent earlier than the one that set the present view extends nothing.
+// Granted handles the answer that the lease is held with a token, to a request sent at sentAt. An answer to a request
+// sent earlier than the one that set the current end of the lease does not extend it.
 func (h *Holding) Granted(sentAt time.Duration, token uint64) {
 	until := sentAt + time.Duration(float64(h.cfg.TTL)*(1-h.cfg.Drift)) - h.cfg.Margin
 	if token <= h.floor {
-		// guards against the late answer to a renewal sent before a release, or before an answer that the lease was
-		// lost: the voters may have granted it to another since (found by the model in model_test.go)
+		// A late answer to a renewal that was sent before a release, or before an answer that the lease was lost. The
+		// voters may have granted the lease to another holder since (found by the model in model_test.go).
 		return
 	}
 	if token != h.token {
-		// guards against an answer to an older request, for a token that has since been replaced, bringing back the
-		// older token: tokens only grow
+		// A late answer with a token that has been replaced since must not reinstate it: tokens only grow.
 		if token < h.token {
 			return
 		}
@@ -80,8 +80,8 @@
 	}
 }
 
-// Lost takes an answer that the lease is not held with the token, a leader's word that it passed on, or the
-// holder's own release: from then on no answer brings that token back.
+// Lost marks a token as lost: the voters answered that the lease is not held with it or is held by another, or the
+// holder released it. No later answer reinstates the token.
 func (h *Holding) Lost(token uint64) {
 	if token > h.floor {
 		h.floor = token
@@ -91,7 +91,7 @@
 	}
 }
 
-// Act gives the token to act with at now, or ErrNotHeld.
+// Act returns the token for an action at now, or ErrNotHeld.
 func (h *Holding) Act(now time.Duration) (uint64, error) {
 	if h.token == 0 || now >= h.until {
 		return 0, ErrNotHeld
@@ -99,14 +99,14 @@
 	return h.token, nil
 }
 
-// Token is the token of the present view, held or not; 0 for none.
+// Token returns the latest token, whether it is still held or not, or 0 if there is none.
 func (h *Holding) Token() uint64 { return h.token }
 
-// Until is the end of the present view on the holder's clock.
+// Until returns the time on the holder's clock from which on the holder may not act.
 func (h *Holding) Until() time.Duration { return h.until }
 
-// RenewDue says whether a renewal should be sent at now: a third of the time to live after the last answered
-// request, so that two renewals may be lost before the holder stops.
+// RenewDue reports whether a renewal should be sent at now: a third of the time to live after the last answered
+// request, so that the holder can continue if two renewals are lost.
 func (h *Holding) RenewDue(now time.Duration) bool {
 	return h.token != 0 && now < h.until && now >= h.sent+h.cfg.TTL/3
 }
--- a/internal/control/leases/leases.go
+++ b/internal/control/leases/leases.go
@@ -1,16 +1,17 @@
-// Package leases decides who holds a fleet-wide task's lease, for how long, and with which fencing token. It does no
-// I/O and reads no clock: the replicated log hands it entries in one order at every voter, each stamped by the leader
-// that proposed it with that leader's term and its monotonic clock, and a Machine applied to the same entries in the
-// same order reaches the same state everywhere.
+// Package leases implements the replicated state machine that grants leases on fleet-wide tasks, each with a time to
+// live and a fencing token, and the view that a holder has of its lease. It does no I/O and reads no clock. The
+// replicated log delivers the same entries in the same order at every voter, each stamped by the leader that proposed
+// it with its term and its monotonic clock, so that the Machines of all voters reach the same state.
 //
-// Clocks of different processes are never compared. Within one term all stamps come from one leader's clock. When the
-// first entry of a newer term arrives, every lease is given its full time to live anew from that entry's stamp (as
-// etcd's lessor does on a leader change): whoever holds a lease cannot know how long the old leader's clock had run,
-// so the machine waits the longest it may have to. An entry proposed in an older term and committed in a newer one is
-// applied at the newest stamp of the present term; it was proposed before the present leader was elected, so that
-// stamp lies after its sending and nothing it grants outlives what its holder believes.
+// Clocks of different processes are never compared. Within one term all stamps come from one leader's clock. The first
+// entry of a newer term extends every lease to its full time to live from that entry's stamp (as etcd's lessor does on
+// a leader change): the new leader cannot know how much of a lease had elapsed on the old leader's clock, so it assumes
+// that none had. An entry proposed in an older term and committed in a newer one is applied at the newest stamp of the
+// current term. It was proposed before the current leader was elected, so that stamp is later than the sending of its
+// request, and the lease does not end at the voters before it ends at its holder.
 //
-// A grant's fencing token is the log index of the entry that granted it: it only grows, at every voter alike.
+// The fencing token of a lease is the log index of the entry that granted it, so it is the same at every voter and
+// grows from one grant to the next.
 package leases
 
 import (
@@ -20,18 +21,18 @@
 	"time"
 )
 
-// Op is what an entry asks.
+// Op is the operation of an entry.
 type Op uint8
 
 const (
-	// Acquire asks for a lease; by its holder, while it is held, it renews it with the same token.
+	// Acquire requests a lease. If the requester already holds it, the lease is renewed with the same token.
 	Acquire Op = iota + 1
-	// Renew extends a held lease; it names the token it holds.
+	// Renew extends a held lease, identified by its token.
 	Renew
-	// Release gives a lease back at once; it names the token it holds.
+	// Release ends a held lease, identified by its token, before its expiry.
 	Release
-	// Stamp carries a leader's clock and nothing else: a new leader proposes one first, so that leases are given
-	// their time anew without waiting for a request.
+	// Stamp only carries the leader's clock. A new leader proposes one first, so that the leases are extended to
+	// their full time to live without waiting for a request.
 	Stamp
 )
 
@@ -49,12 +50,12 @@
 	return fmt.Sprintf("op(%d)", uint8(o))
 }
 
-// Bounds of a lease's time to live. Under MinTTL a renewal cannot cross a congested loopback, let alone a link between
-// zones; over MaxTTL a holder that died blocks its task for longer than any operator would wait.
+// Bounds of a lease's time to live. Below MinTTL a renewal may not arrive in time even over a congested loopback, let
+// alone between zones. Above MaxTTL a crashed holder blocks its task for longer than any operator would wait.
 const (
 	MinTTL = 200 * time.Millisecond
 	MaxTTL = 5 * time.Minute
-	// MaxName bounds a lease's name and a holder's, in bytes: they travel in every entry.
+	// MaxName is the maximum length in bytes of a lease's name and of a holder's name, as every entry contains them.
 	MaxName = 64
 )
 
@@ -62,14 +63,15 @@
 type Entry struct {
 	Op     Op
 	Name   string        // the lease, e.g. "scout/cell-3"; empty for Stamp
-	Holder string        // who asks; a gateway's name
-	Token  uint64        // for Renew and Release: the token held
+	Holder string        // the name of the gateway that requests the operation
+	Token  uint64        // for Renew and Release: the token of the held lease
 	TTL    time.Duration // for Acquire and Renew, within [MinTTL, MaxTTL]
-	Term   uint64        // of the leader that proposed it
-	Now    time.Duration // that leader's monotonic clock when it proposed it
+	Term   uint64        // term of the leader that proposed the entry
+	Now    time.Duration // the leader's monotonic clock at the proposal
 }
 
-// Check says whether an entry is well formed, before it is proposed and again when it is applied.
+// Check returns an error if the entry is malformed. It is called before an entry is proposed and again when it is
+// applied.
 func (e Entry) Check() error {
 	switch e.Op {
 	case Acquire, Renew, Release:
@@ -84,7 +86,7 @@
 				ErrBadEntry)
 		}
 		if e.Op != Acquire && e.Token == 0 {
-			return fmt.Errorf("%v of lease %q names no token: %w", e.Op, e.Name, ErrBadEntry)
+			return fmt.Errorf("%v of lease %q has no token: %w", e.Op, e.Name, ErrBadEntry)
 		}
 	case Stamp:
 	default:
@@ -96,41 +98,41 @@
 	return nil
 }
 
-// Errors of Apply. A refused entry changes nothing.
+// Errors in a Result of Apply. An entry that is refused with one of them changes no lease.
 var (
 	ErrBadEntry = errors.New("malformed lease entry")
-	ErrHeld     = errors.New("held by another")
-	ErrLost     = errors.New("not held with that token")
-	ErrOldIndex = errors.New("log index not after the last applied")
+	ErrHeld     = errors.New("held by another holder")
+	ErrLost     = errors.New("not held with this token")
+	ErrOldIndex = errors.New("log index is not after the last applied index")
 )
 
 // Lease is the state of one lease at the voters.
 type Lease struct {
 	Name   string
 	Holder string
-	Token  uint64        // the log index of its grant
-	TTL    time.Duration // as last asked
-	Expiry time.Duration // on the clock of the term in which the machine stands
+	Token  uint64        // log index of the entry that granted the lease
+	TTL    time.Duration // as last requested
+	Expiry time.Duration // on the clock of the machine's current term
 }
 
-// Result is what an applied entry answers to whoever proposed it.
+// Result is the result of an applied entry, for the requester.
 type Result struct {
-	Lease   Lease // as it stands after the entry; for a refusal, the lease that stood in the way, if any
-	Granted bool  // a new token: the lease passed to this holder
+	Lease   Lease // the lease after the entry, or after a refusal the conflicting lease, if any
+	Granted bool  // whether the lease was granted to this holder with a new token
 	Err     error // nil, or wraps one of the errors above
 }
 
 // Machine is the replicated state of all leases. Its zero value is empty and ready. It is not safe for concurrent use.
 type Machine struct {
 	leases  map[string]*Lease
-	term    uint64        // the newest term of an applied entry
-	last    time.Duration // the newest stamp of that term
-	applied uint64        // the index of the last applied entry
-	granted uint64        // grants so far, for counters
+	term    uint64        // newest term of an applied entry
+	last    time.Duration // newest stamp of that term
+	applied uint64        // index of the last applied entry
+	granted uint64        // number of grants, for counters
 }
 
-// Apply applies the entry at a log index, which must grow from one call to the next. It never fails for an entry of
-// another term or clock: the log's order decides, and every voter decides alike.
+// Apply applies the entry at a log index. The index must grow from one call to the next. An entry of another term or
+// clock is never an error: the order of the log decides, the same way at every voter.
 func (m *Machine) Apply(index uint64, e Entry) Result {
 	if index <= m.applied {
 		return Result{Err: fmt.Errorf("index %d after %d: %w", index, m.applied, ErrOldIndex)}
@@ -188,8 +190,8 @@
 	return r
 }
 
-// extend never shortens: an older renewal applied after a newer one must not take time from the holder's view,
-// which was computed from the newer one's sending.
+// extend extends a lease, and never shortens it: if an older renewal is applied after a newer one, the lease must not
+// end before the holder's view of it, which was computed from the sending of the newer one.
 func (m *Machine) extend(l *Lease, now, ttl time.Duration) {
 	l.TTL = ttl
 	if now+ttl > l.Expiry {
@@ -197,7 +199,8 @@
 	}
 }
 
-// clock gives the time on the present term's clock at which an entry takes effect, and moves to a newer term.
+// clock returns the time on the current term's clock at which an entry takes effect. An entry of a newer term starts
+// that term and extends all leases to their full time to live.
 func (m *Machine) clock(e Entry) time.Duration {
 	switch {
 	case e.Term > m.term:
@@ -213,7 +216,8 @@
 	return m.last
 }
 
-// Holder tells who holds a lease at a time on the present term's clock; only a leader of that term can read one.
+// Holder returns the lease if it is held at now, which is a time on the current term's clock. Only the leader of that
+// term can read this clock.
 func (m *Machine) Holder(name string, now time.Duration) (Lease, bool) {
 	l := m.leases[name]
 	if l == nil || now >= l.Expiry {
@@ -222,16 +226,16 @@
 	return *l, true
 }
 
-// Term is the newest term of an applied entry, and Last that term's newest stamp.
+// Term returns the newest term of an applied entry and the newest stamp of that term.
 func (m *Machine) Term() (term uint64, last time.Duration) { return m.term, m.last }
 
-// Applied is the index of the last applied entry.
+// Applied returns the index of the last applied entry.
 func (m *Machine) Applied() uint64 { return m.applied }
 
-// Granted counts grants since the machine was empty.
+// Granted returns the number of grants since the machine was empty.
 func (m *Machine) Granted() uint64 { return m.granted }
 
-// Leases lists the leases that stand at the last stamp, by name.
+// Leases returns the leases that are held at the newest stamp, sorted by name.
 func (m *Machine) Leases() []Lease {
 	out := make([]Lease, 0, len(m.leases))
 	for _, l := range m.leases {
--- a/internal/control/leases/leases_test.go
+++ b/internal/control/leases/leases_test.go
@@ -24,7 +24,7 @@
 
 func stamp(term uint64, now time.Duration) Entry { return Entry{Op: Stamp, Term: term, Now: now} }
 
-// step is one entry applied and what it must answer.
+// step is an entry to apply and its expected result.
 type step struct {
 	e       Entry
 	granted bool
@@ -39,60 +39,60 @@
 		name  string
 		steps []step
 	}{
-		{"a free lease is granted with the entry's index as token", []step{
+		{"free lease is granted with the entry's index as token", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 		}},
-		{"a held lease is refused to another", []step{
+		{"held lease is refused to another holder", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: acq("scout", "b", 1, 999*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrHeld},
 		}},
-		{"an expired lease passes with a newer token", []step{
+		{"expired lease is granted to another holder with a newer token", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: acq("scout", "b", 1, 1000*ms), granted: true, holder: "b", token: 2, expiry: 2000 * ms},
 			{e: renew("scout", "a", 1, 1, 1001*ms), holder: "b", token: 2, expiry: 2000 * ms, err: ErrLost},
 		}},
-		{"the holder's acquire renews with the same token", []step{
+		{"acquire by the holder renews with the same token", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: acq("scout", "a", 1, 500*ms), holder: "a", token: 1, expiry: 1500 * ms},
 		}},
-		{"renewal extends, never shortens", []step{
+		{"renewal extends and never shortens", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: renew("scout", "a", 1, 1, 600*ms), holder: "a", token: 1, expiry: 1600 * ms},
 			{e: Entry{Op: Renew, Name: "scout", Holder: "a", Token: 1, TTL: 300 * ms, Term: 1, Now: 700 * ms},
 				holder: "a", token: 1, expiry: 1600 * ms},
 		}},
-		{"a renewal with another token is refused", []step{
+		{"renewal with another token is refused", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: renew("scout", "a", 7, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrLost},
 		}},
-		{"a renewal after expiry is refused", []step{
+		{"renewal after expiry is refused", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: renew("scout", "a", 1, 1, 1000*ms), err: ErrLost},
 		}},
-		{"release frees at once", []step{
+		{"released lease is free immediately", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: release("scout", "a", 1, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms},
 			{e: acq("scout", "b", 1, 20*ms), granted: true, holder: "b", token: 3, expiry: 1020 * ms},
 		}},
-		{"a release by another is refused", []step{
+		{"release by another holder is refused", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: release("scout", "b", 1, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrLost},
 		}},
-		{"a new term gives every lease its full time anew", []step{
+		{"new term extends every lease to its full time to live", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			// the new leader's clock is far behind the old one's
 			{e: stamp(2, 5*ms)},
 			{e: acq("scout", "b", 2, 900*ms), holder: "a", token: 1, expiry: 1005 * ms, err: ErrHeld},
 			{e: acq("scout", "b", 2, 1005*ms), granted: true, holder: "b", token: 4, expiry: 2005 * ms},
 		}},
-		{"a new leader's clock far ahead does not free a lease early", []step{
+		{"new leader whose clock is far ahead does not expire a lease early", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: acq("scout", "b", 2, 50000*ms), holder: "a", token: 1, expiry: 51000 * ms, err: ErrHeld},
 		}},
-		{"an entry of an older term applies at the present term's last stamp", []step{
+		{"entry of an older term is applied at the newest stamp of the current term", []step{
 			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			{e: stamp(2, 100*ms)},
-			// proposed by the old leader at its clock's 2 s, when a's lease had run out on that clock
+			// proposed by the old leader at 2 s on its clock, when a's lease had expired on that clock
 			{e: acq("scout", "b", 1, 2000*ms), holder: "a", token: 1, expiry: 1100 * ms, err: ErrHeld},
 			{e: acq("free", "b", 1, 2000*ms), granted: true, holder: "b", token: 4, expiry: 1100 * ms},
 		}},
@@ -141,7 +141,7 @@
 		}
 	}
 	if m.Granted() == 0 {
-		t.Fatal("nothing was granted")
+		t.Fatal("no lease was granted")
 	}
 }
 
@@ -149,10 +149,10 @@
 	var m Machine
 	m.Apply(5, acq("scout", "a", 1, 0))
 	if r := m.Apply(5, acq("scout", "b", 1, 5000*ms)); !errors.Is(r.Err, ErrOldIndex) {
-		t.Fatalf("got %v", r.Err)
+		t.Fatalf("error %v, want ErrOldIndex", r.Err)
 	}
 	if l, ok := m.Holder("scout", 10*ms); !ok || l.Holder != "a" {
-		t.Fatalf("holder %v %v", l, ok)
+		t.Fatalf("lease %v, held %v, want holder a", l, ok)
 	}
 }
 
@@ -180,45 +180,45 @@
 		t.Fatal(err)
 	}
 	if _, err := h.Act(0); !errors.Is(err, ErrNotHeld) {
-		t.Fatalf("acts before a grant: %v", err)
+		t.Fatalf("act before a grant: error %v, want ErrNotHeld", err)
 	}
 	h.Granted(100*ms, 4) // until 100 + 990 - 100 = 990
 	if tok, err := h.Act(989 * ms); err != nil || tok != 4 {
-		t.Fatalf("act at 989 ms: %d %v", tok, err)
+		t.Fatalf("act at 989 ms: token %d, error %v", tok, err)
 	}
 	if _, err := h.Act(990 * ms); err == nil {
-		t.Fatal("acts at its end")
+		t.Fatal("act at the end of the lease is allowed")
 	}
 	if h.RenewDue(300*ms) || !h.RenewDue(434*ms) {
-		t.Fatal("renewal due at the wrong time")
+		t.Fatal("renewal is due at the wrong time")
 	}
-	h.Granted(50*ms, 4) // an older request's answer
+	h.Granted(50*ms, 4) // answer to an older request
 	if h.Until() != 990*ms {
-		t.Fatalf("an older answer moved the end to %v", h.Until())
+		t.Fatalf("answer to an older request moved the end to %v", h.Until())
 	}
 	h.Granted(500*ms, 4)
 	if h.Until() != 1390*ms {
-		t.Fatalf("renewal: until %v", h.Until())
+		t.Fatalf("end after a renewal: %v, want 1.39s", h.Until())
 	}
-	h.Granted(600*ms, 3) // an older token comes back late
+	h.Granted(600*ms, 3) // late answer with an older token
 	if h.Token() != 4 {
-		t.Fatalf("token went back to %d", h.Token())
+		t.Fatalf("token %d was reinstated", h.Token())
 	}
 	h.Lost(3)
 	if _, err := h.Act(600 * ms); err != nil {
-		t.Fatal("losing an older token stopped the newer one")
+		t.Fatal("loss of an older token ended the lease")
 	}
 	h.Lost(4)
 	if _, err := h.Act(600 * ms); err == nil {
-		t.Fatal("acts after it lost the lease")
+		t.Fatal("act after the loss of the lease is allowed")
 	}
-	h.Granted(550*ms, 4) // the answer to a renewal sent before the release comes late
+	h.Granted(550*ms, 4) // late answer to a renewal sent before the release
 	if _, err := h.Act(600 * ms); err == nil {
-		t.Fatal("a late answer brought back a released token")
+		t.Fatal("late answer reinstated a released token")
 	}
 	h.Granted(700*ms, 9)
 	if tok, err := h.Act(800 * ms); err != nil || tok != 9 {
-		t.Fatalf("a newer grant after a release: %d %v", tok, err)
+		t.Fatalf("newer grant after a release: token %d, error %v", tok, err)
 	}
 }
 
@@ -230,17 +230,17 @@
 		ok    bool
 	}{{"a", 3, true}, {"a", 3, true}, {"a", 2, false}, {"b", 1, true}, {"a", 9, true}, {"a", 3, false}} {
 		if err := f.Admit(c.res, c.token); (err == nil) != c.ok || (err != nil && !errors.Is(err, ErrStale)) {
-			t.Errorf("%s %d: %v", c.res, c.token, err)
+			t.Errorf("resource %s, token %d: %v", c.res, c.token, err)
 		}
 	}
 	if f.Newest("a") != 9 || f.Refused() != 2 {
-		t.Fatalf("newest %d refused %d", f.Newest("a"), f.Refused())
+		t.Fatalf("newest token %d, want 9; %d refused, want 2", f.Newest("a"), f.Refused())
 	}
 }
 
-// TestTheMarginCoversDrift plays the worst clocks of the bound: the holder's runs slow, the leader's fast, the stamp
-// comes at the holder's sending. The holder must stop before the voters let the lease pass; without the margin it
-// does not.
+// TestTheMarginCoversDrift uses the worst clocks that the drift bound allows: the holder's clock is slow, the leader's
+// is fast, and the stamp is taken when the request is sent. The holder must stop before the lease expires at the
+// voters; without the margin it does not.
 func TestTheMarginCoversDrift(t *testing.T) {
 	const drift = 0.01
 	ttl := 2 * time.Second
@@ -252,11 +252,11 @@
 		var m Machine
 		r := m.Apply(1, Entry{Op: Acquire, Name: "scout", Holder: "a", TTL: ttl, Term: 1, Now: 0})
 		h.Granted(0, r.Lease.Token)
-		// real time at which each side changes its mind, in nanoseconds of real time
+		// real time at which the lease ends for the holder and for the voters, in nanoseconds
 		holderStops := float64(h.Until()) / (1 - drift)
 		votersFree := float64(r.Lease.Expiry) / (1 + drift)
 		if overlaps := holderStops >= votersFree; overlaps != c.overlaps {
-			t.Errorf("margin %v: holder stops at %.0f ns, voters free at %.0f ns", c.margin, holderStops, votersFree)
+			t.Errorf("margin %v: holder stops at %.0f ns, lease expires at the voters at %.0f ns", c.margin, holderStops, votersFree)
 		}
 	}
 }
--- a/internal/control/leases/model_test.go
+++ b/internal/control/leases/model_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// The model below explores every order of events of a small fleet: two clients that ask for one lease, renew and
-// release it; a leader of term 1 that may be deposed, carrying some of its proposals over to the leader of term 2;
-// replies lost, delayed and reordered; clocks of every process running at their own rate and from their own origin.
-// The Machine and the Holding under test are the real ones. After every step it checks that at most one client may
-// act under the lease at that moment of real time.
+// The model below explores the orders of events in a small fleet: two clients that acquire, renew and release one
+// lease; a leader of term 1 that may be deposed, with some of its proposals surviving in the log of the leader of term
+// 2; replies that are lost, delayed and reordered; and clocks that run at different rates from different origins. It
+// uses the real Machine and Holding. In every state it checks that at most one client may act under the lease at that
+// moment of real time.
 
-// modelCfg is a small size.
+// modelCfg bounds the model.
 type modelCfg struct {
-	tick     time.Duration // of real time per step of the clock
-	horizon  int           // steps of real time
-	sends    [2]int        // requests each client may send in all
+	tick     time.Duration // real time per step
+	horizon  int           // number of steps of real time
+	sends    [2]int        // number of requests that each client may send
 	ttl      time.Duration
 	margin   time.Duration
 	drift    float64
-	rates    []float64 // the clocks' rates to choose from, for each process
+	rates    []float64 // possible rates of each process's clock
 	offsets  []time.Duration
 	deposing bool // whether the leader of term 1 may be deposed
-	noFloor  bool // takes the holder's guard against late answers out, to show that the search finds it
+	noFloor  bool // disables the holder's check against late answers, to show that the search finds the violation
 }
 
 type request struct {
@@ -47,7 +47,7 @@
 	stamped  bool // the leader of this term has proposed its stamp
 	machine  Machine
 	index    uint64
-	inbox    []request // at the leader, not proposed yet
+	inbox    []request // requests at the leader that it has not proposed yet
 	proposed []struct {
 		req request
 		e   Entry
@@ -55,8 +55,8 @@
 	replies []reply
 	hold    [2]Holding
 	sends   [2]int
-	tick    time.Duration // of real time per step
-	// the processes' clocks: two clients, two leaders
+	tick    time.Duration // real time per step
+	// clocks of the processes: two clients, two leaders
 	rate   [4]float64
 	offset [4]time.Duration
 }
@@ -90,7 +90,7 @@
 	return b.String()
 }
 
-// actors says which clients may act now.
+// actors returns the clients that may act now.
 func (s *modelState) actors() []int {
 	var out []int
 	for c := 0; c < 2; c++ {
@@ -108,12 +108,12 @@
 	s.index++
 	res := s.machine.Apply(s.index, p.e)
 	if p.req.client >= 0 {
-		res.Err = errors.Unwrap(res.Err) // the kind is what a client reads; the words make states differ for nothing
+		res.Err = errors.Unwrap(res.Err) // keep the sentinel only: differing error texts would distinguish equal states
 		s.replies = append(s.replies, reply{req: p.req, result: res})
 	}
 }
 
-func (s *modelState) leader() int { return 1 + int(s.term) } // process 2 leads term 1, 3 term 2
+func (s *modelState) leader() int { return 1 + int(s.term) } // process 2 leads in term 1, process 3 in term 2
 
 func (s *modelState) next(cfg modelCfg) []*modelState {
 	var out []*modelState
@@ -173,7 +173,7 @@
 		add(n)
 	}
 	for i, r := range s.replies {
-		// a reply that is lost is one that is never delivered: it stays in flight to the horizon
+		// A lost reply is modeled as one that is not delivered before the horizon.
 		n := s.clone()
 		n.replies = append(n.replies[:i:i], s.replies[i+1:]...)
 		h := &n.hold[r.req.client]
@@ -191,7 +191,7 @@
 		add(n)
 	}
 	if cfg.deposing && s.term == 1 {
-		// some prefix of what term 1 proposed is in the new leader's log; the rest is lost
+		// The new leader's log has any prefix of the proposals of term 1; the rest is lost.
 		for keep := 0; keep <= len(s.proposed); keep++ {
 			n := s.clone()
 			n.term = 2
@@ -210,7 +210,7 @@
 
 func explore(cfg modelCfg, limit int) exploreResult {
 	var frontier []*modelState
-	// the two leaders run at one rate: what matters is how a client's clock runs against theirs
+	// Both leaders' clocks have the same rate: only the clients' rates relative to theirs matter.
 	for _, r0 := range cfg.rates {
 		for _, r1 := range cfg.rates {
 			for _, r2 := range cfg.rates {
@@ -253,40 +253,40 @@
 		rates: []float64{0.9, 1.1}, offsets: []time.Duration{0, 700 * ms}, deposing: true}
 }
 
-// searchLimit bounds a search: at this size the space is larger, so the search is a deep one, not an exhaustive one
-// (docs/leases.md says what is left).
+// searchLimit is the maximum number of states of a search. The small fleet has more states than that, so the search is
+// deep but not exhaustive (docs/leases.md says what it does not cover).
 const searchLimit = 1_000_000
 
-// TestModelAtMostOneActs searches the small fleet depth first.
+// TestModelAtMostOneActs searches the states of the small fleet depth first.
 func TestModelAtMostOneActs(t *testing.T) {
 	if raceDetector {
-		t.Skip("a search of a million states is for the plain run; the race detector adds nothing to pure code")
+		t.Skip("a search of a million states is too slow with the race detector, which finds nothing in code without goroutines")
 	}
 	cfg := smallFleet()
 	res := explore(cfg, searchLimit)
 	if res.violated != nil {
-		t.Fatalf("two clients may act at once after %d states:\n%s", res.states, describe(res.violated))
+		t.Fatalf("two clients may act at the same time, found after %d states:\n%s", res.states, describe(res.violated))
 	}
 	if res.grants == 0 {
-		t.Fatal("no state had a grant: the model explored nothing of interest")
+		t.Fatal("the search reached no state with a granted lease")
 	}
 	t.Logf("figure lease_model_states=%d (horizon %d steps of %v, sends %v)", res.states, cfg.horizon, cfg.tick,
 		cfg.sends)
 }
 
-// TestModelFindsAMissingGuard takes the holder's guard against late answers out and wants the search to find two
-// holders: the check above can fail.
+// TestModelFindsAMissingGuard disables the holder's check against late answers. The search must then find two clients
+// that may act at the same time, which shows that the search can detect a violation.
 func TestModelFindsAMissingGuard(t *testing.T) {
 	if raceDetector {
-		t.Skip("a search of a million states is for the plain run")
+		t.Skip("a search of a million states is too slow with the race detector")
 	}
 	cfg := smallFleet()
 	cfg.noFloor = true
 	res := explore(cfg, searchLimit)
 	if res.violated == nil {
-		t.Fatalf("no two holders found in %d states without the guard", res.states)
+		t.Fatalf("no state with two holders found in %d states without the check", res.states)
 	}
-	t.Logf("found after %d states:\n%s", res.states, describe(res.violated))
+	t.Logf("violation found after %d states:\n%s", res.states, describe(res.violated))
 }
 
 func describe(s *modelState) string {
--- a/internal/control/pooling/link.go
+++ b/internal/control/pooling/connstate.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// DefaultPrepared is how many prepared statements a host connection keeps.
+// DefaultPrepared is the default maximum number of prepared statements on a host connection.
 const DefaultPrepared = 100
 
-// Link is what one host connection has been set up with.
+// Link is the state of one host connection: the settings that are in effect and the statements prepared on it.
 type Link struct {
 	settings Settings
 	prepared *simplelru.LRU[uint64, *entry]
-	next     int
-	evicted  []string // names to close on the host
-	Hits     uint64   // statements that were prepared here already
-	Misses   uint64
+	next     int      // number in the name of the last statement prepared
+	evicted  []string // names of statements to close on the host
+	Hits     uint64   // uses of statements that were already prepared
+	Misses   uint64   // uses of statements that had to be prepared
 }
 
 type entry struct {
@@ -26,7 +26,8 @@
 	name      string
 }
 
-// NewLink makes one of a new connection; prepared bounds its statements, DefaultPrepared for 0.
+// NewLink returns the state of a new connection. It keeps at most that many prepared statements, or DefaultPrepared if
+// prepared is 0.
 func NewLink(prepared int) *Link {
 	if prepared <= 0 {
 		prepared = DefaultPrepared
@@ -36,8 +37,8 @@
 	return l
 }
 
-// Carry gives the statements that bring the connection to the session's settings: the fewest that do. They go in one query,
-// before anything of the session's; Carried says that they have run.
+// Carry returns the shortest list of statements that changes the connection's settings to those of the session, or ""
+// if they are equal. They are to be run as one query before any statement of the session.
 func (l *Link) Carry(s *Session) string {
 	if l.settings == s.settings {
 		return ""
@@ -58,7 +59,7 @@
 			set = append(set, "SET "+ident(string(name))+" TO "+value)
 		}
 	}
-	// With more to take back than to set, everything is taken back at once.
+	// RESET ALL and setting everything again may need fewer statements.
 	if all := s.settings.Len() + 1; len(reset) > 1 && all < len(reset)+len(set) {
 		reset, set = []string{"RESET ALL"}, set[:0]
 		it = s.settings.Root().Iterator()
@@ -69,10 +70,10 @@
 	return strings.Join(append(reset, set...), "; ")
 }
 
-// Carried says that what Carry gave has run.
+// Carried records that the query which changes the settings to those of the session has been run.
 func (l *Link) Carried(s *Session) { l.settings = s.settings }
 
-// ident writes a setting's name: its parts are quoted where they need it.
+// ident returns a setting's name in SQL, with its parts quoted where necessary.
 func ident(name string) string {
 	parts := strings.Split(name, ".")
 	for i, p := range parts {
@@ -88,7 +89,8 @@
 	return strings.Join(parts, ".")
 }
 
-// Use gives the name that a statement has on this connection; parse says that it has to be prepared there first.
+// Use returns the name of a statement on this connection. If parse is true, it has to be prepared under that name
+// first.
 func (l *Link) Use(st *Statement) (name string, parse bool) {
 	if e, ok := l.prepared.Get(st.hash); ok && e.statement.Same(st) {
 		l.Hits++
@@ -104,21 +106,21 @@
 	return name, true
 }
 
-// Evicted gives the names to close on the host, since the last call.
+// Evicted returns the names of the statements to close on the host that were evicted since the last call.
 func (l *Link) Evicted() []string {
 	out := slices.Clone(l.evicted)
 	l.evicted = l.evicted[:0]
 	return out
 }
 
-// Forget says that a statement is not prepared there after all, or must be prepared anew: its plan no longer fits.
+// Forget removes a statement that could not be prepared, or that must be prepared again because its plan is outdated.
 func (l *Link) Forget(st *Statement) {
 	if e, ok := l.prepared.Peek(st.hash); ok && e.statement.Same(st) {
 		l.prepared.Remove(st.hash)
 	}
 }
 
-// Ran says that a statement of the session has run on this connection, in the session's state after it.
+// Ran records that a statement of the session has run on this connection. The session's state is the one after it.
 func (l *Link) Ran(c Command, s *Session) {
 	switch c.Kind {
 	case DiscardAll, DeallocateAll:
@@ -128,5 +130,5 @@
 	l.settings = s.settings
 }
 
-// Follow says that the connection has the session's settings: it went through all that the session did.
+// Follow records that the connection has the session's settings, as it has run all of the session's statements.
 func (l *Link) Follow(s *Session) { l.settings = s.settings }
--- a/internal/control/pooling/model_test.go
+++ b/internal/control/pooling/model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// server is a host connection as PostgreSQL has one: settings with transactions and savepoints, and prepared statements. It is
-// written apart from the session's own bookkeeping, to check it.
+// server models a PostgreSQL connection: settings with transactions and savepoints, and prepared statements. It is
+// implemented independently of Session, to check it.
 type server struct {
 	session, effective map[string]string
 	saved              []savedLevel
@@ -45,7 +45,7 @@
 	return 'I'
 }
 
-// exec runs one statement; not ok: it fails.
+// exec runs one statement; ok is false if it fails.
 func (s *server) exec(c Command) (tag string, ok bool) {
 	if s.failed && c.Kind != Rollback && c.Kind != Commit && c.Kind != RollbackTo {
 		return "", false
@@ -119,17 +119,17 @@
 		clear(s.prepared)
 	case DeallocateAll:
 		clear(s.prepared)
-	case Write: // stands for any statement that fails
+	case Write: // represents any statement that fails
 		return fail()
 	}
 	return "OK", true
 }
 
-// batch runs a simple query of several statements: outside a transaction it is one.
+// batch runs a simple query of several statements, which outside of a transaction is an implicit transaction.
 func (s *server) batch(commands []Command) (tags []string, ok bool) {
 	session, effective := clone(s.session), clone(s.effective)
 	for _, c := range commands {
-		if c.Kind == Rollback && len(s.saved) == 0 { // what stands before it in the query is undone too
+		if c.Kind == Rollback && len(s.saved) == 0 { // also rolls back the statements before it in the query
 			s.session, s.effective = clone(session), clone(effective)
 		}
 		open := len(s.saved) > 0
@@ -150,14 +150,15 @@
 	return tags, true
 }
 
-// TestModel runs random sessions over few connections and, side by side, over one connection each: settings, statements and
-// answers must be the same at every step. A failure prints its seed; `go test -run TestModel -rapid.seed=SEED` replays it.
+// TestModel runs random sessions over shared connections and, for comparison, each session over a connection of its
+// own. Settings, statements and answers must be equal after every step. A failure prints its seed;
+// `go test -run TestModel -rapid.seed=SEED` replays it.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type client struct {
 			own    *server
 			s      *Session
-			link   int // -1: none
+			link   int // index of the connection, or -1 if it has none
 			number int
 		}
 		type link struct {
@@ -197,7 +198,7 @@
 				l.taken = true
 				if sql := l.Carry(c.s); sql != "" {
 					if _, ok := l.batch(Scan(sql)); !ok {
-						t.Fatalf("carrying fails: %s", sql)
+						t.Fatalf("query that carries the settings fails: %s", sql)
 					}
 				}
 				l.Carried(c.s)
@@ -223,7 +224,7 @@
 				}
 				commands := Scan(strings.Join(sql, "; "))
 				if slices.ContainsFunc(commands, func(x Command) bool { return x.Kind == DiscardAll }) {
-					commands = commands[:1] // it may not stand among others
+					commands = commands[:1] // DISCARD ALL must be the only statement
 				}
 				wantTags, wantOK := c.own.batch(commands)
 				c.s.Start()
@@ -238,11 +239,11 @@
 				c.s.Ready(l.status())
 				l.Follow(c.s)
 				if !slices.Equal(tags, wantTags) || ok != wantOK || l.status() != c.own.status() {
-					t.Fatalf("%v is answered %v %v %c, on a connection of its own %v %v %c", sql, tags, ok, l.status(), wantTags, wantOK,
+					t.Fatalf("%v: answer %v %v %c on a shared connection, %v %v %c on its own one", sql, tags, ok, l.status(), wantTags, wantOK,
 						c.own.status())
 				}
 				if diff := cmp.Diff(c.own.effective, l.effective); diff != "" {
-					t.Fatalf("after %v client %d has other settings: %s", sql, c.number, diff)
+					t.Fatalf("after %v client %d has different settings: %s", sql, c.number, diff)
 				}
 				give(c)
 			},
@@ -260,12 +261,12 @@
 					text := rapid.SampledFrom([]string{"SELECT 1", "SELECT 2", "SELECT 3", "SELECT 4", "SELECT 5"}).Draw(t, "text")
 					c.own.prepared[name] = text
 					if !c.s.Prepare(name, NewStatement(text, nil)) {
-						t.Fatalf("%s is taken", name)
+						t.Fatalf("name %s is in use", name)
 					}
 				}
 				st := c.s.Prepared(name)
 				if st == nil {
-					t.Fatalf("client %d has lost %s", c.number, name)
+					t.Fatalf("client %d has lost the prepared statement %s", c.number, name)
 				}
 				host, parse := l.Use(st)
 				for _, gone := range l.Evicted() {
@@ -278,22 +279,22 @@
 					l.server.prepared[host] = st.Text
 				}
 				if got := l.server.prepared[host]; got != c.own.prepared[name] {
-					t.Fatalf("%s of client %d runs %q, it is %q", name, c.number, got, c.own.prepared[name])
+					t.Fatalf("statement %s of client %d runs %q, want %q", name, c.number, got, c.own.prepared[name])
 				}
 				if len(l.server.prepared) > 3 {
-					t.Fatalf("%d statements on a connection", len(l.server.prepared))
+					t.Fatalf("%d prepared statements on a connection, want at most 3", len(l.server.prepared))
 				}
 				give(c)
 			},
-			"a connection dies": func(t *rapid.T) {
+			"connection is lost": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(links)-1).Draw(t, "link")
 				for _, c := range clients {
 					if c.link == i {
 						carried := c.s.Lost()
 						if carried != (c.own.status() == 'I') {
-							t.Fatalf("carried %v with status %c", carried, c.own.status())
+							t.Fatalf("session can continue: %v, with transaction status %c", carried, c.own.status())
 						}
-						// What was open is rolled back; the rest of the session goes on elsewhere.
+						// The open transaction is rolled back; the session continues on another connection.
 						if c.own.status() != 'I' {
 							c.own.exec(Command{Kind: Rollback})
 						}
--- a/internal/control/pooling/pool.go
+++ b/internal/control/pooling/pool.go
@@ -6,54 +6,55 @@
 	"time"
 )
 
-// Limits bound the connections to hosts.
+// Limits bounds the connections to hosts.
 type Limits struct {
-	Total    int           // open or being opened, to all hosts
-	PerHost  int           // of them to one host; 0: as many as Total
-	Least    int           // that a host can have even where others hold the total: an idle one of theirs is closed for it
-	Opening  int           // being opened to one host at a time; 0: any number
-	PerSec   float64       // opened to one host in a second, with as many at once; 0: any number
-	Rest     time.Duration // after use before the next one
-	Idle     time.Duration // a connection is closed after as much idling
-	Age      time.Duration // and at this age, give or take a quarter, so that they are not all opened anew together; 0: never
-	Memory   time.Duration // in which the number kept halves to what is used; 0: only Idle closes any
-	ColdPart float64       // of PerHost that a host has that starts cold; 0: all
+	Total    int           // maximum number of connections to all hosts, open or being opened
+	PerHost  int           // maximum number of connections to one host; 0 means Total
+	Least    int           // guaranteed to each host: at the total, an idle connection of another host is closed for it
+	Opening  int           // maximum number of connections being opened to one host; 0 means no limit
+	PerSec   float64       // rate of opening connections to one host, also the burst; 0 means no limit
+	Rest     time.Duration // minimum time between two uses of a connection
+	Idle     time.Duration // maximum idle time of a connection; 0 means no limit
+	Age      time.Duration // maximum age, varied by up to a quarter so as not to reopen all at once; 0 means no limit
+	Memory   time.Duration // half-life of the peak usage, to which idle connections are reduced; 0 closes by Idle only
+	ColdPart float64       // fraction of PerHost that a host may have during its slow start; 0 means all
 }
 
-// Choice is what to do for one who needs a connection.
+// Choice is the decision of Pools.Take.
 type Choice int
 
 // Choices.
 const (
-	Reuse  Choice = iota // the connection of that number
-	Open                 // open one, and close that of the number if there is one
-	Full                 // all are in use
-	Paused               // the host gets no more new ones just now
+	Reuse  Choice = iota // use the returned idle connection
+	Open                 // open a new connection, and close the returned one if its number is not 0
+	Full                 // the connection limit is reached
+	Paused               // the limits of opening connections to the host are reached
 )
 
-// conn is one connection that idles.
+// conn is an idle connection.
 type conn struct {
 	id    int
-	since time.Duration
-	endAt time.Duration // of its age; 0: none
+	since time.Duration // when it became idle
+	endAt time.Duration // when it reaches its maximum age, or 0 if there is none
 }
 
+// pool holds the connections to one host.
 type pool struct {
-	idle    []conn // the one used last at the end
-	open    int    // with those in use and being opened
+	idle    []conn // in order of their last use
+	open    int    // all connections, including those in use and those being opened
 	opening int
-	used    int // in use
+	used    int // number of connections in use
 	peak    float64
 	peakAt  time.Duration
 	tokens  float64
 	tokenAt time.Duration
-	closed  bool // takes nothing new: it drains or is gone
+	closed  bool // gets no new connections: the host drains or was removed
 	cold    bool
-	ends    map[int]time.Duration // of those in use: when their age is over
+	ends    map[int]time.Duration // when the connections in use reach their maximum age
 }
 
-// Pools decides about the connections of one gateway. Connections are known by numbers that the caller gives. It is not safe
-// for concurrent use.
+// Pools manages the connections of one gateway to all hosts. The caller assigns the numbers of the connections. It is
+// not safe for concurrent use.
 type Pools struct {
 	limits Limits
 	rng    *rand.Rand
@@ -62,7 +63,7 @@
 	peak   int
 }
 
-// NewPools makes pools; seed draws the spread of ages.
+// NewPools returns empty pools. The seed determines the variation of maximum ages.
 func NewPools(l Limits, seed uint64) *Pools {
 	return &Pools{limits: l, rng: rand.New(rand.NewPCG(seed, 0x706f6f6c)), hosts: map[string]*pool{}}
 }
@@ -76,6 +77,7 @@
 	return h
 }
 
+// most returns the maximum number of connections to a host.
 func (p *Pools) most(h *pool) int {
 	most := p.limits.PerHost
 	if most <= 0 {
@@ -87,8 +89,8 @@
 	return most
 }
 
-// SetTotal changes how many may be open. Idle connections above that are to be closed; those in use are when they are given
-// back.
+// SetTotal changes the maximum number of connections. It returns the idle connections to close in order to comply;
+// further connections in excess are closed when they are returned by Put.
 func (p *Pools) SetTotal(n int) (end []int) {
 	p.limits.Total = n
 	for p.total > n {
@@ -101,11 +103,12 @@
 	return end
 }
 
-// SetIdle changes how long a connection may idle.
+// SetIdle changes the maximum idle time.
 func (p *Pools) SetIdle(d time.Duration) { p.limits.Idle = d }
 
-// Take chooses a connection to a host: of those that have rested the one used last, or a new one. alive says whether an idle one
-// is still good; those that are not are in dead, and closed. With Open, close is a connection to be closed for it, if not 0.
+// Take chooses a connection to a host: among the idle connections that have rested for long enough the one used last,
+// or else a new one. It calls alive to check an idle connection. Idle connections that are not alive or past a limit
+// are returned in dead, to be closed. With Open, id is a connection to close for the new one, or 0 if there is none.
 func (p *Pools) Take(now time.Duration, name string, alive func(id int) bool) (c Choice, id int, dead []int) {
 	h := p.host(name)
 	for i := len(h.idle) - 1; i >= 0; i-- {
@@ -146,7 +149,8 @@
 	return Open, evicted, dead
 }
 
-// evict closes the connection that has idled longest, of all hosts; of a host's least ones only where this host has less.
+// evict removes the connection that has been idle for longest among all hosts, and returns its number or 0 if there is
+// none. It takes no connection that is guaranteed to another host unless h has fewer than the guaranteed number.
 func (p *Pools) evict(h *pool) int {
 	var from *pool
 	for _, o := range p.hosts {
@@ -167,6 +171,7 @@
 	return id
 }
 
+// token refills the host's token bucket and reports whether a connection may be opened.
 func (p *Pools) token(now time.Duration, h *pool) bool {
 	if p.limits.PerSec <= 0 {
 		return true
@@ -178,13 +183,14 @@
 	return h.tokens >= 1
 }
 
+// use counts a connection as in use.
 func (p *Pools) use(now time.Duration, h *pool) {
 	h.used++
 	p.decay(now, h)
 	h.peak = max(h.peak, float64(h.used))
 }
 
-// decay lets what was in use at most be forgotten by half in each Memory.
+// decay halves the difference between the peak usage and the current usage once per half-life.
 func (p *Pools) decay(now time.Duration, h *pool) {
 	if p.limits.Memory > 0 && h.peakAt > 0 {
 		for h.peakAt+p.limits.Memory <= now && h.peak > float64(h.used) {
@@ -197,7 +203,7 @@
 	}
 }
 
-// Opened says that a connection came up, under its number; it is in use.
+// Opened records that a connection was established, and assigns its number. The connection is in use.
 func (p *Pools) Opened(now time.Duration, name string, id int) {
 	h := p.host(name)
 	h.opening--
@@ -209,7 +215,7 @@
 	h.ends[id] = end
 }
 
-// NotOpened says that a connection did not come up.
+// NotOpened records that a connection could not be established.
 func (p *Pools) NotOpened(name string) {
 	h := p.host(name)
 	h.opening--
@@ -217,7 +223,7 @@
 	p.total--
 }
 
-// Put gives a connection back; keep says that it may be used again, otherwise the caller closes it.
+// Put returns a connection to the pool. If it returns false, the caller has to close the connection.
 func (p *Pools) Put(now time.Duration, name string, id int, clean bool) (keep bool) {
 	h := p.host(name)
 	end := h.ends[id]
@@ -232,7 +238,7 @@
 	return true
 }
 
-// Close lets nothing new to a host, or something again. The idle connections of a closed one are to be closed.
+// Close sets whether a host gets no more connections. For a closed host it returns the idle connections to close.
 func (p *Pools) Close(name string, closed bool) (end []int) {
 	h := p.host(name)
 	h.closed = closed
@@ -242,6 +248,7 @@
 	return end
 }
 
+// drop removes all idle connections of a host and returns their numbers.
 func (p *Pools) drop(h *pool) (end []int) {
 	for _, x := range h.idle {
 		end = append(end, x.id)
@@ -252,13 +259,14 @@
 	return end
 }
 
-// Cold says whether a host has just started.
+// Cold sets whether a host is in its slow start.
 func (p *Pools) Cold(name string, cold bool) { p.host(name).cold = cold }
 
-// Drop ends the idle connections of a host, whose address has changed.
+// Drop removes the idle connections of a host whose address has changed, and returns them to be closed.
 func (p *Pools) Drop(name string) []int { return p.drop(p.host(name)) }
 
-// Forget ends the idle connections of a host that is gone for good, and forgets it once none is in use.
+// Forget closes the pool of a removed host and returns its idle connections to be closed. The pool is deleted if no
+// connection is left in use.
 func (p *Pools) Forget(name string) (end []int) {
 	if h := p.hosts[name]; h != nil {
 		h.closed = true
@@ -269,8 +277,8 @@
 	return end
 }
 
-// Tick gives the connections to be closed: those that have idled for too long, are too old, or are more than has been used
-// lately, one of each host at a time.
+// Tick returns the connections to close: those that have been idle for too long or are too old, and one per host if
+// there are more than the recent peak usage.
 func (p *Pools) Tick(now time.Duration) (end []int) {
 	for _, h := range p.hosts {
 		kept := h.idle[:0]
@@ -294,12 +302,12 @@
 	return end
 }
 
-// Stat is how a host's pool stands.
+// Stat counts the connections of a host. Open includes those that are idle, in use or being opened.
 type Stat struct {
 	Open, Idle, Used, Opening int
 }
 
-// Stats says how all pools stand.
+// Stats returns the counts of all pools by host.
 func (p *Pools) Stats() map[string]Stat {
 	out := make(map[string]Stat, len(p.hosts))
 	for name, h := range p.hosts {
@@ -308,8 +316,8 @@
 	return out
 }
 
-// Peak is how many were open or being opened at most.
+// Peak returns the highest number of connections that were open or being opened at the same time.
 func (p *Pools) Peak() int { return p.peak }
 
-// Total is how many are open or being opened.
+// Total returns the number of connections that are open or being opened.
 func (p *Pools) Total() int { return p.total }
--- a/internal/control/pooling/pool_test.go
+++ b/internal/control/pooling/pool_test.go
@@ -25,37 +25,37 @@
 	}
 	for i, want := range []Choice{Open, Open, Open, Full} {
 		if c, _ := open(second, "a"); c != want {
-			t.Errorf("connection %d of a: %v", i, c)
+			t.Errorf("connection %d of a: unexpected choice %v", i, c)
 		}
 	}
 	open(second, "b")
 	if c, _ := open(second, "b"); c != Full {
-		t.Errorf("beyond the total: %v", c)
+		t.Errorf("at the total: choice %v, want Full", c)
 	}
 	if !p.Put(2*second, "a", 1, true) {
-		t.Error("a clean one is not kept")
+		t.Error("clean connection is not kept")
 	}
 	if c, id := open(2*second, "a"); c != Reuse || id != 1 {
-		t.Errorf("%v %d", c, id)
+		t.Errorf("choice %v of connection %d, want reuse of 1", c, id)
 	}
 	p.Put(2*second, "a", 1, true)
 	if c, evicted, _ := p.Take(2*second, "c", alive); c != Open || evicted != 1 {
-		t.Errorf("for a host without any: %v, closing %d", c, evicted)
+		t.Errorf("host without connections: choice %v, evicted %d, want a new connection in place of 1", c, evicted)
 	}
 	p.NotOpened("c")
 	if p.Put(3*second, "a", 2, false) {
-		t.Error("an unclean one is kept")
+		t.Error("unclean connection is kept")
 	}
 	p.Put(3*second, "a", 3, true)
 	if got := p.Tick(14 * second); !slices.Equal(got, []int{3}) || p.Total() != 1 {
-		t.Errorf("too long idle: %v, %d left", got, p.Total())
+		t.Errorf("idle for too long: closed %v, %d left; want 3 closed, 1 left", got, p.Total())
 	}
 	p.Close("b", true)
 	if p.Put(15*second, "b", 4, true) || p.Total() != 0 {
-		t.Error("a host that drains keeps a connection")
+		t.Error("draining host keeps a connection")
 	}
 	if c, _ := open(15*second, "b"); c != Full {
-		t.Errorf("a host that drains: %v", c)
+		t.Errorf("draining host: choice %v, want Full", c)
 	}
 }
 
@@ -70,14 +70,14 @@
 		}
 	}
 	if opened < 25 || opened > 31 {
-		t.Errorf("%d opened in 2 s at 10 a second with a burst of 10", opened)
+		t.Errorf("%d connections opened in 2 s at 10 per second with a burst of 10", opened)
 	}
 	p = NewPools(Limits{Total: 1000, Opening: 5}, 1)
 	for range 10 {
 		p.Take(time.Second, "a", nil)
 	}
 	if s := p.Stats()["a"]; s.Opening != 5 {
-		t.Errorf("%d are being opened", s.Opening)
+		t.Errorf("%d connections are being opened, want 5", s.Opening)
 	}
 }
 
@@ -90,20 +90,20 @@
 		ends[p.hosts["a"].ends[id].Round(time.Minute)] = true
 	}
 	if len(ends) < 15 {
-		t.Errorf("40 connections end in %d minutes", len(ends))
+		t.Errorf("maximum ages of 40 connections fall into %d different minutes, want at least 15", len(ends))
 	}
 	for id := 1; id <= 40; id++ {
 		p.Put(2*time.Second, "a", id, true)
 	}
 	if got := len(p.Tick(10 * time.Second)); got != 0 {
-		t.Errorf("%d closed at once", got)
+		t.Errorf("%d connections closed immediately, want 0", got)
 	}
 	closed := 0
 	for s := 10; s < 180; s++ {
 		closed += len(p.Tick(time.Duration(s) * time.Second))
 	}
 	if closed < 20 || closed > 38 {
-		t.Errorf("%d of 40 closed within three minutes of no use", closed)
+		t.Errorf("%d of 40 connections closed in three minutes without use, want 20 to 38", closed)
 	}
 }
 
@@ -125,7 +125,7 @@
 		closeAll := func(ids []int) {
 			for _, id := range ids {
 				if idle[id] == "" {
-					t.Fatalf("%d is closed and does not idle", id)
+					t.Fatalf("connection %d is closed but was not idle", id)
 				}
 				delete(idle, id)
 			}
@@ -138,7 +138,7 @@
 				switch c {
 				case Reuse:
 					if idle[id] != h {
-						t.Fatalf("%d of %q is used for %s", id, idle[id], h)
+						t.Fatalf("connection %d to %q is reused for %s", id, idle[id], h)
 					}
 					delete(idle, id)
 					used = append(used, held{h, id})
@@ -155,7 +155,7 @@
 					return
 				}
 				opening[h]--
-				if rapid.Bool().Draw(t, "comes up") {
+				if rapid.Bool().Draw(t, "success") {
 					next++
 					p.Opened(now, h, next)
 					used = append(used, held{h, next})
@@ -181,11 +181,11 @@
 			"": func(t *rapid.T) {
 				total := len(used) + len(idle) + opening["a"] + opening["b"] + opening["c"]
 				if p.Total() != total || total > l.Total {
-					t.Fatalf("%d counted, %d there are, %d may be", p.Total(), total, l.Total)
+					t.Fatalf("total %d, want %d; limit %d", p.Total(), total, l.Total)
 				}
 				for h, s := range p.Stats() {
 					if l.PerHost > 0 && s.Open > l.PerHost || s.Idle+s.Used+s.Opening != s.Open {
-						t.Fatalf("%s has %+v", h, s)
+						t.Fatalf("host %s exceeds its limit or has inconsistent counts: %+v", h, s)
 					}
 				}
 			},
--- a/internal/control/pooling/session.go
+++ b/internal/control/pooling/session.go
@@ -1,9 +1,11 @@
-// Package pooling decides what a client's session carries from one host connection to another, what ties it to one, and
-// which connections are kept, opened and closed. It speaks no protocol and has no clock: it is told what was run and how
-// that ended, and answers with what has to be run first.
+// Package pooling implements connection pooling: it decides which state of a client's session is carried from one host
+// connection to another, which state pins the session to its connection, and which connections are kept, opened and
+// closed. It speaks no protocol and has no clock: callers report the statements that were run and their results, and
+// get the statements to run before the session's next one.
 //
-// sql.go reads statements as far as that needs, session.go keeps what a client has set up, link.go what a host connection has,
-// and pool.go how many of them there are. docs/pooling.md has the table of what is carried and what pins.
+// The parser in sql.go only reads of a statement what is needed for this. session.go holds the state of a client's
+// session, connstate.go that of a host connection, and pool.go the number of connections. docs/pooling.md lists the
+// state that is carried and the state that pins.
 package pooling
 
 import (
@@ -14,40 +16,41 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Mode is for how long a client keeps a host connection.
+// Mode is the pool mode: for how long a client keeps a host connection.
 type Mode int
 
 // Modes.
 const (
-	ByStatement   Mode = iota // for a statement or a pipeline up to its end; no transactions
+	ByStatement   Mode = iota // for a statement, or for a pipeline until its end; transactions are not possible
 	ByTransaction             // for a transaction
-	BySession                 // for as long as the client stays
+	BySession                 // until the client disconnects
 )
 
 var modeNames = [...]string{"statement", "transaction", "session"}
 
 func (m Mode) String() string { return modeNames[m] }
 
-// ParseMode reads a mode's name.
+// ParseMode returns the mode with the given name.
 func ParseMode(s string) (Mode, bool) {
 	i := slices.Index(modeNames[:], s)
 	return Mode(max(i, 0)), i >= 0
 }
 
-// Settings are values by name, as they stand in SET. They are persistent: a copy costs nothing, as each savepoint keeps one.
+// Settings maps the names of settings to their values as written in SET. The tree is immutable, so that each savepoint
+// can keep a copy at no cost.
 type Settings = *iradix.Tree[string]
 
-// NoSettings is the empty one.
+// NoSettings returns empty settings.
 func NoSettings() Settings { return iradix.New[string]() }
 
-// Statement is a prepared statement, whatever names clients have for it.
+// Statement is a prepared statement, independent of the names that clients have given to it.
 type Statement struct {
 	Text  string
-	Types []uint32 // of its parameters, as the client stated them
+	Types []uint32 // parameter types, as specified by the client
 	hash  uint64
 }
 
-// NewStatement makes one. Two are the same where text and types are.
+// NewStatement returns the statement with a text and parameter types.
 func NewStatement(text string, types []uint32) *Statement {
 	s := &Statement{Text: text, Types: types}
 	d := xxhash.New()
@@ -59,36 +62,37 @@
 	return s
 }
 
-// Same compares the whole of two statements: hashes of different texts may agree.
+// Same reports whether two statements have the same text and types. Equal hashes are not enough, as they can collide.
 func (s *Statement) Same(o *Statement) bool {
 	return s == o || s.hash == o.hash && s.Text == o.Text && slices.Equal(s.Types, o.Types)
 }
 
+// level is a transaction or a savepoint, with the state to which a rollback returns.
 type level struct {
-	name     string // of the savepoint; "": the transaction itself
+	name     string // name of the savepoint, or "" for the transaction itself
 	settings Settings
 	pins     Pin
 }
 
-// Session is what one client has set up. Settings of a transaction's own (SET LOCAL) are not kept: they end before the host
-// connection changes.
+// Session is the state of one client's session. It does not track SET LOCAL, whose effect ends with the transaction and
+// so before the session can get another host connection.
 type Session struct {
-	Status     byte // as the host said it last: I, T or E
+	Status     byte // transaction status last reported by the host: I, T or E
 	defaults   Settings
 	settings   Settings
-	implicit   Settings // as they were when the batch, or what follows its last COMMIT, began
-	levels     []level  // of the open transaction
+	implicit   Settings // settings at the start of the batch, or after its last COMMIT
+	levels     []level  // the open transaction and its savepoints
 	statements map[string]*Statement
 	pins       Pin
 	implicitP  Pin
 	readOnly   bool
 }
 
-// listSettings hold lists of names: their parts are quoted one by one.
+// listSettings are the settings that are lists of names, whose elements are quoted one by one.
 var listSettings = map[string]bool{"search_path": true, "datestyle": true, "temp_tablespaces": true,
 	"session_preload_libraries": true, "local_preload_libraries": true}
 
-// Literal writes text as a string constant of SQL.
+// Literal returns s as an SQL string constant.
 func Literal(s string) string {
 	if strings.Contains(s, `\`) {
 		return " E'" + strings.ReplaceAll(strings.ReplaceAll(s, `\`, `\\`), "'", "''") + "'"
@@ -96,7 +100,7 @@
 	return "'" + strings.ReplaceAll(s, "'", "''") + "'"
 }
 
-// NewSession makes a session with the settings of its startup message, which RESET goes back to.
+// NewSession returns a session with the settings of its startup message, which are the values RESET returns to.
 func NewSession(startup map[string]string) *Session {
 	s := &Session{Status: 'I', settings: NoSettings(), statements: map[string]*Statement{}}
 	for name, value := range startup {
@@ -119,19 +123,20 @@
 	return s
 }
 
-// Setting gives a setting as it stands; not ok: it has its default.
+// Setting returns the value of a setting; ok is false if the setting has its default value.
 func (s *Session) Setting(name string) (value string, ok bool) { return s.settings.Get([]byte(name)) }
 
-// Pins are the reasons why the session must keep its host connection.
+// Pins returns the reasons why the session must keep its host connection.
 func (s *Session) Pins() Pin { return s.pins }
 
-// Open says that a transaction is open, as far as the host said.
+// Open reports whether a transaction is open, by the status last reported by the host.
 func (s *Session) Open() bool { return s.Status != 'I' }
 
-// ReadOnly says that the open transaction was begun as one that only reads.
+// ReadOnly reports whether the open transaction was started as READ ONLY.
 func (s *Session) ReadOnly() bool { return len(s.levels) > 0 && s.readOnly }
 
-// Prepare takes a prepared statement under the client's name; "" is the unnamed one. Not ok: the name is taken.
+// Prepare records a prepared statement under the name given by the client, "" for the unnamed one. It returns false if
+// the name is in use.
 func (s *Session) Prepare(name string, st *Statement) bool {
 	if name != "" && s.statements[name] != nil {
 		return false
@@ -140,34 +145,35 @@
 	return true
 }
 
-// Prepared gives the statement that the client knows by a name; nil: there is none.
+// Prepared returns the statement that the client prepared under a name, or nil if there is none.
 func (s *Session) Prepared(name string) *Statement { return s.statements[name] }
 
-// Close forgets a prepared statement.
+// Close removes a prepared statement.
 func (s *Session) Close(name string) { delete(s.statements, name) }
 
-// All gives the prepared statements by name; they are the session's own, not to be changed.
+// All returns the prepared statements by name. The map belongs to the session and must not be changed.
 func (s *Session) All() map[string]*Statement { return s.statements }
 
-// Restore puts back the prepared statements as they were: what was asked has not happened.
+// Restore replaces the prepared statements by an earlier copy, for requests that were not executed.
 func (s *Session) Restore(all map[string]*Statement) { s.statements = all }
 
-// Statements is how many are prepared.
+// Statements returns the number of prepared statements.
 func (s *Session) Statements() int { return len(s.statements) }
 
-// Start says that a batch begins: a query, or a pipeline up to its Sync.
+// Start records the start of a batch: a query, or a pipeline up to its Sync.
 func (s *Session) Start() {
 	if len(s.levels) == 0 {
 		s.implicit, s.implicitP = s.settings, s.pins
 	}
 }
 
-// Completed says that a statement has run, and the tag of its answer. A COMMIT of a failed transaction is answered ROLLBACK.
+// Completed records that a statement has run, with the command tag of its answer. The tag of a COMMIT in a failed
+// transaction is ROLLBACK.
 func (s *Session) Completed(c Command, tag string) {
 	switch c.Kind {
 	case Begin:
 		if len(s.levels) == 0 {
-			// What the batch has set before BEGIN becomes part of the transaction.
+			// Settings changed in the batch before BEGIN become part of the transaction.
 			s.levels = append(s.levels, level{"", s.implicit, s.implicitP})
 			s.readOnly = c.ReadOnly
 		}
@@ -210,7 +216,7 @@
 	s.pins = s.pins&^c.Unpin | c.Pin
 }
 
-// savepoint gives the level of the latest savepoint of a name; 0: there is none.
+// savepoint returns the index of the latest savepoint with a name in levels, or 0 if there is none.
 func (s *Session) savepoint(name string) int {
 	for i := len(s.levels) - 1; i > 0; i-- {
 		if s.levels[i].name == name {
@@ -220,9 +226,9 @@
 	return 0
 }
 
-// undo puts settings and pins back to what they were before the transaction, or before the batch outside one. Locks and
-// temporary tables taken in it are gone, but what is pinned stays pinned until it is known to be: an advisory lock of the
-// session outlives a rollback.
+// undo restores the settings and pins from before the transaction or, outside of one, before the batch. A rollback
+// ends most reasons to pin that arose in it, such as temporary tables, but not all: session-level advisory locks,
+// statements prepared in SQL and untracked settings stay pinned.
 func (s *Session) undo() {
 	kept := s.pins & (PinAdvisoryLock | PinSQLPrepare | PinUntracked)
 	if len(s.levels) > 0 {
@@ -232,15 +238,15 @@
 	}
 }
 
-// Failed says that a statement has failed. Outside a transaction all of its batch is undone.
+// Failed records that a statement has failed. Outside of a transaction the host rolls back the whole batch.
 func (s *Session) Failed() {
 	if len(s.levels) == 0 {
 		s.undo()
 	}
 }
 
-// Ready says that a batch has ended, and the status that the host told with it. Where the host knows of no transaction any more
-// that was thought to be open, it was rolled back.
+// Ready records the end of a batch with the transaction status reported by the host. If the session has a transaction
+// open and the host has not, the host has rolled it back.
 func (s *Session) Ready(status byte) {
 	if s.Status = status; status == 'I' && len(s.levels) > 0 {
 		s.undo()
@@ -248,13 +254,13 @@
 	}
 }
 
-// Reported takes a setting's value as the host told it in a batch that, as far as could be read, changes no setting: a function
-// has set it. Of what the host does not report nothing is heard that way.
+// Reported records a setting's value that the host reported in a batch whose statements change no setting: a function
+// has changed it. Changes to settings that the host does not report are not noticed.
 func (s *Session) Reported(name, value string) {
 	s.settings, _, _ = s.settings.Insert([]byte(strings.ToLower(name)), Literal(value))
 }
 
-// Settles says that statements change settings in a way that is followed by reading them.
+// Settles reports whether any of the statements may change settings in a way that the session tracks from their text.
 func Settles(commands []Command) bool {
 	for _, c := range commands {
 		switch c.Kind {
@@ -265,8 +271,8 @@
 	return false
 }
 
-// Lost says that the host connection is gone, and with it what was tied to it. Carried says whether the session can go on: not
-// if it was pinned or in a transaction.
+// Lost records that the host connection was lost with all state that pinned the session to it. It returns whether the
+// session can continue on another connection, which is not the case if it was pinned or in a transaction.
 func (s *Session) Lost() (carried bool) {
 	carried = s.pins == 0 && s.Status == 'I' && len(s.levels) == 0
 	s.undo()
--- a/internal/control/pooling/session_test.go
+++ b/internal/control/pooling/session_test.go
@@ -23,7 +23,7 @@
 	for _, c := range []struct {
 		name string
 		do   func(s *Session, l *Link)
-		want string // what another connection has to run first
+		want string // statements to run first on another connection
 		pins Pin
 	}{
 		{"SET", func(s *Session, l *Link) { run(s, l, "SET work_mem = '4MB'", true, 'I') }, "SET work_mem TO '4MB'", 0},
@@ -47,7 +47,7 @@
 			s.Ready('I')
 			l.Follow(s)
 		}, "", 0},
-		{"a transaction that the host ended", func(s *Session, l *Link) {
+		{"transaction ended by the host", func(s *Session, l *Link) {
 			run(s, l, "BEGIN; SET a = 1", true, 'T')
 			s.Ready('I')
 			l.Follow(s)
@@ -59,23 +59,23 @@
 			run(s, l, "BEGIN; LISTEN x", true, 'T')
 			run(s, l, "ROLLBACK", true, 'I')
 		}, "", 0},
-		{"a temporary table", func(s *Session, l *Link) { run(s, l, "CREATE TEMP TABLE t (a int)", true, 'I') }, "", PinTempTable},
-		{"an advisory lock outlives a rollback", func(s *Session, l *Link) {
+		{"temporary table", func(s *Session, l *Link) { run(s, l, "CREATE TEMP TABLE t (a int)", true, 'I') }, "", PinTempTable},
+		{"advisory lock in a transaction that is rolled back", func(s *Session, l *Link) {
 			run(s, l, "BEGIN; SELECT pg_advisory_lock(1)", true, 'T')
 			run(s, l, "ROLLBACK", true, 'I')
 		}, "", PinAdvisoryLock},
-		{"a cursor WITH HOLD", func(s *Session, l *Link) { run(s, l, "DECLARE c CURSOR WITH HOLD FOR SELECT 1", true, 'I') }, "", PinHoldCursor},
+		{"cursor WITH HOLD", func(s *Session, l *Link) { run(s, l, "DECLARE c CURSOR WITH HOLD FOR SELECT 1", true, 'I') }, "", PinHoldCursor},
 		{"PREPARE in SQL", func(s *Session, l *Link) { run(s, l, "PREPARE p AS SELECT 1", true, 'I') }, "", PinSQLPrepare},
-		{"a setting that can't be tracked", func(s *Session, l *Link) { run(s, l, "SELECT set_config('a', 'x', false)", true, 'I') }, "", PinUntracked},
+		{"untracked setting", func(s *Session, l *Link) { run(s, l, "SELECT set_config('a', 'x', false)", true, 'I') }, "", PinUntracked},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, l, other := NewSession(nil), NewLink(0), NewLink(0)
 			c.do(s, l)
 			if got := other.Carry(s); got != c.want || s.Pins() != c.pins {
-				t.Errorf("another connection runs %q, pins %v; want %q, %v", got, s.Pins().Names(), c.want, c.pins.Names())
+				t.Errorf("another connection has to run %q, pins %v; want %q, %v", got, s.Pins().Names(), c.want, c.pins.Names())
 			}
 			if got := l.Carry(s); got != "" {
-				t.Errorf("its own connection has to run %q", got)
+				t.Errorf("the same connection has to run %q, want nothing", got)
 			}
 		})
 	}
@@ -106,23 +106,23 @@
 	}
 	s := NewSession(map[string]string{"user": "u", "application_name": "it's", "search_path": `a, "b"`, "options": "-c x=1"})
 	if got, want := NewLink(0).Carry(s), `SET application_name TO 'it''s'; SET search_path TO 'a', 'b'`; got != want {
-		t.Errorf("from a startup message: %s, want %s", got, want)
+		t.Errorf("settings of a startup message: %s, want %s", got, want)
 	}
 	s.Completed(Scan("SET application_name = 'x'")[0], "SET")
 	s.Completed(Scan("RESET application_name")[0], "RESET")
 	if v, _ := s.Setting("application_name"); v != "'it''s'" {
-		t.Errorf("RESET goes back to %s", v)
+		t.Errorf("value after RESET: %s, want 'it''s'", v)
 	}
 }
 
 func TestWhatAFunctionHasSetIsTakenFromTheHostsReport(t *testing.T) {
 	s := NewSession(nil)
 	if Settles(Scan("SELECT prepare_me()")) || !Settles(Scan("SELECT 1; SET TIME ZONE 'UTC'")) {
-		t.Error("what changes settings is not told apart")
+		t.Error("statements that change settings are not distinguished")
 	}
 	s.Reported("TimeZone", "Asia/Kolkata")
 	if got := NewLink(0).Carry(s); got != "SET timezone TO 'Asia/Kolkata'" {
-		t.Errorf("another connection runs %q", got)
+		t.Errorf("another connection has to run %q", got)
 	}
 }
 
@@ -133,13 +133,13 @@
 	first, _ := l.Use(a)
 	second, parse := l.Use(b)
 	if first == second || !parse {
-		t.Error("two texts of one hash run as one")
+		t.Error("two texts with the same hash are treated as one statement")
 	}
 	if again, parse := l.Use(a); again == first || !parse || !slices.Contains(l.Evicted(), first) {
-		t.Error("the first is taken for still prepared")
+		t.Error("the first statement is treated as still prepared")
 	}
 	if c := NewStatement("SELECT 1", []uint32{23}); c.Same(NewStatement("SELECT 1", []uint32{25})) {
-		t.Error("statements of other types are the same")
+		t.Error("statements with different types are the same")
 	}
 }
 
@@ -164,7 +164,7 @@
 				s = y
 			}
 			if l.Carry(s) == "" {
-				b.Fatal("nothing to carry")
+				b.Fatal("no settings to carry")
 			}
 			l.Carried(s)
 			for _, name := range []string{"s0", "s1", "s2"} {
@@ -178,7 +178,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			if l.Carry(x) != "" {
-				b.Fatal("something to carry")
+				b.Fatal("unexpected settings to carry")
 			}
 			l.Use(x.Prepared("s0"))
 		}
--- a/internal/control/pooling/sql.go
+++ b/internal/control/pooling/sql.go
@@ -4,12 +4,12 @@
 	"strings"
 )
 
-// Kind is what a statement does, as far as it matters where it runs and what it leaves behind.
+// Kind classifies a statement by where it can run and by the session state that it changes.
 type Kind int
 
 // Kinds of statements.
 const (
-	Write Kind = iota // anything that may change data, or of which that is not known
+	Write Kind = iota // may change data, or its effect is unknown
 	Read
 	Begin
 	Commit
@@ -17,19 +17,19 @@
 	Savepoint
 	RollbackTo
 	Release
-	Set      // of the session
-	SetLocal // of the transaction
+	Set      // SET for the session
+	SetLocal // SET for the transaction
 	Reset
 	ResetAll
 	DiscardAll
-	Deallocate    // of one name
-	DeallocateAll // all prepared statements, those of the protocol too
-	Neutral       // of no effect beyond its answer
+	Deallocate    // of one prepared statement
+	DeallocateAll // of all prepared statements, including those prepared through the protocol
+	Neutral       // has no effect that matters here
 	Copy
 	Empty
 )
 
-// Pin is a reason why a session must keep its host connection: state that can't be carried to another.
+// Pin is a set of reasons why a session must keep its host connection: state that cannot be carried to another one.
 type Pin uint8
 
 // Reasons to pin.
@@ -45,7 +45,7 @@
 
 var pinNames = []string{"listen", "temporary table", "advisory lock", "cursor with hold", "prepare in sql", "untracked setting"}
 
-// Names gives the reasons in words.
+// Names returns the names of the reasons in p.
 func (p Pin) Names() (out []string) {
 	for i, name := range pinNames {
 		if p&(1<<i) != 0 {
@@ -55,28 +55,28 @@
 	return out
 }
 
-// PinNames gives all reasons, in the order of their bits.
+// PinNames returns the names of all reasons in the order of their bits.
 func PinNames() []string { return pinNames }
 
-// Command is one statement.
+// Command is one classified statement.
 type Command struct {
 	Kind     Kind
 	Name     string // of a setting, savepoint or prepared statement, in lower case unless it was quoted
-	Value    string // of a setting: the rest of the statement as it was written
-	ReadOnly bool   // of Begin
-	Pin      Pin    // what it pins
-	Unpin    Pin    // what it ends
+	Value    string // value of a setting: the rest of the statement as written
+	ReadOnly bool   // whether a Begin starts a READ ONLY transaction
+	Pin      Pin    // reasons to pin that it adds
+	Unpin    Pin    // reasons to pin that it removes
 }
 
 type token struct {
-	text string // words in lower case, quoted names without their quotes
-	kind byte   // w: word, q: quoted name, s: string, n: number, otherwise the sign itself
-	at   int
-	end  int
+	text string // identifiers and key words in lower case, quoted identifiers without their quotes
+	kind byte   // w: identifier or key word, q: quoted identifier, s: string, n: number, else the character itself
+	at   int    // start offset in the text
+	end  int    // end offset
 }
 
-// lex splits SQL into tokens, without comments and white space. It follows PostgreSQL's rules for strings, dollar quotes and
-// nested comments (documentation, 4.1 Lexical Structure); what does not end ends with the text.
+// lex splits SQL into tokens, without comments and white space. It follows PostgreSQL's rules for strings, dollar
+// quotes and nested comments (documentation, 4.1 Lexical Structure). Unterminated tokens extend to the end of the text.
 func lex(sql string) (out []token) {
 	for i := 0; i < len(sql); {
 		c, start := sql[i], i
@@ -146,11 +146,12 @@
 	return out
 }
 
+// letter reports whether an unquoted identifier can start with c.
 func letter(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80
 }
 
-// quoted gives the end of what is quoted from i on; a doubled quote stands for itself.
+// quoted returns the end of the quoted text that starts at i. A doubled quote stands for the quote character.
 func quoted(sql string, i int, quote byte, backslash bool) int {
 	for i++; i < len(sql); i++ {
 		switch {
@@ -167,7 +168,7 @@
 	return len(sql)
 }
 
-// dollar gives the length of a dollar quote's tag at the start of s, 0 if there is none: $1 is a parameter.
+// dollar returns the length of the dollar quote tag at the start of s, or 0 if there is none, as in the parameter $1.
 func dollar(s string) int {
 	for i := 1; i < len(s); i++ {
 		switch c := s[i]; {
@@ -180,7 +181,7 @@
 	return 0
 }
 
-// Scan says what each statement of a text does. An empty text is one empty statement.
+// Scan splits a text into statements and classifies them. It returns one Empty command for a text without statements.
 func Scan(sql string) (out []Command) {
 	tokens := lex(sql)
 	for start := 0; start <= len(tokens); {
@@ -230,7 +231,7 @@
 	return false
 }
 
-// rest is the text from token i on, as it was written.
+// rest returns the text from token i on, as written.
 func (w words) rest(sql string, i int) string {
 	if i >= len(w) {
 		return ""
@@ -281,7 +282,8 @@
 		case w.is(1, "all"):
 			c.Kind = ResetAll
 		case w.is(1, "session"):
-			c.Kind, c.Unpin = Neutral, 0 // RESET SESSION AUTHORIZATION: what it ends was pinned as untracked, and stays so
+			// RESET SESSION AUTHORIZATION: the SET that it ends was pinned as untracked, and the session stays pinned.
+			c.Kind, c.Unpin = Neutral, 0
 		case w.is(1, "time"):
 			c.Kind, c.Name = Reset, "timezone"
 		default:
@@ -331,7 +333,7 @@
 			c.Pin = PinTempTable
 		}
 	case w.is(0, "do", "load"), w.is(0, "set_config"):
-		c.Pin = PinUntracked // what it runs is not seen here
+		c.Pin = PinUntracked // the code that it runs is not analyzed
 	case w.is(0, "explain"):
 		if c.Kind = Read; w.has("analyze", "analyse") {
 			c.Kind = Write
@@ -350,6 +352,7 @@
 	return c
 }
 
+// readOnly reports whether a BEGIN or START TRANSACTION has the option READ ONLY.
 func readOnly(w words) bool {
 	for i := range w {
 		if w.is(i, "read") && w.is(i+1, "only") {
@@ -359,7 +362,7 @@
 	return false
 }
 
-// setting reads SET in its many forms.
+// setting parses the forms of SET.
 func setting(c *Command, sql string, w words) {
 	i := 1
 	c.Kind = Set
@@ -371,7 +374,7 @@
 	}
 	switch {
 	case w.is(i, "transaction"), w.is(i, "constraints"):
-		c.Kind = Neutral // of the transaction
+		c.Kind = Neutral // ends with the transaction
 		return
 	case w.is(1, "session") && w.is(2, "characteristics", "authorization"), w.is(i, "session"):
 		c.Kind, c.Pin = Neutral, PinUntracked
@@ -397,7 +400,7 @@
 		c.Value = w.rest(sql, i+1)
 	}
 	if c.Name == "" || c.Value == "" {
-		*c = Command{Kind: Neutral} // the host will say what is wrong with it
+		*c = Command{Kind: Neutral} // invalid: the host returns the error
 		return
 	}
 	if strings.EqualFold(c.Value, "default") {
@@ -408,7 +411,7 @@
 	}
 }
 
-// settingName reads a name that may have a prefix, as in app.tenant.
+// settingName returns the setting's name that starts at token i. It may have a prefix, as in app.tenant.
 func settingName(w words, i int) string {
 	name := strings.ToLower(w.name(i))
 	for i++; i+1 < len(w) && w[i].kind == '.' && name != ""; i += 2 {
@@ -417,7 +420,8 @@
 	return name
 }
 
-// pure are functions that only read. A call of any other counts as a write: what it does can't be seen here.
+// pure has the functions without side effects, and the key words that can precede a parenthesis. A call of any other
+// function counts as a write, as its effect is unknown.
 var pure = map[string]bool{}
 
 func init() {
@@ -436,7 +440,7 @@
 	}
 }
 
-// reads says that a query only reads, as far as can be seen.
+// reads reports whether a query only reads, judged by its key words and the functions that it calls.
 func reads(w words) bool {
 	for i := range w {
 		switch {
@@ -453,7 +457,7 @@
 	return true
 }
 
-// calls gives what function calls pin.
+// calls returns the reasons to pin that arise from function calls.
 func calls(w words) (p Pin) {
 	for i := range w {
 		if w[i].kind != 'w' || i+1 >= len(w) || w[i+1].kind != '(' {
--- a/internal/control/pooling/sql_test.go
+++ b/internal/control/pooling/sql_test.go
@@ -88,7 +88,7 @@
 		for _, c := range Scan(sql) {
 			s.Completed(c, "")
 		}
-		// Whatever is carried must be read back as what it was: a setting can't turn into another statement.
+		// The query that carries the settings must consist of SET and RESET: a value cannot inject another statement.
 		for _, c := range Scan(l.Carry(s)) {
 			if c.Kind != Set && c.Kind != Empty && c.Kind != Reset && c.Kind != Neutral {
 				t.Fatalf("%q carries %q", sql, l.Carry(s))
--- a/internal/disk/raftlog/raftlog.go
+++ b/internal/disk/raftlog/raftlog.go
@@ -1,14 +1,14 @@
-// Package raftlog keeps what a voter of the fleet's leases must not forget across a crash: the consensus library's
-// hard state (term, vote, commit) and its log of entries, in one bbolt file. A voter that forgot its vote could vote
-// twice in one term, and two leaders could then grant one lease twice.
+// Package raftlog persists the state of a voter of the fleet's leases: the consensus library's hard state (term, vote,
+// commit) and its log of entries, in one bbolt file. A voter that lost its vote in a crash could vote twice in one
+// term, and two leaders could then grant the same lease.
 //
 // The file has two buckets:
 //
 //	meta     "hard": the hard state in protocol buffers; "version": 1 byte, the format (1)
 //	entries  the entries in protocol buffers, by their index as 8 bytes big-endian
 //
-// Each Save is one bbolt transaction, written and synced before the caller sends what the library asked it to send:
-// after a power cut the file holds either all of a Save or none of it.
+// Each Save is one bbolt transaction that is synced to disk before Save returns, and so before the caller sends the
+// library's messages. After a power failure the file contains either all of a Save or none of it.
 package raftlog
 
 import (
@@ -32,16 +32,16 @@
 	versionKey    = []byte("version")
 )
 
-// ErrFormat is what Open says of a file of another format or with a record that does not decode.
-var ErrFormat = errors.New("raft log file not of this format")
+// ErrFormat is returned by Open for a file of another format, and by Load for an invalid record.
+var ErrFormat = errors.New("invalid raft log format")
 
-// Log is one voter's file. It is not safe for concurrent use.
+// Log is the file of one voter. It is not safe for concurrent use.
 type Log struct {
 	db   *bolt.DB
 	path string
 }
 
-// Open opens or makes the file at path. It waits at most a second for another process that holds it.
+// Open opens or creates the file at path. It waits for at most one second if another process has locked it.
 func Open(path string) (*Log, error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
 	if err != nil {
@@ -60,7 +60,7 @@
 		case v == nil:
 			return m.Put(versionKey, []byte{version})
 		case len(v) != 1 || v[0] != version:
-			return fmt.Errorf("format %v, want %d: %w", v, version, ErrFormat)
+			return fmt.Errorf("format version %v, want %d: %w", v, version, ErrFormat)
 		}
 		return nil
 	})
@@ -74,8 +74,8 @@
 // Close closes the file.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Save keeps a hard state (nil or empty: unchanged) and entries; entries at or after the first of them that the
-// file holds are replaced, as the library asks when a new leader overwrites an old one's tail.
+// Save writes a hard state, unless it is nil or empty, and entries. The entries replace all entries in the file from
+// the index of the first one on, as raft requires when a new leader overwrites the end of the log.
 func (l *Log) Save(hard *raftpb.HardState, entries []*raftpb.Entry) error {
 	if raft.IsEmptyHardState(hard) && len(entries) == 0 {
 		return nil
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Load fills a new memory storage with what the file holds; fresh says the file held nothing, so the voter is new
-// and must be bootstrapped.
+// Load returns a new memory storage with the content of the file. If the file is empty, fresh is true: the voter is
+// new and must be bootstrapped.
 func (l *Log) Load() (storage *raft.MemoryStorage, fresh bool, err error) {
 	storage = raft.NewMemoryStorage()
 	var hard *raftpb.HardState
@@ -161,4 +161,5 @@
 	return storage, false, nil
 }
 
+// key returns the key of an entry.
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
--- a/internal/disk/raftlog/raftlog_test.go
+++ b/internal/disk/raftlog/raftlog_test.go
@@ -21,13 +21,13 @@
 		t.Fatal(err)
 	}
 	if _, fresh, err := l.Load(); err != nil || !fresh {
-		t.Fatalf("a new file: fresh %v, %v", fresh, err)
+		t.Fatalf("new file: fresh %v, error %v", fresh, err)
 	}
 	hard := &raftpb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(2), Commit: proto.Uint64(2)}
 	if err := l.Save(hard, []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 2, "c")}); err != nil {
 		t.Fatal(err)
 	}
-	// a new leader replaces the tail from index 3
+	// A new leader overwrites the log from index 3 on.
 	if err := l.Save(nil, []*raftpb.Entry{entry(3, 3, "C")}); err != nil {
 		t.Fatal(err)
 	}
@@ -39,16 +39,16 @@
 	defer l.Close()
 	s, fresh, err := l.Load()
 	if err != nil || fresh {
-		t.Fatalf("fresh %v, %v", fresh, err)
+		t.Fatalf("file with entries: fresh %v, error %v", fresh, err)
 	}
 	hs, _, _ := s.InitialState()
 	if hs.GetTerm() != 3 || hs.GetVote() != 2 || hs.GetCommit() != 2 {
-		t.Fatalf("hard state %v", hs)
+		t.Fatalf("hard state %v, want term 3, vote 2, commit 2", hs)
 	}
 	last, _ := s.LastIndex()
 	es, err := s.Entries(1, last+1, 1<<20)
 	if err != nil || len(es) != 3 || string(es[2].GetData()) != "C" || es[2].GetTerm() != 3 {
-		t.Fatalf("entries %v %v", es, err)
+		t.Fatalf("entries %v, error %v", es, err)
 	}
 }
 
@@ -61,7 +61,7 @@
 	l.db.Update(func(tx *boltTx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{9}) })
 	l.Close()
 	if _, err := Open(path); !errors.Is(err, ErrFormat) {
-		t.Fatalf("format 9 was opened: %v", err)
+		t.Fatalf("open of a file with format version 9: error %v, want ErrFormat", err)
 	}
 }
 
@@ -94,15 +94,15 @@
 	l.Close()
 	b, _ := os.ReadFile(path)
 	for i := 0; i < 4096 && i < len(b); i++ {
-		b[i] = 0xa5 // the first meta page: what a write cut in the middle of it would leave at worst
+		b[i] = 0xa5 // the first meta page, as in the worst case of a write interrupted by a power failure
 	}
 	os.WriteFile(path, b, 0o600)
 	l, err = Open(path)
 	if err == nil {
-		// bbolt falls back to its second meta page; what it holds must still load whole
+		// bbolt falls back to its second meta page, whose content must load or be rejected as invalid.
 		defer l.Close()
 		if _, _, err := l.Load(); err != nil && !errors.Is(err, ErrFormat) {
-			t.Fatalf("a torn file loaded with %v", err)
+			t.Fatalf("load of a torn file: error %v, want ErrFormat", err)
 		}
 	}
 }
--- a/internal/memory/consensus/bench_test.go
+++ b/internal/memory/consensus/bench_test.go
@@ -8,8 +8,8 @@
 	"yokemast/internal/control/leases"
 )
 
-// BenchmarkRenewals300 renews the leases of 300 holders through three voters in one process, all messages
-// delivered: what one group bears, less the network and the disk.
+// BenchmarkRenewals300 measures renewals of 300 leases by a group of three voters in one process without message loss,
+// network or disk.
 func BenchmarkRenewals300(b *testing.B) {
 	g := newGroup(b, 1, 0)
 	var lead uint64
--- a/internal/memory/consensus/node.go
+++ b/internal/memory/consensus/node.go
@@ -1,10 +1,10 @@
-// Package consensus is the one place that drives the consensus library, go.etcd.io/raft/v3, for the fleet's leases.
-// A Node holds a raft RawNode, its storage in memory and the lease machine that its committed entries are applied
-// to. It starts no goroutine, reads no clock and touches no socket: the caller ticks it, steps it with what peers
-// sent, and sends what Process hands back, so a test can replay any order of events.
+// Package consensus runs the raft group of the fleet's leases on the library go.etcd.io/raft/v3. A Node combines a raft
+// RawNode, its storage in memory and the lease machine to which committed entries are applied. It starts no goroutine,
+// reads no clock and uses no socket: the caller calls Tick, passes messages of peers to Step, and sends the messages
+// returned by Process, so that tests can replay any order of events.
 //
-// Only a leader proposes: it stamps each entry with its term and its own monotonic clock (see package leases), and a
-// new leader proposes a stamp first. A follower answers a proposal with ErrNotLeader and the leader it knows of.
+// Only a leader proposes entries. It stamps each one with its term and its monotonic clock (see package leases), and a
+// new leader proposes a Stamp first. On a follower, Propose returns ErrNotLeader with the leader that it knows of.
 package consensus
 
 import (
@@ -19,37 +19,38 @@
 	"yokemast/internal/control/leases"
 )
 
-// Config says who a node is and how fast it decides. Ticks are the caller's: ElectionTicks·tick is the election
-// timeout (10 ticks of 100 ms: 1 s), HeartbeatTicks·tick the leader's beat.
+// Config is the configuration of a Node. The caller chooses the length of a tick: ElectionTicks·tick is the election
+// timeout (10 ticks of 100 ms: 1 s), HeartbeatTicks·tick the interval of the leader's heartbeats.
 type Config struct {
-	ID             uint64   // 1 or more, unique among the voters
-	Voters         []uint64 // this node's ID among them
+	ID             uint64   // from 1 to 65535, unique among the voters
+	Voters         []uint64 // IDs of all voters, including this node
 	ElectionTicks  int      // default 10
 	HeartbeatTicks int      // default 1
 
-	// Storage is what a voter kept before it stopped (package raftlog loads it), with Restart set; nil for a new
-	// voter, which is bootstrapped with Voters.
+	// Storage is the persisted state of a restarted voter (package raftlog loads it), with Restart set, or nil for a
+	// new voter, which is bootstrapped with Voters.
 	Storage *raft.MemoryStorage
 	Restart bool
-	// Keep makes the hard state and new entries survive a crash; it returns once they are on disk, and Process
-	// sends nothing before. Nil keeps them in memory only: such a voter must never come back under its ID, as it
-	// would have forgotten its vote.
+	// Keep persists the hard state and new entries and returns once they are on disk; Process returns no message
+	// before. If it is nil, they are in memory only, and the voter must never restart under the same ID, as it has
+	// lost its vote.
 	Keep func(hard *raftpb.HardState, entries []*raftpb.Entry) error
 }
 
-// ErrNotLeader is what Propose says on a node that does not lead; Leader names the one it knows of (0: none).
+// ErrNotLeader is returned by Propose on a node that is not the leader. Leader is the ID of the leader that the node
+// knows of, or 0 if it knows of none.
 type ErrNotLeader struct{ Leader uint64 }
 
 func (e ErrNotLeader) Error() string { return fmt.Sprintf("not the leader; leader %d", e.Leader) }
 
-// ErrBusy is what Propose says while too many proposals wait to be committed.
+// ErrBusy is returned by Propose while too many proposals wait to be committed.
 var ErrBusy = errors.New("too many proposals in flight")
 
-// maxPending bounds proposals not yet applied: each waits for a quorum, and a leader cut off from it would gather
-// them without end.
+// maxPending is the maximum number of proposals that are not applied yet. Each of them waits for a quorum, so a leader
+// partitioned from the quorum would accumulate them without limit.
 const maxPending = 4096
 
-// Outcome is an applied entry that this node proposed.
+// Outcome is the result of an applied entry that this node proposed.
 type Outcome struct {
 	Proposal uint64
 	Index    uint64
@@ -65,15 +66,15 @@
 	machine leases.Machine
 	seq     uint64
 	pending map[uint64]bool
-	pendAt  uint64 // the term in which the pending proposals were made
+	pendAt  uint64 // term of the pending proposals
 	lead    uint64
-	stamped uint64 // the term in which this node last proposed its stamp
-	bad     uint64 // committed entries that were no lease entry
+	stamped uint64 // term in which this node last proposed a Stamp
+	bad     uint64 // number of committed entries that could not be decoded
 	keep    func(*raftpb.HardState, []*raftpb.Entry) error
-	broken  error // a Keep that failed: the node sends nothing more
+	broken  error // error of persisting the state, after which the node sends nothing more
 }
 
-// New starts a voter of a new group.
+// New returns a voter of a new group, or a restarted one.
 func New(cfg Config) (*Node, error) {
 	if cfg.ID == 0 || cfg.ID >= 1<<16 {
 		return nil, fmt.Errorf("consensus node id %d not within [1, 65535]", cfg.ID)
@@ -96,7 +97,7 @@
 	storage := cfg.Storage
 	if storage == nil {
 		if cfg.Restart {
-			return nil, fmt.Errorf("consensus node %d: a restart without storage", cfg.ID)
+			return nil, fmt.Errorf("consensus node %d: restart without storage", cfg.ID)
 		}
 		storage = raft.NewMemoryStorage()
 	}
@@ -107,9 +108,9 @@
 		Storage:         storage,
 		MaxSizePerMsg:   64 << 10,
 		MaxInflightMsgs: 64,
-		CheckQuorum:     true, // a leader cut off from a quorum steps down, so it stops answering as leader
-		PreVote:         true, // a voter that was cut off does not depose a working leader when it returns
-		// only a leader stamps entries with its clock; a follower's proposal would carry none
+		CheckQuorum:     true, // a leader partitioned from a quorum steps down and stops answering as leader
+		PreVote:         true, // a voter that was partitioned does not depose a working leader when it returns
+		// Entries are stamped with the clock of the leader that proposes them; a forwarded proposal has no stamp.
 		DisableProposalForwarding: true,
 		Logger:                    silent{},
 	})
@@ -124,13 +125,13 @@
 	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), keep: cfg.Keep}, nil
 }
 
-// Tick moves the node's logical clock one tick on.
+// Tick advances the node's logical clock by one tick.
 func (n *Node) Tick() { n.raw.Tick() }
 
-// Step takes a message that a peer sent.
+// Step handles a message from a peer.
 func (n *Node) Step(m *raftpb.Message) error {
 	if m.GetTo() != n.id {
-		return fmt.Errorf("message for %d at node %d", m.GetTo(), n.id)
+		return fmt.Errorf("message for node %d received by node %d", m.GetTo(), n.id)
 	}
 	if err := n.raw.Step(m); err != nil {
 		return fmt.Errorf("consensus node %d: step %v from %d: %w", n.id, m.GetType(), m.GetFrom(), err)
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// Propose asks for an entry to be committed, stamped with this leader's term and now (its monotonic clock). The
-// outcome comes from a later Process with the proposal number returned.
+// Propose proposes an entry, stamped with this leader's term and now, the time of its monotonic clock. It returns the
+// number of the proposal; a later Process returns the outcome with that number.
 func (n *Node) Propose(now time.Duration, e leases.Entry) (uint64, error) {
 	st := n.raw.BasicStatus()
 	if st.RaftState != raft.StateLeader {
@@ -164,9 +165,9 @@
 	return p, nil
 }
 
-// Process handles what the library has ready: it keeps entries, applies committed ones to the lease machine and
-// gives the messages to send and the outcomes of this node's proposals. A node that has just become leader proposes
-// its stamp here.
+// Process handles the library's Ready batches: it persists entries, applies committed ones to the lease machine, and
+// returns the messages to send and the outcomes of this node's proposals. A node that has just become leader proposes
+// its Stamp here.
 func (n *Node) Process(now time.Duration) (msgs []*raftpb.Message, outs []Outcome) {
 	for n.broken == nil && n.raw.HasReady() {
 		rd := n.raw.Ready()
@@ -174,7 +175,7 @@
 			n.lead = rd.SoftState.Lead
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			_ = n.storage.ApplySnapshot(rd.Snapshot) // from the leader; the machine's part is not sent yet
+			_ = n.storage.ApplySnapshot(rd.Snapshot) // does not contain the state of the lease machine yet
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
 			_ = n.storage.SetHardState(rd.HardState)
@@ -182,9 +183,9 @@
 		_ = n.storage.Append(rd.Entries)
 		if n.keep != nil {
 			if err := n.keep(rd.HardState, rd.Entries); err != nil {
-				// guards against a vote or an entry that a peer counts on but this voter would forget: with the
-				// disk gone (full, failing) it stops speaking
-				n.broken = fmt.Errorf("consensus node %d: keep: %w", n.id, err)
+				// With a full or failing disk the node stops sending: peers would rely on a vote or an entry that
+				// it loses in a restart.
+				n.broken = fmt.Errorf("consensus node %d: persist: %w", n.id, err)
 				return nil, outs
 			}
 		}
@@ -208,17 +209,18 @@
 	return msgs, outs
 }
 
-// forget drops the proposals of an older term. Guards against a leader that was deposed filling its table with
-// proposals that will never be answered, and then refusing every new one with ErrBusy; one that is committed all the
-// same is applied but not answered, and its proposer asks again after its own time-out.
+// forget drops the pending proposals of an older term. Otherwise a deposed leader would accumulate proposals without
+// an outcome, and would then refuse all new ones with ErrBusy. If a dropped proposal is committed after all, it is
+// applied without an outcome, and the requester retries after its timeout.
 func (n *Node) forget(term uint64) {
 	clear(n.pending)
 	n.pendAt = term
 }
 
-// Pending counts proposals waiting for their outcome.
+// Pending returns the number of proposals without an outcome yet.
 func (n *Node) Pending() int { return len(n.pending) }
 
+// apply applies a committed entry and appends its outcome to outs if this node proposed it.
 func (n *Node) apply(ent *raftpb.Entry, outs []Outcome) []Outcome {
 	switch ent.GetType() {
 	case raftpb.EntryType_EntryConfChange:
@@ -229,14 +231,14 @@
 		return outs
 	case raftpb.EntryType_EntryNormal:
 		if len(ent.GetData()) == 0 {
-			return outs // a new leader's empty entry
+			return outs // the empty entry with which a leader starts its term
 		}
 	default:
 		return outs
 	}
 	p, e, err := leases.Decode(ent.GetData())
 	if err != nil {
-		// the index must still be used up, so that tokens stay the log's indexes at every voter alike
+		// Apply an empty entry, which is refused, so that the machine's applied index follows the log at every voter.
 		n.bad++
 		n.machine.Apply(ent.GetIndex(), leases.Entry{})
 		return outs
@@ -249,22 +251,22 @@
 	return outs
 }
 
-// Leader is the leader this node knows of; 0 for none.
+// Leader returns the ID of the leader that this node knows of, or 0 if it knows of none.
 func (n *Node) Leader() uint64 { return n.lead }
 
-// Term is the node's present term.
+// Term returns the node's current term.
 func (n *Node) Term() uint64 { return n.raw.BasicStatus().GetTerm() }
 
-// Machine is the lease machine as this node has applied it; it must not be changed.
+// Machine returns the node's lease machine, which the caller must not change.
 func (n *Node) Machine() *leases.Machine { return &n.machine }
 
-// Err is why the node stopped speaking: its Keep failed. Nil while it works.
+// Err returns the error of persisting the state that stopped the node, or nil while the node works.
 func (n *Node) Err() error { return n.broken }
 
-// Bad counts committed entries that were no lease entry.
+// Bad returns the number of committed entries that could not be decoded.
 func (n *Node) Bad() uint64 { return n.bad }
 
-// silent keeps the library's log out of the gateway's: events that matter are the caller's to log.
+// silent discards the log of the library; the caller logs the relevant events.
 type silent struct{}
 
 func (silent) Debug(...interface{})            {}
--- a/internal/memory/consensus/node_test.go
+++ b/internal/memory/consensus/node_test.go
@@ -12,12 +12,12 @@
 	"yokemast/internal/control/leases"
 )
 
-// group is three voters in one process, with a seeded network between them that drops and cuts.
+// group is a group of three voters in one process, connected by a simulated network with seeded message loss.
 type group struct {
 	t      testing.TB
 	nodes  map[uint64]*Node
-	clock  map[uint64]time.Duration // each node's own, from its own origin
-	down   map[uint64]bool          // cut off from all: sends and receives nothing
+	clock  map[uint64]time.Duration // clock of each node, with different origins
+	down   map[uint64]bool          // partitioned nodes, which send and receive nothing
 	queue  []*raftpb.Message
 	rng    *rand.Rand
 	drop   float64
@@ -34,12 +34,12 @@
 			t.Fatal(err)
 		}
 		g.nodes[id] = n
-		g.clock[id] = time.Duration(id) * 7 * time.Second // origins far apart
+		g.clock[id] = time.Duration(id) * 7 * time.Second
 	}
 	return g
 }
 
-// round is one tick of 100 ms at every node, then every message delivered or dropped.
+// round advances every node by one tick of 100 ms, then delivers or drops all messages.
 func (g *group) round() {
 	g.rounds++
 	for id, n := range g.nodes {
@@ -83,19 +83,19 @@
 		}
 		g.round()
 	}
-	g.t.Fatalf("%s: not within %d rounds", what, limit)
+	g.t.Fatalf("no %s within %d rounds", what, limit)
 }
 
-// ask proposes at the leader and waits for its outcome.
+// ask proposes an entry at the leader and waits for the outcome.
 func (g *group) ask(e leases.Entry) leases.Result {
 	var lead uint64
-	g.until("a leader", 100, func() bool { lead = g.leader(); return lead != 0 })
+	g.until("leader", 100, func() bool { lead = g.leader(); return lead != 0 })
 	p, err := g.nodes[lead].Propose(g.clock[lead], e)
 	if err != nil {
 		g.t.Fatalf("propose at %d: %v", lead, err)
 	}
 	var res *leases.Result
-	g.until("the outcome", 100, func() bool {
+	g.until("outcome", 100, func() bool {
 		for _, o := range g.outs[lead] {
 			if o.Proposal == p {
 				r := o.Result
@@ -116,15 +116,15 @@
 			}
 			first := g.ask(acquire("n1"))
 			if !first.Granted {
-				t.Fatalf("seed %d: first acquire %+v", seed, first)
+				t.Fatalf("seed %d: first acquire was not granted: %+v", seed, first)
 			}
 			if r := g.ask(acquire("n2")); !errors.Is(r.Err, leases.ErrHeld) {
-				t.Fatalf("seed %d: a held lease went to another: %+v", seed, r)
+				t.Fatalf("seed %d: acquire of a held lease: %+v, want ErrHeld", seed, r)
 			}
-			// the leader is cut off; a new one gives the lease its full time anew
+			// Partition the leader: a new one extends the lease to its full time to live.
 			old := g.leader()
 			g.down[old] = true
-			g.until("a new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
+			g.until("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
 			start := g.rounds
 			var second leases.Result
 			for i := 0; i < 60; i++ {
@@ -135,14 +135,14 @@
 				g.round()
 			}
 			if !second.Granted || second.Lease.Token <= first.Lease.Token {
-				t.Fatalf("seed %d: after the leader's loss: %+v (first token %d)", seed, second, first.Lease.Token)
+				t.Fatalf("seed %d: acquire under the new leader: %+v (first token %d)", seed, second, first.Lease.Token)
 			}
-			// 2 s at 100 ms a round: not before the new term's stamp plus the whole time to live
+			// The lease must last for its full time to live after the new term's stamp: 2 s at 100 ms a round.
 			if waited := g.rounds - start; waited < 19 {
-				t.Fatalf("seed %d: granted to another %d rounds after the new leader", seed, waited)
+				t.Fatalf("seed %d: granted to another holder %d rounds after the new leader, want at least 19", seed, waited)
 			}
-			// every live voter has applied the same grant
-			g.until("voters agree", 100, func() bool {
+			// Every connected voter applies the same grant.
+			g.until("agreement of the voters", 100, func() bool {
 				for id, n := range g.nodes {
 					if g.down[id] {
 						continue
@@ -159,7 +159,7 @@
 
 func TestProposeAtAFollower(t *testing.T) {
 	g := newGroup(t, 1, 0)
-	g.until("a leader", 100, func() bool { return g.leader() != 0 })
+	g.until("leader", 100, func() bool { return g.leader() != 0 })
 	for id, n := range g.nodes {
 		if id == g.leader() {
 			continue
@@ -167,7 +167,7 @@
 		_, err := n.Propose(0, leases.Entry{Op: leases.Acquire, Name: "x", Holder: "a", TTL: time.Second})
 		var nl ErrNotLeader
 		if !errors.As(err, &nl) || nl.Leader != g.leader() {
-			t.Fatalf("follower %d: %v", id, err)
+			t.Fatalf("propose at follower %d: error %v, want ErrNotLeader with the leader", id, err)
 		}
 	}
 }
@@ -176,14 +176,14 @@
 	for _, c := range []Config{{ID: 0, Voters: []uint64{1}}, {ID: 4, Voters: []uint64{1, 2, 3}}, {ID: 1 << 16,
 		Voters: []uint64{1 << 16}}} {
 		if _, err := New(c); err == nil {
-			t.Errorf("%+v was taken", c)
+			t.Errorf("%+v was accepted", c)
 		}
 	}
 }
 
 func TestADeposedLeaderForgetsItsProposals(t *testing.T) {
 	g := newGroup(t, 3, 0)
-	g.until("a leader", 100, func() bool { return g.leader() != 0 })
+	g.until("leader", 100, func() bool { return g.leader() != 0 })
 	old := g.leader()
 	g.down[old] = true
 	for i := 0; i < 10; i++ {
@@ -192,10 +192,10 @@
 			t.Fatal(err)
 		}
 	}
-	g.until("a new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
+	g.until("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
 	g.down[old] = false
-	g.until("the old leader follows", 200, func() bool { return g.nodes[old].Leader() != old && g.nodes[old].Leader() != 0 })
+	g.until("new leader at the deposed one", 200, func() bool { return g.nodes[old].Leader() != old && g.nodes[old].Leader() != 0 })
 	if n := g.nodes[old].Pending(); n != 0 {
-		t.Fatalf("a deposed leader keeps %d proposals that will never be answered", n)
+		t.Fatalf("deposed leader keeps %d pending proposals, want 0", n)
 	}
 }
--- a/internal/memory/consensus/restart_test.go
+++ b/internal/memory/consensus/restart_test.go
@@ -11,7 +11,7 @@
 	"yokemast/internal/control/leases"
 )
 
-// kept stands in for the disk: what Keep was given, as raftlog would load it.
+// kept replaces the disk: it stores the persisted state as raftlog would load it.
 type kept struct{ s *raft.MemoryStorage }
 
 func (k *kept) keep(hard *raftpb.HardState, entries []*raftpb.Entry) error {
@@ -23,6 +23,7 @@
 	return k.s.Append(entries)
 }
 
+// keptGroup returns a group whose nodes persist their state, and its disks by node ID.
 func keptGroup(t *testing.T, seed uint64) (*group, map[uint64]*kept) {
 	g := newGroup(t, seed, 0.05)
 	disks := map[uint64]*kept{}
@@ -44,10 +45,10 @@
 		if !first.Granted {
 			t.Fatalf("seed %d: %+v", seed, first)
 		}
-		// the leader dies and comes back from its disk
+		// The leader crashes and restarts from its disk.
 		old := g.leader()
 		g.down[old] = true
-		g.until("a new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
+		g.until("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
 		second := g.ask(leases.Entry{Op: leases.Acquire, Name: "other", Holder: "n2", TTL: time.Minute})
 		if !second.Granted {
 			t.Fatalf("seed %d: %+v", seed, second)
@@ -59,7 +60,7 @@
 		}
 		g.nodes[old] = n
 		g.down[old] = false
-		g.until("the voter has applied both grants", 300, func() bool {
+		g.until("application of both grants at the restarted voter", 300, func() bool {
 			a, okA := n.Machine().Holder("scout", 0)
 			b, okB := n.Machine().Holder("other", 0)
 			return okA && okB && a.Token == first.Lease.Token && b.Token == second.Lease.Token
@@ -77,8 +78,8 @@
 		t.Fatal(err)
 	}
 	g.nodes[1] = n
-	g.until("a leader among the others", 200, func() bool { l := g.leader(); return l == 2 || l == 3 })
+	g.until("leader among the other voters", 200, func() bool { l := g.leader(); return l == 2 || l == 3 })
 	if msgs, _ := n.Process(0); len(msgs) != 0 || !errors.Is(n.Err(), full) {
-		t.Fatalf("a voter that cannot keep sent %d messages; err %v", len(msgs), n.Err())
+		t.Fatalf("voter with a full disk sent %d messages, want 0; error %v", len(msgs), n.Err())
 	}
 }
