--- a/internal/control/gossip/corrected_clock_test.go
+++ b/internal/control/gossip/corrected_clock_test.go
@@ -6,16 +6,17 @@
 	"yokemast/balance"
 )
 
-// A position recorded while the offset was wrong must not be sent as later than the host's after the correction.
-func TestAPositionKeptBeforeTheClockIsCorrectedIsNotToldAsNewer(t *testing.T) {
-	const wrong = -2400 * ms  // assumed offset; the real one is 0
-	position := now - 1500*ms // by the fleet's clock, which equals the local clock
-	for _, before := range []Offsets{{Least: wrong, Most: wrong, Bounded: true}, {}} {
-		s, to := state(nil), state(nil)
+// A position recorded while the offset was wrong must not be sent as later than the host's after the
+// correction.
+func TestPositionFromBeforeClockCorrectionIsNotLater(t *testing.T) {
+	const wrongOffset = -2400 * ms // assumed offset; the real one is 0
+	position := now - 1500*ms      // by the fleet's clock, which equals the local clock
+	for _, before := range []Offsets{{Least: wrongOffset, Most: wrongOffset, Bounded: true}, {}} {
+		s, to := newState(nil), newState(nil)
 		s.Note(now, balance.Heard{Server: "s-1", Position: position, At: now})
-		for _, ahead := range []Offsets{before, {Bounded: true}} {
-			out, err := to.Receive(now+40*ms, Offsets{Bounded: true}, s.Datagram(now+30*ms, ahead, nil), nil)
-			if err != nil && ahead == (Offsets{Bounded: true}) {
+		for _, sendOffsets := range []Offsets{before, {Bounded: true}} {
+			out, err := to.Receive(now+40*ms, Offsets{Bounded: true}, s.Datagram(now+30*ms, sendOffsets, nil), nil)
+			if err != nil && sendOffsets == (Offsets{Bounded: true}) {
 				continue // the first message contained the entry
 			}
 			for _, n := range out {
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -1,10 +1,10 @@
-// Package gossip encodes and decodes the messages in which gateways share observations about hosts. Where many
-// gateways serve many hosts, each gateway sees little of any one host, while all gateways together see all of its
-// traffic. The package does no I/O.
+// Package gossip encodes and decodes the messages in which gateways share observations about hosts. Where
+// many gateways serve many hosts, each gateway sees little of any one host, while all gateways together see
+// all of its traffic. The package does no I/O.
 //
-// A gossip message is one datagram: a header of 5 bytes (1 byte version, 4 bytes fleet clock: the lower bound that
-// the sender has for it, in whole milliseconds, modulo 2^32), followed by entries of 6 bytes each. Each entry
-// describes one attempt or probe that has ended:
+// A gossip message is one datagram: a header of 5 bytes (1 byte version, 4 bytes fleet clock: the lower bound
+// that the sender has for it, in whole milliseconds, modulo 2^32), followed by entries of 6 bytes each. Each
+// entry describes one attempt or probe that has ended:
 //
 //	3 bytes  host: a hash of its id
 //	2 bytes  from the most significant bit: 4 bits result, 2 bits role of the host, 2 bits class (3: none), 4 bits
@@ -30,31 +30,33 @@
 )
 
 const (
-	// Version 1 dated a primary by the time its answer was handled, which may be long after the answer was made.
-	version  = 2
-	headSize = 5
-	noteSize = 6
-	maxBytes = 256 // size limit of a datagram in the platform's protocol
-	maxNotes = (maxBytes - headSize) / noteSize
+	// Version 1 dated a primary by the time its answer was handled, which may be long after the answer was
+	// made.
+	version        = 2
+	headerSize     = 5
+	entrySize      = 6
+	maxMessageSize = 256 // size limit of a datagram in the platform's protocol
+	maxEntries     = (maxMessageSize - headerSize) / entrySize
 
 	durationStep = 4 * time.Millisecond
 	endedStep    = 16 * time.Millisecond
 	ageStep      = 4 * time.Millisecond
 	noClass      = 3
 
-	endedMost    = 15  // largest number of steps of endedStep that an entry can hold
-	durationMost = 15  // largest duration code
-	ageStepsMost = 254 // largest number of steps of ageStep that an entry can hold
+	maxEndedSteps   = 15  // largest number of steps of endedStep that an entry can hold
+	maxDurationCode = 15  // largest duration code
+	maxAgeSteps     = 254 // largest number of steps of ageStep that an entry can hold
 
-	// maxAge is the maximum age of a message. Messages travel for tens of milliseconds; one that arrives much later,
-	// or was sent by a gateway with a wrong clock, does not describe the current state of a host.
+	// maxAge is the maximum age of a message. Messages travel for tens of milliseconds; one that arrives much
+	// later, or was sent by a gateway with a wrong clock, does not describe the current state of a host.
 	maxAge = 2 * time.Second
-	// maxAhead is the tolerance for messages from the future, as sender and receiver read their clocks independently.
-	maxAhead = 5 * time.Millisecond
+	// maxFuture is the tolerance for messages from the future, as sender and receiver read their clocks
+	// independently.
+	maxFuture = 5 * time.Millisecond
 )
 
-// Offsets holds the lower and the upper bound of the fleet's clock minus the local clock. The upper bound is only
-// valid if Bounded is set.
+// Offsets holds the lower and the upper bound of the fleet's clock minus the local clock. The upper bound is
+// only valid if Bounded is set.
 type Offsets struct {
 	Least, Most time.Duration
 	Bounded     bool
@@ -77,7 +79,7 @@
 	hosts   map[uint32]string // host id by hash, or "" if several hosts share the hash
 	pending []balance.Heard
 	budget  float64
-	due     time.Duration // when the pending entries are to be sent
+	dueAt   time.Duration // when the pending entries are to be sent
 }
 
 // New returns a State without hosts whose send budget is full.
@@ -97,11 +99,11 @@
 	}
 }
 
-func hash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
+func hostHash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
 
 // Host adds a host. Entries about hosts that share a hash are ignored.
 func (s *State) Host(id string) {
-	h := hash(id)
+	h := hostHash(id)
 	if old, known := s.hosts[h]; known && old != id {
 		id = ""
 	}
@@ -110,7 +112,7 @@
 
 // Forget removes a host.
 func (s *State) Forget(id string) {
-	if h := hash(id); s.hosts[h] == id {
+	if h := hostHash(id); s.hosts[h] == id {
 		delete(s.hosts, h)
 	}
 }
@@ -120,80 +122,81 @@
 
 // Note adds the result of an attempt or a probe of this gateway to the pending entries. It returns false if the
 // budget is spent or the pending message is full; the result is then not sent.
-func (s *State) Note(now time.Duration, n balance.Heard) (told bool) {
-	cost := float64(noteSize * (s.cfg.Gateways - 1))
+func (s *State) Note(now time.Duration, entry balance.Heard) (accepted bool) {
+	cost := float64(entrySize * (s.cfg.Gateways - 1))
 	if len(s.pending) == 0 {
-		cost += float64(headSize * (s.cfg.Gateways - 1))
+		cost += float64(headerSize * (s.cfg.Gateways - 1))
 	}
-	if s.budget < cost || len(s.pending) >= maxNotes {
+	if s.budget < cost || len(s.pending) >= maxEntries {
 		return false
 	}
 	s.budget -= cost
 	if len(s.pending) == 0 {
-		s.due = now + s.cfg.Hold
+		s.dueAt = now + s.cfg.Hold
 	}
-	if s.pending = append(s.pending, n); len(s.pending) == maxNotes {
-		s.due = now
+	if s.pending = append(s.pending, entry); len(s.pending) == maxEntries {
+		s.dueAt = now
 	}
 	return true
 }
 
 // Due returns when the pending message is to be sent; ok is false if there is none.
-func (s *State) Due() (at time.Duration, ok bool) { return s.due, len(s.pending) > 0 }
+func (s *State) Due() (at time.Duration, ok bool) { return s.dueAt, len(s.pending) > 0 }
 
 // Datagram appends the pending message to out and clears the pending entries.
 //
-// Positions are encoded by the fleet's clock, as hosts report them, so that the uncertainty of the sender's offset
-// does not add to their age.
-func (s *State) Datagram(now time.Duration, ahead Offsets, out []byte) []byte {
+// Positions are encoded by the fleet's clock, as hosts report them, so that the uncertainty of the sender's
+// offset does not add to their age.
+func (s *State) Datagram(now time.Duration, offsets Offsets, out []byte) []byte {
 	out = append(out, version)
-	fleet := (now + ahead.Least) / time.Millisecond // rounded down, so that no encoded time is later than the real one
-	out = binary.BigEndian.AppendUint32(out, uint32(fleet))
-	fleetHead := fleet * time.Millisecond
-	head := fleetHead - ahead.Least
-	for _, n := range s.pending {
-		out = s.appendNote(out, n, head, fleetHead)
+	// Rounded down, so that no encoded time is later than the real one.
+	fleetMillis := (now + offsets.Least) / time.Millisecond
+	out = binary.BigEndian.AppendUint32(out, uint32(fleetMillis))
+	headerFleetClock := fleetMillis * time.Millisecond
+	headerClock := headerFleetClock - offsets.Least
+	for _, entry := range s.pending {
+		out = s.appendEntry(out, entry, headerClock, headerFleetClock)
 	}
 	s.pending = s.pending[:0]
 	return out
 }
 
-// appendNote appends one entry to a message. The time in the message's header is passed by the local clock and by
-// the fleet's clock.
-func (s *State) appendNote(out []byte, n balance.Heard, head, fleetHead time.Duration) []byte {
-	class, known := s.classes[n.Class]
+// appendEntry appends one entry to a message. The time in the message's header is passed by the local clock
+// and by the fleet's clock.
+func (s *State) appendEntry(out []byte, entry balance.Heard, headerClock, headerFleetClock time.Duration) []byte {
+	class, known := s.classes[entry.Class]
 	if !known {
 		class = noClass
 	}
-	h := hash(n.Server)
+	id := hostHash(entry.Server)
 	// The latest role wins: one dated later than it was observed could reinstate a former primary.
-	ended := (max(head-n.At, 0) + endedStep - 1) / endedStep
-	if ended > endedMost {
-		ended, n.Role = endedMost, balance.Unknown
+	ended := (max(headerClock-entry.At, 0) + endedStep - 1) / endedStep
+	if ended > maxEndedSteps {
+		ended, entry.Role = maxEndedSteps, balance.Unknown
 	}
-	info := uint16(n.Result)<<12 | uint16(n.Role)<<10 | uint16(class)<<8 | uint16(durationCode(n.Took))<<4 | uint16(ended)
-	return append(out, byte(h>>16), byte(h>>8), byte(h), byte(info>>8), byte(info), ageCode(fleetHead-n.Position, n.Position))
+	info := uint16(entry.Result)<<12 | uint16(entry.Role)<<10 | uint16(class)<<8 | uint16(encodeDuration(entry.Took))<<4 | uint16(ended)
+	return append(out, byte(id>>16), byte(id>>8), byte(id), byte(info>>8), byte(info), encodeAge(headerFleetClock-entry.Position, entry.Position))
 }
 
-func durationCode(d time.Duration) int {
+func encodeDuration(d time.Duration) int {
 	if d <= durationStep {
 		return 0
 	}
-	return min(durationMost, int(math.Round(2*math.Log2(float64(d)/float64(durationStep)))))
+	return min(maxDurationCode, int(math.Round(2*math.Log2(float64(d)/float64(durationStep)))))
 }
 
-func durationOf(code int) time.Duration {
+func decodeDuration(code int) time.Duration {
 	return time.Duration(float64(durationStep) * math.Pow(2, float64(code)/2))
 }
 
-// ageCode encodes the age of a position, or 0 if there is no position or it is too old. It rounds up, as a decoded
-// position must not be later than the host's.
-func ageCode(age, position time.Duration) byte {
+// encodeAge encodes the age of a position, or 0 if there is no position or it is too old. It rounds up, as a
+// decoded position must not be later than the host's.
+func encodeAge(age, position time.Duration) byte {
 	if position <= 0 {
 		return 0
 	}
 	steps := (max(age, 0) + ageStep - 1) / ageStep
-	if steps > ageStepsMost {
+	if steps > maxAgeSteps {
 		return 0
 	}
 	return byte(1 + steps)
@@ -204,62 +207,62 @@
 	ErrVersion = errors.New("gossip: unknown version")
 	ErrLength  = errors.New("gossip: invalid message length")
 	ErrClock   = errors.New("gossip: message too old or from the future")
-	ErrNote    = errors.New("gossip: entry with an unknown result or role")
+	ErrEntry   = errors.New("gossip: entry with an unknown result or role")
 )
 
 // Receive decodes a message and appends its entries to out. It rejects the whole message if any part of it is
-// invalid, and skips entries about unknown hosts. Positions are by the fleet's clock. The end of an attempt and the
-// time since when a host is primary are by the local clock, the one that now is read from, and are the earliest
-// possible times. Without an upper bound of the fleet's clock both are unknown.
-func (s *State) Receive(now time.Duration, ahead Offsets, b []byte, out []balance.Heard) ([]balance.Heard, error) {
+// invalid, and skips entries about unknown hosts. Positions are by the fleet's clock. The end of an attempt
+// and the time since when a host is primary are by the local clock, the one that now is read from, and are
+// the earliest possible times. Without an upper bound of the fleet's clock both are unknown.
+func (s *State) Receive(now time.Duration, offsets Offsets, b []byte, out []balance.Heard) ([]balance.Heard, error) {
 	switch {
 	case len(b) < 1 || b[0] != version:
 		return out, ErrVersion
-	case len(b) < headSize+noteSize || len(b) > maxBytes || (len(b)-headSize)%noteSize != 0:
+	case len(b) < headerSize+entrySize || len(b) > maxMessageSize || (len(b)-headerSize)%entrySize != 0:
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
 	// The header holds the fleet's clock modulo 2^32: take the value nearest to now.
-	ms := (now + ahead.Least) / time.Millisecond
-	head := (ms + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(ms)))) * time.Millisecond
-	if ahead.Bounded && head-ahead.Most > now+maxAhead || head-ahead.Least < now-maxAge {
-		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-head+ahead.Least, now-head+ahead.Most)
+	fleetMillis := (now + offsets.Least) / time.Millisecond
+	headerFleetClock := (fleetMillis + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(fleetMillis)))) * time.Millisecond
+	if offsets.Bounded && headerFleetClock-offsets.Most > now+maxFuture || headerFleetClock-offsets.Least < now-maxAge {
+		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-headerFleetClock+offsets.Least, now-headerFleetClock+offsets.Most)
 	}
-	from := len(out)
-	for b = b[headSize:]; len(b) > 0; b = b[noteSize:] {
+	start := len(out)
+	for b = b[headerSize:]; len(b) > 0; b = b[entrySize:] {
 		out = append(out, balance.Heard{})
-		n := &out[len(out)-1]
-		if err := s.readNote(now, ahead, head, b, n); err != nil {
-			return out[:from], err
+		entry := &out[len(out)-1]
+		if err := s.decodeEntry(now, offsets, headerFleetClock, b, entry); err != nil {
+			return out[:start], err
 		}
-		if n.Server == "" {
+		if entry.Server == "" {
 			out = out[:len(out)-1]
 		}
 	}
 	return out, nil
 }
 
-// readNote decodes the first entry of b into n. The time in the message's header is passed by the fleet's clock.
-// It leaves the server empty if the host is unknown.
-func (s *State) readNote(now time.Duration, ahead Offsets, head time.Duration, b []byte, n *balance.Heard) error {
+// decodeEntry decodes the first entry of b into entry. The time in the message's header is passed by the
+// fleet's clock. It leaves the server empty if the host is unknown.
+func (s *State) decodeEntry(now time.Duration, offsets Offsets, headerFleetClock time.Duration, b []byte, entry *balance.Heard) error {
 	info := binary.BigEndian.Uint16(b[3:])
-	n.Server, n.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
-	n.Result, n.Role, n.Took = balance.Result(info>>12), balance.Role(info>>10&3), durationOf(int(info>>4&15))
-	if n.Result > balance.Garbled || n.Role > balance.Replica {
-		return ErrNote
+	entry.Server, entry.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
+	entry.Result, entry.Role, entry.Took = balance.Result(info>>12), balance.Role(info>>10&3), decodeDuration(int(info>>4&15))
+	if entry.Result > balance.Garbled || entry.Role > balance.Replica {
+		return ErrEntry
 	}
-	if ahead.Bounded {
-		n.At = min(head-ahead.Most, now) - time.Duration(info&15)*endedStep
+	if offsets.Bounded {
+		entry.At = min(headerFleetClock-offsets.Most, now) - time.Duration(info&15)*endedStep
 	}
 	if class := int(info >> 8 & 3); class < min(noClass, len(s.cfg.Classes)) {
-		n.Class = s.cfg.Classes[class].Name
+		entry.Class = s.cfg.Classes[class].Name
 	}
 	if b[5] > 0 {
-		n.Position = head - time.Duration(b[5]-1)*ageStep
-		n.NotBefore = min(n.Position-ahead.Most, now)
+		entry.Position = headerFleetClock - time.Duration(b[5]-1)*ageStep
+		entry.NotBefore = min(entry.Position-offsets.Most, now)
 	}
-	if n.Role == balance.Primary && (n.Position == 0 || !ahead.Bounded) {
+	if entry.Role == balance.Primary && (entry.Position == 0 || !offsets.Bounded) {
 		// The position dates the role of a primary; without it, or without an upper bound, the date is unknown.
-		n.Role = balance.Unknown
+		entry.Role = balance.Unknown
 	}
 	return nil
 }
--- a/internal/control/gossip/gossip_test.go
+++ b/internal/control/gossip/gossip_test.go
@@ -17,11 +17,11 @@
 	now = 1796147475123 * ms
 )
 
-func state(change func(*Config)) *State {
+func newState(modify func(*Config)) *State {
 	c := Config{Gateways: 3, Hold: 50 * ms, PerTake: 100, Burst: 1000,
 		Classes: []balance.Class{{Name: "list"}, {Name: "own"}, {Name: "save"}, {Name: "fourth"}}}
-	if change != nil {
-		change(&c)
+	if modify != nil {
+		modify(&c)
 	}
 	s := New(c)
 	s.Host("s-1")
@@ -29,27 +29,27 @@
 	return s
 }
 
-// hear sends the pending message of one gateway to another and returns the decoded entries.
-func hear(t *testing.T, from, to *State, sent, come time.Duration) []balance.Heard {
+// deliver sends the pending message of one gateway to another and returns the decoded entries.
+func deliver(t *testing.T, from, to *State, sentAt, receivedAt time.Duration) []balance.Heard {
 	t.Helper()
-	out, err := to.Receive(come, Offsets{Bounded: true}, from.Datagram(sent, Offsets{Bounded: true}, nil), nil)
+	out, err := to.Receive(receivedAt, Offsets{Bounded: true}, from.Datagram(sentAt, Offsets{Bounded: true}, nil), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-func TestWhatIsToldIsHeard(t *testing.T) {
+func TestEntryRoundTrip(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		told, want balance.Heard
+		sent, want balance.Heard
 	}{
 		{"answer of a replica", balance.Heard{Server: "s-1", Class: "own", Result: balance.OK, Took: 64 * ms, Role: balance.Replica, Position: now - 100*ms, At: now - 32*ms},
 			balance.Heard{Server: "s-1", Class: "own", Result: balance.OK, Took: 64 * ms, Role: balance.Replica, Position: now - 100*ms, At: now - 32*ms}},
 		{"position is rounded down", balance.Heard{Server: "s-2", Class: "list", Position: now - 101*ms, At: now},
 			balance.Heard{Server: "s-2", Class: "list", Took: 4 * ms, Position: now - 104*ms, At: now}},
 		{"position that is too old is left out", balance.Heard{Server: "s-2", Result: balance.TimedOut, Class: "save", Took: time.Hour, Position: now - 2*time.Second, At: now},
-			balance.Heard{Server: "s-2", Result: balance.TimedOut, Class: "save", Took: durationOf(15), At: now}},
+			balance.Heard{Server: "s-2", Result: balance.TimedOut, Class: "save", Took: decodeDuration(15), At: now}},
 		{"role is not dated later than observed", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, Position: now - 33*ms, At: now - 33*ms},
 			balance.Heard{Server: "s-1", Class: "own", Took: 4 * ms, Role: balance.Primary, Position: now - 36*ms, At: now - 48*ms}},
 		{"primary role without a position is left out", balance.Heard{Server: "s-1", Class: "own", Role: balance.Primary, At: now - 33*ms},
@@ -60,38 +60,38 @@
 			balance.Heard{Server: "s-1", Took: 4 * ms, Role: balance.Primary, Position: now, At: now}},
 		{"class beyond the third is left out", balance.Heard{Server: "s-1", Class: "fourth", At: now}, balance.Heard{Server: "s-1", Took: 4 * ms, At: now}},
 	} {
-		s, to := state(nil), state(nil)
-		if !s.Note(now, c.told) {
+		s, to := newState(nil), newState(nil)
+		if !s.Note(now, c.sent) {
 			t.Fatalf("%s: entry was not accepted", c.name)
 		}
 		c.want.Source, c.want.NotBefore = balance.FromGossip, c.want.Position // the position dates the role of a primary
-		if diff := cmp.Diff([]balance.Heard{c.want}, hear(t, s, to, now, now+20*ms)); diff != "" {
+		if diff := cmp.Diff([]balance.Heard{c.want}, deliver(t, s, to, now, now+20*ms)); diff != "" {
 			t.Errorf("%s: %s", c.name, diff)
 		}
 	}
 }
 
 // A received position that is later than the host's would direct reads to stale data.
-func TestNoPositionIsHeardThatIsLaterThanTold(t *testing.T) {
+func TestReceivedPositionIsNotLater(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := now + time.Duration(rapid.Int64Range(0, int64(100*24*time.Hour)).Draw(t, "clock"))
 		position := at - time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "age"))
-		sent := at + time.Duration(rapid.Int64Range(0, int64(100*ms)).Draw(t, "held"))
-		come := sent + time.Duration(rapid.Int64Range(-int64(maxAhead), int64(maxAge)-int64(ms)).Draw(t, "network delay"))
-		s, to := state(nil), state(nil)
+		sentAt := at + time.Duration(rapid.Int64Range(0, int64(100*ms)).Draw(t, "batch delay"))
+		receivedAt := sentAt + time.Duration(rapid.Int64Range(-int64(maxFuture), int64(maxAge)-int64(ms)).Draw(t, "network delay"))
+		s, to := newState(nil), newState(nil)
 		s.Note(at, balance.Heard{Server: "s-1", Position: position, At: at})
-		out, err := to.Receive(come, Offsets{Bounded: true}, s.Datagram(sent, Offsets{Bounded: true}, nil), nil)
+		out, err := to.Receive(receivedAt, Offsets{Bounded: true}, s.Datagram(sentAt, Offsets{Bounded: true}, nil), nil)
 		if err != nil || len(out) != 1 {
 			t.Fatalf("%v, %v", out, err)
 		}
-		if n := out[0]; n.Position > position || n.At > sent || n.At > come {
+		if n := out[0]; n.Position > position || n.At > sentAt || n.At > receivedAt {
 			t.Errorf("received position is %s, received end %s later than sent", n.Position-position, n.At-at)
 		}
 	})
 }
 
-func TestBadDatagramsAreNotUsed(t *testing.T) {
-	s := state(nil)
+func TestInvalidMessageIsRejected(t *testing.T) {
+	s := newState(nil)
 	s.Note(now, balance.Heard{Server: "s-1", At: now})
 	s.Note(now, balance.Heard{Server: "s-2", At: now})
 	good := s.Datagram(now, Offsets{Bounded: true}, nil)
@@ -110,30 +110,30 @@
 		want error
 	}{
 		{"empty", nil, ErrVersion}, {"unknown version", with(0, 9), ErrVersion}, {"truncated", good[:len(good)-1], ErrLength},
-		{"no entry", good[:headSize], ErrLength}, {"too long", append(append([]byte(nil), good...), make([]byte, 252)...), ErrLength},
-		{"too old", aged, ErrClock}, {"from the future", ahead, ErrClock}, {"unknown result", with(headSize+noteSize+3, 0xf0), ErrNote},
-		{"unknown role", with(headSize+3, 0x0c), ErrNote},
+		{"no entry", good[:headerSize], ErrLength}, {"too long", append(append([]byte(nil), good...), make([]byte, 252)...), ErrLength},
+		{"too old", aged, ErrClock}, {"from the future", ahead, ErrClock}, {"unknown result", with(headerSize+entrySize+3, 0xf0), ErrEntry},
+		{"unknown role", with(headerSize+3, 0x0c), ErrEntry},
 	} {
-		if out, err := state(nil).Receive(now, Offsets{Bounded: true}, c.b, nil); !errors.Is(err, c.want) || len(out) > 0 {
+		if out, err := newState(nil).Receive(now, Offsets{Bounded: true}, c.b, nil); !errors.Is(err, c.want) || len(out) > 0 {
 			t.Errorf("%s: %v, %v", c.name, out, err)
 		}
 	}
 }
 
-func TestHostsThatCannotBeToldApartAreNotBelieved(t *testing.T) {
-	s, to := state(nil), state(nil)
+func TestEntryOfCollidingHashIsIgnored(t *testing.T) {
+	s, to := newState(nil), newState(nil)
 	s.Note(now, balance.Heard{Server: "s-1", At: now})
 	s.Note(now, balance.Heard{Server: "unlisted", At: now})
-	to.hosts[hash("s-1")] = "another host with the same hash"
+	to.hosts[hostHash("s-1")] = "another host with the same hash"
 	to.Host("s-1")
-	if out := hear(t, s, to, now, now); len(out) > 0 {
+	if out := deliver(t, s, to, now, now); len(out) > 0 {
 		t.Errorf("received %v, want no entries", out)
 	}
 }
 
-func TestRequestsPayForWhatIsTold(t *testing.T) {
-	s := state(func(c *Config) { c.Burst = float64(2 * (headSize + 2*noteSize)); c.PerTake = 4 })
-	told := func() (n int) {
+func TestBudgetLimitsEntries(t *testing.T) {
+	s := newState(func(c *Config) { c.Burst = float64(2 * (headerSize + 2*entrySize)); c.PerTake = 4 })
+	addEntries := func() (n int) {
 		for range 100 {
 			if s.Note(now, balance.Heard{Server: "s-1", At: now}) {
 				n++
@@ -142,19 +142,19 @@
 		s.Datagram(now, Offsets{Bounded: true}, nil)
 		return n
 	}
-	if n := told(); n != 2 {
+	if n := addEntries(); n != 2 {
 		t.Errorf("%d entries accepted with the initial budget, want 2", n)
 	}
 	for range 9 {
 		s.Credit()
 	}
-	if n := told(); n != 2 {
+	if n := addEntries(); n != 2 {
 		t.Errorf("%d entries accepted for nine requests, want 2", n)
 	}
 }
 
-func TestNotesWaitForOthersButNotInAFullDatagram(t *testing.T) {
-	s := state(func(c *Config) { c.Burst = 1e6 })
+func TestMessageDueWhenFullOrDelayed(t *testing.T) {
+	s := newState(func(c *Config) { c.Burst = 1e6 })
 	if _, ok := s.Due(); ok {
 		t.Error("a message is due without entries")
 	}
@@ -168,7 +168,7 @@
 	if at, _ := s.Due(); at != now+ms {
 		t.Errorf("full message is due after %s, want 1ms", at-now)
 	}
-	if b := s.Datagram(now, Offsets{Bounded: true}, nil); len(b) > maxBytes {
+	if b := s.Datagram(now, Offsets{Bounded: true}, nil); len(b) > maxMessageSize {
 		t.Errorf("message of %d bytes exceeds the limit of 256", len(b))
 	}
 	if _, ok := s.Due(); ok {
@@ -177,11 +177,11 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	s := state(nil)
+	s := newState(nil)
 	s.Note(now, balance.Heard{Server: "s-1", At: now})
 	f.Add(s.Datagram(now, Offsets{Bounded: true}, nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		out, err := state(nil).Receive(now, Offsets{Bounded: true}, b, nil)
+		out, err := newState(nil).Receive(now, Offsets{Bounded: true}, b, nil)
 		for _, n := range out {
 			if err != nil || n.At > now || n.Position > now || n.Server == "" {
 				t.Errorf("%+v, %v", n, err)
@@ -191,7 +191,7 @@
 }
 
 func BenchmarkHear(b *testing.B) {
-	s := state(func(c *Config) { c.Burst = 1e6 })
+	s := newState(func(c *Config) { c.Burst = 1e6 })
 	for range 4 {
 		s.Note(now, balance.Heard{Server: "s-1", At: now})
 	}
@@ -203,37 +203,37 @@
 	}
 }
 
-// The clocks of the two gateways differ, and their offsets are only known within bounds. No received time may be later
-// than the real one.
-func TestNothingIsHeardAsLaterThanItWasAcrossClocks(t *testing.T) {
+// The clocks of the two gateways differ, and their offsets are only known within bounds. No received time may
+// be later than the real one.
+func TestReceivedTimesAreNotLaterAcrossClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, least, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
 		}
 		// The fleet's clock minus the sender's clock, and minus the receiver's clock.
-		from, to := draw("sender's offset", -time.Second, time.Second), draw("receiver's offset", -time.Second, time.Second)
+		senderOffset, receiverOffset := draw("sender's offset", -time.Second, time.Second), draw("receiver's offset", -time.Second, time.Second)
 		below, above := draw("slack below", 0, 4*ms), draw("slack above", 0, 100*ms)
-		position, led := now-draw("age", 0, 300*ms), now-draw("led", 0, 200*ms) // by the fleet's clock
-		s, r := state(nil), state(nil)
+		position, primarySince := now-draw("age", 0, 300*ms), now-draw("time as primary", 0, 200*ms) // by the fleet's clock
+		s, r := newState(nil), newState(nil)
 		// What the sender itself knows is never dated too late.
-		s.Note(now-from, balance.Heard{Server: "s-1", Role: balance.Primary, Position: position, At: led - from})
-		offsets := Offsets{Least: to - below, Most: to + above, Bounded: true}
-		out, err := r.Receive(now-to+20*ms, offsets, s.Datagram(now-from, Offsets{Least: from - below, Most: from + above, Bounded: true}, nil), nil)
+		s.Note(now-senderOffset, balance.Heard{Server: "s-1", Role: balance.Primary, Position: position, At: primarySince - senderOffset})
+		offsets := Offsets{Least: receiverOffset - below, Most: receiverOffset + above, Bounded: true}
+		out, err := r.Receive(now-receiverOffset+20*ms, offsets, s.Datagram(now-senderOffset, Offsets{Least: senderOffset - below, Most: senderOffset + above, Bounded: true}, nil), nil)
 		if err != nil || len(out) != 1 {
 			t.Fatalf("%v, %v", out, err)
 		}
-		if n := out[0]; n.Position > position || n.Position < position-below-3*ageStep || n.Role == balance.Primary && n.NotBefore+to > position {
-			t.Errorf("position is %s too late, NotBefore %s too late", n.Position-position, n.NotBefore+to-position)
+		if n := out[0]; n.Position > position || n.Position < position-below-3*ageStep || n.Role == balance.Primary && n.NotBefore+receiverOffset > position {
+			t.Errorf("position is %s too late, NotBefore %s too late", n.Position-position, n.NotBefore+receiverOffset-position)
 		}
 	})
 }
 
-func TestAnEndIsNotHeardAsLaterThanItWasWhereLittleIsKnownOfTheClock(t *testing.T) {
+func TestReceivedEndIsNotLaterWithWideBounds(t *testing.T) {
 	for name, offsets := range map[string]Offsets{
 		"lower bound only, from a log that lags": {Least: -1500 * ms},
 		"wide bounds":                            {Least: -1500 * ms, Most: 5 * ms, Bounded: true},
 	} {
-		s, r := state(nil), state(nil)
+		s, r := newState(nil), newState(nil)
 		s.Note(now, balance.Heard{Server: "s-1", At: now})
 		out, err := r.Receive(now+1600*ms, offsets, s.Datagram(now, Offsets{Bounded: true}, nil), nil)
 		if err == nil && out[0].At > now+10*ms {
@@ -242,8 +242,8 @@
 	}
 }
 
-func TestAFreshDatagramIsUsedWhereLittleIsKnownBelow(t *testing.T) {
-	s, r := state(nil), state(nil)
+func TestFreshMessageIsAcceptedWithLowBound(t *testing.T) {
+	s, r := newState(nil), newState(nil)
 	s.Note(now, balance.Heard{Server: "s-1", At: now, Role: balance.Replica, Position: now - 10*ms})
 	out, err := r.Receive(now+60*ms, Offsets{Least: -200 * ms}, s.Datagram(now, Offsets{Bounded: true}, nil), nil)
 	if err != nil || len(out) != 1 {
--- a/internal/control/leases/codec.go
+++ b/internal/control/leases/codec.go
@@ -21,10 +21,10 @@
 //
 // Numbers are big-endian. The format has no checksum: the log protects its content against corruption.
 const (
-	codecVersion = 1
-	codecHead    = 2 + 8*5
+	codecVersion   = 1
+	codecFixedSize = 2 + 8*5
 	// MaxEncoded is the maximum size of an encoded entry in bytes.
-	MaxEncoded = codecHead + 2 + 2*MaxName
+	MaxEncoded = codecFixedSize + 2 + 2*MaxName
 )
 
 // ErrCodec is returned by Decode for bytes that are not an entry of this format.
@@ -46,7 +46,7 @@
 
 // Decode decodes an entry written by Encode. It checks the encoding only; Machine.Apply validates the entry.
 func Decode(b []byte) (proposal uint64, e Entry, err error) {
-	if len(b) < codecHead+2 || len(b) > MaxEncoded {
+	if len(b) < codecFixedSize+2 || len(b) > MaxEncoded {
 		return 0, Entry{}, fmt.Errorf("%d bytes: %w", len(b), ErrCodec)
 	}
 	if b[0] != codecVersion {
@@ -58,12 +58,12 @@
 	e.Now = time.Duration(binary.BigEndian.Uint64(b[18:]))
 	e.TTL = time.Duration(binary.BigEndian.Uint64(b[26:]))
 	e.Token = binary.BigEndian.Uint64(b[34:])
-	rest := b[codecHead:]
-	name, rest, ok := cut(rest)
+	rest := b[codecFixedSize:]
+	name, rest, ok := cutField(rest)
 	if !ok {
 		return 0, Entry{}, fmt.Errorf("truncated name: %w", ErrCodec)
 	}
-	holder, rest, ok := cut(rest)
+	holder, rest, ok := cutField(rest)
 	if !ok || len(rest) != 0 {
 		return 0, Entry{}, fmt.Errorf("truncated holder, or trailing bytes: %w", ErrCodec)
 	}
@@ -71,8 +71,8 @@
 	return proposal, e, nil
 }
 
-// cut splits a field with a length prefix of one byte from the start of b.
-func cut(b []byte) (field, rest []byte, ok bool) {
+// cutField splits a field with a length prefix of one byte from the start of b.
+func cutField(b []byte) (field, rest []byte, ok bool) {
 	if len(b) < 1 || len(b) < 1+int(b[0]) {
 		return nil, nil, false
 	}
--- a/internal/control/leases/codec_test.go
+++ b/internal/control/leases/codec_test.go
@@ -10,10 +10,10 @@
 
 func TestCodecRoundTrip(t *testing.T) {
 	for _, e := range []Entry{
-		acq("scout/cell-3", "n17", 4, 1234*ms),
-		renew("scout/cell-3", "n17", 99, 4, 2*time.Hour),
-		release("drain", "n1", 7, 1, 0),
-		stamp(12, 5*ms),
+		acquireEntry("scout/cell-3", "n17", 4, 1234*ms),
+		renewEntry("scout/cell-3", "n17", 99, 4, 2*time.Hour),
+		releaseEntry("drain", "n1", 7, 1, 0),
+		stampEntry(12, 5*ms),
 	} {
 		p, got, err := Decode(Encode(nil, 0xfeed, e))
 		if err != nil || p != 0xfeed {
@@ -25,14 +25,14 @@
 	}
 }
 
-func TestCodecRefusesWhatIsNoEntry(t *testing.T) {
-	good := Encode(nil, 1, acq("scout", "n1", 1, 0))
+func TestDecodeRejectsInvalidBytes(t *testing.T) {
+	good := Encode(nil, 1, acquireEntry("scout", "n1", 1, 0))
 	bad := map[string][]byte{
 		"empty":           nil,
 		"truncated":       good[:len(good)-1],
 		"trailing byte":   append(append([]byte(nil), good...), 0),
 		"unknown version": append([]byte{9}, good[1:]...),
-		"truncated name":  func() []byte { b := append([]byte(nil), good...); b[codecHead] = 200; return b }(),
+		"truncated name":  func() []byte { b := append([]byte(nil), good...); b[codecFixedSize] = 200; return b }(),
 	}
 	for name, b := range bad {
 		if _, _, err := Decode(b); !errors.Is(err, ErrCodec) {
@@ -42,7 +42,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(nil, 1, acq("scout", "n1", 1, 0)))
+	f.Add(Encode(nil, 1, acquireEntry("scout", "n1", 1, 0)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p, e, err := Decode(b)
 		if err != nil {
--- a/internal/control/leases/leases.go
+++ b/internal/control/leases/leases.go
@@ -1,17 +1,19 @@
-// Package leases implements the replicated state machine that grants leases on fleet-wide tasks, each with a time to
-// live and a fencing token, and the view that a holder has of its lease. It does no I/O and reads no clock. The
-// replicated log delivers the same entries in the same order at every voter, each stamped by the leader that proposed
-// it with its term and its monotonic clock, so that the Machines of all voters reach the same state.
+// Package leases implements the replicated state machine that grants leases on fleet-wide tasks, each with a
+// time to live and a fencing token, and the view that a holder has of its lease. It does no I/O and reads no
+// clock. The replicated log delivers the same entries in the same order at every voter, each stamped by the
+// leader that proposed it with its term and its monotonic clock, so that the Machines of all voters reach the
+// same state.
 //
-// Clocks of different processes are never compared. Within one term all stamps come from one leader's clock. The first
-// entry of a newer term extends every lease to its full time to live from that entry's stamp (as etcd's lessor does on
-// a leader change): the new leader cannot know how much of a lease had elapsed on the old leader's clock, so it assumes
-// that none had. An entry proposed in an older term and committed in a newer one is applied at the newest stamp of the
-// current term. It was proposed before the current leader was elected, so that stamp is later than the sending of its
-// request, and the lease does not end at the voters before it ends at its holder.
+// Clocks of different processes are never compared. Within one term all stamps come from one leader's clock.
+// The first entry of a newer term extends every lease to its full time to live from that entry's stamp (as
+// etcd's lessor does on a leader change): the new leader cannot know how much of a lease had elapsed on the
+// old leader's clock, so it assumes that none had. An entry proposed in an older term and committed in a
+// newer one is applied at the newest stamp of the current term. It was proposed before the current leader was
+// elected, so that stamp is later than the sending of its request, and the lease does not end at the voters
+// before it ends at its holder.
 //
-// The fencing token of a lease is the log index of the entry that granted it, so it is the same at every voter and
-// grows from one grant to the next.
+// The fencing token of a lease is the log index of the entry that granted it, so it is the same at every
+// voter and grows from one grant to the next.
 package leases
 
 import (
@@ -31,8 +33,8 @@
 	Renew
 	// Release ends a held lease, identified by its token, before its expiry.
 	Release
-	// Stamp only carries the leader's clock. A new leader proposes one first, so that the leases are extended to
-	// their full time to live without waiting for a request.
+	// Stamp only carries the leader's clock. A new leader proposes one first, so that the leases are extended
+	// to their full time to live without waiting for a request.
 	Stamp
 )
 
@@ -50,12 +52,14 @@
 	return fmt.Sprintf("op(%d)", uint8(o))
 }
 
-// Bounds of a lease's time to live. Below MinTTL a renewal may not arrive in time even over a congested loopback, let
-// alone between zones. Above MaxTTL a crashed holder blocks its task for longer than any operator would wait.
+// Bounds of a lease's time to live. Below MinTTL a renewal may not arrive in time even over a congested
+// loopback, let alone between zones. Above MaxTTL a crashed holder blocks its task for longer than any
+// operator would wait.
 const (
 	MinTTL = 200 * time.Millisecond
 	MaxTTL = 5 * time.Minute
-	// MaxName is the maximum length in bytes of a lease's name and of a holder's name, as every entry contains them.
+	// MaxName is the maximum length in bytes of a lease's name and of a holder's name, as every entry
+	// contains them.
 	MaxName = 64
 )
 
@@ -70,8 +74,8 @@
 	Now    time.Duration // the leader's monotonic clock at the proposal
 }
 
-// Check returns an error if the entry is malformed. It is called before an entry is proposed and again when it is
-// applied.
+// Check returns an error if the entry is malformed. It is called before an entry is proposed and again when
+// it is applied.
 func (e Entry) Check() error {
 	switch e.Op {
 	case Acquire, Renew, Release:
@@ -122,17 +126,18 @@
 	Err     error // nil, or wraps one of the errors above
 }
 
-// Machine is the replicated state of all leases. Its zero value is empty and ready. It is not safe for concurrent use.
+// Machine is the replicated state of all leases. Its zero value is empty and ready. It is not safe for
+// concurrent use.
 type Machine struct {
-	leases  map[string]*Lease
-	term    uint64        // newest term of an applied entry
-	last    time.Duration // newest stamp of that term
-	applied uint64        // index of the last applied entry
-	granted uint64        // number of grants, for counters
+	leases    map[string]*Lease
+	term      uint64        // newest term of an applied entry
+	lastStamp time.Duration // newest stamp of that term
+	applied   uint64        // index of the last applied entry
+	granted   uint64        // number of grants, for counters
 }
 
-// Apply applies the entry at a log index. The index must grow from one call to the next. An entry of another term or
-// clock is never an error: the order of the log decides, the same way at every voter.
+// Apply applies the entry at a log index. The index must grow from one call to the next. An entry of another
+// term or clock is never an error: the order of the log decides, the same way at every voter.
 func (m *Machine) Apply(index uint64, e Entry) Result {
 	if index <= m.applied {
 		return Result{Err: fmt.Errorf("index %d after %d: %w", index, m.applied, ErrOldIndex)}
@@ -144,7 +149,7 @@
 	if m.leases == nil {
 		m.leases = make(map[string]*Lease)
 	}
-	now := m.clock(e)
+	now := m.effectiveTime(e)
 	if e.Op == Stamp {
 		return Result{}
 	}
@@ -168,13 +173,13 @@
 		return Result{Lease: *l}
 	case Renew:
 		if l == nil || l.Holder != e.Holder || l.Token != e.Token {
-			return m.lost(l, e)
+			return m.refuseNotHeld(l, e)
 		}
 		m.extend(l, now, e.TTL)
 		return Result{Lease: *l}
 	case Release:
 		if l == nil || l.Holder != e.Holder || l.Token != e.Token {
-			return m.lost(l, e)
+			return m.refuseNotHeld(l, e)
 		}
 		delete(m.leases, e.Name)
 		return Result{Lease: *l}
@@ -182,7 +187,7 @@
 	return Result{Err: fmt.Errorf("%v: %w", e.Op, ErrBadEntry)}
 }
 
-func (m *Machine) lost(l *Lease, e Entry) Result {
+func (m *Machine) refuseNotHeld(l *Lease, e Entry) Result {
 	r := Result{Err: fmt.Errorf("%v of lease %q by %s with token %d: %w", e.Op, e.Name, e.Holder, e.Token, ErrLost)}
 	if l != nil {
 		r.Lease = *l
@@ -190,8 +195,8 @@
 	return r
 }
 
-// extend extends a lease, and never shortens it: if an older renewal is applied after a newer one, the lease must not
-// end before the holder's view of it, which was computed from the sending of the newer one.
+// extend extends a lease, and never shortens it: if an older renewal is applied after a newer one, the lease
+// must not end before the holder's view of it, which was computed from the sending of the newer one.
 func (m *Machine) extend(l *Lease, now, ttl time.Duration) {
 	l.TTL = ttl
 	if now+ttl > l.Expiry {
@@ -199,25 +204,25 @@
 	}
 }
 
-// clock returns the time on the current term's clock at which an entry takes effect. An entry of a newer term starts
-// that term and extends all leases to their full time to live.
-func (m *Machine) clock(e Entry) time.Duration {
+// effectiveTime returns the time on the current term's clock at which an entry takes effect. An entry of a
+// newer term starts that term and extends all leases to their full time to live.
+func (m *Machine) effectiveTime(e Entry) time.Duration {
 	switch {
 	case e.Term > m.term:
-		m.term, m.last = e.Term, e.Now
+		m.term, m.lastStamp = e.Term, e.Now
 		for _, l := range m.leases {
 			l.Expiry = e.Now + l.TTL
 		}
 	case e.Term == m.term:
-		if e.Now > m.last {
-			m.last = e.Now
+		if e.Now > m.lastStamp {
+			m.lastStamp = e.Now
 		}
 	}
-	return m.last
+	return m.lastStamp
 }
 
-// Holder returns the lease if it is held at now, which is a time on the current term's clock. Only the leader of that
-// term can read this clock.
+// Holder returns the lease if it is held at now, which is a time on the current term's clock. Only the leader
+// of that term can read this clock.
 func (m *Machine) Holder(name string, now time.Duration) (Lease, bool) {
 	l := m.leases[name]
 	if l == nil || now >= l.Expiry {
@@ -227,7 +232,7 @@
 }
 
 // Term returns the newest term of an applied entry and the newest stamp of that term.
-func (m *Machine) Term() (term uint64, last time.Duration) { return m.term, m.last }
+func (m *Machine) Term() (term uint64, last time.Duration) { return m.term, m.lastStamp }
 
 // Applied returns the index of the last applied entry.
 func (m *Machine) Applied() uint64 { return m.applied }
@@ -239,7 +244,7 @@
 func (m *Machine) Leases() []Lease {
 	out := make([]Lease, 0, len(m.leases))
 	for _, l := range m.leases {
-		if m.last < l.Expiry {
+		if m.lastStamp < l.Expiry {
 			out = append(out, *l)
 		}
 	}
--- a/internal/control/leases/leases_test.go
+++ b/internal/control/leases/leases_test.go
@@ -10,19 +10,19 @@
 
 const ms = time.Millisecond
 
-func acq(name, holder string, term uint64, now time.Duration) Entry {
+func acquireEntry(name, holder string, term uint64, now time.Duration) Entry {
 	return Entry{Op: Acquire, Name: name, Holder: holder, TTL: 1000 * ms, Term: term, Now: now}
 }
 
-func renew(name, holder string, token, term uint64, now time.Duration) Entry {
+func renewEntry(name, holder string, token, term uint64, now time.Duration) Entry {
 	return Entry{Op: Renew, Name: name, Holder: holder, Token: token, TTL: 1000 * ms, Term: term, Now: now}
 }
 
-func release(name, holder string, token, term uint64, now time.Duration) Entry {
+func releaseEntry(name, holder string, token, term uint64, now time.Duration) Entry {
 	return Entry{Op: Release, Name: name, Holder: holder, Token: token, Term: term, Now: now}
 }
 
-func stamp(term uint64, now time.Duration) Entry { return Entry{Op: Stamp, Term: term, Now: now} }
+func stampEntry(term uint64, now time.Duration) Entry { return Entry{Op: Stamp, Term: term, Now: now} }
 
 // step is an entry to apply and its expected result.
 type step struct {
@@ -40,61 +40,61 @@
 		steps []step
 	}{
 		{"free lease is granted with the entry's index as token", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 		}},
 		{"held lease is refused to another holder", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: acq("scout", "b", 1, 999*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrHeld},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "b", 1, 999*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrHeld},
 		}},
 		{"expired lease is granted to another holder with a newer token", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: acq("scout", "b", 1, 1000*ms), granted: true, holder: "b", token: 2, expiry: 2000 * ms},
-			{e: renew("scout", "a", 1, 1, 1001*ms), holder: "b", token: 2, expiry: 2000 * ms, err: ErrLost},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "b", 1, 1000*ms), granted: true, holder: "b", token: 2, expiry: 2000 * ms},
+			{e: renewEntry("scout", "a", 1, 1, 1001*ms), holder: "b", token: 2, expiry: 2000 * ms, err: ErrLost},
 		}},
 		{"acquire by the holder renews with the same token", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: acq("scout", "a", 1, 500*ms), holder: "a", token: 1, expiry: 1500 * ms},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "a", 1, 500*ms), holder: "a", token: 1, expiry: 1500 * ms},
 		}},
 		{"renewal extends and never shortens", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: renew("scout", "a", 1, 1, 600*ms), holder: "a", token: 1, expiry: 1600 * ms},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: renewEntry("scout", "a", 1, 1, 600*ms), holder: "a", token: 1, expiry: 1600 * ms},
 			{e: Entry{Op: Renew, Name: "scout", Holder: "a", Token: 1, TTL: 300 * ms, Term: 1, Now: 700 * ms},
 				holder: "a", token: 1, expiry: 1600 * ms},
 		}},
 		{"renewal with another token is refused", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: renew("scout", "a", 7, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrLost},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: renewEntry("scout", "a", 7, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrLost},
 		}},
 		{"renewal after expiry is refused", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: renew("scout", "a", 1, 1, 1000*ms), err: ErrLost},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: renewEntry("scout", "a", 1, 1, 1000*ms), err: ErrLost},
 		}},
 		{"released lease is free immediately", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: release("scout", "a", 1, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms},
-			{e: acq("scout", "b", 1, 20*ms), granted: true, holder: "b", token: 3, expiry: 1020 * ms},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: releaseEntry("scout", "a", 1, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "b", 1, 20*ms), granted: true, holder: "b", token: 3, expiry: 1020 * ms},
 		}},
 		{"release by another holder is refused", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: release("scout", "b", 1, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrLost},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: releaseEntry("scout", "b", 1, 1, 10*ms), holder: "a", token: 1, expiry: 1000 * ms, err: ErrLost},
 		}},
 		{"new term extends every lease to its full time to live", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
 			// the new leader's clock is far behind the old one's
-			{e: stamp(2, 5*ms)},
-			{e: acq("scout", "b", 2, 900*ms), holder: "a", token: 1, expiry: 1005 * ms, err: ErrHeld},
-			{e: acq("scout", "b", 2, 1005*ms), granted: true, holder: "b", token: 4, expiry: 2005 * ms},
+			{e: stampEntry(2, 5*ms)},
+			{e: acquireEntry("scout", "b", 2, 900*ms), holder: "a", token: 1, expiry: 1005 * ms, err: ErrHeld},
+			{e: acquireEntry("scout", "b", 2, 1005*ms), granted: true, holder: "b", token: 4, expiry: 2005 * ms},
 		}},
 		{"new leader whose clock is far ahead does not expire a lease early", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: acq("scout", "b", 2, 50000*ms), holder: "a", token: 1, expiry: 51000 * ms, err: ErrHeld},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "b", 2, 50000*ms), holder: "a", token: 1, expiry: 51000 * ms, err: ErrHeld},
 		}},
 		{"entry of an older term is applied at the newest stamp of the current term", []step{
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
-			{e: stamp(2, 100*ms)},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 1, expiry: 1000 * ms},
+			{e: stampEntry(2, 100*ms)},
 			// proposed by the old leader at 2 s on its clock, when a's lease had expired on that clock
-			{e: acq("scout", "b", 1, 2000*ms), holder: "a", token: 1, expiry: 1100 * ms, err: ErrHeld},
-			{e: acq("free", "b", 1, 2000*ms), granted: true, holder: "b", token: 4, expiry: 1100 * ms},
+			{e: acquireEntry("scout", "b", 1, 2000*ms), holder: "a", token: 1, expiry: 1100 * ms, err: ErrHeld},
+			{e: acquireEntry("free", "b", 1, 2000*ms), granted: true, holder: "b", token: 4, expiry: 1100 * ms},
 		}},
 		{"malformed entries change nothing", []step{
 			{e: Entry{Op: Acquire, Name: "scout", Holder: "a", TTL: 10 * ms, Term: 1}, err: ErrBadEntry},
@@ -102,7 +102,7 @@
 			{e: Entry{Op: Renew, Name: "scout", Holder: "a", TTL: time.Second, Term: 1}, err: ErrBadEntry},
 			{e: Entry{Op: Acquire, Name: "scout", Holder: "a", TTL: time.Second}, err: ErrBadEntry},
 			{e: Entry{Op: 9, Term: 1}, err: ErrBadEntry},
-			{e: acq("scout", "a", 1, 0), granted: true, holder: "a", token: 6, expiry: 1000 * ms},
+			{e: acquireEntry("scout", "a", 1, 0), granted: true, holder: "a", token: 6, expiry: 1000 * ms},
 		}},
 	}
 	for _, c := range cases {
@@ -132,7 +132,7 @@
 	for i := uint64(1); i <= 200; i++ {
 		holder := []string{"a", "b", "c"}[i%3]
 		now += 700 * ms
-		r := m.Apply(i, acq("scout", holder, 1+i/50, now))
+		r := m.Apply(i, acquireEntry("scout", holder, 1+i/50, now))
 		if r.Granted {
 			if r.Lease.Token <= last {
 				t.Fatalf("entry %d: token %d after %d", i, r.Lease.Token, last)
@@ -145,10 +145,10 @@
 	}
 }
 
-func TestApplyRefusesAnIndexThatDoesNotGrow(t *testing.T) {
+func TestApplyRejectsOldIndex(t *testing.T) {
 	var m Machine
-	m.Apply(5, acq("scout", "a", 1, 0))
-	if r := m.Apply(5, acq("scout", "b", 1, 5000*ms)); !errors.Is(r.Err, ErrOldIndex) {
+	m.Apply(5, acquireEntry("scout", "a", 1, 0))
+	if r := m.Apply(5, acquireEntry("scout", "b", 1, 5000*ms)); !errors.Is(r.Err, ErrOldIndex) {
 		t.Fatalf("error %v, want ErrOldIndex", r.Err)
 	}
 	if l, ok := m.Holder("scout", 10*ms); !ok || l.Holder != "a" {
@@ -238,10 +238,10 @@
 	}
 }
 
-// TestTheMarginCoversDrift uses the worst clocks that the drift bound allows: the holder's clock is slow, the leader's
-// is fast, and the stamp is taken when the request is sent. The holder must stop before the lease expires at the
-// voters; without the margin it does not.
-func TestTheMarginCoversDrift(t *testing.T) {
+// TestMarginCoversDrift uses the worst clocks that the drift bound allows: the holder's clock is slow, the
+// leader's is fast, and the stamp is taken when the request is sent. The holder must stop before the lease
+// expires at the voters; without the margin it does not.
+func TestMarginCoversDrift(t *testing.T) {
 	const drift = 0.01
 	ttl := 2 * time.Second
 	for _, c := range []struct {
--- a/internal/control/leases/model_test.go
+++ b/internal/control/leases/model_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// The model below explores the orders of events in a small fleet: two clients that acquire, renew and release one
-// lease; a leader of term 1 that may be deposed, with some of its proposals surviving in the log of the leader of term
-// 2; replies that are lost, delayed and reordered; and clocks that run at different rates from different origins. It
-// uses the real Machine and Holding. In every state it checks that at most one client may act under the lease at that
-// moment of real time.
+// The model below explores the orders of events in a small fleet: two clients that acquire, renew and release
+// one lease; a leader of term 1 that may be deposed, with some of its proposals surviving in the log of the
+// leader of term 2; replies that are lost, delayed and reordered; and clocks that run at different rates from
+// different origins. It uses the real Machine and Holding. In every state it checks that at most one client
+// may act under the lease at that moment of real time.
 
-// modelCfg bounds the model.
-type modelCfg struct {
-	tick     time.Duration // real time per step
-	horizon  int           // number of steps of real time
-	sends    [2]int        // number of requests that each client may send
-	ttl      time.Duration
-	margin   time.Duration
-	drift    float64
-	rates    []float64 // possible rates of each process's clock
-	offsets  []time.Duration
-	deposing bool // whether the leader of term 1 may be deposed
-	noFloor  bool // disables the holder's check against late answers, to show that the search finds the violation
+// modelConfig bounds the model.
+type modelConfig struct {
+	tick             time.Duration // real time per step
+	horizon          int           // number of steps of real time
+	sends            [2]int        // number of requests that each client may send
+	ttl              time.Duration
+	margin           time.Duration
+	drift            float64
+	rates            []float64 // possible rates of each process's clock
+	offsets          []time.Duration
+	depose           bool // whether the leader of term 1 may be deposed
+	acceptLostTokens bool // disables the holder's check against late answers, to show that the search finds the violation
 }
 
 type request struct {
@@ -42,27 +42,27 @@
 }
 
 type modelState struct {
-	t        int // steps of real time
-	term     uint64
-	stamped  bool // the leader of this term has proposed its stamp
-	machine  Machine
-	index    uint64
-	inbox    []request // requests at the leader that it has not proposed yet
-	proposed []struct {
+	step      int // steps of real time
+	term      uint64
+	stamped   bool // the leader of this term has proposed its stamp
+	machine   Machine
+	index     uint64
+	inbox     []request // requests at the leader that it has not proposed yet
+	proposals []struct {
 		req request
 		e   Entry
 	}
-	replies []reply
-	hold    [2]Holding
-	sends   [2]int
-	tick    time.Duration // real time per step
+	replies  []reply
+	holdings [2]Holding
+	sends    [2]int
+	tick     time.Duration // real time per step
 	// clocks of the processes: two clients, two leaders
 	rate   [4]float64
 	offset [4]time.Duration
 }
 
 func (s *modelState) clock(p int) time.Duration {
-	return s.offset[p] + time.Duration(float64(time.Duration(s.t)*s.tick)*s.rate[p])
+	return s.offset[p] + time.Duration(float64(time.Duration(s.step)*s.tick)*s.rate[p])
 }
 
 func (s *modelState) clone() *modelState {
@@ -73,28 +73,28 @@
 		c.machine.leases[k] = &v
 	}
 	c.inbox = append([]request(nil), s.inbox...)
-	c.proposed = append(c.proposed[:0:0], s.proposed...)
+	c.proposals = append(c.proposals[:0:0], s.proposals...)
 	c.replies = append([]reply(nil), s.replies...)
 	return &c
 }
 
 func (s *modelState) key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d|%d|%v|%d|", s.t, s.term, s.stamped, s.index)
+	fmt.Fprintf(&b, "%d|%d|%v|%d|", s.step, s.term, s.stamped, s.index)
 	for _, l := range s.machine.Leases() {
 		fmt.Fprintf(&b, "%s,%d,%d;", l.Holder, l.Token, l.Expiry)
 	}
-	fmt.Fprintf(&b, "|%d,%d|%v|%v|%v|%v|%v|%v", s.machine.term, s.machine.last, s.inbox, s.proposed, s.replies, s.hold,
+	fmt.Fprintf(&b, "|%d,%d|%v|%v|%v|%v|%v|%v", s.machine.term, s.machine.lastStamp, s.inbox, s.proposals, s.replies, s.holdings,
 		s.sends, s.rate)
 	fmt.Fprint(&b, s.offset)
 	return b.String()
 }
 
-// actors returns the clients that may act now.
-func (s *modelState) actors() []int {
+// activeClients returns the clients that may act now.
+func (s *modelState) activeClients() []int {
 	var out []int
 	for c := 0; c < 2; c++ {
-		if _, err := s.hold[c].Act(s.clock(c)); err == nil {
+		if _, err := s.holdings[c].Act(s.clock(c)); err == nil {
 			out = append(out, c)
 		}
 	}
@@ -103,8 +103,8 @@
 
 // commit applies the oldest proposal and puts its reply in flight.
 func (s *modelState) commit() {
-	p := s.proposed[0]
-	s.proposed = s.proposed[1:]
+	p := s.proposals[0]
+	s.proposals = s.proposals[1:]
 	s.index++
 	res := s.machine.Apply(s.index, p.e)
 	if p.req.client >= 0 {
@@ -115,12 +115,12 @@
 
 func (s *modelState) leader() int { return 1 + int(s.term) } // process 2 leads in term 1, process 3 in term 2
 
-func (s *modelState) next(cfg modelCfg) []*modelState {
+func (s *modelState) next(cfg modelConfig) []*modelState {
 	var out []*modelState
 	add := func(n *modelState) { out = append(out, n) }
-	if s.t < cfg.horizon {
+	if s.step < cfg.horizon {
 		n := s.clone()
-		n.t++
+		n.step++
 		add(n)
 	}
 	for c := 0; c < 2; c++ {
@@ -128,16 +128,16 @@
 			continue
 		}
 		ops := []Op{Acquire}
-		if s.hold[c].Token() != 0 {
+		if s.holdings[c].Token() != 0 {
 			ops = append(ops, Renew, Release)
 		}
 		for _, op := range ops {
 			n := s.clone()
 			n.sends[c]++
-			n.inbox = append(n.inbox, request{client: c, op: op, token: s.hold[c].Token(), sent: s.clock(c)})
+			n.inbox = append(n.inbox, request{client: c, op: op, token: s.holdings[c].Token(), sent: s.clock(c)})
 			if op == Release {
 				// a holder stops acting when it sends its release
-				n.hold[c].Lost(s.hold[c].Token())
+				n.holdings[c].Lost(s.holdings[c].Token())
 			}
 			add(n)
 		}
@@ -145,7 +145,7 @@
 	if s.term == 2 && !s.stamped {
 		n := s.clone()
 		n.stamped = true
-		n.proposed = append(n.proposed, struct {
+		n.proposals = append(n.proposals, struct {
 			req request
 			e   Entry
 		}{request{client: -1}, Entry{Op: Stamp, Term: 2, Now: s.clock(s.leader())}})
@@ -157,7 +157,7 @@
 			name := "scout"
 			e := Entry{Op: r.op, Name: name, Holder: fmt.Sprint("c", r.client), Token: r.token, TTL: cfg.ttl,
 				Term: s.term, Now: s.clock(s.leader())}
-			n.proposed = append(n.proposed, struct {
+			n.proposals = append(n.proposals, struct {
 				req request
 				e   Entry
 			}{r, e})
@@ -167,7 +167,7 @@
 			add(n)
 		}
 	}
-	if len(s.proposed) > 0 {
+	if len(s.proposals) > 0 {
 		n := s.clone()
 		n.commit()
 		add(n)
@@ -176,13 +176,13 @@
 		// A lost reply is modeled as one that is not delivered before the horizon.
 		n := s.clone()
 		n.replies = append(n.replies[:i:i], s.replies[i+1:]...)
-		h := &n.hold[r.req.client]
+		h := &n.holdings[r.req.client]
 		holder := fmt.Sprint("c", r.req.client)
 		switch {
 		case r.req.op == Release:
 		case r.result.Err == nil && r.result.Lease.Holder == holder:
-			if cfg.noFloor {
-				h.floor = 0
+			if cfg.acceptLostTokens {
+				h.maxLostToken = 0
 			}
 			h.Granted(r.req.sent, r.result.Lease.Token)
 		case errors.Is(r.result.Err, ErrLost):
@@ -190,12 +190,12 @@
 		}
 		add(n)
 	}
-	if cfg.deposing && s.term == 1 {
+	if cfg.depose && s.term == 1 {
 		// The new leader's log has any prefix of the proposals of term 1; the rest is lost.
-		for keep := 0; keep <= len(s.proposed); keep++ {
+		for keep := 0; keep <= len(s.proposals); keep++ {
 			n := s.clone()
 			n.term = 2
-			n.proposed = n.proposed[:keep]
+			n.proposals = n.proposals[:keep]
 			add(n)
 		}
 	}
@@ -203,12 +203,12 @@
 }
 
 type exploreResult struct {
-	states   int
-	violated *modelState
-	grants   int
+	states    int
+	violation *modelState
+	grants    int
 }
 
-func explore(cfg modelCfg, limit int) exploreResult {
+func explore(cfg modelConfig, limit int) exploreResult {
 	var frontier []*modelState
 	// Both leaders' clocks have the same rate: only the clients' rates relative to theirs matter.
 	for _, r0 := range cfg.rates {
@@ -217,8 +217,8 @@
 				for _, o := range cfg.offsets {
 					s := &modelState{term: 1, tick: cfg.tick, rate: [4]float64{r0, r1, r2, r2},
 						offset: [4]time.Duration{0, 0, o, cfg.offsets[len(cfg.offsets)-1] - o}}
-					for c := range s.hold {
-						s.hold[c] = Holding{cfg: HolderConfig{TTL: cfg.ttl, Drift: cfg.drift, Margin: cfg.margin}}
+					for c := range s.holdings {
+						s.holdings[c] = Holding{cfg: HolderConfig{TTL: cfg.ttl, Drift: cfg.drift, Margin: cfg.margin}}
 					}
 					frontier = append(frontier, s)
 				}
@@ -236,8 +236,8 @@
 		}
 		seen[k] = true
 		res.states++
-		if len(s.actors()) > 1 {
-			res.violated = s
+		if len(s.activeClients()) > 1 {
+			res.violation = s
 			return res
 		}
 		if s.machine.Granted() > 0 {
@@ -248,24 +248,24 @@
 	return res
 }
 
-func smallFleet() modelCfg {
-	return modelCfg{tick: 100 * ms, horizon: 4, sends: [2]int{3, 1}, ttl: 300 * ms, margin: 100 * ms, drift: 0.1,
-		rates: []float64{0.9, 1.1}, offsets: []time.Duration{0, 700 * ms}, deposing: true}
+func smallFleet() modelConfig {
+	return modelConfig{tick: 100 * ms, horizon: 4, sends: [2]int{3, 1}, ttl: 300 * ms, margin: 100 * ms, drift: 0.1,
+		rates: []float64{0.9, 1.1}, offsets: []time.Duration{0, 700 * ms}, depose: true}
 }
 
-// searchLimit is the maximum number of states of a search. The small fleet has more states than that, so the search is
-// deep but not exhaustive (docs/leases.md says what it does not cover).
+// searchLimit is the maximum number of states of a search. The small fleet has more states than that, so the
+// search is deep but not exhaustive (docs/leases.md says what it does not cover).
 const searchLimit = 1_000_000
 
-// TestModelAtMostOneActs searches the states of the small fleet depth first.
-func TestModelAtMostOneActs(t *testing.T) {
+// TestModelAtMostOneHolderActs searches the states of the small fleet depth first.
+func TestModelAtMostOneHolderActs(t *testing.T) {
 	if raceDetector {
 		t.Skip("a search of a million states is too slow with the race detector, which finds nothing in code without goroutines")
 	}
 	cfg := smallFleet()
 	res := explore(cfg, searchLimit)
-	if res.violated != nil {
-		t.Fatalf("two clients may act at the same time, found after %d states:\n%s", res.states, describe(res.violated))
+	if res.violation != nil {
+		t.Fatalf("two clients may act at the same time, found after %d states:\n%s", res.states, describe(res.violation))
 	}
 	if res.grants == 0 {
 		t.Fatal("the search reached no state with a granted lease")
@@ -274,27 +274,27 @@
 		cfg.sends)
 }
 
-// TestModelFindsAMissingGuard disables the holder's check against late answers. The search must then find two clients
-// that may act at the same time, which shows that the search can detect a violation.
-func TestModelFindsAMissingGuard(t *testing.T) {
+// TestModelDetectsLateAnswerViolation disables the holder's check against late answers. The search must then
+// find two clients that may act at the same time, which shows that the search can detect a violation.
+func TestModelDetectsLateAnswerViolation(t *testing.T) {
 	if raceDetector {
 		t.Skip("a search of a million states is too slow with the race detector")
 	}
 	cfg := smallFleet()
-	cfg.noFloor = true
+	cfg.acceptLostTokens = true
 	res := explore(cfg, searchLimit)
-	if res.violated == nil {
+	if res.violation == nil {
 		t.Fatalf("no state with two holders found in %d states without the check", res.states)
 	}
-	t.Logf("violation found after %d states:\n%s", res.states, describe(res.violated))
+	t.Logf("violation found after %d states:\n%s", res.states, describe(res.violation))
 }
 
 func describe(s *modelState) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "real time %v, term %d, rates %v, offsets %v\n", time.Duration(s.t)*s.tick, s.term, s.rate,
+	fmt.Fprintf(&b, "real time %v, term %d, rates %v, offsets %v\n", time.Duration(s.step)*s.tick, s.term, s.rate,
 		s.offset)
 	for c := 0; c < 2; c++ {
-		fmt.Fprintf(&b, "client %d: token %d until %v, clock %v\n", c, s.hold[c].Token(), s.hold[c].Until(), s.clock(c))
+		fmt.Fprintf(&b, "client %d: token %d until %v, clock %v\n", c, s.holdings[c].Token(), s.holdings[c].Until(), s.clock(c))
 	}
 	ls := s.machine.Leases()
 	sort.Slice(ls, func(i, j int) bool { return ls[i].Token < ls[j].Token })
--- a/internal/control/pooling/connstate.go
+++ b/internal/control/pooling/connstate.go
@@ -13,32 +13,32 @@
 
 // Link is the state of one host connection: the settings that are in effect and the statements prepared on it.
 type Link struct {
-	settings Settings
-	prepared *simplelru.LRU[uint64, *entry]
-	next     int      // number in the name of the last statement prepared
-	evicted  []string // names of statements to close on the host
-	Hits     uint64   // uses of statements that were already prepared
-	Misses   uint64   // uses of statements that had to be prepared
+	settings   Settings
+	prepared   *simplelru.LRU[uint64, *preparedEntry]
+	lastNumber int      // number in the name of the last statement prepared
+	evicted    []string // names of statements to close on the host
+	Hits       uint64   // uses of statements that were already prepared
+	Misses     uint64   // uses of statements that had to be prepared
 }
 
-type entry struct {
+type preparedEntry struct {
 	statement *Statement
 	name      string
 }
 
-// NewLink returns the state of a new connection. It keeps at most that many prepared statements, or DefaultPrepared if
-// prepared is 0.
+// NewLink returns the state of a new connection. It keeps at most that many prepared statements, or
+// DefaultPrepared if prepared is 0.
 func NewLink(prepared int) *Link {
 	if prepared <= 0 {
 		prepared = DefaultPrepared
 	}
 	l := &Link{settings: NoSettings()}
-	l.prepared, _ = simplelru.NewLRU(prepared, func(_ uint64, e *entry) { l.evicted = append(l.evicted, e.name) })
+	l.prepared, _ = simplelru.NewLRU(prepared, func(_ uint64, e *preparedEntry) { l.evicted = append(l.evicted, e.name) })
 	return l
 }
 
-// Carry returns the shortest list of statements that changes the connection's settings to those of the session, or ""
-// if they are equal. They are to be run as one query before any statement of the session.
+// Carry returns the shortest list of statements that changes the connection's settings to those of the
+// session, or "" if they are equal. They are to be run as one query before any statement of the session.
 func (l *Link) Carry(s *Session) string {
 	if l.settings == s.settings {
 		return ""
@@ -50,13 +50,13 @@
 	it := l.settings.Root().Iterator()
 	for name, _, ok := it.Next(); ok; name, _, ok = it.Next() {
 		if _, kept := s.settings.Get(name); !kept {
-			reset = append(reset, "RESET "+ident(string(name)))
+			reset = append(reset, "RESET "+settingIdent(string(name)))
 		}
 	}
 	it = s.settings.Root().Iterator()
 	for name, value, ok := it.Next(); ok; name, value, ok = it.Next() {
 		if old, had := l.settings.Get(name); !had || old != value {
-			set = append(set, "SET "+ident(string(name))+" TO "+value)
+			set = append(set, "SET "+settingIdent(string(name))+" TO "+value)
 		}
 	}
 	// RESET ALL and setting everything again may need fewer statements.
@@ -64,7 +64,7 @@
 		reset, set = []string{"RESET ALL"}, set[:0]
 		it = s.settings.Root().Iterator()
 		for name, value, ok := it.Next(); ok; name, value, ok = it.Next() {
-			set = append(set, "SET "+ident(string(name))+" TO "+value)
+			set = append(set, "SET "+settingIdent(string(name))+" TO "+value)
 		}
 	}
 	return strings.Join(append(reset, set...), "; ")
@@ -73,8 +73,8 @@
 // Carried records that the query which changes the settings to those of the session has been run.
 func (l *Link) Carried(s *Session) { l.settings = s.settings }
 
-// ident returns a setting's name in SQL, with its parts quoted where necessary.
-func ident(name string) string {
+// settingIdent returns a setting's name in SQL, with its parts quoted where necessary.
+func settingIdent(name string) string {
 	parts := strings.Split(name, ".")
 	for i, p := range parts {
 		plain := p != ""
@@ -89,20 +89,20 @@
 	return strings.Join(parts, ".")
 }
 
-// Use returns the name of a statement on this connection. If parse is true, it has to be prepared under that name
-// first.
+// Use returns the name of a statement on this connection. If parse is true, it has to be prepared under that
+// name first.
 func (l *Link) Use(st *Statement) (name string, parse bool) {
 	if e, ok := l.prepared.Get(st.hash); ok && e.statement.Same(st) {
 		l.Hits++
 		return e.name, false
 	}
 	l.Misses++
-	l.next++
-	name = fmt.Sprintf("yk%d", l.next)
+	l.lastNumber++
+	name = fmt.Sprintf("yk%d", l.lastNumber)
 	if e, ok := l.prepared.Peek(st.hash); ok { // another statement of the same hash
 		l.evicted = append(l.evicted, e.name)
 	}
-	l.prepared.Add(st.hash, &entry{st, name})
+	l.prepared.Add(st.hash, &preparedEntry{st, name})
 	return name, true
 }
 
@@ -113,14 +113,16 @@
 	return out
 }
 
-// Forget removes a statement that could not be prepared, or that must be prepared again because its plan is outdated.
+// Forget removes a statement that could not be prepared, or that must be prepared again because its plan is
+// outdated.
 func (l *Link) Forget(st *Statement) {
 	if e, ok := l.prepared.Peek(st.hash); ok && e.statement.Same(st) {
 		l.prepared.Remove(st.hash)
 	}
 }
 
-// Ran records that a statement of the session has run on this connection. The session's state is the one after it.
+// Ran records that a statement of the session has run on this connection. The session's state is the one
+// after it.
 func (l *Link) Ran(c Command, s *Session) {
 	switch c.Kind {
 	case DiscardAll, DeallocateAll:
--- a/internal/control/pooling/model_test.go
+++ b/internal/control/pooling/model_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// server models a PostgreSQL connection: settings with transactions and savepoints, and prepared statements. It is
-// implemented independently of Session, to check it.
-type server struct {
+// modelConn models a PostgreSQL connection: settings with transactions and savepoints, and prepared
+// statements. It is implemented independently of Session, to check it.
+type modelConn struct {
 	session, effective map[string]string
 	saved              []savedLevel
 	failed             bool
@@ -23,8 +23,8 @@
 	session, effective map[string]string
 }
 
-func newServer() *server {
-	return &server{session: map[string]string{}, effective: map[string]string{}, prepared: map[string]string{}}
+func newModelConn() *modelConn {
+	return &modelConn{session: map[string]string{}, effective: map[string]string{}, prepared: map[string]string{}}
 }
 
 func clone(m map[string]string) map[string]string {
@@ -35,7 +35,7 @@
 	return out
 }
 
-func (s *server) status() byte {
+func (s *modelConn) status() byte {
 	switch {
 	case s.failed:
 		return 'E'
@@ -46,7 +46,7 @@
 }
 
 // exec runs one statement; ok is false if it fails.
-func (s *server) exec(c Command) (tag string, ok bool) {
+func (s *modelConn) exec(c Command) (tag string, ok bool) {
 	if s.failed && c.Kind != Rollback && c.Kind != Commit && c.Kind != RollbackTo {
 		return "", false
 	}
@@ -126,7 +126,7 @@
 }
 
 // batch runs a simple query of several statements, which outside of a transaction is an implicit transaction.
-func (s *server) batch(commands []Command) (tags []string, ok bool) {
+func (s *modelConn) batch(commands []Command) (tags []string, ok bool) {
 	session, effective := clone(s.session), clone(s.effective)
 	for _, c := range commands {
 		if c.Kind == Rollback && len(s.saved) == 0 { // also rolls back the statements before it in the query
@@ -150,29 +150,29 @@
 	return tags, true
 }
 
-// TestModel runs random sessions over shared connections and, for comparison, each session over a connection of its
-// own. Settings, statements and answers must be equal after every step. A failure prints its seed;
-// `go test -run TestModel -rapid.seed=SEED` replays it.
+// TestModel runs random sessions over shared connections and, for comparison, each session over a connection
+// of its own. Settings, statements and answers must be equal after every step. A failure prints its seed; `go
+// test -run TestModel -rapid.seed=SEED` replays it.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type client struct {
-			own    *server
+			own    *modelConn
 			s      *Session
-			link   int // index of the connection, or -1 if it has none
+			conn   int // index of the connection, or -1 if it has none
 			number int
 		}
-		type link struct {
-			*server
+		type sharedConn struct {
+			*modelConn
 			*Link
 			taken bool
 		}
 		var clients []*client
-		var links []*link
+		var conns []*sharedConn
 		for i := range rapid.IntRange(2, 5).Draw(t, "clients") {
-			clients = append(clients, &client{own: newServer(), s: NewSession(nil), link: -1, number: i})
+			clients = append(clients, &client{own: newModelConn(), s: NewSession(nil), conn: -1, number: i})
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "links") {
-			links = append(links, &link{newServer(), NewLink(3), false})
+			conns = append(conns, &sharedConn{newModelConn(), NewLink(3), false})
 		}
 		names := []string{"a", "b", "c", "d"}
 		command := func(t *rapid.T) string {
@@ -182,10 +182,10 @@
 				"SAVEPOINT " + name, "ROLLBACK TO " + name, "RELEASE " + name, "FAIL", "DEALLOCATE ALL", "DISCARD ALL", "SHOW all",
 			}).Draw(t, "command")
 		}
-		take := func(t *rapid.T, c *client) *link {
-			if c.link < 0 {
+		take := func(t *rapid.T, c *client) *sharedConn {
+			if c.conn < 0 {
 				var free []int
-				for i, l := range links {
+				for i, l := range conns {
 					if !l.taken {
 						free = append(free, i)
 					}
@@ -193,8 +193,8 @@
 				if len(free) == 0 {
 					return nil
 				}
-				c.link = rapid.SampledFrom(free).Draw(t, "link")
-				l := links[c.link]
+				c.conn = rapid.SampledFrom(free).Draw(t, "link")
+				l := conns[c.conn]
 				l.taken = true
 				if sql := l.Carry(c.s); sql != "" {
 					if _, ok := l.batch(Scan(sql)); !ok {
@@ -203,12 +203,12 @@
 				}
 				l.Carried(c.s)
 			}
-			return links[c.link]
+			return conns[c.conn]
 		}
 		give := func(c *client) {
 			if c.s.Status == 'I' && c.s.Pins() == 0 {
-				links[c.link].taken = false
-				c.link = -1
+				conns[c.conn].taken = false
+				c.conn = -1
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -270,26 +270,26 @@
 				}
 				host, parse := l.Use(st)
 				for _, gone := range l.Evicted() {
-					delete(l.server.prepared, gone)
+					delete(l.modelConn.prepared, gone)
 				}
 				if parse {
-					if l.server.prepared[host] != "" {
+					if l.modelConn.prepared[host] != "" {
 						t.Fatalf("%s is prepared twice", host)
 					}
-					l.server.prepared[host] = st.Text
+					l.modelConn.prepared[host] = st.Text
 				}
-				if got := l.server.prepared[host]; got != c.own.prepared[name] {
+				if got := l.modelConn.prepared[host]; got != c.own.prepared[name] {
 					t.Fatalf("statement %s of client %d runs %q, want %q", name, c.number, got, c.own.prepared[name])
 				}
-				if len(l.server.prepared) > 3 {
-					t.Fatalf("%d prepared statements on a connection, want at most 3", len(l.server.prepared))
+				if len(l.modelConn.prepared) > 3 {
+					t.Fatalf("%d prepared statements on a connection, want at most 3", len(l.modelConn.prepared))
 				}
 				give(c)
 			},
 			"connection is lost": func(t *rapid.T) {
-				i := rapid.IntRange(0, len(links)-1).Draw(t, "link")
+				i := rapid.IntRange(0, len(conns)-1).Draw(t, "link")
 				for _, c := range clients {
-					if c.link == i {
+					if c.conn == i {
 						carried := c.s.Lost()
 						if carried != (c.own.status() == 'I') {
 							t.Fatalf("session can continue: %v, with transaction status %c", carried, c.own.status())
@@ -298,10 +298,10 @@
 						if c.own.status() != 'I' {
 							c.own.exec(Command{Kind: Rollback})
 						}
-						c.link = -1
+						c.conn = -1
 					}
 				}
-				links[i] = &link{newServer(), NewLink(3), false}
+				conns[i] = &sharedConn{newModelConn(), NewLink(3), false}
 			},
 		})
 	})
--- a/internal/control/pooling/pool.go
+++ b/internal/control/pooling/pool.go
@@ -25,118 +25,119 @@
 
 // Choices.
 const (
-	Reuse  Choice = iota // use the returned idle connection
-	Open                 // open a new connection, and close the returned one if its number is not 0
-	Full                 // the connection limit is reached
-	Paused               // the limits of opening connections to the host are reached
+	Reuse          Choice = iota // use the returned idle connection
+	Open                         // open a new connection, and close the returned one if its number is not 0
+	LimitReached                 // the connection limit is reached
+	OpeningLimited               // the limits of opening connections to the host are reached
 )
 
-// conn is an idle connection.
-type conn struct {
-	id    int
-	since time.Duration // when it became idle
-	endAt time.Duration // when it reaches its maximum age, or 0 if there is none
+// idleConn is an idle connection.
+type idleConn struct {
+	id        int
+	idleSince time.Duration // when it became idle
+	expiresAt time.Duration // when it reaches its maximum age, or 0 if there is none
 }
 
-// pool holds the connections to one host.
-type pool struct {
-	idle    []conn // in order of their last use
-	open    int    // all connections, including those in use and those being opened
-	opening int
-	used    int // number of connections in use
-	peak    float64
-	peakAt  time.Duration
-	tokens  float64
-	tokenAt time.Duration
-	closed  bool // gets no new connections: the host drains or was removed
-	cold    bool
-	ends    map[int]time.Duration // when the connections in use reach their maximum age
+// hostPool holds the connections to one host.
+type hostPool struct {
+	idle        []idleConn // in order of their last use
+	open        int        // all connections, including those in use and those being opened
+	opening     int
+	used        int // number of connections in use
+	peak        float64
+	peakAt      time.Duration
+	tokens      float64
+	tokensAt    time.Duration
+	closed      bool // gets no new connections: the host drains or was removed
+	cold        bool
+	expirations map[int]time.Duration // when the connections in use reach their maximum age
 }
 
-// Pools manages the connections of one gateway to all hosts. The caller assigns the numbers of the connections. It is
-// not safe for concurrent use.
+// Pools manages the connections of one gateway to all hosts. The caller assigns the numbers of the
+// connections. It is not safe for concurrent use.
 type Pools struct {
 	limits Limits
 	rng    *rand.Rand
-	hosts  map[string]*pool
+	hosts  map[string]*hostPool
 	total  int
 	peak   int
 }
 
 // NewPools returns empty pools. The seed determines the variation of maximum ages.
 func NewPools(l Limits, seed uint64) *Pools {
-	return &Pools{limits: l, rng: rand.New(rand.NewPCG(seed, 0x706f6f6c)), hosts: map[string]*pool{}}
+	return &Pools{limits: l, rng: rand.New(rand.NewPCG(seed, 0x706f6f6c)), hosts: map[string]*hostPool{}}
 }
 
-func (p *Pools) host(name string) *pool {
+func (p *Pools) host(name string) *hostPool {
 	h := p.hosts[name]
 	if h == nil {
-		h = &pool{tokens: max(1, p.limits.PerSec), ends: map[int]time.Duration{}}
+		h = &hostPool{tokens: max(1, p.limits.PerSec), expirations: map[int]time.Duration{}}
 		p.hosts[name] = h
 	}
 	return h
 }
 
-// most returns the maximum number of connections to a host.
-func (p *Pools) most(h *pool) int {
-	most := p.limits.PerHost
-	if most <= 0 {
-		most = p.limits.Total
+// maxOpen returns the maximum number of connections to a host.
+func (p *Pools) maxOpen(h *hostPool) int {
+	limit := p.limits.PerHost
+	if limit <= 0 {
+		limit = p.limits.Total
 	}
 	if h.cold && p.limits.ColdPart > 0 {
-		most = max(1, int(float64(most)*p.limits.ColdPart))
+		limit = max(1, int(float64(limit)*p.limits.ColdPart))
 	}
-	return most
+	return limit
 }
 
-// SetTotal changes the maximum number of connections. It returns the idle connections to close in order to comply;
-// further connections in excess are closed when they are returned by Put.
-func (p *Pools) SetTotal(n int) (end []int) {
+// SetTotal changes the maximum number of connections. It returns the idle connections to close in order to
+// comply; further connections in excess are closed when they are returned by Put.
+func (p *Pools) SetTotal(n int) (closing []int) {
 	p.limits.Total = n
 	for p.total > n {
-		id := p.evict(&pool{open: p.limits.Least})
+		id := p.evict(&hostPool{open: p.limits.Least})
 		if id == 0 {
 			break
 		}
-		end = append(end, id)
+		closing = append(closing, id)
 	}
-	return end
+	return closing
 }
 
 // SetIdle changes the maximum idle time.
 func (p *Pools) SetIdle(d time.Duration) { p.limits.Idle = d }
 
-// Take chooses a connection to a host: among the idle connections that have rested for long enough the one used last,
-// or else a new one. It calls alive to check an idle connection. Idle connections that are not alive or past a limit
-// are returned in dead, to be closed. With Open, id is a connection to close for the new one, or 0 if there is none.
+// Take chooses a connection to a host: among the idle connections that have rested for long enough the one
+// used last, or else a new one. It calls alive to check an idle connection. Idle connections that are not
+// alive or past a limit are returned in dead, to be closed. With Open, id is a connection to close for the
+// new one, or 0 if there is none.
 func (p *Pools) Take(now time.Duration, name string, alive func(id int) bool) (c Choice, id int, dead []int) {
 	h := p.host(name)
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		x := h.idle[i]
-		if now-x.since < p.limits.Rest {
+		if now-x.idleSince < p.limits.Rest {
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
-		if p.limits.Idle > 0 && now-x.since > p.limits.Idle || x.endAt > 0 && now >= x.endAt || !alive(x.id) {
+		if p.limits.Idle > 0 && now-x.idleSince > p.limits.Idle || x.expiresAt > 0 && now >= x.expiresAt || !alive(x.id) {
 			dead = append(dead, x.id)
 			h.open--
 			p.total--
 			continue
 		}
-		p.use(now, h)
-		h.ends[x.id] = x.endAt
+		p.markUsed(now, h)
+		h.expirations[x.id] = x.expiresAt
 		return Reuse, x.id, dead
 	}
 	switch {
-	case h.closed, h.open >= p.most(h):
-		return Full, 0, dead
-	case p.limits.Opening > 0 && h.opening >= p.limits.Opening, !p.token(now, h):
-		return Paused, 0, dead
+	case h.closed, h.open >= p.maxOpen(h):
+		return LimitReached, 0, dead
+	case p.limits.Opening > 0 && h.opening >= p.limits.Opening, !p.refillTokens(now, h):
+		return OpeningLimited, 0, dead
 	}
 	evicted := 0
 	if p.total >= p.limits.Total {
 		if evicted = p.evict(h); evicted == 0 {
-			return Full, 0, dead
+			return LimitReached, 0, dead
 		}
 	}
 	if p.limits.PerSec > 0 {
@@ -149,15 +150,16 @@
 	return Open, evicted, dead
 }
 
-// evict removes the connection that has been idle for longest among all hosts, and returns its number or 0 if there is
-// none. It takes no connection that is guaranteed to another host unless h has fewer than the guaranteed number.
-func (p *Pools) evict(h *pool) int {
-	var from *pool
+// evict removes the connection that has been idle for longest among all hosts, and returns its number or 0 if
+// there is none. It takes no connection that is guaranteed to another host unless h has fewer than the
+// guaranteed number.
+func (p *Pools) evict(h *hostPool) int {
+	var from *hostPool
 	for _, o := range p.hosts {
 		if len(o.idle) == 0 || o != h && o.open <= p.limits.Least && h.open >= p.limits.Least {
 			continue
 		}
-		if from == nil || o.idle[0].since < from.idle[0].since || o.idle[0].since == from.idle[0].since && o.idle[0].id < from.idle[0].id {
+		if from == nil || o.idle[0].idleSince < from.idle[0].idleSince || o.idle[0].idleSince == from.idle[0].idleSince && o.idle[0].id < from.idle[0].id {
 			from = o
 		}
 	}
@@ -171,27 +173,27 @@
 	return id
 }
 
-// token refills the host's token bucket and reports whether a connection may be opened.
-func (p *Pools) token(now time.Duration, h *pool) bool {
+// refillTokens refills the host's token bucket and reports whether a connection may be opened.
+func (p *Pools) refillTokens(now time.Duration, h *hostPool) bool {
 	if p.limits.PerSec <= 0 {
 		return true
 	}
-	if h.tokenAt > 0 {
-		h.tokens = min(max(1, p.limits.PerSec), h.tokens+(now-h.tokenAt).Seconds()*p.limits.PerSec)
+	if h.tokensAt > 0 {
+		h.tokens = min(max(1, p.limits.PerSec), h.tokens+(now-h.tokensAt).Seconds()*p.limits.PerSec)
 	}
-	h.tokenAt = now
+	h.tokensAt = now
 	return h.tokens >= 1
 }
 
-// use counts a connection as in use.
-func (p *Pools) use(now time.Duration, h *pool) {
+// markUsed counts a connection as in use.
+func (p *Pools) markUsed(now time.Duration, h *hostPool) {
 	h.used++
-	p.decay(now, h)
+	p.decayPeak(now, h)
 	h.peak = max(h.peak, float64(h.used))
 }
 
-// decay halves the difference between the peak usage and the current usage once per half-life.
-func (p *Pools) decay(now time.Duration, h *pool) {
+// decayPeak halves the difference between the peak usage and the current usage once per half-life.
+func (p *Pools) decayPeak(now time.Duration, h *hostPool) {
 	if p.limits.Memory > 0 && h.peakAt > 0 {
 		for h.peakAt+p.limits.Memory <= now && h.peak > float64(h.used) {
 			h.peak = float64(h.used) + (h.peak-float64(h.used))/2
@@ -207,12 +209,12 @@
 func (p *Pools) Opened(now time.Duration, name string, id int) {
 	h := p.host(name)
 	h.opening--
-	p.use(now, h)
+	p.markUsed(now, h)
 	end := time.Duration(0)
 	if a := p.limits.Age; a > 0 {
 		end = now + a*3/4 + time.Duration(p.rng.Int64N(int64(a/2)+1))
 	}
-	h.ends[id] = end
+	h.expirations[id] = end
 }
 
 // NotOpened records that a connection could not be established.
@@ -226,80 +228,81 @@
 // Put returns a connection to the pool. If it returns false, the caller has to close the connection.
 func (p *Pools) Put(now time.Duration, name string, id int, clean bool) (keep bool) {
 	h := p.host(name)
-	end := h.ends[id]
-	delete(h.ends, id)
+	end := h.expirations[id]
+	delete(h.expirations, id)
 	h.used--
-	if !clean || h.closed || end > 0 && now >= end || h.open > p.most(h) || p.total > p.limits.Total {
+	if !clean || h.closed || end > 0 && now >= end || h.open > p.maxOpen(h) || p.total > p.limits.Total {
 		h.open--
 		p.total--
 		return false
 	}
-	h.idle = append(h.idle, conn{id, now, end})
+	h.idle = append(h.idle, idleConn{id, now, end})
 	return true
 }
 
-// Close sets whether a host gets no more connections. For a closed host it returns the idle connections to close.
-func (p *Pools) Close(name string, closed bool) (end []int) {
+// Close sets whether a host gets no more connections. For a closed host it returns the idle connections to
+// close.
+func (p *Pools) Close(name string, closed bool) (closing []int) {
 	h := p.host(name)
 	h.closed = closed
 	if closed {
-		end = p.drop(h)
+		closing = p.removeIdle(h)
 	}
-	return end
+	return closing
 }
 
-// drop removes all idle connections of a host and returns their numbers.
-func (p *Pools) drop(h *pool) (end []int) {
+// removeIdle removes all idle connections of a host and returns their numbers.
+func (p *Pools) removeIdle(h *hostPool) (closing []int) {
 	for _, x := range h.idle {
-		end = append(end, x.id)
+		closing = append(closing, x.id)
 	}
 	h.open -= len(h.idle)
 	p.total -= len(h.idle)
 	h.idle = nil
-	return end
+	return closing
 }
 
 // Cold sets whether a host is in its slow start.
 func (p *Pools) Cold(name string, cold bool) { p.host(name).cold = cold }
 
 // Drop removes the idle connections of a host whose address has changed, and returns them to be closed.
-func (p *Pools) Drop(name string) []int { return p.drop(p.host(name)) }
+func (p *Pools) Drop(name string) []int { return p.removeIdle(p.host(name)) }
 
-// Forget closes the pool of a removed host and returns its idle connections to be closed. The pool is deleted if no
-// connection is left in use.
-func (p *Pools) Forget(name string) (end []int) {
+// Forget closes the pool of a removed host and returns its idle connections to be closed. The pool is deleted
+// if no connection is in use or being opened.
+func (p *Pools) Forget(name string) (closing []int) {
 	if h := p.hosts[name]; h != nil {
 		h.closed = true
-		if end = p.drop(h); h.open == 0 {
+		if closing = p.removeIdle(h); h.open == 0 {
 			delete(p.hosts, name)
 		}
 	}
-	return end
+	return closing
 }
 
-// Tick returns the connections to close: those that have been idle for too long or are too old, and one per host if
-// there are more than the recent peak usage.
-func (p *Pools) Tick(now time.Duration) (end []int) {
+// Tick returns the connections to close: those that have been idle for too long or are too old, and one per
+// host if there are more than the recent peak usage.
+func (p *Pools) Tick(now time.Duration) (closing []int) {
 	for _, h := range p.hosts {
 		kept := h.idle[:0]
-		p.decay(now, h)
+		p.decayPeak(now, h)
 		spare := h.open - h.opening - int(h.peak+0.999)
 		for _, x := range h.idle {
-			over := p.limits.Idle > 0 && now-x.since > p.limits.Idle || x.endAt > 0 && now >= x.endAt
-			if !over && p.limits.Memory > 0 && spare > 0 {
-				over, spare = true, 0
+			closeIt := p.limits.Idle > 0 && now-x.idleSince > p.limits.Idle || x.expiresAt > 0 && now >= x.expiresAt
+			if !closeIt && p.limits.Memory > 0 && spare > 0 {
+				closeIt, spare = true, 0
 			}
-			if !over {
+			if !closeIt {
 				kept = append(kept, x)
 				continue
 			}
-			end = append(end, x.id)
+			closing = append(closing, x.id)
 			h.open--
 			p.total--
 		}
 		h.idle = kept
 	}
-	return end
+	return closing
 }
 
 // Stat counts the connections of a host. Open includes those that are idle, in use or being opened.
--- a/internal/control/pooling/pool_test.go
+++ b/internal/control/pooling/pool_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPoolsAreBounded(t *testing.T) {
+func TestPoolLimits(t *testing.T) {
 	alive := func(int) bool { return true }
 	const second = time.Second
 	p := NewPools(Limits{Total: 4, PerHost: 3, Least: 1, Idle: 10 * second}, 1)
@@ -23,13 +23,13 @@
 		}
 		return c, id
 	}
-	for i, want := range []Choice{Open, Open, Open, Full} {
+	for i, want := range []Choice{Open, Open, Open, LimitReached} {
 		if c, _ := open(second, "a"); c != want {
 			t.Errorf("connection %d of a: unexpected choice %v", i, c)
 		}
 	}
 	open(second, "b")
-	if c, _ := open(second, "b"); c != Full {
+	if c, _ := open(second, "b"); c != LimitReached {
 		t.Errorf("at the total: choice %v, want Full", c)
 	}
 	if !p.Put(2*second, "a", 1, true) {
@@ -54,12 +54,12 @@
 	if p.Put(15*second, "b", 4, true) || p.Total() != 0 {
 		t.Error("draining host keeps a connection")
 	}
-	if c, _ := open(15*second, "b"); c != Full {
+	if c, _ := open(15*second, "b"); c != LimitReached {
 		t.Errorf("draining host: choice %v, want Full", c)
 	}
 }
 
-func TestPoolsOpenNoStorm(t *testing.T) {
+func TestOpeningIsRateLimited(t *testing.T) {
 	p := NewPools(Limits{Total: 1000, PerSec: 10, Opening: 5}, 1)
 	opened := 0
 	for ms := range 2000 {
@@ -81,13 +81,13 @@
 	}
 }
 
-func TestPoolsShrinkSlowlyAndAgeApart(t *testing.T) {
+func TestPoolsShrinkGraduallyAndVaryAges(t *testing.T) {
 	p := NewPools(Limits{Total: 100, Memory: time.Minute, Age: time.Hour}, 1)
 	ends := map[time.Duration]bool{}
 	for id := 1; id <= 40; id++ {
 		p.Take(time.Second, "a", nil)
 		p.Opened(time.Second, "a", id)
-		ends[p.hosts["a"].ends[id].Round(time.Minute)] = true
+		ends[p.hosts["a"].expirations[id].Round(time.Minute)] = true
 	}
 	if len(ends) < 15 {
 		t.Errorf("maximum ages of 40 connections fall into %d different minutes, want at least 15", len(ends))
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestPropertyPoolsNeverGoOverTheirLimits(t *testing.T) {
+func TestPropertyPoolsKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Total: rapid.IntRange(1, 12).Draw(t, "total"), PerHost: rapid.IntRange(0, 6).Draw(t, "host"),
 			Least: rapid.IntRange(0, 2).Draw(t, "least"), Idle: 5 * time.Second, Rest: 30 * time.Millisecond,
--- a/internal/control/pooling/session.go
+++ b/internal/control/pooling/session.go
@@ -1,11 +1,11 @@
-// Package pooling implements connection pooling: it decides which state of a client's session is carried from one host
-// connection to another, which state pins the session to its connection, and which connections are kept, opened and
-// closed. It speaks no protocol and has no clock: callers report the statements that were run and their results, and
-// get the statements to run before the session's next one.
+// Package pooling implements connection pooling: it decides which state of a client's session is carried from
+// one host connection to another, which state pins the session to its connection, and which connections are
+// kept, opened and closed. It speaks no protocol and has no clock: callers report the statements that were
+// run and their results, and get the statements to run before the session's next one.
 //
-// The parser in sql.go only reads of a statement what is needed for this. session.go holds the state of a client's
-// session, connstate.go that of a host connection, and pool.go the number of connections. docs/pooling.md lists the
-// state that is carried and the state that pins.
+// The parser in sql.go only reads of a statement what is needed for this. session.go holds the state of a
+// client's session, connstate.go that of a host connection, and pool.go the number of connections.
+// docs/pooling.md lists the state that is carried and the state that pins.
 package pooling
 
 import (
@@ -36,8 +36,8 @@
 	return Mode(max(i, 0)), i >= 0
 }
 
-// Settings maps the names of settings to their values as written in SET. The tree is immutable, so that each savepoint
-// can keep a copy at no cost.
+// Settings maps the names of settings to their values as written in SET. The tree is immutable, so that each
+// savepoint can keep a copy at no cost.
 type Settings = *iradix.Tree[string]
 
 // NoSettings returns empty settings.
@@ -62,30 +62,31 @@
 	return s
 }
 
-// Same reports whether two statements have the same text and types. Equal hashes are not enough, as they can collide.
+// Same reports whether two statements have the same text and types. Equal hashes are not enough, as they can
+// collide.
 func (s *Statement) Same(o *Statement) bool {
 	return s == o || s.hash == o.hash && s.Text == o.Text && slices.Equal(s.Types, o.Types)
 }
 
-// level is a transaction or a savepoint, with the state to which a rollback returns.
-type level struct {
+// savepoint is a transaction or a savepoint, with the state to which a rollback returns.
+type savepoint struct {
 	name     string // name of the savepoint, or "" for the transaction itself
 	settings Settings
 	pins     Pin
 }
 
-// Session is the state of one client's session. It does not track SET LOCAL, whose effect ends with the transaction and
-// so before the session can get another host connection.
+// Session is the state of one client's session. It does not track SET LOCAL, whose effect ends with the
+// transaction and so before the session can get another host connection.
 type Session struct {
-	Status     byte // transaction status last reported by the host: I, T or E
-	defaults   Settings
-	settings   Settings
-	implicit   Settings // settings at the start of the batch, or after its last COMMIT
-	levels     []level  // the open transaction and its savepoints
-	statements map[string]*Statement
-	pins       Pin
-	implicitP  Pin
-	readOnly   bool
+	Status        byte // transaction status last reported by the host: I, T or E
+	defaults      Settings
+	settings      Settings
+	batchSettings Settings    // settings at the start of the batch, or after its last COMMIT
+	levels        []savepoint // the open transaction and its savepoints
+	statements    map[string]*Statement
+	pins          Pin
+	batchPins     Pin
+	readOnly      bool
 }
 
 // listSettings are the settings that are lists of names, whose elements are quoted one by one.
@@ -119,7 +120,7 @@
 		}
 		s.settings, _, _ = s.settings.Insert([]byte(name), sql)
 	}
-	s.defaults, s.implicit = s.settings, s.settings
+	s.defaults, s.batchSettings = s.settings, s.settings
 	return s
 }
 
@@ -135,8 +136,8 @@
 // ReadOnly reports whether the open transaction was started as READ ONLY.
 func (s *Session) ReadOnly() bool { return len(s.levels) > 0 && s.readOnly }
 
-// Prepare records a prepared statement under the name given by the client, "" for the unnamed one. It returns false if
-// the name is in use.
+// Prepare records a prepared statement under the name given by the client, "" for the unnamed one. It returns
+// false if the name is in use.
 func (s *Session) Prepare(name string, st *Statement) bool {
 	if name != "" && s.statements[name] != nil {
 		return false
@@ -163,38 +164,38 @@
 // Start records the start of a batch: a query, or a pipeline up to its Sync.
 func (s *Session) Start() {
 	if len(s.levels) == 0 {
-		s.implicit, s.implicitP = s.settings, s.pins
+		s.batchSettings, s.batchPins = s.settings, s.pins
 	}
 }
 
-// Completed records that a statement has run, with the command tag of its answer. The tag of a COMMIT in a failed
-// transaction is ROLLBACK.
+// Completed records that a statement has run, with the command tag of its answer. The tag of a COMMIT in a
+// failed transaction is ROLLBACK.
 func (s *Session) Completed(c Command, tag string) {
 	switch c.Kind {
 	case Begin:
 		if len(s.levels) == 0 {
 			// Settings changed in the batch before BEGIN become part of the transaction.
-			s.levels = append(s.levels, level{"", s.implicit, s.implicitP})
+			s.levels = append(s.levels, savepoint{"", s.batchSettings, s.batchPins})
 			s.readOnly = c.ReadOnly
 		}
 	case Savepoint:
 		if len(s.levels) > 0 {
-			s.levels = append(s.levels, level{c.Name, s.settings, s.pins})
+			s.levels = append(s.levels, savepoint{c.Name, s.settings, s.pins})
 		}
 	case RollbackTo:
-		if i := s.savepoint(c.Name); i > 0 {
+		if i := s.findSavepoint(c.Name); i > 0 {
 			s.settings, s.pins = s.levels[i].settings, s.levels[i].pins
 			s.levels = s.levels[:i+1]
 		}
 	case Release:
-		if i := s.savepoint(c.Name); i > 0 {
+		if i := s.findSavepoint(c.Name); i > 0 {
 			s.levels = s.levels[:i]
 		}
 	case Commit, Rollback:
 		if c.Kind == Rollback || tag == "ROLLBACK" {
-			s.undo()
+			s.rollBack()
 		}
-		s.levels, s.implicit, s.implicitP = nil, s.settings, s.pins
+		s.levels, s.batchSettings, s.batchPins = nil, s.settings, s.pins
 	case Set:
 		s.settings, _, _ = s.settings.Insert([]byte(c.Name), c.Value)
 	case Reset:
@@ -206,7 +207,7 @@
 	case ResetAll:
 		s.settings = s.defaults
 	case DiscardAll:
-		s.settings, s.implicit = s.defaults, s.defaults
+		s.settings, s.batchSettings = s.defaults, s.defaults
 		clear(s.statements)
 	case Deallocate:
 		delete(s.statements, c.Name)
@@ -216,8 +217,8 @@
 	s.pins = s.pins&^c.Unpin | c.Pin
 }
 
-// savepoint returns the index of the latest savepoint with a name in levels, or 0 if there is none.
-func (s *Session) savepoint(name string) int {
+// findSavepoint returns the index of the latest savepoint with a name in levels, or 0 if there is none.
+func (s *Session) findSavepoint(name string) int {
 	for i := len(s.levels) - 1; i > 0; i-- {
 		if s.levels[i].name == name {
 			return i
@@ -226,41 +227,42 @@
 	return 0
 }
 
-// undo restores the settings and pins from before the transaction or, outside of one, before the batch. A rollback
-// ends most reasons to pin that arose in it, such as temporary tables, but not all: session-level advisory locks,
-// statements prepared in SQL and untracked settings stay pinned.
-func (s *Session) undo() {
+// rollBack restores the settings and pins from before the transaction or, outside of one, before the batch. A
+// rollback ends most reasons to pin that arose in it, such as temporary tables, but not all: session-level
+// advisory locks, statements prepared in SQL and untracked settings stay pinned.
+func (s *Session) rollBack() {
 	kept := s.pins & (PinAdvisoryLock | PinSQLPrepare | PinUntracked)
 	if len(s.levels) > 0 {
 		s.settings, s.pins = s.levels[0].settings, s.levels[0].pins|kept
 	} else {
-		s.settings, s.pins = s.implicit, s.implicitP|kept
+		s.settings, s.pins = s.batchSettings, s.batchPins|kept
 	}
 }
 
 // Failed records that a statement has failed. Outside of a transaction the host rolls back the whole batch.
 func (s *Session) Failed() {
 	if len(s.levels) == 0 {
-		s.undo()
+		s.rollBack()
 	}
 }
 
-// Ready records the end of a batch with the transaction status reported by the host. If the session has a transaction
-// open and the host has not, the host has rolled it back.
+// Ready records the end of a batch with the transaction status reported by the host. If the session has a
+// transaction open and the host has not, the host has rolled it back.
 func (s *Session) Ready(status byte) {
 	if s.Status = status; status == 'I' && len(s.levels) > 0 {
-		s.undo()
+		s.rollBack()
 		s.levels = nil
 	}
 }
 
-// Reported records a setting's value that the host reported in a batch whose statements change no setting: a function
-// has changed it. Changes to settings that the host does not report are not noticed.
+// Reported records a setting's value that the host reported in a batch whose statements change no setting: a
+// function has changed it. Changes to settings that the host does not report are not noticed.
 func (s *Session) Reported(name, value string) {
 	s.settings, _, _ = s.settings.Insert([]byte(strings.ToLower(name)), Literal(value))
 }
 
-// Settles reports whether any of the statements may change settings in a way that the session tracks from their text.
+// Settles reports whether any of the statements may change settings in a way that the session tracks from
+// their text.
 func Settles(commands []Command) bool {
 	for _, c := range commands {
 		switch c.Kind {
@@ -271,11 +273,12 @@
 	return false
 }
 
-// Lost records that the host connection was lost with all state that pinned the session to it. It returns whether the
-// session can continue on another connection, which is not the case if it was pinned or in a transaction.
+// Lost records that the host connection was lost with all state that pinned the session to it. It returns
+// whether the session can continue on another connection, which is not the case if it was pinned or in a
+// transaction.
 func (s *Session) Lost() (carried bool) {
 	carried = s.pins == 0 && s.Status == 'I' && len(s.levels) == 0
-	s.undo()
+	s.rollBack()
 	s.levels, s.pins, s.Status = nil, 0, 'I'
 	return carried
 }
--- a/internal/control/pooling/session_test.go
+++ b/internal/control/pooling/session_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestWhatIsCarriedAndWhatPins(t *testing.T) {
+func TestCarriedSettingsAndPins(t *testing.T) {
 	run := func(s *Session, l *Link, sql string, ok bool, status byte) {
 		s.Start()
 		for _, c := range Scan(sql) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestCarryIsTheSmallestDifference(t *testing.T) {
+func TestCarryIsMinimal(t *testing.T) {
 	session := func(sql string) *Session {
 		s := NewSession(nil)
 		for _, c := range Scan(sql) {
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestWhatAFunctionHasSetIsTakenFromTheHostsReport(t *testing.T) {
+func TestReportedSettingIsCarried(t *testing.T) {
 	s := NewSession(nil)
 	if Settles(Scan("SELECT prepare_me()")) || !Settles(Scan("SELECT 1; SET TIME ZONE 'UTC'")) {
 		t.Error("statements that change settings are not distinguished")
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestStatementsOfTheSameHashAreToldApart(t *testing.T) {
+func TestStatementsWithEqualHash(t *testing.T) {
 	a, b := NewStatement("SELECT 1", nil), NewStatement("SELECT 2", nil)
 	b.hash = a.hash
 	l := NewLink(0)
--- a/internal/control/pooling/sql.go
+++ b/internal/control/pooling/sql.go
@@ -29,7 +29,8 @@
 	Empty
 )
 
-// Pin is a set of reasons why a session must keep its host connection: state that cannot be carried to another one.
+// Pin is a set of reasons why a session must keep its host connection: state that cannot be carried to
+// another one.
 type Pin uint8
 
 // Reasons to pin.
@@ -40,7 +41,7 @@
 	PinHoldCursor
 	PinSQLPrepare
 	PinUntracked
-	pinsAll = 1<<iota - 1
+	allPins = 1<<iota - 1
 )
 
 var pinNames = []string{"listen", "temporary table", "advisory lock", "cursor with hold", "prepare in sql", "untracked setting"}
@@ -69,14 +70,15 @@
 }
 
 type token struct {
-	text string // identifiers and key words in lower case, quoted identifiers without their quotes
-	kind byte   // w: identifier or key word, q: quoted identifier, s: string, n: number, else the character itself
-	at   int    // start offset in the text
-	end  int    // end offset
+	text  string // identifiers and key words in lower case, quoted identifiers without their quotes
+	kind  byte   // w: identifier or key word, q: quoted identifier, s: string, n: number, else the character itself
+	start int    // start offset in the text
+	end   int    // end offset
 }
 
-// lex splits SQL into tokens, without comments and white space. It follows PostgreSQL's rules for strings, dollar
-// quotes and nested comments (documentation, 4.1 Lexical Structure). Unterminated tokens extend to the end of the text.
+// lex splits SQL into tokens, without comments and white space. It follows PostgreSQL's rules for strings,
+// dollar quotes and nested comments (documentation, 4.1 Lexical Structure). Unterminated tokens extend to the
+// end of the text.
 func lex(sql string) (out []token) {
 	for i := 0; i < len(sql); {
 		c, start := sql[i], i
@@ -107,14 +109,14 @@
 			}
 			continue
 		case c == '\'':
-			i = quoted(sql, i, '\'', false)
+			i = quotedEnd(sql, i, '\'', false)
 			out = append(out, token{sql[start:i], 's', start, i})
 		case c == '"':
-			i = quoted(sql, i, '"', false)
+			i = quotedEnd(sql, i, '"', false)
 			name := strings.TrimSuffix(sql[start+1:i], `"`)
 			out = append(out, token{strings.ReplaceAll(name, `""`, `"`), 'q', start, i})
-		case c == '$' && dollar(sql[i:]) > 0:
-			n := dollar(sql[i:])
+		case c == '$' && dollarTagLen(sql[i:]) > 0:
+			n := dollarTagLen(sql[i:])
 			tag := sql[i : i+n]
 			if end := strings.Index(sql[i+n:], tag); end >= 0 {
 				i += n + end + n
@@ -122,19 +124,19 @@
 				i = len(sql)
 			}
 			out = append(out, token{sql[start:i], 's', start, i})
-		case letter(c):
-			for i < len(sql) && (letter(sql[i]) || sql[i] >= '0' && sql[i] <= '9' || sql[i] == '$') {
+		case isIdentStart(c):
+			for i < len(sql) && (isIdentStart(sql[i]) || sql[i] >= '0' && sql[i] <= '9' || sql[i] == '$') {
 				i++
 			}
 			word := strings.ToLower(sql[start:i])
 			if i < len(sql) && sql[i] == '\'' && (word == "e" || word == "b" || word == "x" || word == "n") {
-				i = quoted(sql, i, '\'', word == "e")
+				i = quotedEnd(sql, i, '\'', word == "e")
 				out = append(out, token{sql[start:i], 's', start, i})
 				continue
 			}
 			out = append(out, token{word, 'w', start, i})
 		case c >= '0' && c <= '9':
-			for i < len(sql) && (letter(sql[i]) || sql[i] >= '0' && sql[i] <= '9' || sql[i] == '.') {
+			for i < len(sql) && (isIdentStart(sql[i]) || sql[i] >= '0' && sql[i] <= '9' || sql[i] == '.') {
 				i++
 			}
 			out = append(out, token{sql[start:i], 'n', start, i})
@@ -146,13 +148,14 @@
 	return out
 }
 
-// letter reports whether an unquoted identifier can start with c.
-func letter(c byte) bool {
+// isIdentStart reports whether an unquoted identifier can start with c.
+func isIdentStart(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80
 }
 
-// quoted returns the end of the quoted text that starts at i. A doubled quote stands for the quote character.
-func quoted(sql string, i int, quote byte, backslash bool) int {
+// quotedEnd returns the end of the quoted text that starts at i. A doubled quote stands for the quote
+// character.
+func quotedEnd(sql string, i int, quote byte, backslash bool) int {
 	for i++; i < len(sql); i++ {
 		switch {
 		case backslash && sql[i] == '\\':
@@ -168,20 +171,22 @@
 	return len(sql)
 }
 
-// dollar returns the length of the dollar quote tag at the start of s, or 0 if there is none, as in the parameter $1.
-func dollar(s string) int {
+// dollarTagLen returns the length of the dollar quote tag at the start of s. It returns 0 if there is none,
+// as in the parameter $1.
+func dollarTagLen(s string) int {
 	for i := 1; i < len(s); i++ {
 		switch c := s[i]; {
 		case c == '$':
 			return i + 1
-		case !letter(c) && (i == 1 || c < '0' || c > '9'):
+		case !isIdentStart(c) && (i == 1 || c < '0' || c > '9'):
 			return 0
 		}
 	}
 	return 0
 }
 
-// Scan splits a text into statements and classifies them. It returns one Empty command for a text without statements.
+// Scan splits a text into statements and classifies them. It returns one Empty command for a text without
+// statements.
 func Scan(sql string) (out []Command) {
 	tokens := lex(sql)
 	for start := 0; start <= len(tokens); {
@@ -200,14 +205,14 @@
 	return out
 }
 
-// words are the tokens of one statement.
-type words []token
+// statementTokens are the tokens of one statement.
+type statementTokens []token
 
-func (w words) is(i int, any ...string) bool {
+func (w statementTokens) isWord(i int, keywords ...string) bool {
 	if i >= len(w) || w[i].kind != 'w' {
 		return false
 	}
-	for _, x := range any {
+	for _, x := range keywords {
 		if w[i].text == x {
 			return true
 		}
@@ -215,189 +220,190 @@
 	return false
 }
 
-func (w words) name(i int) string {
+func (w statementTokens) nameAt(i int) string {
 	if i < len(w) && (w[i].kind == 'w' || w[i].kind == 'q') {
 		return w[i].text
 	}
 	return ""
 }
 
-func (w words) has(any ...string) bool {
+func (w statementTokens) hasWord(keywords ...string) bool {
 	for i := range w {
-		if w.is(i, any...) {
+		if w.isWord(i, keywords...) {
 			return true
 		}
 	}
 	return false
 }
 
-// rest returns the text from token i on, as written.
-func (w words) rest(sql string, i int) string {
+// textFrom returns the text from token i on, as written.
+func (w statementTokens) textFrom(sql string, i int) string {
 	if i >= len(w) {
 		return ""
 	}
-	return sql[w[i].at:w[len(w)-1].end]
+	return sql[w[i].start:w[len(w)-1].end]
 }
 
 func classify(sql string, t []token) Command {
-	w := words(t)
+	w := statementTokens(t)
 	c := Command{}
 	switch {
-	case w.is(0, "begin"), w.is(0, "start") && w.is(1, "transaction"):
-		c.Kind, c.ReadOnly = Begin, readOnly(w)
-	case w.is(0, "commit", "end"):
-		if c.Kind = Commit; w.is(1, "prepared") {
+	case w.isWord(0, "begin"), w.isWord(0, "start") && w.isWord(1, "transaction"):
+		c.Kind, c.ReadOnly = Begin, hasReadOnly(w)
+	case w.isWord(0, "commit", "end"):
+		if c.Kind = Commit; w.isWord(1, "prepared") {
 			c.Kind = Write
 		}
-	case w.is(0, "abort"):
+	case w.isWord(0, "abort"):
 		c.Kind = Rollback
-	case w.is(0, "rollback"):
+	case w.isWord(0, "rollback"):
 		i := 1
-		if w.is(i, "work", "transaction") {
+		if w.isWord(i, "work", "transaction") {
 			i++
 		}
 		switch {
-		case w.is(1, "prepared"):
+		case w.isWord(1, "prepared"):
 			c.Kind = Write
-		case w.is(i, "to"):
-			if i++; w.is(i, "savepoint") {
+		case w.isWord(i, "to"):
+			if i++; w.isWord(i, "savepoint") {
 				i++
 			}
-			c.Kind, c.Name = RollbackTo, w.name(i)
+			c.Kind, c.Name = RollbackTo, w.nameAt(i)
 		default:
 			c.Kind = Rollback
 		}
-	case w.is(0, "savepoint"):
-		c.Kind, c.Name = Savepoint, w.name(1)
-	case w.is(0, "release"):
+	case w.isWord(0, "savepoint"):
+		c.Kind, c.Name = Savepoint, w.nameAt(1)
+	case w.isWord(0, "release"):
 		i := 1
-		if w.is(1, "savepoint") {
+		if w.isWord(1, "savepoint") {
 			i = 2
 		}
-		c.Kind, c.Name = Release, w.name(i)
-	case w.is(0, "set"):
-		setting(&c, sql, w)
-	case w.is(0, "reset"):
+		c.Kind, c.Name = Release, w.nameAt(i)
+	case w.isWord(0, "set"):
+		parseSet(&c, sql, w)
+	case w.isWord(0, "reset"):
 		switch {
-		case w.is(1, "all"):
+		case w.isWord(1, "all"):
 			c.Kind = ResetAll
-		case w.is(1, "session"):
-			// RESET SESSION AUTHORIZATION: the SET that it ends was pinned as untracked, and the session stays pinned.
+		case w.isWord(1, "session"):
+			// RESET SESSION AUTHORIZATION: the SET that it ends was pinned as untracked, and the session
+			// stays pinned.
 			c.Kind, c.Unpin = Neutral, 0
-		case w.is(1, "time"):
+		case w.isWord(1, "time"):
 			c.Kind, c.Name = Reset, "timezone"
 		default:
 			c.Kind, c.Name = Reset, settingName(w, 1)
 		}
-	case w.is(0, "discard"):
+	case w.isWord(0, "discard"):
 		switch {
-		case w.is(1, "all"):
-			c.Kind, c.Unpin = DiscardAll, pinsAll
-		case w.is(1, "temp", "temporary"):
+		case w.isWord(1, "all"):
+			c.Kind, c.Unpin = DiscardAll, allPins
+		case w.isWord(1, "temp", "temporary"):
 			c.Kind, c.Unpin = Neutral, PinTempTable
 		default:
 			c.Kind = Neutral
 		}
-	case w.is(0, "deallocate"):
+	case w.isWord(0, "deallocate"):
 		i := 1
-		if w.is(1, "prepare") {
+		if w.isWord(1, "prepare") {
 			i = 2
 		}
-		if c.Kind, c.Name = Deallocate, w.name(i); w.is(i, "all") {
+		if c.Kind, c.Name = Deallocate, w.nameAt(i); w.isWord(i, "all") {
 			c.Kind, c.Name = DeallocateAll, ""
 		}
-	case w.is(0, "prepare"):
-		if c.Kind, c.Name, c.Pin = Neutral, w.name(1), PinSQLPrepare; w.is(1, "transaction") {
+	case w.isWord(0, "prepare"):
+		if c.Kind, c.Name, c.Pin = Neutral, w.nameAt(1), PinSQLPrepare; w.isWord(1, "transaction") {
 			c.Kind, c.Pin = Write, 0
 		}
-	case w.is(0, "listen"):
+	case w.isWord(0, "listen"):
 		c.Kind, c.Pin = Neutral, PinListen
-	case w.is(0, "unlisten"):
+	case w.isWord(0, "unlisten"):
 		if c.Kind = Neutral; len(w) > 1 && w[1].kind == '*' {
 			c.Unpin = PinListen
 		}
-	case w.is(0, "declare"):
-		if c.Kind = Read; w.has("hold") && !w.has("without") {
+	case w.isWord(0, "declare"):
+		if c.Kind = Read; w.hasWord("hold") && !w.hasWord("without") {
 			c.Pin = PinHoldCursor
 		}
-		c.Pin |= calls(w)
-	case w.is(0, "fetch", "move", "close", "checkpoint"):
+		c.Pin |= pinsOfCalls(w)
+	case w.isWord(0, "fetch", "move", "close", "checkpoint"):
 		c.Kind = Read
-	case w.is(0, "show"):
+	case w.isWord(0, "show"):
 		c.Kind = Neutral
-	case w.is(0, "copy"):
+	case w.isWord(0, "copy"):
 		c.Kind = Copy
-	case w.is(0, "create"):
-		if w.is(1, "temp", "temporary") || w.is(1, "local", "global") && w.is(2, "temp", "temporary") ||
-			w.is(1, "or") && w.is(3, "temp", "temporary") {
+	case w.isWord(0, "create"):
+		if w.isWord(1, "temp", "temporary") || w.isWord(1, "local", "global") && w.isWord(2, "temp", "temporary") ||
+			w.isWord(1, "or") && w.isWord(3, "temp", "temporary") {
 			c.Pin = PinTempTable
 		}
-	case w.is(0, "do", "load"), w.is(0, "set_config"):
+	case w.isWord(0, "do", "load"), w.isWord(0, "set_config"):
 		c.Pin = PinUntracked // the code that it runs is not analyzed
-	case w.is(0, "explain"):
-		if c.Kind = Read; w.has("analyze", "analyse") {
+	case w.isWord(0, "explain"):
+		if c.Kind = Read; w.hasWord("analyze", "analyse") {
 			c.Kind = Write
 		}
-	case w.is(0, "select", "values", "table", "with") || len(w) > 0 && w[0].kind == '(':
-		if reads(w) {
+	case w.isWord(0, "select", "values", "table", "with") || len(w) > 0 && w[0].kind == '(':
+		if isReadOnlyQuery(w) {
 			c.Kind = Read
 		}
-		if w.has("into") && w.has("temp", "temporary") {
+		if w.hasWord("into") && w.hasWord("temp", "temporary") {
 			c.Pin |= PinTempTable
 		}
-		c.Pin |= calls(w)
+		c.Pin |= pinsOfCalls(w)
 	default:
-		c.Pin |= calls(w)
+		c.Pin |= pinsOfCalls(w)
 	}
 	return c
 }
 
-// readOnly reports whether a BEGIN or START TRANSACTION has the option READ ONLY.
-func readOnly(w words) bool {
+// hasReadOnly reports whether a BEGIN or START TRANSACTION has the option READ ONLY.
+func hasReadOnly(w statementTokens) bool {
 	for i := range w {
-		if w.is(i, "read") && w.is(i+1, "only") {
+		if w.isWord(i, "read") && w.isWord(i+1, "only") {
 			return true
 		}
 	}
 	return false
 }
 
-// setting parses the forms of SET.
-func setting(c *Command, sql string, w words) {
+// parseSet parses the forms of SET.
+func parseSet(c *Command, sql string, w statementTokens) {
 	i := 1
 	c.Kind = Set
-	if w.is(1, "local") {
+	if w.isWord(1, "local") {
 		c.Kind = SetLocal
 		i = 2
-	} else if w.is(1, "session") {
+	} else if w.isWord(1, "session") {
 		i = 2
 	}
 	switch {
-	case w.is(i, "transaction"), w.is(i, "constraints"):
+	case w.isWord(i, "transaction"), w.isWord(i, "constraints"):
 		c.Kind = Neutral // ends with the transaction
 		return
-	case w.is(1, "session") && w.is(2, "characteristics", "authorization"), w.is(i, "session"):
+	case w.isWord(1, "session") && w.isWord(2, "characteristics", "authorization"), w.isWord(i, "session"):
 		c.Kind, c.Pin = Neutral, PinUntracked
 		return
-	case w.is(i, "time") && w.is(i+1, "zone"):
-		c.Name, c.Value = "timezone", w.rest(sql, i+2)
-		if w.is(i+2, "local") {
+	case w.isWord(i, "time") && w.isWord(i+1, "zone"):
+		c.Name, c.Value = "timezone", w.textFrom(sql, i+2)
+		if w.isWord(i+2, "local") {
 			c.Value = "default"
 		}
-	case w.is(i, "names"):
-		if c.Name, c.Value = "client_encoding", w.rest(sql, i+1); c.Value == "" {
+	case w.isWord(i, "names"):
+		if c.Name, c.Value = "client_encoding", w.textFrom(sql, i+1); c.Value == "" {
 			c.Value = "default"
 		}
-	case w.is(i, "role"):
-		c.Name, c.Value = "role", w.rest(sql, i+1)
-		if w.is(i+1, "none") {
+	case w.isWord(i, "role"):
+		c.Name, c.Value = "role", w.textFrom(sql, i+1)
+		if w.isWord(i+1, "none") {
 			c.Value = "'none'"
 		}
 	default:
 		c.Name = settingName(w, i)
-		for i++; i < len(w) && w[i].kind != '=' && !w.is(i, "to"); i++ {
+		for i++; i < len(w) && w[i].kind != '=' && !w.isWord(i, "to"); i++ {
 		}
-		c.Value = w.rest(sql, i+1)
+		c.Value = w.textFrom(sql, i+1)
 	}
 	if c.Name == "" || c.Value == "" {
 		*c = Command{Kind: Neutral} // invalid: the host returns the error
@@ -412,17 +418,17 @@
 }
 
 // settingName returns the setting's name that starts at token i. It may have a prefix, as in app.tenant.
-func settingName(w words, i int) string {
-	name := strings.ToLower(w.name(i))
+func settingName(w statementTokens, i int) string {
+	name := strings.ToLower(w.nameAt(i))
 	for i++; i+1 < len(w) && w[i].kind == '.' && name != ""; i += 2 {
-		name += "." + strings.ToLower(w.name(i+1))
+		name += "." + strings.ToLower(w.nameAt(i+1))
 	}
 	return name
 }
 
-// pure has the functions without side effects, and the key words that can precede a parenthesis. A call of any other
-// function counts as a write, as its effect is unknown.
-var pure = map[string]bool{}
+// pureFunctions has the functions without side effects, and the key words that can precede a parenthesis. A
+// call of any other function counts as a write, as its effect is unknown.
+var pureFunctions = map[string]bool{}
 
 func init() {
 	for _, f := range strings.Fields(`abs age array_agg array_length avg bit_length bool_and bool_or btrim cardinality
@@ -436,19 +442,19 @@
 		unnest upper variance version width_bucket
 		in any all some values as over filter using and or not on then when case else from where select array interval
 		varchar char numeric decimal bit time timestamp cast within lateral rows by join`) {
-		pure[f] = true
+		pureFunctions[f] = true
 	}
 }
 
-// reads reports whether a query only reads, judged by its key words and the functions that it calls.
-func reads(w words) bool {
+// isReadOnlyQuery reports whether a query only reads, judged by its key words and the functions that it calls.
+func isReadOnlyQuery(w statementTokens) bool {
 	for i := range w {
 		switch {
-		case w.is(i, "insert", "update", "delete", "merge", "into"):
+		case w.isWord(i, "insert", "update", "delete", "merge", "into"):
 			return false
-		case w.is(i, "for") && w.is(i+1, "update", "share", "no", "key"):
+		case w.isWord(i, "for") && w.isWord(i+1, "update", "share", "no", "key"):
 			return false
-		case w[i].kind == 'w' && i+1 < len(w) && w[i+1].kind == '(' && !pure[w[i].text]:
+		case w[i].kind == 'w' && i+1 < len(w) && w[i+1].kind == '(' && !pureFunctions[w[i].text]:
 			return false
 		case w[i].kind == 'q' && i+1 < len(w) && w[i+1].kind == '(':
 			return false
@@ -457,8 +463,8 @@
 	return true
 }
 
-// calls returns the reasons to pin that arise from function calls.
-func calls(w words) (p Pin) {
+// pinsOfCalls returns the reasons to pin that arise from function calls.
+func pinsOfCalls(w statementTokens) (p Pin) {
 	for i := range w {
 		if w[i].kind != 'w' || i+1 >= len(w) || w[i+1].kind != '(' {
 			continue
--- a/internal/control/pooling/sql_test.go
+++ b/internal/control/pooling/sql_test.go
@@ -48,7 +48,7 @@
 		"SET x":                                                  {{Kind: Neutral}},
 		"RESET work_mem":                                         {{Kind: Reset, Name: "work_mem"}},
 		"RESET ALL":                                              {{Kind: ResetAll}},
-		"DISCARD ALL":                                            {{Kind: DiscardAll, Unpin: pinsAll}},
+		"DISCARD ALL":                                            {{Kind: DiscardAll, Unpin: allPins}},
 		"DISCARD TEMP":                                           {{Kind: Neutral, Unpin: PinTempTable}},
 		"DEALLOCATE ALL":                                         {{Kind: DeallocateAll}},
 		"DEALLOCATE PREPARE s":                                   {{Kind: Deallocate, Name: "s"}},
@@ -88,7 +88,8 @@
 		for _, c := range Scan(sql) {
 			s.Completed(c, "")
 		}
-		// The query that carries the settings must consist of SET and RESET: a value cannot inject another statement.
+		// The query that carries the settings must consist of SET and RESET: a value cannot inject another
+		// statement.
 		for _, c := range Scan(l.Carry(s)) {
 			if c.Kind != Set && c.Kind != Empty && c.Kind != Reset && c.Kind != Neutral {
 				t.Fatalf("%q carries %q", sql, l.Carry(s))
--- a/internal/disk/raftlog/raftlog.go
+++ b/internal/disk/raftlog/raftlog.go
@@ -1,14 +1,14 @@
-// Package raftlog persists the state of a voter of the fleet's leases: the consensus library's hard state (term, vote,
-// commit) and its log of entries, in one bbolt file. A voter that lost its vote in a crash could vote twice in one
-// term, and two leaders could then grant the same lease.
+// Package raftlog persists the state of a voter of the fleet's leases: the consensus library's hard state
+// (term, vote, commit) and its log of entries, in one bbolt file. A voter that lost its vote in a crash could
+// vote twice in one term, and two leaders could then grant the same lease.
 //
 // The file has two buckets:
 //
 //	meta     "hard": the hard state in protocol buffers; "version": 1 byte, the format (1)
 //	entries  the entries in protocol buffers, by their index as 8 bytes big-endian
 //
-// Each Save is one bbolt transaction that is synced to disk before Save returns, and so before the caller sends the
-// library's messages. After a power failure the file contains either all of a Save or none of it.
+// Each Save is one bbolt transaction that is synced to disk before Save returns, and so before the caller
+// sends the library's messages. After a power failure the file contains either all of a Save or none of it.
 package raftlog
 
 import (
@@ -23,7 +23,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const version = 1
+const formatVersion = 1
 
 var (
 	metaBucket    = []byte("meta")
@@ -58,9 +58,9 @@
 		}
 		switch v := m.Get(versionKey); {
 		case v == nil:
-			return m.Put(versionKey, []byte{version})
-		case len(v) != 1 || v[0] != version:
-			return fmt.Errorf("format version %v, want %d: %w", v, version, ErrFormat)
+			return m.Put(versionKey, []byte{formatVersion})
+		case len(v) != 1 || v[0] != formatVersion:
+			return fmt.Errorf("format version %v, want %d: %w", v, formatVersion, ErrFormat)
 		}
 		return nil
 	})
@@ -74,8 +74,8 @@
 // Close closes the file.
 func (l *Log) Close() error { return l.db.Close() }
 
-// Save writes a hard state, unless it is nil or empty, and entries. The entries replace all entries in the file from
-// the index of the first one on, as raft requires when a new leader overwrites the end of the log.
+// Save writes a hard state, unless it is nil or empty, and entries. The entries replace all entries in the
+// file from the index of the first one on, as raft requires when a new leader overwrites the end of the log.
 func (l *Log) Save(hard *raftpb.HardState, entries []*raftpb.Entry) error {
 	if raft.IsEmptyHardState(hard) && len(entries) == 0 {
 		return nil
@@ -95,7 +95,7 @@
 		}
 		eb := tx.Bucket(entriesBucket)
 		c := eb.Cursor()
-		for k, _ := c.Seek(key(entries[0].GetIndex())); k != nil; k, _ = c.Next() {
+		for k, _ := c.Seek(entryKey(entries[0].GetIndex())); k != nil; k, _ = c.Next() {
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 			if err != nil {
 				return err
 			}
-			if err := eb.Put(key(e.GetIndex()), b); err != nil {
+			if err := eb.Put(entryKey(e.GetIndex()), b); err != nil {
 				return err
 			}
 		}
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Load returns a new memory storage with the content of the file. If the file is empty, fresh is true: the voter is
-// new and must be bootstrapped.
+// Load returns a new memory storage with the content of the file. If the file is empty, fresh is true: the
+// voter is new and must be bootstrapped.
 func (l *Log) Load() (storage *raft.MemoryStorage, fresh bool, err error) {
 	storage = raft.NewMemoryStorage()
 	var hard *raftpb.HardState
@@ -161,5 +161,5 @@
 	return storage, false, nil
 }
 
-// key returns the key of an entry.
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+// entryKey returns the key of an entry.
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
--- a/internal/disk/raftlog/raftlog_test.go
+++ b/internal/disk/raftlog/raftlog_test.go
@@ -14,7 +14,7 @@
 	return &raftpb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte(data)}
 }
 
-func TestSaveLoadAndOverwriteTheTail(t *testing.T) {
+func TestSaveOverwritesTail(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "raft.db")
 	l, err := Open(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestOpenRefusesAnotherFormat(t *testing.T) {
+func TestOpenRejectsUnknownFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "raft.db")
 	l, err := Open(path)
 	if err != nil {
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestLoadRefusesAGapOrAGarbledEntry(t *testing.T) {
+func TestLoadRejectsGapOrGarbledEntry(t *testing.T) {
 	for name, put := range map[string][2][]byte{
-		"garbled": {key(2), []byte{0xff, 0xff}},
-		"gap":     {key(5), func() []byte { b, _ := proto.Marshal(entry(5, 1, "x")); return b }()},
+		"garbled": {entryKey(2), []byte{0xff, 0xff}},
+		"gap":     {entryKey(5), func() []byte { b, _ := proto.Marshal(entry(5, 1, "x")); return b }()},
 	} {
 		path := filepath.Join(t.TempDir(), "raft.db")
 		l, err := Open(path)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestOpenRefusesATornFile(t *testing.T) {
+func TestOpenRejectsTornFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "raft.db")
 	l, err := Open(path)
 	if err != nil {
--- a/internal/memory/consensus/bench_test.go
+++ b/internal/memory/consensus/bench_test.go
@@ -8,8 +8,8 @@
 	"yokemast/internal/control/leases"
 )
 
-// BenchmarkRenewals300 measures renewals of 300 leases by a group of three voters in one process without message loss,
-// network or disk.
+// BenchmarkRenewals300 measures renewals of 300 leases by a group of three voters in one process without
+// message loss, network or disk.
 func BenchmarkRenewals300(b *testing.B) {
 	g := newGroup(b, 1, 0)
 	var lead uint64
@@ -29,7 +29,7 @@
 			b.Fatal(err)
 		}
 		g.round()
-		for _, o := range g.outs[lead] {
+		for _, o := range g.outcomes[lead] {
 			if o.Proposal == p {
 				tokens[k] = o.Result.Lease.Token
 			}
@@ -45,10 +45,10 @@
 			b.Fatal(err)
 		}
 		if k == 299 || i == b.N-1 {
-			before := len(g.outs[lead])
+			before := len(g.outcomes[lead])
 			g.round()
-			done += len(g.outs[lead]) - before
-			g.outs[lead] = g.outs[lead][:0]
+			done += len(g.outcomes[lead]) - before
+			g.outcomes[lead] = g.outcomes[lead][:0]
 		}
 	}
 	b.StopTimer()
--- a/internal/memory/consensus/node.go
+++ b/internal/memory/consensus/node.go
@@ -1,10 +1,11 @@
-// Package consensus runs the raft group of the fleet's leases on the library go.etcd.io/raft/v3. A Node combines a raft
-// RawNode, its storage in memory and the lease machine to which committed entries are applied. It starts no goroutine,
-// reads no clock and uses no socket: the caller calls Tick, passes messages of peers to Step, and sends the messages
-// returned by Process, so that tests can replay any order of events.
+// Package consensus runs the raft group of the fleet's leases on the library go.etcd.io/raft/v3. A Node
+// combines a raft RawNode, its storage in memory and the lease machine to which committed entries are
+// applied. It starts no goroutine, reads no clock and uses no socket: the caller calls Tick, passes messages
+// of peers to Step, and sends the messages returned by Process, so that tests can replay any order of events.
 //
-// Only a leader proposes entries. It stamps each one with its term and its monotonic clock (see package leases), and a
-// new leader proposes a Stamp first. On a follower, Propose returns ErrNotLeader with the leader that it knows of.
+// Only a leader proposes entries. It stamps each one with its term and its monotonic clock (see package
+// leases), and a new leader proposes a Stamp first. On a follower, Propose returns ErrNotLeader with the
+// leader that it knows of.
 package consensus
 
 import (
@@ -19,26 +20,26 @@
 	"yokemast/internal/control/leases"
 )
 
-// Config is the configuration of a Node. The caller chooses the length of a tick: ElectionTicks·tick is the election
-// timeout (10 ticks of 100 ms: 1 s), HeartbeatTicks·tick the interval of the leader's heartbeats.
+// Config is the configuration of a Node. The caller chooses the length of a tick: ElectionTicks·tick is the
+// election timeout (10 ticks of 100 ms: 1 s), HeartbeatTicks·tick the interval of the leader's heartbeats.
 type Config struct {
 	ID             uint64   // from 1 to 65535, unique among the voters
 	Voters         []uint64 // IDs of all voters, including this node
 	ElectionTicks  int      // default 10
 	HeartbeatTicks int      // default 1
 
-	// Storage is the persisted state of a restarted voter (package raftlog loads it), with Restart set, or nil for a
-	// new voter, which is bootstrapped with Voters.
+	// Storage is the persisted state of a restarted voter (package raftlog loads it), with Restart set, or
+	// nil for a new voter, which is bootstrapped with Voters.
 	Storage *raft.MemoryStorage
 	Restart bool
-	// Keep persists the hard state and new entries and returns once they are on disk; Process returns no message
-	// before. If it is nil, they are in memory only, and the voter must never restart under the same ID, as it has
-	// lost its vote.
+	// Keep persists the hard state and new entries and returns once they are on disk; Process returns no
+	// message before. If it is nil, they are in memory only, and the voter must never restart under the same
+	// ID, as it has lost its vote.
 	Keep func(hard *raftpb.HardState, entries []*raftpb.Entry) error
 }
 
-// ErrNotLeader is returned by Propose on a node that is not the leader. Leader is the ID of the leader that the node
-// knows of, or 0 if it knows of none.
+// ErrNotLeader is returned by Propose on a node that is not the leader. Leader is the ID of the leader that
+// the node knows of, or 0 if it knows of none.
 type ErrNotLeader struct{ Leader uint64 }
 
 func (e ErrNotLeader) Error() string { return fmt.Sprintf("not the leader; leader %d", e.Leader) }
@@ -46,8 +47,8 @@
 // ErrBusy is returned by Propose while too many proposals wait to be committed.
 var ErrBusy = errors.New("too many proposals in flight")
 
-// maxPending is the maximum number of proposals that are not applied yet. Each of them waits for a quorum, so a leader
-// partitioned from the quorum would accumulate them without limit.
+// maxPending is the maximum number of proposals that are not applied yet. Each of them waits for a quorum, so
+// a leader partitioned from the quorum would accumulate them without limit.
 const maxPending = 4096
 
 // Outcome is the result of an applied entry that this node proposed.
@@ -60,18 +61,18 @@
 
 // Node is one voter. It is not safe for concurrent use.
 type Node struct {
-	id      uint64
-	raw     *raft.RawNode
-	storage *raft.MemoryStorage
-	machine leases.Machine
-	seq     uint64
-	pending map[uint64]bool
-	pendAt  uint64 // term of the pending proposals
-	lead    uint64
-	stamped uint64 // term in which this node last proposed a Stamp
-	bad     uint64 // number of committed entries that could not be decoded
-	keep    func(*raftpb.HardState, []*raftpb.Entry) error
-	broken  error // error of persisting the state, after which the node sends nothing more
+	id          uint64
+	raw         *raft.RawNode
+	storage     *raft.MemoryStorage
+	machine     leases.Machine
+	seq         uint64
+	pending     map[uint64]bool
+	pendingTerm uint64 // term of the pending proposals
+	leader      uint64
+	stampedTerm uint64 // term in which this node last proposed a Stamp
+	malformed   uint64 // number of committed entries that could not be decoded
+	persist     func(*raftpb.HardState, []*raftpb.Entry) error
+	persistErr  error // error of persisting the state, after which the node sends nothing more
 }
 
 // New returns a voter of a new group, or a restarted one.
@@ -110,9 +111,10 @@
 		MaxInflightMsgs: 64,
 		CheckQuorum:     true, // a leader partitioned from a quorum steps down and stops answering as leader
 		PreVote:         true, // a voter that was partitioned does not depose a working leader when it returns
-		// Entries are stamped with the clock of the leader that proposes them; a forwarded proposal has no stamp.
+		// Entries are stamped with the clock of the leader that proposes them; a forwarded proposal has no
+		// stamp.
 		DisableProposalForwarding: true,
-		Logger:                    silent{},
+		Logger:                    discardLogger{},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("consensus node %d: %w", cfg.ID, err)
@@ -122,7 +124,7 @@
 			return nil, fmt.Errorf("consensus node %d: bootstrap: %w", cfg.ID, err)
 		}
 	}
-	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), keep: cfg.Keep}, nil
+	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), persist: cfg.Keep}, nil
 }
 
 // Tick advances the node's logical clock by one tick.
@@ -139,15 +141,15 @@
 	return nil
 }
 
-// Propose proposes an entry, stamped with this leader's term and now, the time of its monotonic clock. It returns the
-// number of the proposal; a later Process returns the outcome with that number.
+// Propose proposes an entry, stamped with this leader's term and now, the time of its monotonic clock. It
+// returns the number of the proposal; a later Process returns the outcome with that number.
 func (n *Node) Propose(now time.Duration, e leases.Entry) (uint64, error) {
 	st := n.raw.BasicStatus()
 	if st.RaftState != raft.StateLeader {
 		return 0, ErrNotLeader{Leader: st.Lead}
 	}
-	if st.GetTerm() != n.pendAt {
-		n.forget(st.GetTerm())
+	if st.GetTerm() != n.pendingTerm {
+		n.dropPending(st.GetTerm())
 	}
 	if len(n.pending) >= maxPending {
 		return 0, ErrBusy
@@ -165,14 +167,14 @@
 	return p, nil
 }
 
-// Process handles the library's Ready batches: it persists entries, applies committed ones to the lease machine, and
-// returns the messages to send and the outcomes of this node's proposals. A node that has just become leader proposes
-// its Stamp here.
+// Process handles the library's Ready batches: it persists entries, applies committed ones to the lease
+// machine, and returns the messages to send and the outcomes of this node's proposals. A node that has just
+// become leader proposes its Stamp here.
 func (n *Node) Process(now time.Duration) (msgs []*raftpb.Message, outs []Outcome) {
-	for n.broken == nil && n.raw.HasReady() {
+	for n.persistErr == nil && n.raw.HasReady() {
 		rd := n.raw.Ready()
 		if rd.SoftState != nil {
-			n.lead = rd.SoftState.Lead
+			n.leader = rd.SoftState.Lead
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			_ = n.storage.ApplySnapshot(rd.Snapshot) // does not contain the state of the lease machine yet
@@ -181,11 +183,11 @@
 			_ = n.storage.SetHardState(rd.HardState)
 		}
 		_ = n.storage.Append(rd.Entries)
-		if n.keep != nil {
-			if err := n.keep(rd.HardState, rd.Entries); err != nil {
-				// With a full or failing disk the node stops sending: peers would rely on a vote or an entry that
-				// it loses in a restart.
-				n.broken = fmt.Errorf("consensus node %d: persist: %w", n.id, err)
+		if n.persist != nil {
+			if err := n.persist(rd.HardState, rd.Entries); err != nil {
+				// With a full or failing disk the node stops sending: peers would rely on a vote or an entry
+				// that it loses in a restart.
+				n.persistErr = fmt.Errorf("consensus node %d: persist: %w", n.id, err)
 				return nil, outs
 			}
 		}
@@ -196,11 +198,11 @@
 		n.raw.Advance(rd)
 	}
 	st := n.raw.BasicStatus()
-	if st.GetTerm() != n.pendAt {
-		n.forget(st.GetTerm())
+	if st.GetTerm() != n.pendingTerm {
+		n.dropPending(st.GetTerm())
 	}
-	if n.broken == nil && st.RaftState == raft.StateLeader && n.stamped != st.GetTerm() {
-		n.stamped = st.GetTerm()
+	if n.persistErr == nil && st.RaftState == raft.StateLeader && n.stampedTerm != st.GetTerm() {
+		n.stampedTerm = st.GetTerm()
 		if _, err := n.Propose(now, leases.Entry{Op: leases.Stamp}); err == nil {
 			m, o := n.Process(now)
 			msgs, outs = append(msgs, m...), append(outs, o...)
@@ -209,12 +211,12 @@
 	return msgs, outs
 }
 
-// forget drops the pending proposals of an older term. Otherwise a deposed leader would accumulate proposals without
-// an outcome, and would then refuse all new ones with ErrBusy. If a dropped proposal is committed after all, it is
-// applied without an outcome, and the requester retries after its timeout.
-func (n *Node) forget(term uint64) {
+// dropPending drops the pending proposals of an older term. Otherwise a deposed leader would accumulate
+// proposals without an outcome, and would then refuse all new ones with ErrBusy. If a dropped proposal is
+// committed after all, it is applied without an outcome, and the requester retries after its timeout.
+func (n *Node) dropPending(term uint64) {
 	clear(n.pending)
-	n.pendAt = term
+	n.pendingTerm = term
 }
 
 // Pending returns the number of proposals without an outcome yet.
@@ -238,8 +240,9 @@
 	}
 	p, e, err := leases.Decode(ent.GetData())
 	if err != nil {
-		// Apply an empty entry, which is refused, so that the machine's applied index follows the log at every voter.
-		n.bad++
+		// Apply an empty entry, which is refused, so that the machine's applied index follows the log at
+		// every voter.
+		n.malformed++
 		n.machine.Apply(ent.GetIndex(), leases.Entry{})
 		return outs
 	}
@@ -252,7 +255,7 @@
 }
 
 // Leader returns the ID of the leader that this node knows of, or 0 if it knows of none.
-func (n *Node) Leader() uint64 { return n.lead }
+func (n *Node) Leader() uint64 { return n.leader }
 
 // Term returns the node's current term.
 func (n *Node) Term() uint64 { return n.raw.BasicStatus().GetTerm() }
@@ -261,25 +264,25 @@
 func (n *Node) Machine() *leases.Machine { return &n.machine }
 
 // Err returns the error of persisting the state that stopped the node, or nil while the node works.
-func (n *Node) Err() error { return n.broken }
+func (n *Node) Err() error { return n.persistErr }
 
-// Bad returns the number of committed entries that could not be decoded.
-func (n *Node) Bad() uint64 { return n.bad }
+// Malformed returns the number of committed entries that could not be decoded.
+func (n *Node) Malformed() uint64 { return n.malformed }
 
-// silent discards the log of the library; the caller logs the relevant events.
-type silent struct{}
+// discardLogger discards the log of the library; the caller logs the relevant events.
+type discardLogger struct{}
 
-func (silent) Debug(...interface{})            {}
-func (silent) Debugf(string, ...interface{})   {}
-func (silent) Error(...interface{})            {}
-func (silent) Errorf(string, ...interface{})   {}
-func (silent) Info(...interface{})             {}
-func (silent) Infof(string, ...interface{})    {}
-func (silent) Warning(...interface{})          {}
-func (silent) Warningf(string, ...interface{}) {}
-func (silent) Fatal(v ...interface{})          { panic(fmt.Sprint(v...)) }
-func (silent) Fatalf(f string, v ...interface{}) {
+func (discardLogger) Debug(...interface{})            {}
+func (discardLogger) Debugf(string, ...interface{})   {}
+func (discardLogger) Error(...interface{})            {}
+func (discardLogger) Errorf(string, ...interface{})   {}
+func (discardLogger) Info(...interface{})             {}
+func (discardLogger) Infof(string, ...interface{})    {}
+func (discardLogger) Warning(...interface{})          {}
+func (discardLogger) Warningf(string, ...interface{}) {}
+func (discardLogger) Fatal(v ...interface{})          { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...interface{}) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (silent) Panic(v ...interface{})            { panic(fmt.Sprint(v...)) }
-func (silent) Panicf(f string, v ...interface{}) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panic(v ...interface{})            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...interface{}) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/memory/consensus/node_test.go
+++ b/internal/memory/consensus/node_test.go
@@ -14,20 +14,20 @@
 
 // group is a group of three voters in one process, connected by a simulated network with seeded message loss.
 type group struct {
-	t      testing.TB
-	nodes  map[uint64]*Node
-	clock  map[uint64]time.Duration // clock of each node, with different origins
-	down   map[uint64]bool          // partitioned nodes, which send and receive nothing
-	queue  []*raftpb.Message
-	rng    *rand.Rand
-	drop   float64
-	outs   map[uint64][]Outcome
-	rounds int
+	t           testing.TB
+	nodes       map[uint64]*Node
+	clock       map[uint64]time.Duration // clock of each node, with different origins
+	partitioned map[uint64]bool          // partitioned nodes, which send and receive nothing
+	queue       []*raftpb.Message
+	rng         *rand.Rand
+	drop        float64
+	outcomes    map[uint64][]Outcome
+	rounds      int
 }
 
 func newGroup(t testing.TB, seed uint64, drop float64) *group {
-	g := &group{t: t, nodes: map[uint64]*Node{}, clock: map[uint64]time.Duration{}, down: map[uint64]bool{},
-		rng: rand.New(rand.NewPCG(seed, 7)), drop: drop, outs: map[uint64][]Outcome{}}
+	g := &group{t: t, nodes: map[uint64]*Node{}, clock: map[uint64]time.Duration{}, partitioned: map[uint64]bool{},
+		rng: rand.New(rand.NewPCG(seed, 7)), drop: drop, outcomes: map[uint64][]Outcome{}}
 	for id := uint64(1); id <= 3; id++ {
 		n, err := New(Config{ID: id, Voters: []uint64{1, 2, 3}})
 		if err != nil {
@@ -49,9 +49,9 @@
 	for i := 0; i < 4; i++ {
 		for id, n := range g.nodes {
 			msgs, outs := n.Process(g.clock[id])
-			g.outs[id] = append(g.outs[id], outs...)
+			g.outcomes[id] = append(g.outcomes[id], outs...)
 			for _, m := range msgs {
-				if g.down[m.GetFrom()] || g.down[m.GetTo()] || g.rng.Float64() < g.drop {
+				if g.partitioned[m.GetFrom()] || g.partitioned[m.GetTo()] || g.rng.Float64() < g.drop {
 					continue
 				}
 				g.queue = append(g.queue, m)
@@ -69,14 +69,14 @@
 
 func (g *group) leader() uint64 {
 	for id, n := range g.nodes {
-		if !g.down[id] && n.Leader() == id {
+		if !g.partitioned[id] && n.Leader() == id {
 			return id
 		}
 	}
 	return 0
 }
 
-func (g *group) until(what string, limit int, ok func() bool) {
+func (g *group) runUntil(what string, limit int, ok func() bool) {
 	for i := 0; i < limit; i++ {
 		if ok() {
 			return
@@ -86,17 +86,17 @@
 	g.t.Fatalf("no %s within %d rounds", what, limit)
 }
 
-// ask proposes an entry at the leader and waits for the outcome.
-func (g *group) ask(e leases.Entry) leases.Result {
+// propose proposes an entry at the leader and waits for the outcome.
+func (g *group) propose(e leases.Entry) leases.Result {
 	var lead uint64
-	g.until("leader", 100, func() bool { lead = g.leader(); return lead != 0 })
+	g.runUntil("leader", 100, func() bool { lead = g.leader(); return lead != 0 })
 	p, err := g.nodes[lead].Propose(g.clock[lead], e)
 	if err != nil {
 		g.t.Fatalf("propose at %d: %v", lead, err)
 	}
 	var res *leases.Result
-	g.until("outcome", 100, func() bool {
-		for _, o := range g.outs[lead] {
+	g.runUntil("outcome", 100, func() bool {
+		for _, o := range g.outcomes[lead] {
 			if o.Proposal == p {
 				r := o.Result
 				res = &r
@@ -107,28 +107,28 @@
 	return *res
 }
 
-func TestLeaseThroughTheLog(t *testing.T) {
+func TestLeaseSurvivesLeaderChange(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			g := newGroup(t, seed, 0.1)
 			acquire := func(holder string) leases.Entry {
 				return leases.Entry{Op: leases.Acquire, Name: "scout", Holder: holder, TTL: 2 * time.Second}
 			}
-			first := g.ask(acquire("n1"))
+			first := g.propose(acquire("n1"))
 			if !first.Granted {
 				t.Fatalf("seed %d: first acquire was not granted: %+v", seed, first)
 			}
-			if r := g.ask(acquire("n2")); !errors.Is(r.Err, leases.ErrHeld) {
+			if r := g.propose(acquire("n2")); !errors.Is(r.Err, leases.ErrHeld) {
 				t.Fatalf("seed %d: acquire of a held lease: %+v, want ErrHeld", seed, r)
 			}
 			// Partition the leader: a new one extends the lease to its full time to live.
 			old := g.leader()
-			g.down[old] = true
-			g.until("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
+			g.partitioned[old] = true
+			g.runUntil("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
 			start := g.rounds
 			var second leases.Result
 			for i := 0; i < 60; i++ {
-				second = g.ask(acquire("n2"))
+				second = g.propose(acquire("n2"))
 				if second.Granted {
 					break
 				}
@@ -142,9 +142,9 @@
 				t.Fatalf("seed %d: granted to another holder %d rounds after the new leader, want at least 19", seed, waited)
 			}
 			// Every connected voter applies the same grant.
-			g.until("agreement of the voters", 100, func() bool {
+			g.runUntil("agreement of the voters", 100, func() bool {
 				for id, n := range g.nodes {
-					if g.down[id] {
+					if g.partitioned[id] {
 						continue
 					}
 					if l, ok := n.Machine().Holder("scout", n.Machine().Leases()[0].Expiry-1); !ok || l.Token != second.Lease.Token {
@@ -157,9 +157,9 @@
 	}
 }
 
-func TestProposeAtAFollower(t *testing.T) {
+func TestProposeAtFollower(t *testing.T) {
 	g := newGroup(t, 1, 0)
-	g.until("leader", 100, func() bool { return g.leader() != 0 })
+	g.runUntil("leader", 100, func() bool { return g.leader() != 0 })
 	for id, n := range g.nodes {
 		if id == g.leader() {
 			continue
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestNewRefusesABadConfig(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	for _, c := range []Config{{ID: 0, Voters: []uint64{1}}, {ID: 4, Voters: []uint64{1, 2, 3}}, {ID: 1 << 16,
 		Voters: []uint64{1 << 16}}} {
 		if _, err := New(c); err == nil {
@@ -181,20 +181,20 @@
 	}
 }
 
-func TestADeposedLeaderForgetsItsProposals(t *testing.T) {
+func TestDeposedLeaderDropsProposals(t *testing.T) {
 	g := newGroup(t, 3, 0)
-	g.until("leader", 100, func() bool { return g.leader() != 0 })
+	g.runUntil("leader", 100, func() bool { return g.leader() != 0 })
 	old := g.leader()
-	g.down[old] = true
+	g.partitioned[old] = true
 	for i := 0; i < 10; i++ {
 		if _, err := g.nodes[old].Propose(g.clock[old], leases.Entry{Op: leases.Acquire, Name: fmt.Sprint("t", i),
 			Holder: "a", TTL: time.Second}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	g.until("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
-	g.down[old] = false
-	g.until("new leader at the deposed one", 200, func() bool { return g.nodes[old].Leader() != old && g.nodes[old].Leader() != 0 })
+	g.runUntil("new leader", 200, func() bool { l := g.leader(); return l != 0 && l != old })
+	g.partitioned[old] = false
+	g.runUntil("new leader at the deposed one", 200, func() bool { return g.nodes[old].Leader() != old && g.nodes[old].Leader() != 0 })
 	if n := g.nodes[old].Pending(); n != 0 {
 		t.Fatalf("deposed leader keeps %d pending proposals, want 0", n)
 	}
