--- a/internal/control/pooling/sql.go
+++ b/internal/control/pooling/sql.go
@@ -208,11 +208,11 @@
 // statementTokens are the tokens of one statement.
 type statementTokens []token
 
-func (w statementTokens) isWord(i int, keywords ...string) bool {
+func (w statementTokens) isWord(i int, any ...string) bool {
 	if i >= len(w) || w[i].kind != 'w' {
 		return false
 	}
-	for _, x := range keywords {
+	for _, x := range any {
 		if w[i].text == x {
 			return true
 		}
@@ -227,9 +227,9 @@
 	return ""
 }
 
-func (w statementTokens) hasWord(keywords ...string) bool {
+func (w statementTokens) hasWord(any ...string) bool {
 	for i := range w {
-		if w.isWord(i, keywords...) {
+		if w.isWord(i, any...) {
 			return true
 		}
 	}
