--- a/internal/control/budget/budget.go
+++ b/internal/control/budget/budget.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Whole says that a message has come to its end and needs no more.
-func (b *Budget) Whole(h *Holding) { h.whole, h.need = true, h.held }
+// Complete says that a message has come to its end and needs no more.
+func (b *Budget) Complete(h *Holding) { h.whole, h.need = true, h.held }
 
 // Close gives back all that a message held. Closing twice changes nothing.
 func (b *Budget) Close(h *Holding) {
--- a/internal/control/budget/budget_test.go
+++ b/internal/control/budget/budget_test.go
@@ -27,7 +27,7 @@
 	if b.Take(y, 2) {
 		t.Fatal("more than there is")
 	}
-	b.Whole(x)
+	b.Complete(x)
 	b.Close(x)
 	b.Close(x)
 	if !b.Take(y, 2) || b.Used() != 6 {
@@ -74,7 +74,7 @@
 					kept = append(kept, m)
 					continue
 				}
-				b.Whole(m.h)
+				b.Complete(m.h)
 				b.Close(m.h)
 				ended++
 			}
--- a/internal/control/draining/draining.go
+++ b/internal/control/draining/draining.go
@@ -12,8 +12,8 @@
 
 import "time"
 
-// HoldUp is how long a gateway may be held up between reading its clock and acting on what it read, by the platform's word.
-const HoldUp = 150 * time.Millisecond
+// MaxSendDelay is how long a gateway may be held up between reading its clock and acting on what it read, by the platform's word.
+const MaxSendDelay = 150 * time.Millisecond
 
 // State is a host's state on the list.
 type State int
@@ -22,7 +22,7 @@
 const (
 	Serving State = iota
 	Draining
-	Gone
+	Removed
 )
 
 func (s State) String() string {
@@ -40,8 +40,8 @@
 
 // Bound says until when new requests may be sent to a host.
 type Bound struct {
-	Server string
-	By     time.Duration // by the gateway's clock; Open: there is no bound
+	Server    string
+	SendUntil time.Duration // by the gateway's clock; Open: there is no bound
 }
 
 // Rules are the settings that bound drains.
@@ -51,13 +51,13 @@
 	DroppedStayOpen bool
 }
 
-// Word is what a list tells of a host.
-type Word struct {
+// Notification is what a list tells of a host.
+type Notification struct {
 	Server string
 	State  State
 	At     time.Duration // when the list arrived
-	// Since is when the gateway, or an earlier process of it, was notified, if that is known to be earlier; 0: it is not.
-	Since time.Duration
+	// NotifiedAt is when the gateway, or an earlier process of it, was notified, if that is known to be earlier; 0: it is not.
+	NotifiedAt time.Duration
 	// Agent of discovery that told it; "": not known, and its word that a host serves ends no drain.
 	Agent    string
 	Revision int64 // of the agent's list
@@ -76,7 +76,7 @@
 }
 
 // endedBy says that a host which serves by this word does so after the drain: the word is later than what told the drain.
-func (h host) endedBy(w Word) bool {
+func (h host) endedBy(w Notification) bool {
 	return w.Agent != "" && (w.Agent == h.agent && w.Revision >= h.revision || w.Started > h.started)
 }
 
@@ -90,47 +90,47 @@
 func New(rules Rules) *Tracker { return &Tracker{rules: rules, hosts: map[string]host{}} }
 
 // Set takes what a list tells of a host, and gives the host's bound.
-func (t *Tracker) Set(w Word) Bound {
+func (t *Tracker) Set(w Notification) Bound {
 	h, known := t.hosts[w.Server]
 	if w.State == Serving {
 		if !known || h.endedBy(w) {
 			delete(t.hosts, w.Server)
 		}
-		return Bound{Server: w.Server, By: t.Until(w.Server)}
+		return Bound{Server: w.Server, SendUntil: t.Until(w.Server)}
 	}
 	if !known {
 		h.notifiedAt = w.At
 	}
-	if w.Since > 0 {
-		h.notifiedAt = min(h.notifiedAt, w.Since)
+	if w.NotifiedAt > 0 {
+		h.notifiedAt = min(h.notifiedAt, w.NotifiedAt)
 	}
 	if !known || !w.Unlisted {
 		h.agent, h.revision = w.Agent, w.Revision
 	}
 	h.state, h.drained, h.started = w.State, h.drained || w.State == Draining, max(h.started, w.Started)
 	t.hosts[w.Server] = h
-	return Bound{Server: w.Server, By: t.by(h)}
+	return Bound{Server: w.Server, SendUntil: t.by(h)}
 }
 
 // State gives the state that holds of a host.
 func (t *Tracker) State(server string) State { return t.hosts[server].state }
 
-// ToldBy gives the agent of discovery that told last that a host drains or is gone, and the revision of its list; "": it serves, or the agent
+// NotifiedBy gives the agent of discovery that told last that a host drains or is gone, and the revision of its list; "": it serves, or the agent
 // is not known.
-func (t *Tracker) ToldBy(server string) (agent string, revision int64) {
+func (t *Tracker) NotifiedBy(server string) (agent string, revision int64) {
 	h := t.hosts[server]
 	return h.agent, h.revision
 }
 
-// Retune puts other rules in force, also for hosts that were notified before, and gives the bounds that hold now.
-func (t *Tracker) Retune(rules Rules) []Bound {
+// SetRules puts other rules in force, also for hosts that were notified before, and gives the bounds that hold now.
+func (t *Tracker) SetRules(rules Rules) []Bound {
 	if rules == t.rules {
 		return nil
 	}
 	t.rules = rules
 	bounds := make([]Bound, 0, len(t.hosts))
 	for server, h := range t.hosts {
-		bounds = append(bounds, Bound{Server: server, By: t.by(h)})
+		bounds = append(bounds, Bound{Server: server, SendUntil: t.by(h)})
 	}
 	return bounds
 }
@@ -154,9 +154,9 @@
 func (t *Tracker) Forget(server string) { delete(t.hosts, server) }
 
 func (t *Tracker) by(h host) time.Duration {
-	if h.state == Gone && t.rules.DroppedStayOpen && !h.drained {
+	if h.state == Removed && t.rules.DroppedStayOpen && !h.drained {
 		return Open
 	}
 	// Never Open: a time before the clock's first reading is as good as any that is over.
-	return max(h.notifiedAt+t.rules.Grace-2*HoldUp, 1)
+	return max(h.notifiedAt+t.rules.Grace-2*MaxSendDelay, 1)
 }
--- a/internal/control/draining/draining_test.go
+++ b/internal/control/draining/draining_test.go
@@ -24,20 +24,20 @@
 		"the grace less both hold-ups":      {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}}},
 		"a grace that two hold-ups take up": {Rules{Grace: 200 * ms}, []change{{start, 0, Draining, start - 100*ms}}},
 		"listed again":                      {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Draining, start + 700*ms}}},
-		"from draining to gone":             {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Gone, start + 700*ms}}},
+		"from draining to gone":             {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Removed, start + 700*ms}}},
 		"back in service, and drained anew": {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms},
 			{start + 500*ms, 0, Serving, Open}, {start + 600*ms, 0, Draining, start + 1300*ms}}},
 		"notified by an earlier process":    {Rules{Grace: time.Second}, []change{{start, start - 400*ms, Draining, start + 300*ms}}},
-		"dropped where that is not binding": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Gone, Open}}},
+		"dropped where that is not binding": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Removed, Open}}},
 		"dropped after a drain there": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Draining, start + 700*ms},
-			{start + 100*ms, 0, Gone, start + 700*ms}}},
-		"a clock that has just started": {Rules{}, []change{{100 * ms, 0, Gone, 1}}},
+			{start + 100*ms, 0, Removed, start + 700*ms}}},
+		"a clock that has just started": {Rules{}, []change{{100 * ms, 0, Removed, 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(c.rules)
 			for i, s := range c.changes {
 				want := Bound{"s", s.want}
-				if diff := cmp.Diff(want, tracker.Set(Word{Server: "s", State: s.state, At: s.at, Since: s.since, Agent: "a"})); diff != "" {
+				if diff := cmp.Diff(want, tracker.Set(Notification{Server: "s", State: s.state, At: s.at, NotifiedAt: s.since, Agent: "a"})); diff != "" {
 					t.Errorf("change %d: %s", i, diff)
 				}
 				if got := tracker.Until("s"); got != s.want {
@@ -52,14 +52,14 @@
 func TestRetuneMovesTheBoundsOfNotifiedHosts(t *testing.T) {
 	const start = 10 * time.Second
 	tracker := New(Rules{Grace: time.Second})
-	tracker.Set(Word{Server: "s", State: Draining, At: start, Agent: "a"})
+	tracker.Set(Notification{Server: "s", State: Draining, At: start, Agent: "a"})
 	for _, grace := range []time.Duration{400 * ms, 3 * time.Second} {
-		want := []Bound{{"s", start + grace - 2*HoldUp}}
-		if diff := cmp.Diff(want, tracker.Retune(Rules{Grace: grace})); diff != "" {
+		want := []Bound{{"s", start + grace - 2*MaxSendDelay}}
+		if diff := cmp.Diff(want, tracker.SetRules(Rules{Grace: grace})); diff != "" {
 			t.Error(diff)
 		}
 	}
-	if got := tracker.Retune(Rules{Grace: 3 * time.Second}); got != nil {
+	if got := tracker.SetRules(Rules{Grace: 3 * time.Second}); got != nil {
 		t.Errorf("the same rules move bounds: %v", got)
 	}
 }
@@ -67,22 +67,22 @@
 // Of two agents of discovery either may be behind the other.
 func TestOnlyALaterWordEndsADrain(t *testing.T) {
 	const start = 10 * time.Second
-	drain := Word{State: Draining, Agent: "a", Revision: 43, Started: 7}
+	drain := Notification{State: Draining, Agent: "a", Revision: 43, Started: 7}
 	for name, c := range map[string]struct {
-		before []Word
-		serves Word
+		before []Notification
+		serves Notification
 		want   State
 	}{
-		"the agent that told it":             {[]Word{drain}, Word{Agent: "a", Revision: 43, Started: 7}, Serving},
-		"an older list of the same agent":    {[]Word{drain}, Word{Agent: "a", Revision: 42, Started: 7}, Draining},
-		"another agent":                      {[]Word{drain}, Word{Agent: "b", Started: 7}, Draining},
-		"another agent, of an earlier start": {[]Word{drain}, Word{Agent: "b", Started: 3}, Draining},
-		"another agent, of a later start":    {[]Word{drain}, Word{Agent: "b", Started: 8}, Serving},
-		"an agent that told it too":          {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "b"}, Serving},
-		"an agent that told it before":       {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "a"}, Draining},
-		"an agent whose list lacked it":      {[]Word{drain, {State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b", Started: 7}, Gone},
-		"a list that had lacked it only":     {[]Word{{State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b"}, Serving},
-		"nobody that is known":               {[]Word{{State: Draining}}, Word{}, Draining},
+		"the agent that told it":             {[]Notification{drain}, Notification{Agent: "a", Revision: 43, Started: 7}, Serving},
+		"an older list of the same agent":    {[]Notification{drain}, Notification{Agent: "a", Revision: 42, Started: 7}, Draining},
+		"another agent":                      {[]Notification{drain}, Notification{Agent: "b", Started: 7}, Draining},
+		"another agent, of an earlier start": {[]Notification{drain}, Notification{Agent: "b", Started: 3}, Draining},
+		"another agent, of a later start":    {[]Notification{drain}, Notification{Agent: "b", Started: 8}, Serving},
+		"an agent that told it too":          {[]Notification{drain, {State: Draining, Agent: "b"}}, Notification{Agent: "b"}, Serving},
+		"an agent that told it before":       {[]Notification{drain, {State: Draining, Agent: "b"}}, Notification{Agent: "a"}, Draining},
+		"an agent whose list lacked it":      {[]Notification{drain, {State: Removed, Agent: "b", Unlisted: true}}, Notification{Agent: "b", Started: 7}, Removed},
+		"a list that had lacked it only":     {[]Notification{{State: Removed, Agent: "b", Unlisted: true}}, Notification{Agent: "b"}, Serving},
+		"nobody that is known":               {[]Notification{{State: Draining}}, Notification{}, Draining},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(Rules{Grace: time.Second})
--- a/internal/control/fleetclock/doubt.go
+++ b/internal/control/fleetclock/doubt.go
@@ -37,7 +37,7 @@
 
 // agreed takes a primary's answer to a query sent since the doubt began, and gives answers that settle it: nil, there are not enough.
 func (d *doubt) agreed(w witness) []witness {
-	if w.interval.Most >= unbounded || w.sent < d.began {
+	if w.interval.Max >= unbounded || w.sent < d.began {
 		return nil
 	}
 	earlier := d.independentOf(w)
@@ -94,5 +94,5 @@
 
 func agree(all []witness, at time.Duration) bool {
 	i := common(all, at)
-	return i.Least <= i.Most
+	return i.Min <= i.Max
 }
--- a/internal/control/fleetclock/fleetclock.go
+++ b/internal/control/fleetclock/fleetclock.go
@@ -43,28 +43,28 @@
 func drift(t time.Duration) time.Duration { return t / driftPart }
 
 // Interval is what the fleet's clock shows more than this machine's: at least Least and at most Most.
-type Interval struct{ Least, Most time.Duration }
+type Interval struct{ Min, Max time.Duration }
 
 // Width is how much is not known.
-func (i Interval) Width() time.Duration { return i.Most - i.Least }
+func (i Interval) Width() time.Duration { return i.Max - i.Min }
 
-func (i Interval) intersects(o Interval) bool { return i.Least <= o.Most && o.Least <= i.Most }
+func (i Interval) intersects(o Interval) bool { return i.Min <= o.Max && o.Min <= i.Max }
 
 func (i Interval) intersect(o Interval) Interval {
-	return Interval{max(i.Least, o.Least), min(i.Most, o.Most)}
+	return Interval{max(i.Min, o.Min), min(i.Max, o.Max)}
 }
 
 func (i Interval) hull(o Interval) Interval {
-	return Interval{min(i.Least, o.Least), max(i.Most, o.Most)}
+	return Interval{min(i.Min, o.Min), max(i.Max, o.Max)}
 }
 
 // after is the interval as it is so much later.
 func (i Interval) after(t time.Duration) Interval {
-	if i.Least > -unbounded {
-		i.Least -= drift(t)
+	if i.Min > -unbounded {
+		i.Min -= drift(t)
 	}
-	if i.Most < unbounded {
-		i.Most += drift(t)
+	if i.Max < unbounded {
+		i.Max += drift(t)
 	}
 	return i
 }
@@ -73,19 +73,19 @@
 type Observation struct {
 	Host     string
 	Position time.Duration // the highest in the answer, by the fleet's clock; 0: there is none
-	// Present is the position that the host told beside its role as the primary, in the answer of a query that it ran; 0: it did not.
-	Present        time.Duration
-	Sent, Received time.Duration // the query's sending and the answer's reading, by this machine's clock
+	// PrimaryPosition is the position that the host told beside its role as the primary, in the answer of a query that it ran; 0: it did not.
+	PrimaryPosition time.Duration
+	Sent, Received  time.Duration // the query's sending and the answer's reading, by this machine's clock
 }
 
-// Proves is what the answer proves of the offset, as of its reading.
-func (o Observation) Proves() Interval {
-	i := Interval{max(o.Position, o.Present) - rounding - o.Received, unbounded}
-	if o.Present > 0 {
-		i.Most = o.Present + rounding + presentAge - o.Sent + drift(o.Received-o.Sent)
+// OffsetInterval is what the answer proves of the offset, as of its reading.
+func (o Observation) OffsetInterval() Interval {
+	i := Interval{max(o.Position, o.PrimaryPosition) - rounding - o.Received, unbounded}
+	if o.PrimaryPosition > 0 {
+		i.Max = o.PrimaryPosition + rounding + presentAge - o.Sent + drift(o.Received-o.Sent)
 	}
-	if i.Most < i.Least { // it contradicts itself: its present is no bound
-		i.Most = unbounded
+	if i.Max < i.Min { // it contradicts itself: its present is no bound
+		i.Max = unbounded
 	}
 	return i
 }
@@ -131,10 +131,10 @@
 
 // Observe takes an answer.
 func (e *Estimate) Observe(o Observation) Change {
-	if o.Position <= 0 && o.Present <= 0 || o.Received < o.Sent {
+	if o.Position <= 0 && o.PrimaryPosition <= 0 || o.Received < o.Sent {
 		return Nothing
 	}
-	w := witness{host: o.Host, sent: o.Sent, received: o.Received, interval: o.Proves()}
+	w := witness{host: o.Host, sent: o.Sent, received: o.Received, interval: o.OffsetInterval()}
 	if e.doubt != nil {
 		return e.settle(w)
 	}
@@ -150,7 +150,7 @@
 func (e *Estimate) narrow(w witness) Change {
 	before := e.Bounds()
 	e.addLeast(w)
-	if w.interval.Most < unbounded {
+	if w.interval.Max < unbounded {
 		e.most.add(w.most())
 	}
 	return e.since(before)
@@ -213,11 +213,11 @@
 func (e *Estimate) Bounds() Bounds {
 	if e.doubt != nil && !e.doubt.unknown() {
 		i := e.doubt.hull.after(-e.doubt.at)
-		return Bounds{least: i.Least, most: i.Most, Bounded: i.Most < unbounded, Told: true, Doubted: true}
+		return Bounds{least: i.Min, most: i.Max, HasMax: i.Max < unbounded, HasMin: true, Contradicted: true}
 	}
 	least, told := e.least.bound()
 	most, bounded := e.most.bound()
-	b := Bounds{least: -unbounded, most: unbounded, Bounded: bounded, Told: told}
+	b := Bounds{least: -unbounded, most: unbounded, HasMax: bounded, HasMin: told}
 	if told {
 		b.least = -least
 	}
@@ -229,10 +229,10 @@
 
 // Bounds are an interval that widens with time.
 type Bounds struct {
-	least, most time.Duration // as they would have been when the machine's clock showed 0
-	Bounded     bool          // there is an upper end
-	Told        bool          // there is a lower end
-	Doubted     bool          // an answer contradicts what was known, and it is not settled which is right
+	least, most  time.Duration // as they would have been when the machine's clock showed 0
+	HasMax       bool          // there is an upper end
+	HasMin       bool          // there is a lower end
+	Contradicted bool          // an answer contradicts what was known, and it is not settled which is right
 }
 
 // At is the interval when this machine's clock shows a time.
@@ -243,15 +243,15 @@
 // Predates says that a primary's position shows, as the clock is known and not doubted, that its answer was made before the query was
 // sent by more than so much.
 func (b Bounds) Predates(o Observation, by time.Duration) bool {
-	return b.Told && b.Bounded && !b.Doubted && o.Present > 0 && o.Proves().Most+by < b.At(o.Received).Least
+	return b.HasMin && b.HasMax && !b.Contradicted && o.PrimaryPosition > 0 && o.OffsetInterval().Max+by < b.At(o.Received).Min
 }
 
 // Width is how much is not known, as of the last change.
 func (b Bounds) Width() time.Duration { return b.most - b.least }
 
-// Ages is what has to be added to the age of a position as this machine's clock makes it: no data is then older than it seems by more
+// AgeOffset is what has to be added to the age of a position as this machine's clock makes it: no data is then older than it seems by more
 // than AgeSlack. It is of use only where there is an upper end.
-func (b Bounds) Ages(now time.Duration) time.Duration {
+func (b Bounds) AgeOffset(now time.Duration) time.Duration {
 	i := b.At(now)
-	return max(i.Least, i.Most-AgeSlack)
+	return max(i.Min, i.Max-AgeSlack)
 }
--- a/internal/control/fleetclock/fleetclock_test.go
+++ b/internal/control/fleetclock/fleetclock_test.go
@@ -23,7 +23,7 @@
 // present is an answer that a primary made in the middle of 10 ms.
 func (p *play) present(host string) Change {
 	p.now += apart + 10*ms
-	return p.Observe(Observation{Host: host, Present: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
+	return p.Observe(Observation{Host: host, PrimaryPosition: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
 }
 
 // position is an answer of a host whose log is behind by a lag; below 0, ahead.
@@ -35,8 +35,8 @@
 func (p *play) check(t *testing.T, what string, bounded bool) {
 	t.Helper()
 	b := p.Bounds()
-	if i := b.At(p.now); b.Bounded != bounded || b.Told && i.Least > p.offset || bounded && i.Most < p.offset {
-		t.Errorf("%s: offset %s, bounds %v, bounded %t, want %t", what, p.offset, i, b.Bounded, bounded)
+	if i := b.At(p.now); b.HasMax != bounded || b.HasMin && i.Min > p.offset || bounded && i.Max < p.offset {
+		t.Errorf("%s: offset %s, bounds %v, bounded %t, want %t", what, p.offset, i, b.HasMax, bounded)
 	}
 }
 
@@ -72,12 +72,12 @@
 	p.check(t, "at a start", false)
 	p.present("a")
 	p.check(t, "known", true)
-	before := p.Bounds().At(p.now).Most
+	before := p.Bounds().At(p.now).Max
 	for range 20 {
 		p.position("a", 2500*ms)
 		p.position("b", 2500*ms)
 	}
-	if most := p.Bounds().At(p.now).Most; most < before {
+	if most := p.Bounds().At(p.now).Max; most < before {
 		t.Errorf("repeated old positions lower the upper end from %s to %s", before, most)
 	}
 }
@@ -86,7 +86,7 @@
 	p := newPlay(2 * time.Second)
 	p.now += 500 * ms
 	for _, host := range []string{"a", "b", "c", "a", "b"} { // held, and read together
-		p.Observe(Observation{Host: host, Present: p.now - 480*ms + p.offset, Sent: p.now - 500*ms, Received: p.now})
+		p.Observe(Observation{Host: host, PrimaryPosition: p.now - 480*ms + p.offset, Sent: p.now - 500*ms, Received: p.now})
 	}
 	p.check(t, "flushed together", false)
 }
@@ -113,15 +113,15 @@
 				t.Fatalf("change %d", got)
 			}
 			p.check(t, "contradicted", c.bounded)
-			if b := p.Bounds(); !b.Doubted || b.At(p.now).Width() < 900*ms {
+			if b := p.Bounds(); !b.Contradicted || b.At(p.now).Width() < 900*ms {
 				t.Errorf("the safe ends are %+v", b.At(p.now))
 			}
 			epoch := p.Epoch()
 			p.present("a")
-			if !p.Bounds().Doubted {
+			if !p.Bounds().Contradicted {
 				t.Error("one answer settles it")
 			}
-			if got := p.present("b"); got != Settled || p.Epoch() != epoch || p.Bounds().Doubted {
+			if got := p.present("b"); got != Settled || p.Epoch() != epoch || p.Bounds().Contradicted {
 				t.Errorf("change %d, epoch %d, %+v", got, p.Epoch(), p.Bounds())
 			}
 			p.check(t, "settled again", true)
@@ -137,13 +137,13 @@
 	for _, host := range []string{"a", "b"} {
 		sent := p.now - 20*ms
 		p.now += 10 * ms
-		p.Observe(Observation{Host: host, Present: p.now - 5*ms, Sent: sent, Received: p.now})
+		p.Observe(Observation{Host: host, PrimaryPosition: p.now - 5*ms, Sent: sent, Received: p.now})
 	}
-	if !p.Bounds().Doubted {
+	if !p.Bounds().Contradicted {
 		t.Error("settled")
 	}
 	p.present("b") // agrees with a's, and is independent of it
-	if !p.Bounds().Doubted {
+	if !p.Bounds().Contradicted {
 		t.Error("settled by one answer since and one from before")
 	}
 }
@@ -159,7 +159,7 @@
 		t.Errorf("change %d", got)
 	}
 	p.check(t, "contradicted twice", true)
-	if least := p.Bounds().At(p.now).Least; least > 0 {
+	if least := p.Bounds().At(p.now).Min; least > 0 {
 		t.Errorf("what was known first is given up: at least %s", least)
 	}
 }
@@ -200,12 +200,12 @@
 
 func TestBeforeAHostHasToldNothingBoundsAStart(t *testing.T) {
 	p := newPlay(-time.Hour) // a host that has just started seems to have started an hour ago
-	if p.Bounds().Told {
+	if p.Bounds().HasMin {
 		t.Error("the machine's clock is believed of starts")
 	}
 	p.position("a", 10*ms)
 	p.check(t, "one host", false)
-	if !p.Bounds().Told {
+	if !p.Bounds().HasMin {
 		t.Error("one host's answer says nothing of starts")
 	}
 }
@@ -224,7 +224,7 @@
 
 func TestWhatMakesNoSenseIsNotTaken(t *testing.T) {
 	e := New(start)
-	for _, o := range []Observation{{Host: "a", Sent: start, Received: start + ms}, {Host: "a", Present: start, Sent: start + ms, Received: start}} {
+	for _, o := range []Observation{{Host: "a", Sent: start, Received: start + ms}, {Host: "a", PrimaryPosition: start, Sent: start + ms, Received: start}} {
 		if got := e.Observe(o); got != Nothing {
 			t.Errorf("%+v: change %d", o, got)
 		}
@@ -256,17 +256,17 @@
 			now = received
 			o := Observation{Host: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host"), Sent: sent, Received: received}
 			told := fleet(made)
-			if n == wrong && (!off || e.Bounds().Bounded) {
+			if n == wrong && (!off || e.Bounds().HasMax) {
 				told += draw("wrong by", -time.Hour, time.Hour)
 			}
 			if rapid.Bool().Draw(t, "primary") {
-				o.Present = told.Truncate(ms)
+				o.PrimaryPosition = told.Truncate(ms)
 			} else {
 				o.Position = (told - draw("lag", 0, 3*time.Second)).Truncate(ms)
 			}
 			e.Observe(o)
 			b, truth := e.Bounds(), fleet(now)-now
-			if i := b.At(now); b.Told && i.Least > truth || b.Bounded && i.Most < truth {
+			if i := b.At(now); b.HasMin && i.Min > truth || b.HasMax && i.Max < truth {
 				t.Fatalf("answer %d: the offset %s lies outside of %+v", n, truth, i)
 			}
 		}
@@ -276,7 +276,7 @@
 func TestOneWrongAnswerMovesNoBoundWhereTheMachinesClockIsOffAndTheFirstAnswerWasSlow(t *testing.T) {
 	p := newPlay(300 * ms)
 	p.now += 400 * ms
-	p.Observe(Observation{Host: "a", Present: p.now - 400*ms + p.offset, Sent: p.now - 400*ms, Received: p.now})
+	p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 400*ms + p.offset, Sent: p.now - 400*ms, Received: p.now})
 	p.check(t, "a slow first answer", true)
 	p.offset -= 250 * ms
 	p.present("b")
@@ -293,10 +293,10 @@
 		before(p)
 		for range 10_000 { // 40 queries are out at any time
 			p.now += ms
-			p.Observe(Observation{Host: "a", Present: p.now - 20*ms + p.offset, Sent: p.now - 40*ms, Received: p.now})
+			p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 20*ms + p.offset, Sent: p.now - 40*ms, Received: p.now})
 		}
-		if b := p.Bounds(); !b.Bounded || b.Doubted {
-			t.Errorf("%s: after 10 s of answers of one host bounded %t, doubted %t", name, b.Bounded, b.Doubted)
+		if b := p.Bounds(); !b.HasMax || b.Contradicted {
+			t.Errorf("%s: after 10 s of answers of one host bounded %t, doubted %t", name, b.HasMax, b.Contradicted)
 		}
 		p.check(t, name, true)
 	}
@@ -311,13 +311,13 @@
 				p.present("b")
 			}
 			old := p.now - 2500*ms
-			p.Observe(Observation{Host: "a", Present: old, Sent: p.now, Received: p.now + ms})
+			p.Observe(Observation{Host: "a", PrimaryPosition: old, Sent: p.now, Received: p.now + ms})
 			for i, host := range hosts {
 				sent := p.now + time.Duration(i+1)*1500*time.Microsecond
-				p.Observe(Observation{Host: host, Present: old, Sent: sent, Received: sent + ms})
+				p.Observe(Observation{Host: host, PrimaryPosition: old, Sent: sent, Received: sent + ms})
 			}
 			p.now += 10 * ms
-			if i := p.Bounds().At(p.now); i.Most < 0 {
+			if i := p.Bounds().At(p.now); i.Max < 0 {
 				t.Errorf("%s, known %t: a primary that stands still sets the clock to %+v", name, known, i)
 			}
 		}
@@ -327,20 +327,20 @@
 func TestAPositionThatStandsStillMovesNoBoundOfAWideInterval(t *testing.T) {
 	p := newPlay(0)
 	p.now += 400 * ms
-	p.Observe(Observation{Host: "a", Present: p.now - 400*ms, Sent: p.now - 400*ms, Received: p.now})
+	p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 400*ms, Sent: p.now - 400*ms, Received: p.now})
 	p.check(t, "a slow first answer", true)
 	old := p.now
 	p.now += 100 * ms
 	for range 3 {
 		p.now += apart + 10*ms
-		p.Observe(Observation{Host: "a", Present: old, Sent: p.now - 10*ms, Received: p.now})
+		p.Observe(Observation{Host: "a", PrimaryPosition: old, Sent: p.now - 10*ms, Received: p.now})
 		p.check(t, "a position that stands still", true)
 	}
 }
 
 func TestAnAnswerAllowsForRoundingAndForAClockThatWasReadBefore(t *testing.T) {
 	for _, told := range []time.Duration{-5*ms - ms, ms} {
-		if i := (Observation{Host: "a", Present: start + told, Sent: start, Received: start}).Proves(); i.Least > 0 || i.Most < 0 {
+		if i := (Observation{Host: "a", PrimaryPosition: start + told, Sent: start, Received: start}).OffsetInterval(); i.Min > 0 || i.Max < 0 {
 			t.Errorf("a present told as %s proves %+v where the clock is right", told, i)
 		}
 	}
@@ -352,7 +352,7 @@
 	p.present("b")
 	p.now += apart + 10*ms
 	p.offset = time.Second // it told its present before the clock was set, and its report after
-	p.Observe(Observation{Host: "a", Present: p.now - 5*ms, Position: p.now + p.offset, Sent: p.now - 10*ms, Received: p.now})
+	p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 5*ms, Position: p.now + p.offset, Sent: p.now - 10*ms, Received: p.now})
 	p.check(t, "contradicted", false)
 }
 
@@ -360,7 +360,7 @@
 	for most, want := range map[time.Duration]time.Duration{10 * ms: -ms, 100 * ms: 55 * ms} {
 		e := New(start)
 		e.Inherit(start, Interval{-ms, most})
-		if got := e.Bounds().Ages(start); got != want {
+		if got := e.Bounds().AgeOffset(start); got != want {
 			t.Errorf("with an upper end of %s a position's age is moved by %s, want %s", most, got, want)
 		}
 	}
--- a/internal/control/fleetclock/witness.go
+++ b/internal/control/fleetclock/witness.go
@@ -32,14 +32,14 @@
 	if b.received < a.received {
 		a, b = b, a
 	}
-	return b.interval.Most < a.at(b.received).Least
+	return b.interval.Max < a.at(b.received).Min
 }
 
 // at is the witness's interval at a time.
 func (w witness) at(t time.Duration) Interval { return w.interval.after(t - w.received) }
 
-func (w witness) least() bound { return bound{w, -(w.interval.Least + drift(w.received))} }
-func (w witness) most() bound  { return bound{w, w.interval.Most - drift(w.received)} }
+func (w witness) least() bound { return bound{w, -(w.interval.Min + drift(w.received))} }
+func (w witness) most() bound  { return bound{w, w.interval.Max - drift(w.received)} }
 
 // common is what all witnesses allow at a time; its ends cross where they do not agree.
 func common(all []witness, at time.Duration) Interval {
--- a/internal/control/gossip/corrected_clock_test.go
+++ b/internal/control/gossip/corrected_clock_test.go
@@ -11,11 +11,11 @@
 func TestPositionFromBeforeClockCorrectionIsNotLater(t *testing.T) {
 	const wrongOffset = -2400 * ms // assumed offset; the real one is 0
 	position := now - 1500*ms      // by the fleet's clock, which equals the local clock
-	for _, before := range []Offsets{{Least: wrongOffset, Most: wrongOffset, Bounded: true}, {}} {
+	for _, before := range []Offsets{{Min: wrongOffset, Max: wrongOffset, Bounded: true}, {}} {
 		s, to := newState(nil), newState(nil)
-		s.Note(now, balance.Heard{Server: "s-1", Position: position, At: now})
+		s.AddEntry(now, balance.RemoteOutcome{Server: "s-1", Position: position, At: now})
 		for _, sendOffsets := range []Offsets{before, {Bounded: true}} {
-			out, err := to.Receive(now+40*ms, Offsets{Bounded: true}, s.Datagram(now+30*ms, sendOffsets, nil), nil)
+			out, err := to.Receive(now+40*ms, Offsets{Bounded: true}, s.AppendMessage(now+30*ms, sendOffsets, nil), nil)
 			if err != nil && sendOffsets == (Offsets{Bounded: true}) {
 				continue // the first message contained the entry
 			}
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -58,17 +58,17 @@
 // Offsets holds the lower and the upper bound of the fleet's clock minus the local clock. The upper bound is
 // only valid if Bounded is set.
 type Offsets struct {
-	Least, Most time.Duration
-	Bounded     bool
+	Min, Max time.Duration
+	Bounded  bool
 }
 
 // Config is the configuration of a State.
 type Config struct {
-	Gateways int             // number of gateways in the tier, including this one
-	Classes  []balance.Class // in the order of the settings, which all gateways share
-	Hold     time.Duration   // maximum delay of an entry while more entries are collected for its message
-	PerTake  float64         // bytes added to the send budget for each request that this gateway accepts
-	Burst    float64         // maximum send budget in bytes
+	Gateways        int             // number of gateways in the tier, including this one
+	Classes         []balance.Class // in the order of the settings, which all gateways share
+	MaxDelay        time.Duration   // maximum delay of an entry while more entries are collected for its message
+	BytesPerRequest float64         // bytes added to the send budget for each request that this gateway accepts
+	Burst           float64         // maximum send budget in bytes
 }
 
 // State holds the pending entries, the send budget and the known hosts of one gateway. It is not safe for
@@ -77,7 +77,7 @@
 	cfg     Config
 	classes map[string]int
 	hosts   map[uint32]string // host id by hash, or "" if several hosts share the hash
-	pending []balance.Heard
+	pending []balance.RemoteOutcome
 	budget  float64
 	dueAt   time.Duration // when the pending entries are to be sent
 }
@@ -85,12 +85,12 @@
 // New returns a State without hosts whose send budget is full.
 func New(cfg Config) *State {
 	s := &State{cfg: cfg, hosts: map[uint32]string{}, budget: cfg.Burst}
-	s.Classes(cfg.Classes)
+	s.SetClasses(cfg.Classes)
 	return s
 }
 
-// Classes replaces the classes, which must be in the order that all gateways share.
-func (s *State) Classes(list []balance.Class) {
+// SetClasses replaces the classes, which must be in the order that all gateways share.
+func (s *State) SetClasses(list []balance.Class) {
 	s.cfg.Classes, s.classes = list, map[string]int{}
 	for i, c := range list {
 		if i < noClass {
@@ -101,8 +101,8 @@
 
 func hostHash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
 
-// Host adds a host. Entries about hosts that share a hash are ignored.
-func (s *State) Host(id string) {
+// AddHost adds a host. Entries about hosts that share a hash are ignored.
+func (s *State) AddHost(id string) {
 	h := hostHash(id)
 	if old, known := s.hosts[h]; known && old != id {
 		id = ""
@@ -110,19 +110,19 @@
 	s.hosts[h] = id
 }
 
-// Forget removes a host.
-func (s *State) Forget(id string) {
+// RemoveHost removes a host.
+func (s *State) RemoveHost(id string) {
 	if h := hostHash(id); s.hosts[h] == id {
 		delete(s.hosts, h)
 	}
 }
 
 // Credit adds the share of one accepted request to the send budget.
-func (s *State) Credit() { s.budget = min(s.budget+s.cfg.PerTake, s.cfg.Burst) }
+func (s *State) Credit() { s.budget = min(s.budget+s.cfg.BytesPerRequest, s.cfg.Burst) }
 
-// Note adds the result of an attempt or a probe of this gateway to the pending entries. It returns false if the
+// AddEntry adds the result of an attempt or a probe of this gateway to the pending entries. It returns false if the
 // budget is spent or the pending message is full; the result is then not sent.
-func (s *State) Note(now time.Duration, entry balance.Heard) (accepted bool) {
+func (s *State) AddEntry(now time.Duration, entry balance.RemoteOutcome) (accepted bool) {
 	cost := float64(entrySize * (s.cfg.Gateways - 1))
 	if len(s.pending) == 0 {
 		cost += float64(headerSize * (s.cfg.Gateways - 1))
@@ -132,7 +132,7 @@
 	}
 	s.budget -= cost
 	if len(s.pending) == 0 {
-		s.dueAt = now + s.cfg.Hold
+		s.dueAt = now + s.cfg.MaxDelay
 	}
 	if s.pending = append(s.pending, entry); len(s.pending) == maxEntries {
 		s.dueAt = now
@@ -143,17 +143,17 @@
 // Due returns when the pending message is to be sent; ok is false if there is none.
 func (s *State) Due() (at time.Duration, ok bool) { return s.dueAt, len(s.pending) > 0 }
 
-// Datagram appends the pending message to out and clears the pending entries.
+// AppendMessage appends the pending message to out and clears the pending entries.
 //
 // Positions are encoded by the fleet's clock, as hosts report them, so that the uncertainty of the sender's
 // offset does not add to their age.
-func (s *State) Datagram(now time.Duration, offsets Offsets, out []byte) []byte {
+func (s *State) AppendMessage(now time.Duration, offsets Offsets, out []byte) []byte {
 	out = append(out, version)
 	// Rounded down, so that no encoded time is later than the real one.
-	fleetMillis := (now + offsets.Least) / time.Millisecond
+	fleetMillis := (now + offsets.Min) / time.Millisecond
 	out = binary.BigEndian.AppendUint32(out, uint32(fleetMillis))
 	headerFleetClock := fleetMillis * time.Millisecond
-	headerClock := headerFleetClock - offsets.Least
+	headerClock := headerFleetClock - offsets.Min
 	for _, entry := range s.pending {
 		out = s.appendEntry(out, entry, headerClock, headerFleetClock)
 	}
@@ -163,7 +163,7 @@
 
 // appendEntry appends one entry to a message. The time in the message's header is passed by the local clock
 // and by the fleet's clock.
-func (s *State) appendEntry(out []byte, entry balance.Heard, headerClock, headerFleetClock time.Duration) []byte {
+func (s *State) appendEntry(out []byte, entry balance.RemoteOutcome, headerClock, headerFleetClock time.Duration) []byte {
 	class, known := s.classes[entry.Class]
 	if !known {
 		class = noClass
@@ -214,7 +214,7 @@
 // invalid, and skips entries about unknown hosts. Positions are by the fleet's clock. The end of an attempt
 // and the time since when a host is primary are by the local clock, the one that now is read from, and are
 // the earliest possible times. Without an upper bound of the fleet's clock both are unknown.
-func (s *State) Receive(now time.Duration, offsets Offsets, b []byte, out []balance.Heard) ([]balance.Heard, error) {
+func (s *State) Receive(now time.Duration, offsets Offsets, b []byte, out []balance.RemoteOutcome) ([]balance.RemoteOutcome, error) {
 	switch {
 	case len(b) < 1 || b[0] != version:
 		return out, ErrVersion
@@ -222,14 +222,14 @@
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
 	// The header holds the fleet's clock modulo 2^32: take the value nearest to now.
-	fleetMillis := (now + offsets.Least) / time.Millisecond
+	fleetMillis := (now + offsets.Min) / time.Millisecond
 	headerFleetClock := (fleetMillis + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(fleetMillis)))) * time.Millisecond
-	if offsets.Bounded && headerFleetClock-offsets.Most > now+maxFuture || headerFleetClock-offsets.Least < now-maxAge {
-		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-headerFleetClock+offsets.Least, now-headerFleetClock+offsets.Most)
+	if offsets.Bounded && headerFleetClock-offsets.Max > now+maxFuture || headerFleetClock-offsets.Min < now-maxAge {
+		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-headerFleetClock+offsets.Min, now-headerFleetClock+offsets.Max)
 	}
 	start := len(out)
 	for b = b[headerSize:]; len(b) > 0; b = b[entrySize:] {
-		out = append(out, balance.Heard{})
+		out = append(out, balance.RemoteOutcome{})
 		entry := &out[len(out)-1]
 		if err := s.decodeEntry(now, offsets, headerFleetClock, b, entry); err != nil {
 			return out[:start], err
@@ -243,7 +243,7 @@
 
 // decodeEntry decodes the first entry of b into entry. The time in the message's header is passed by the
 // fleet's clock. It leaves the server empty if the host is unknown.
-func (s *State) decodeEntry(now time.Duration, offsets Offsets, headerFleetClock time.Duration, b []byte, entry *balance.Heard) error {
+func (s *State) decodeEntry(now time.Duration, offsets Offsets, headerFleetClock time.Duration, b []byte, entry *balance.RemoteOutcome) error {
 	info := binary.BigEndian.Uint16(b[3:])
 	entry.Server, entry.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
 	entry.Result, entry.Role, entry.Took = balance.Result(info>>12), balance.Role(info>>10&3), decodeDuration(int(info>>4&15))
@@ -251,14 +251,14 @@
 		return ErrEntry
 	}
 	if offsets.Bounded {
-		entry.At = min(headerFleetClock-offsets.Most, now) - time.Duration(info&15)*endedStep
+		entry.At = min(headerFleetClock-offsets.Max, now) - time.Duration(info&15)*endedStep
 	}
 	if class := int(info >> 8 & 3); class < min(noClass, len(s.cfg.Classes)) {
 		entry.Class = s.cfg.Classes[class].Name
 	}
 	if b[5] > 0 {
 		entry.Position = headerFleetClock - time.Duration(b[5]-1)*ageStep
-		entry.NotBefore = min(entry.Position-offsets.Most, now)
+		entry.NotBefore = min(entry.Position-offsets.Max, now)
 	}
 	if entry.Role == balance.Primary && (entry.Position == 0 || !offsets.Bounded) {
 		// The position dates the role of a primary; without it, or without an upper bound, the date is unknown.
--- a/internal/control/listwatch/listwatch.go
+++ b/internal/control/listwatch/listwatch.go
@@ -23,8 +23,8 @@
 	"time"
 )
 
-// Whole is the revision of a gateway that has no list yet: all of it is asked for.
-const Whole = -1
+// NoRevision is the revision of a gateway that has no list yet: all of it is asked for.
+const NoRevision = -1
 
 const (
 	// watchWait is how long a watch is asked to wait for a change. It bounds how long a dead connection goes unnoticed.
@@ -72,8 +72,8 @@
 
 // Failures.
 const (
-	Broken Failure = iota // the connection, or what was answered, can't be used
-	Busy                  // discovery turned the call away
+	Broken   Failure = iota // the connection, or what was answered, can't be used
+	Rejected                // discovery turned the call away
 )
 
 type outstanding struct {
@@ -128,26 +128,26 @@
 // Broken says that a call to the present address has failed or fallen silent since the last answer.
 func (w *Watch) Broken() bool { return w.broken }
 
-// Recounts is how many times an agent was taken to count anew, as two of its lists were of a lower revision than one before. They may as well
+// RevisionResets is how many times an agent was taken to count anew, as two of its lists were of a lower revision than one before. They may as well
 // be older than that one.
-func (w *Watch) Recounts() int { return w.recounts }
+func (w *Watch) RevisionResets() int { return w.recounts }
 
 // Latency is how long answers took lately beyond their wait.
 func (w *Watch) Latency() time.Duration { return w.latency }
 
-// Move goes on at another address. The present one changes nothing: calls that are out go on. Those to another address go on,
+// SetAddress goes on at another address. The present one changes nothing: calls that are out go on. Those to another address go on,
 // and their answers are used, until the new one has answered: a series of moves must not keep the list from coming.
-func (w *Watch) Move(now time.Duration, address string) {
+func (w *Watch) SetAddress(now time.Duration, address string) {
 	if address == w.address {
 		return
 	}
 	// Another agent need not count as the last one did: a revision of that one's could hide changes for good.
-	w.address, w.revision, w.answered = address, Whole, false
+	w.address, w.revision, w.answered = address, NoRevision, false
 	if _, known := w.used[address]; !known {
-		w.used[address] = used{revision: Whole}
+		w.used[address] = used{revision: NoRevision}
 	}
 	w.moved, w.broken, w.crowded, w.silentAt, w.refusals, w.next = true, false, false, none, 0, never
-	if !slices.ContainsFunc(w.calls, func(c outstanding) bool { return c.Address == address && c.Revision == Whole && !c.silent }) {
+	if !slices.ContainsFunc(w.calls, func(c outstanding) bool { return c.Address == address && c.Revision == NoRevision && !c.silent }) {
 		w.next = now
 	}
 }
@@ -160,7 +160,7 @@
 	}
 	c := w.calls[i]
 	w.calls = slices.Delete(w.calls, i, i+1)
-	if c.Address != w.address || w.moved && c.Revision != Whole { // of before the move: another agent's list may have been used since
+	if c.Address != w.address || w.moved && c.Revision != NoRevision { // of before the move: another agent's list may have been used since
 		return !w.answered && w.newer(c.Call, revision)
 	}
 	w.failures = 0
@@ -183,7 +183,7 @@
 // an older list, unless discovery began to count anew: then the answer to a later call for all of it says so too.
 func (w *Watch) newer(c Call, revision int64) bool {
 	u := w.used[c.Address]
-	confirmed := u.rewound > 0 && c.ID > u.rewound && c.Revision == Whole
+	confirmed := u.rewound > 0 && c.ID > u.rewound && c.Revision == NoRevision
 	if revision >= u.revision || confirmed {
 		if revision < u.revision {
 			w.recounts++
@@ -210,7 +210,7 @@
 		return
 	}
 	w.broken = true
-	if why == Busy {
+	if why == Rejected {
 		w.next = now + w.pause(now, c)
 		w.silentAt, w.crowded = none, true // the next chain begins with the next call
 		return
@@ -323,7 +323,7 @@
 	c := Call{ID: w.last, Address: w.address, Revision: w.revision, Began: now}
 	switch {
 	case w.used[w.address].rewound > 0:
-		c.Revision = Whole
+		c.Revision = NoRevision
 	case w.answered && !w.broken:
 		c.Wait = watchWait
 	}
--- a/internal/control/listwatch/listwatch_test.go
+++ b/internal/control/listwatch/listwatch_test.go
@@ -41,7 +41,7 @@
 		return func(w *Watch, now time.Duration) { w.Failed(now, id, why) }
 	}
 	move := func(address string) func(*Watch, time.Duration) {
-		return func(w *Watch, now time.Duration) { w.Move(now, address) }
+		return func(w *Watch, now time.Duration) { w.SetAddress(now, address) }
 	}
 	first := event{0, nil, []string{"call 1 a after 41 wait 0s"}}
 	watching := []event{first, {0, answer(1, 42, true), []string{"call 2 a after 42 wait 1s"}}}
@@ -133,7 +133,7 @@
 			if a.refuse = min(a.refuse, 1); at >= a.reached-longestPause {
 				a.refuse = 0 // that was the one
 			}
-			return at, true, Busy
+			return at, true, Rejected
 		case 2: // answered, before the change
 			if at := now + c.Wait + a.latency; at < a.reached {
 				return at, false, 0
@@ -147,7 +147,7 @@
 		return now + 5*ms, true, Broken
 	case a.refuse > 0:
 		a.refuse--
-		return now + time.Duration(a.rng.Int64N(int64(a.refused))), true, Busy
+		return now + time.Duration(a.rng.Int64N(int64(a.refused))), true, Rejected
 	}
 	return now + a.latency, false, 0 // there is news: it does not wait
 }
@@ -187,7 +187,7 @@
 		now = max(now, min(next, moveAt))
 		if now >= moveAt {
 			addresses++
-			w.Move(now, fmt.Sprint("a", addresses%2))
+			w.SetAddress(now, fmt.Sprint("a", addresses%2))
 			moveAt = now + 200*ms
 		}
 		i := slices.IndexFunc(events, func(e event) bool { return e.at <= now })
@@ -261,7 +261,7 @@
 	l := &line{each: 140 * ms, patience: 2 * time.Second, holds: 20}
 	all, done := make([]*Watch, gateways), map[int]bool{}
 	for i := range all {
-		all[i] = New("a", Whole, uint64(i))
+		all[i] = New("a", NoRevision, uint64(i))
 	}
 	retry := make([]time.Duration, gateways) // of hasty ones, which come back at once
 	for now := time.Duration(0); now < within; now += tick {
@@ -270,7 +270,7 @@
 			done[c.who] = true
 		}
 		for _, c := range late {
-			all[c.who].Failed(now, c.id, Busy)
+			all[c.who].Failed(now, c.id, Rejected)
 			retry[c.who] = now + soon
 		}
 		for who, w := range all {
@@ -283,7 +283,7 @@
 			begin, _, _ := w.Step(now)
 			for _, c := range begin {
 				if len(l.calls) >= l.holds {
-					w.Failed(now, c.ID, Busy)
+					w.Failed(now, c.ID, Rejected)
 					retry[who] = now + soon
 					continue
 				}
@@ -315,7 +315,7 @@
 		began := time.Duration(0)
 		for range 2 {
 			begun, _, _ = w.Step(began)
-			w.Failed(began+refusedWithin, begun[0].ID, Busy)
+			w.Failed(began+refusedWithin, begun[0].ID, Rejected)
 			_, _, began = w.Step(began + refusedWithin)
 		}
 		if began > knownWithin {
@@ -329,11 +329,11 @@
 	bounds := [][2]time.Duration{{shortestPause, shortestPause + firstSpread}, {longestPause - pauseSpread, longestPause}}
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(1000) {
-		w, now := New("a", Whole, seed), time.Duration(0)
+		w, now := New("a", NoRevision, seed), time.Duration(0)
 		for _, b := range bounds {
 			begin, _, _ := w.Step(now)
 			now += 10 * ms
-			w.Failed(now, begin[0].ID, Busy)
+			w.Failed(now, begin[0].ID, Rejected)
 			_, _, next := w.Step(now)
 			if pause := next - now; pause < b[0] || pause > b[1] {
 				t.Fatalf("seed %d: %s after a call that was turned away", seed, pause)
--- a/internal/control/listwatch/older_list_test.go
+++ b/internal/control/listwatch/older_list_test.go
@@ -13,7 +13,7 @@
 	step(w, 0)
 	step(w, crowdedSilentAfter) // call 2 begins beside it
 	now = crowdedSilentAfter + 10*ms
-	w.Move(now, "b")
+	w.SetAddress(now, "b")
 	step(w, now)
 	if !w.Answered(now, 2, 43) {
 		t.Fatal("the newest list of the last address is not used")
@@ -30,7 +30,7 @@
 
 func TestAnOlderListIsNotUsedAfterAMoveThereAndBack(t *testing.T) {
 	w, now := movedBesideASilentCall(t, 41)
-	w.Move(now, "a")
+	w.SetAddress(now, "a")
 	step(w, now)
 	if w.Answered(now+ms, 1, 42) {
 		t.Error("a list of revision 42 is used after one of revision 43 of the same address")
@@ -38,8 +38,8 @@
 }
 
 func TestAnOlderWholeListThatWasAskedForBeforeIsNotTakenForANewCount(t *testing.T) {
-	w, now := movedBesideASilentCall(t, Whole) // call 2 asks for the whole list too
-	w.Move(now, "a")
+	w, now := movedBesideASilentCall(t, NoRevision) // call 2 asks for the whole list too
+	w.SetAddress(now, "a")
 	begun, _, _ := w.Step(now)
 	if w.Answered(now+ms, begun[0].ID, 42) {
 		t.Error("a list of revision 42 is used after one of revision 43 of the same address")
@@ -61,7 +61,7 @@
 		for _, c := range begun {
 			w.Answered(now, c.ID, int64(i))
 		}
-		w.Move(now, fmt.Sprint("a", i+1))
+		w.SetAddress(now, fmt.Sprint("a", i+1))
 	}
 	if w.Step(1000 * 100 * ms); len(w.used) > maxCalls+1 {
 		t.Errorf("%d addresses are kept", len(w.used))
@@ -74,11 +74,11 @@
 	if w.Answered(ms, begun[0].ID, 3) {
 		t.Fatal("an answer of a lower revision is used at once")
 	}
-	w.Move(2*ms, "b")
+	w.SetAddress(2*ms, "b")
 	w.Step(2 * ms)
-	w.Move(3*ms, "a")
+	w.SetAddress(3*ms, "a")
 	begun, _, _ = w.Step(3 * ms)
-	w.Move(4*ms, "b")
+	w.SetAddress(4*ms, "b")
 	w.Step(4 * ms)
 	if len(begun) != 1 || !w.Answered(5*ms, begun[0].ID, 3) {
 		t.Errorf("the whole list that says so too is not used: %+v", begun)
--- a/internal/control/pooling/connstate.go
+++ b/internal/control/pooling/connstate.go
@@ -11,8 +11,8 @@
 // DefaultPrepared is the default maximum number of prepared statements on a host connection.
 const DefaultPrepared = 100
 
-// Link is the state of one host connection: the settings that are in effect and the statements prepared on it.
-type Link struct {
+// ConnState is the state of one host connection: the settings that are in effect and the statements prepared on it.
+type ConnState struct {
 	settings   Settings
 	prepared   *simplelru.LRU[uint64, *preparedEntry]
 	lastNumber int      // number in the name of the last statement prepared
@@ -26,20 +26,20 @@
 	name      string
 }
 
-// NewLink returns the state of a new connection. It keeps at most that many prepared statements, or
+// NewConnState returns the state of a new connection. It keeps at most that many prepared statements, or
 // DefaultPrepared if prepared is 0.
-func NewLink(prepared int) *Link {
+func NewConnState(prepared int) *ConnState {
 	if prepared <= 0 {
 		prepared = DefaultPrepared
 	}
-	l := &Link{settings: NoSettings()}
+	l := &ConnState{settings: NoSettings()}
 	l.prepared, _ = simplelru.NewLRU(prepared, func(_ uint64, e *preparedEntry) { l.evicted = append(l.evicted, e.name) })
 	return l
 }
 
-// Carry returns the shortest list of statements that changes the connection's settings to those of the
+// SettingsQuery returns the shortest list of statements that changes the connection's settings to those of the
 // session, or "" if they are equal. They are to be run as one query before any statement of the session.
-func (l *Link) Carry(s *Session) string {
+func (l *ConnState) SettingsQuery(s *Session) string {
 	if l.settings == s.settings {
 		return ""
 	}
@@ -70,8 +70,8 @@
 	return strings.Join(append(reset, set...), "; ")
 }
 
-// Carried records that the query which changes the settings to those of the session has been run.
-func (l *Link) Carried(s *Session) { l.settings = s.settings }
+// SettingsApplied records that the query which changes the settings to those of the session has been run.
+func (l *ConnState) SettingsApplied(s *Session) { l.settings = s.settings }
 
 // settingIdent returns a setting's name in SQL, with its parts quoted where necessary.
 func settingIdent(name string) string {
@@ -91,7 +91,7 @@
 
 // Use returns the name of a statement on this connection. If parse is true, it has to be prepared under that
 // name first.
-func (l *Link) Use(st *Statement) (name string, parse bool) {
+func (l *ConnState) Use(st *Statement) (name string, parse bool) {
 	if e, ok := l.prepared.Get(st.hash); ok && e.statement.Same(st) {
 		l.Hits++
 		return e.name, false
@@ -107,7 +107,7 @@
 }
 
 // Evicted returns the names of the statements to close on the host that were evicted since the last call.
-func (l *Link) Evicted() []string {
+func (l *ConnState) Evicted() []string {
 	out := slices.Clone(l.evicted)
 	l.evicted = l.evicted[:0]
 	return out
@@ -115,15 +115,15 @@
 
 // Forget removes a statement that could not be prepared, or that must be prepared again because its plan is
 // outdated.
-func (l *Link) Forget(st *Statement) {
+func (l *ConnState) Forget(st *Statement) {
 	if e, ok := l.prepared.Peek(st.hash); ok && e.statement.Same(st) {
 		l.prepared.Remove(st.hash)
 	}
 }
 
-// Ran records that a statement of the session has run on this connection. The session's state is the one
+// StatementRan records that a statement of the session has run on this connection. The session's state is the one
 // after it.
-func (l *Link) Ran(c Command, s *Session) {
+func (l *ConnState) StatementRan(c Command, s *Session) {
 	switch c.Kind {
 	case DiscardAll, DeallocateAll:
 		l.prepared.Purge()
@@ -132,5 +132,5 @@
 	l.settings = s.settings
 }
 
-// Follow records that the connection has the session's settings, as it has run all of the session's statements.
-func (l *Link) Follow(s *Session) { l.settings = s.settings }
+// AdoptSettings records that the connection has the session's settings, as it has run all of the session's statements.
+func (l *ConnState) AdoptSettings(s *Session) { l.settings = s.settings }
--- a/internal/control/pooling/model_test.go
+++ b/internal/control/pooling/model_test.go
@@ -163,7 +163,7 @@
 		}
 		type sharedConn struct {
 			*modelConn
-			*Link
+			*ConnState
 			taken bool
 		}
 		var clients []*client
@@ -172,7 +172,7 @@
 			clients = append(clients, &client{own: newModelConn(), s: NewSession(nil), conn: -1, number: i})
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "links") {
-			conns = append(conns, &sharedConn{newModelConn(), NewLink(3), false})
+			conns = append(conns, &sharedConn{newModelConn(), NewConnState(3), false})
 		}
 		names := []string{"a", "b", "c", "d"}
 		command := func(t *rapid.T) string {
@@ -196,12 +196,12 @@
 				c.conn = rapid.SampledFrom(free).Draw(t, "link")
 				l := conns[c.conn]
 				l.taken = true
-				if sql := l.Carry(c.s); sql != "" {
+				if sql := l.SettingsQuery(c.s); sql != "" {
 					if _, ok := l.batch(Scan(sql)); !ok {
 						t.Fatalf("query that carries the settings fails: %s", sql)
 					}
 				}
-				l.Carried(c.s)
+				l.SettingsApplied(c.s)
 			}
 			return conns[c.conn]
 		}
@@ -227,17 +227,17 @@
 					commands = commands[:1] // DISCARD ALL must be the only statement
 				}
 				wantTags, wantOK := c.own.batch(commands)
-				c.s.Start()
+				c.s.StartBatch()
 				tags, ok := l.batch(commands)
 				for i, tag := range tags {
 					c.s.Completed(commands[i], tag)
-					l.Ran(commands[i], c.s)
+					l.StatementRan(commands[i], c.s)
 				}
 				if !ok {
 					c.s.Failed()
 				}
-				c.s.Ready(l.status())
-				l.Follow(c.s)
+				c.s.EndBatch(l.status())
+				l.AdoptSettings(c.s)
 				if !slices.Equal(tags, wantTags) || ok != wantOK || l.status() != c.own.status() {
 					t.Fatalf("%v: answer %v %v %c on a shared connection, %v %v %c on its own one", sql, tags, ok, l.status(), wantTags, wantOK,
 						c.own.status())
@@ -290,7 +290,7 @@
 				i := rapid.IntRange(0, len(conns)-1).Draw(t, "link")
 				for _, c := range clients {
 					if c.conn == i {
-						carried := c.s.Lost()
+						carried := c.s.ConnectionLost()
 						if carried != (c.own.status() == 'I') {
 							t.Fatalf("session can continue: %v, with transaction status %c", carried, c.own.status())
 						}
@@ -301,7 +301,7 @@
 						c.conn = -1
 					}
 				}
-				conns[i] = &sharedConn{newModelConn(), NewLink(3), false}
+				conns[i] = &sharedConn{newModelConn(), NewConnState(3), false}
 			},
 		})
 	})
--- a/internal/control/pooling/pool.go
+++ b/internal/control/pooling/pool.go
@@ -8,16 +8,16 @@
 
 // Limits bounds the connections to hosts.
 type Limits struct {
-	Total    int           // maximum number of connections to all hosts, open or being opened
-	PerHost  int           // maximum number of connections to one host; 0 means Total
-	Least    int           // guaranteed to each host: at the total, an idle connection of another host is closed for it
-	Opening  int           // maximum number of connections being opened to one host; 0 means no limit
-	PerSec   float64       // rate of opening connections to one host, also the burst; 0 means no limit
-	Rest     time.Duration // minimum time between two uses of a connection
-	Idle     time.Duration // maximum idle time of a connection; 0 means no limit
-	Age      time.Duration // maximum age, varied by up to a quarter so as not to reopen all at once; 0 means no limit
-	Memory   time.Duration // half-life of the peak usage, to which idle connections are reduced; 0 closes by Idle only
-	ColdPart float64       // fraction of PerHost that a host may have during its slow start; 0 means all
+	Total             int           // maximum number of connections to all hosts, open or being opened
+	PerHost           int           // maximum number of connections to one host; 0 means Total
+	MinPerHost        int           // guaranteed to each host: at the total, an idle connection of another host is closed for it
+	Opening           int           // maximum number of connections being opened to one host; 0 means no limit
+	OpenRate          float64       // rate of opening connections to one host, also the burst; 0 means no limit
+	MinRest           time.Duration // minimum time between two uses of a connection
+	Idle              time.Duration // maximum idle time of a connection; 0 means no limit
+	Age               time.Duration // maximum age, varied by up to a quarter so as not to reopen all at once; 0 means no limit
+	PeakHalfLife      time.Duration // half-life of the peak usage, to which idle connections are reduced; 0 closes by Idle only
+	SlowStartFraction float64       // fraction of PerHost that a host may have during its slow start; 0 means all
 }
 
 // Choice is the decision of Pools.Take.
@@ -71,7 +71,7 @@
 func (p *Pools) host(name string) *hostPool {
 	h := p.hosts[name]
 	if h == nil {
-		h = &hostPool{tokens: max(1, p.limits.PerSec), expirations: map[int]time.Duration{}}
+		h = &hostPool{tokens: max(1, p.limits.OpenRate), expirations: map[int]time.Duration{}}
 		p.hosts[name] = h
 	}
 	return h
@@ -83,8 +83,8 @@
 	if limit <= 0 {
 		limit = p.limits.Total
 	}
-	if h.cold && p.limits.ColdPart > 0 {
-		limit = max(1, int(float64(limit)*p.limits.ColdPart))
+	if h.cold && p.limits.SlowStartFraction > 0 {
+		limit = max(1, int(float64(limit)*p.limits.SlowStartFraction))
 	}
 	return limit
 }
@@ -94,7 +94,7 @@
 func (p *Pools) SetTotal(n int) (closing []int) {
 	p.limits.Total = n
 	for p.total > n {
-		id := p.evict(&hostPool{open: p.limits.Least})
+		id := p.evict(&hostPool{open: p.limits.MinPerHost})
 		if id == 0 {
 			break
 		}
@@ -114,7 +114,7 @@
 	h := p.host(name)
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		x := h.idle[i]
-		if now-x.idleSince < p.limits.Rest {
+		if now-x.idleSince < p.limits.MinRest {
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
@@ -140,7 +140,7 @@
 			return LimitReached, 0, dead
 		}
 	}
-	if p.limits.PerSec > 0 {
+	if p.limits.OpenRate > 0 {
 		h.tokens--
 	}
 	h.open++
@@ -156,7 +156,7 @@
 func (p *Pools) evict(h *hostPool) int {
 	var from *hostPool
 	for _, o := range p.hosts {
-		if len(o.idle) == 0 || o != h && o.open <= p.limits.Least && h.open >= p.limits.Least {
+		if len(o.idle) == 0 || o != h && o.open <= p.limits.MinPerHost && h.open >= p.limits.MinPerHost {
 			continue
 		}
 		if from == nil || o.idle[0].idleSince < from.idle[0].idleSince || o.idle[0].idleSince == from.idle[0].idleSince && o.idle[0].id < from.idle[0].id {
@@ -175,11 +175,11 @@
 
 // refillTokens refills the host's token bucket and reports whether a connection may be opened.
 func (p *Pools) refillTokens(now time.Duration, h *hostPool) bool {
-	if p.limits.PerSec <= 0 {
+	if p.limits.OpenRate <= 0 {
 		return true
 	}
 	if h.tokensAt > 0 {
-		h.tokens = min(max(1, p.limits.PerSec), h.tokens+(now-h.tokensAt).Seconds()*p.limits.PerSec)
+		h.tokens = min(max(1, p.limits.OpenRate), h.tokens+(now-h.tokensAt).Seconds()*p.limits.OpenRate)
 	}
 	h.tokensAt = now
 	return h.tokens >= 1
@@ -194,13 +194,13 @@
 
 // decayPeak halves the difference between the peak usage and the current usage once per half-life.
 func (p *Pools) decayPeak(now time.Duration, h *hostPool) {
-	if p.limits.Memory > 0 && h.peakAt > 0 {
-		for h.peakAt+p.limits.Memory <= now && h.peak > float64(h.used) {
+	if p.limits.PeakHalfLife > 0 && h.peakAt > 0 {
+		for h.peakAt+p.limits.PeakHalfLife <= now && h.peak > float64(h.used) {
 			h.peak = float64(h.used) + (h.peak-float64(h.used))/2
-			h.peakAt += p.limits.Memory
+			h.peakAt += p.limits.PeakHalfLife
 		}
 	}
-	if h.peakAt == 0 || h.peakAt+p.limits.Memory <= now {
+	if h.peakAt == 0 || h.peakAt+p.limits.PeakHalfLife <= now {
 		h.peakAt = now
 	}
 }
@@ -217,8 +217,8 @@
 	h.expirations[id] = end
 }
 
-// NotOpened records that a connection could not be established.
-func (p *Pools) NotOpened(name string) {
+// OpenFailed records that a connection could not be established.
+func (p *Pools) OpenFailed(name string) {
 	h := p.host(name)
 	h.opening--
 	h.open--
@@ -240,9 +240,9 @@
 	return true
 }
 
-// Close sets whether a host gets no more connections. For a closed host it returns the idle connections to
+// SetClosed sets whether a host gets no more connections. For a closed host it returns the idle connections to
 // close.
-func (p *Pools) Close(name string, closed bool) (closing []int) {
+func (p *Pools) SetClosed(name string, closed bool) (closing []int) {
 	h := p.host(name)
 	h.closed = closed
 	if closed {
@@ -262,15 +262,15 @@
 	return closing
 }
 
-// Cold sets whether a host is in its slow start.
-func (p *Pools) Cold(name string, cold bool) { p.host(name).cold = cold }
+// SetCold sets whether a host is in its slow start.
+func (p *Pools) SetCold(name string, cold bool) { p.host(name).cold = cold }
 
-// Drop removes the idle connections of a host whose address has changed, and returns them to be closed.
-func (p *Pools) Drop(name string) []int { return p.removeIdle(p.host(name)) }
+// CloseIdle removes the idle connections of a host whose address has changed, and returns them to be closed.
+func (p *Pools) CloseIdle(name string) []int { return p.removeIdle(p.host(name)) }
 
-// Forget closes the pool of a removed host and returns its idle connections to be closed. The pool is deleted
+// RemoveHost closes the pool of a removed host and returns its idle connections to be closed. The pool is deleted
 // if no connection is in use or being opened.
-func (p *Pools) Forget(name string) (closing []int) {
+func (p *Pools) RemoveHost(name string) (closing []int) {
 	if h := p.hosts[name]; h != nil {
 		h.closed = true
 		if closing = p.removeIdle(h); h.open == 0 {
@@ -289,7 +289,7 @@
 		spare := h.open - h.opening - int(h.peak+0.999)
 		for _, x := range h.idle {
 			closeIt := p.limits.Idle > 0 && now-x.idleSince > p.limits.Idle || x.expiresAt > 0 && now >= x.expiresAt
-			if !closeIt && p.limits.Memory > 0 && spare > 0 {
+			if !closeIt && p.limits.PeakHalfLife > 0 && spare > 0 {
 				closeIt, spare = true, 0
 			}
 			if !closeIt {
--- a/internal/control/pooling/session.go
+++ b/internal/control/pooling/session.go
@@ -130,8 +130,8 @@
 // Pins returns the reasons why the session must keep its host connection.
 func (s *Session) Pins() Pin { return s.pins }
 
-// Open reports whether a transaction is open, by the status last reported by the host.
-func (s *Session) Open() bool { return s.Status != 'I' }
+// InTransaction reports whether a transaction is open, by the status last reported by the host.
+func (s *Session) InTransaction() bool { return s.Status != 'I' }
 
 // ReadOnly reports whether the open transaction was started as READ ONLY.
 func (s *Session) ReadOnly() bool { return len(s.levels) > 0 && s.readOnly }
@@ -152,17 +152,17 @@
 // Close removes a prepared statement.
 func (s *Session) Close(name string) { delete(s.statements, name) }
 
-// All returns the prepared statements by name. The map belongs to the session and must not be changed.
-func (s *Session) All() map[string]*Statement { return s.statements }
+// AllPrepared returns the prepared statements by name. The map belongs to the session and must not be changed.
+func (s *Session) AllPrepared() map[string]*Statement { return s.statements }
 
-// Restore replaces the prepared statements by an earlier copy, for requests that were not executed.
-func (s *Session) Restore(all map[string]*Statement) { s.statements = all }
+// RestorePrepared replaces the prepared statements by an earlier copy, for requests that were not executed.
+func (s *Session) RestorePrepared(all map[string]*Statement) { s.statements = all }
 
 // Statements returns the number of prepared statements.
 func (s *Session) Statements() int { return len(s.statements) }
 
-// Start records the start of a batch: a query, or a pipeline up to its Sync.
-func (s *Session) Start() {
+// StartBatch records the start of a batch: a query, or a pipeline up to its Sync.
+func (s *Session) StartBatch() {
 	if len(s.levels) == 0 {
 		s.batchSettings, s.batchPins = s.settings, s.pins
 	}
@@ -246,9 +246,9 @@
 	}
 }
 
-// Ready records the end of a batch with the transaction status reported by the host. If the session has a
+// EndBatch records the end of a batch with the transaction status reported by the host. If the session has a
 // transaction open and the host has not, the host has rolled it back.
-func (s *Session) Ready(status byte) {
+func (s *Session) EndBatch(status byte) {
 	if s.Status = status; status == 'I' && len(s.levels) > 0 {
 		s.rollBack()
 		s.levels = nil
@@ -261,9 +261,9 @@
 	s.settings, _, _ = s.settings.Insert([]byte(strings.ToLower(name)), Literal(value))
 }
 
-// Settles reports whether any of the statements may change settings in a way that the session tracks from
+// ChangesSettings reports whether any of the statements may change settings in a way that the session tracks from
 // their text.
-func Settles(commands []Command) bool {
+func ChangesSettings(commands []Command) bool {
 	for _, c := range commands {
 		switch c.Kind {
 		case Set, SetLocal, Reset, ResetAll, DiscardAll, Begin, Commit, Rollback, RollbackTo:
@@ -273,10 +273,10 @@
 	return false
 }
 
-// Lost records that the host connection was lost with all state that pinned the session to it. It returns
+// ConnectionLost records that the host connection was lost with all state that pinned the session to it. It returns
 // whether the session can continue on another connection, which is not the case if it was pinned or in a
 // transaction.
-func (s *Session) Lost() (carried bool) {
+func (s *Session) ConnectionLost() (carried bool) {
 	carried = s.pins == 0 && s.Status == 'I' && len(s.levels) == 0
 	s.rollBack()
 	s.levels, s.pins, s.Status = nil, 0, 'I'
--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -33,8 +33,8 @@
 // InForce gives the settings that hold.
 func (v *Versions) InForce() balance.Settings { return v.inForce }
 
-// Take takes a version that makes sense. changed says that what is in force is now another.
-func (v *Versions) Take(now time.Duration, s balance.Settings) (changed bool) {
+// Update takes a version that makes sense. changed says that what is in force is now another.
+func (v *Versions) Update(now time.Duration, s balance.Settings) (changed bool) {
 	if newest := v.next; newest == nil && reflect.DeepEqual(v.inForce, s) || newest != nil && reflect.DeepEqual(*newest, s) {
 		return false
 	}
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -24,8 +24,8 @@
 const (
 	Starting Phase = iota // not ready yet: the front has to wait
 	Serving
-	Draining // staff sent the clients away; it may be taken back
-	Ending   // SIGTERM came; nothing takes that back
+	Draining     // staff sent the clients away; it may be taken back
+	ShuttingDown // SIGTERM came; nothing takes that back
 )
 
 var phases = [...]string{"starting", "serving", "draining", "ending"}
@@ -36,9 +36,9 @@
 type Heir int
 
 const (
-	None Heir = iota
-	Came      // it runs and shares the limits
-	Took      // it is ready and takes the clients
+	NoNewProcess Heir = iota
+	Came              // it runs and shares the limits
+	Took              // it is ready and takes the clients
 )
 
 var heirs = [...]string{"none", "came", "took"}
@@ -53,11 +53,11 @@
 	Drain                  // staff send the clients away
 	Resume                 // and take them back
 	Terminate              // SIGTERM
-	HeirCame
-	HeirReady
-	HeirLost   // it died, or never became ready
-	ElderFound // this process is to follow another
-	ElderGone  // which has ended
+	NewProcessConnected
+	NewProcessReady
+	NewProcessLost   // it died, or never became ready
+	OldProcessFound  // this process is to follow another
+	OldProcessExited // which has ended
 )
 
 var events = [...]string{"ready", "drain", "resume", "terminate", "heir came", "heir ready", "heir lost", "elder found", "elder gone"}
@@ -66,11 +66,11 @@
 
 // Times are the platform's, as durations from the event that they count from. All are above 0.
 type Times struct {
-	// FrontAway is how long after a no the front still opens connections: 0.2 s, and the tenth between two questions.
-	FrontAway time.Duration
-	// LastAnswer is how long after SIGTERM the last answer is due, Shed (before it) when connections are ended between
+	// LoadBalancerDelay is how long after a no the front still opens connections: 0.2 s, and the tenth between two questions.
+	LoadBalancerDelay time.Duration
+	// AnswersDue is how long after SIGTERM the last answer is due, Shed (before it) when connections are ended between
 	// requests, End (after it) when the process must have ended.
-	Shed, LastAnswer, End time.Duration
+	CloseConnections, AnswersDue, Exit time.Duration
 	// Accept is how long after SIGTERM, at the least, new connections are taken: for 0.2 to 0.4 s they keep coming.
 	Accept time.Duration
 	// Linger is how long a process whose heir took the clients stays, for the heir's death, before it ends by itself. The
@@ -80,17 +80,17 @@
 
 // View is what holds from now on.
 type View struct {
-	Phase  Phase
-	Heir   Heir
-	Yes    bool          // the front's question is answered with yes, and staff's too
-	Accept bool          // new connections are taken
-	Shed   bool          // connections are ended as soon as they are between requests
-	Pass   bool          // to the heir, in place of ending them
-	Shared bool          // two processes have the limits of one
-	Last   time.Duration // when the last answer is due; 0: no such time
-	Idle   bool          // nothing more is to come: the process ends once it has answered all that it took
-	Over   bool          // the process ends, whatever it holds
-	Next   time.Duration // when the view changes by itself; 0: it does not
+	Phase            Phase
+	NewProcess       Heir
+	Ready            bool          // the front's question is answered with yes, and staff's too
+	Accept           bool          // new connections are taken
+	CloseConnections bool          // connections are ended as soon as they are between requests
+	HandOver         bool          // to the heir, in place of ending them
+	LimitsShared     bool          // two processes have the limits of one
+	AnswersDue       time.Duration // when the last answer is due; 0: no such time
+	ExitWhenIdle     bool          // nothing more is to come: the process ends once it has answered all that it took
+	ExitNow          bool          // the process ends, whatever it holds
+	NextChange       time.Duration // when the view changes by itself; 0: it does not
 }
 
 // ErrEnding says that a process that ends can't be taken back into service.
@@ -115,9 +115,9 @@
 // New makes the state of a process that starts.
 func New(t Times) *State { return &State{times: t} }
 
-// Retime changes the platform's times to those of new settings, which bind from a time on. Until then SIGKILL may come by the old or the new
+// SetTimes changes the platform's times to those of new settings, which bind from a time on. Until then SIGKILL may come by the old or the new
 // ones, so that the earlier hold; and so for good where SIGTERM comes by then.
-func (s *State) Retime(now time.Duration, t Times, binds time.Duration) {
+func (s *State) SetTimes(now time.Duration, t Times, binds time.Duration) {
 	s.settle(now)
 	s.times = s.times.earlier(t)
 	s.next, s.settleAt = t, binds
@@ -125,14 +125,14 @@
 
 // settle puts the newest times in force alone, if their time has come.
 func (s *State) settle(now time.Duration) {
-	if s.phase != Ending && s.settleAt > 0 && now >= s.settleAt {
+	if s.phase != ShuttingDown && s.settleAt > 0 && now >= s.settleAt {
 		s.times, s.settleAt = s.next, 0
 	}
 }
 
 // earlier gives times by which everything that the end asks for is done by either.
 func (t Times) earlier(o Times) Times {
-	o.Shed, o.LastAnswer, o.End = min(t.Shed, o.Shed), min(t.LastAnswer, o.LastAnswer), min(t.End, o.End)
+	o.CloseConnections, o.AnswersDue, o.Exit = min(t.CloseConnections, o.CloseConnections), min(t.AnswersDue, o.AnswersDue), min(t.Exit, o.Exit)
 	return o
 }
 
@@ -151,7 +151,7 @@
 		}
 	case Resume:
 		switch s.phase {
-		case Ending:
+		case ShuttingDown:
 			return ErrEnding
 		case Draining:
 			if s.phase = Serving; !s.ready {
@@ -159,23 +159,23 @@
 			}
 		}
 	case Terminate:
-		if s.phase != Ending {
+		if s.phase != ShuttingDown {
 			s.drained = s.phase == Draining
-			s.phase, s.endAt = Ending, now
+			s.phase, s.endAt = ShuttingDown, now
 		}
-	case HeirCame:
-		if s.heir == None {
+	case NewProcessConnected:
+		if s.heir == NoNewProcess {
 			s.heir = Came
 		}
-	case HeirReady:
+	case NewProcessReady:
 		if s.heir != Took {
 			s.heir, s.tookAt = Took, now
 		}
-	case HeirLost:
-		s.heir = None
-	case ElderFound:
+	case NewProcessLost:
+		s.heir = NoNewProcess
+	case OldProcessFound:
 		s.elder = true
-	case ElderGone:
+	case OldProcessExited:
 		s.elder = false
 	default:
 		return fmt.Errorf("service: unknown event %d", e)
@@ -186,36 +186,36 @@
 // View says what holds at a time.
 func (s *State) View(now time.Duration) View {
 	// Before it is ready a process takes clients who then wait for it, but not while its elder serves them.
-	v := View{Phase: s.phase, Heir: s.heir, Yes: s.phase == Serving, Accept: s.ready || !s.elder, Shared: s.heir != None || s.elder}
+	v := View{Phase: s.phase, NewProcess: s.heir, Ready: s.phase == Serving, Accept: s.ready || !s.elder, LimitsShared: s.heir != NoNewProcess || s.elder}
 	next := func(at time.Duration) bool { // says whether the time has come, and notes it as the next otherwise
 		if now >= at {
 			return true
 		}
-		if v.Next == 0 || at < v.Next {
-			v.Next = at
+		if v.NextChange == 0 || at < v.NextChange {
+			v.NextChange = at
 		}
 		return false
 	}
 	switch s.phase {
 	case Draining:
 		// Before the front has noticed, those sent away would only come back.
-		v.Shed = next(s.since + s.times.FrontAway)
-	case Ending:
+		v.CloseConnections = next(s.since + s.times.LoadBalancerDelay)
+	case ShuttingDown:
 		// Without an heir nobody takes this gateway's place so soon: clients are served as before, on the connections that
 		// they have, and the front's question as well.
-		v.Yes = s.ready && !s.drained
-		v.Last = s.endAt + s.times.LastAnswer
-		shed := next(s.endAt + s.times.Shed)
-		v.Shed = shed || s.drained && next(s.since+s.times.FrontAway)
+		v.Ready = s.ready && !s.drained
+		v.AnswersDue = s.endAt + s.times.AnswersDue
+		shed := next(s.endAt + s.times.CloseConnections)
+		v.CloseConnections = shed || s.drained && next(s.since+s.times.LoadBalancerDelay)
 		v.Accept = !shed || !next(s.endAt+s.times.Accept)
-		v.Idle = !v.Accept
-		v.Over = next(s.endAt + s.times.End)
+		v.ExitWhenIdle = !v.Accept
+		v.ExitNow = next(s.endAt + s.times.Exit)
 	}
 	if s.heir == Took {
-		v.Accept, v.Shed, v.Pass = false, true, true
-		v.Idle = s.phase == Ending
-		if s.phase != Ending && next(s.tookAt+s.times.Linger) {
-			v.Idle = true
+		v.Accept, v.CloseConnections, v.HandOver = false, true, true
+		v.ExitWhenIdle = s.phase == ShuttingDown
+		if s.phase != ShuttingDown && next(s.tookAt+s.times.Linger) {
+			v.ExitWhenIdle = true
 		}
 	}
 	return v
--- a/internal/control/waits/waits.go
+++ b/internal/control/waits/waits.go
@@ -27,8 +27,8 @@
 	retriesMost, expectedMost = 3, 512
 )
 
-// Waits is what one gateway has seen of its clients. It is not safe for concurrent use.
-type Waits struct{ classes map[string]*histogram }
+// Estimator is what one gateway has seen of its clients. It is not safe for concurrent use.
+type Estimator struct{ classes map[string]*histogram }
 
 // histogram counts the waits of one class.
 type histogram struct {
@@ -39,11 +39,11 @@
 }
 
 // New makes one that has seen nothing.
-func New() *Waits { return &Waits{classes: map[string]*histogram{}} }
+func New() *Estimator { return &Estimator{classes: map[string]*histogram{}} }
 
-// Try takes a try of a class: its client waits for so long, and giveUp is the class's time in all. It gives how long the client
+// Observe takes a try of a class: its client waits for so long, and giveUp is the class's time in all. It gives how long the client
 // has been at it; 0 for a first try, and where that can't be told.
-func (w *Waits) Try(class string, giveUp, wait time.Duration) time.Duration {
+func (w *Estimator) Observe(class string, giveUp, wait time.Duration) time.Duration {
 	if wait <= 0 || giveUp <= 0 {
 		return 0
 	}
@@ -68,7 +68,7 @@
 
 // Unserved says that a try of a class has ended without being served: refused, failed, or left by its client. Not to be said
 // of what Try gave a time for, whose client is counted already.
-func (w *Waits) Unserved(class string) {
+func (w *Estimator) Unserved(class string) {
 	if s := w.classes[class]; s != nil {
 		s.expected = min(s.expected+retriesMost, expectedMost)
 	}
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -11,14 +11,14 @@
 
 // play lets n clients of a program come that wait for so long at first; of each the first tries come, and a part of them
 // comes again after a while, with what is left.
-func play(w *Waits, n int, first time.Duration, again func(i int) time.Duration) (told []time.Duration) {
+func play(w *Estimator, n int, first time.Duration, again func(i int) time.Duration) (told []time.Duration) {
 	for i := range n {
-		if w.Try("view", 750*ms, first) != 0 {
+		if w.Observe("view", 750*ms, first) != 0 {
 			told = append(told, -1) // a first try, taken for a later one
 		}
 		w.Unserved("view")
 		if after := again(i); after > 0 {
-			told = append(told, w.Try("view", 750*ms, min(first, 750*ms-after)))
+			told = append(told, w.Observe("view", 750*ms, min(first, 750*ms-after)))
 		}
 	}
 	return told
@@ -32,7 +32,7 @@
 			t.Fatalf("client %d: %v, want %v", i, got, want)
 		}
 	}
-	if got := w.Try("view", 750*ms, 450*ms); got != 0 {
+	if got := w.Observe("view", 750*ms, 450*ms); got != 0 {
 		t.Errorf("a try that may be a first is taken for one of a client that is at it for %v", got)
 	}
 }
@@ -41,12 +41,12 @@
 	w := New()
 	w.Unserved("view")
 	for _, wait := range []time.Duration{450 * ms, 200 * ms, 0, -ms, 450 * ms} {
-		if got := w.Try("view", 750*ms, wait); got != 0 {
+		if got := w.Observe("view", 750*ms, wait); got != 0 {
 			t.Errorf("wait %v: %v", wait, got)
 		}
 		w.Unserved("view")
 	}
-	if got := w.Try("order", 0, ms); got != 0 {
+	if got := w.Observe("order", 0, ms); got != 0 {
 		t.Errorf("a class without a time: %v", got)
 	}
 }
@@ -56,7 +56,7 @@
 	w := New()
 	for range 200 {
 		for _, wait := range []time.Duration{700 * ms, 700 * ms, 320 * ms} {
-			if got := w.Try("view", 750*ms, wait); got != 0 {
+			if got := w.Observe("view", 750*ms, wait); got != 0 {
 				t.Fatalf("wait %v: %v", wait, got)
 			}
 			w.Unserved("view")
@@ -72,7 +72,7 @@
 		if i%20 == 0 {
 			wait = 320 * ms
 		}
-		if got := w.Try("view", 750*ms, wait); got != 0 {
+		if got := w.Observe("view", 750*ms, wait); got != 0 {
 			t.Fatalf("try %d: %v", i, got)
 		}
 	}
@@ -85,7 +85,7 @@
 		w, allowed, told := New(), 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "tries") {
 			wait := time.Duration(rapid.IntRange(-10, 900).Draw(t, "wait")) * ms
-			got := w.Try("view", 750*ms, wait)
+			got := w.Observe("view", 750*ms, wait)
 			switch {
 			case got != 0 && got != 750*ms-wait:
 				t.Fatalf("wait %v: %v", wait, got)
@@ -120,6 +120,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		w.Unserved("view")
-		w.Try("view", 750*ms, time.Duration(100+i%340)*ms)
+		w.Observe("view", 750*ms, time.Duration(100+i%340)*ms)
 	}
 }
--- a/internal/memory/consensus/node.go
+++ b/internal/memory/consensus/node.go
@@ -32,10 +32,10 @@
 	// nil for a new voter, which is bootstrapped with Voters.
 	Storage *raft.MemoryStorage
 	Restart bool
-	// Keep persists the hard state and new entries and returns once they are on disk; Process returns no
+	// Persist persists the hard state and new entries and returns once they are on disk; Process returns no
 	// message before. If it is nil, they are in memory only, and the voter must never restart under the same
 	// ID, as it has lost its vote.
-	Keep func(hard *raftpb.HardState, entries []*raftpb.Entry) error
+	Persist func(hard *raftpb.HardState, entries []*raftpb.Entry) error
 }
 
 // ErrNotLeader is returned by Propose on a node that is not the leader. Leader is the ID of the leader that
@@ -124,7 +124,7 @@
 			return nil, fmt.Errorf("consensus node %d: bootstrap: %w", cfg.ID, err)
 		}
 	}
-	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), persist: cfg.Keep}, nil
+	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), persist: cfg.Persist}, nil
 }
 
 // Tick advances the node's logical clock by one tick.
--- a/internal/memory/consensus/restart_test.go
+++ b/internal/memory/consensus/restart_test.go
@@ -29,7 +29,7 @@
 	disks := map[uint64]*fakeDisk{}
 	for id := uint64(1); id <= 3; id++ {
 		disks[id] = &fakeDisk{storage: raft.NewMemoryStorage()}
-		n, err := New(Config{ID: id, Voters: []uint64{1, 2, 3}, Keep: disks[id].persist})
+		n, err := New(Config{ID: id, Voters: []uint64{1, 2, 3}, Persist: disks[id].persist})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 			t.Fatalf("seed %d: %+v", seed, second)
 		}
 		n, err := New(Config{ID: old, Voters: []uint64{1, 2, 3}, Storage: disks[old].storage, Restart: true,
-			Keep: disks[old].persist})
+			Persist: disks[old].persist})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 func TestVoterStopsSendingWhenDiskFails(t *testing.T) {
 	g := newGroup(t, 1, 0)
 	full := errors.New("no space left on device")
-	n, err := New(Config{ID: 1, Voters: []uint64{1, 2, 3}, Keep: func(*raftpb.HardState, []*raftpb.Entry) error {
+	n, err := New(Config{ID: 1, Voters: []uint64{1, 2, 3}, Persist: func(*raftpb.HardState, []*raftpb.Entry) error {
 		return full
 	}})
 	if err != nil {
