--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -1,15 +1,18 @@
-// Package gossip decides what gateways tell each other of the hosts, and reads what others tell. Where many gateways
-// stand before many hosts, each of them sees little of any host; all of them together see it all. It does no I/O.
+// Package gossip encodes and decodes the messages in which gateways share observations about hosts. Where
+// many gateways serve many hosts, each gateway sees little of any one host, while all gateways together see
+// all of its traffic. The package does no I/O.
 //
-// A datagram is a head of 5 bytes (version, and the fleet's clock as the sender bounds it from below, in whole milliseconds, modulo 2^32) and notes of 6
-// bytes each, one for an attempt or a probe that has ended:
+// A gossip message is one datagram: a header of 5 bytes (1 byte version, 4 bytes fleet clock: the lower bound
+// that the sender has for it, in whole milliseconds, modulo 2^32), followed by entries of 6 bytes each. Each
+// entry describes one attempt or probe that has ended:
 //
-//	3 bytes  the host: a hash of its id
-//	2 bytes  from the top: 4 bits how it ended, 2 bits the host's role, 2 bits the class (3: none), 4 bits the time
-//	         that it took (k stands for 4 ms * 2^(k/2), rounded to the nearest), 4 bits how long before the head's
-//	         clock it ended, in steps of 16 ms, rounded up; a role seen longer ago than 15 is not told
-//	1 byte   the host's log position: 1 + its age at the head's clock in steps of 4 ms, rounded up; 0: not told. A primary's is
-//	         the present: its role is told by the time of its position, and not at all without one
+//	3 bytes  host: a hash of its id
+//	2 bytes  from the most significant bit: 4 bits result, 2 bits role of the host, 2 bits class (3: none), 4 bits
+//	         duration (k stands for 4 ms * 2^(k/2), rounded to the nearest), 4 bits time from the end of the attempt
+//	         to the header's clock, in steps of 16 ms, rounded up; if that is more than 15 steps, the role is left out
+//	1 byte   log position of the host: 1 + its age at the header's clock in steps of 4 ms, rounded up, or 0 if it is
+//	         not sent. The position of a primary is the current time, so the position also dates its role; the role
+//	         of a primary is ignored if the entry has no position.
 //
 // Numbers are big-endian.
 package gossip
@@ -27,61 +30,66 @@
 )
 
 const (
-	version  = 2 // 1 told of a primary when its answer was handled, which may be long after it was made
-	headSize = 5
-	noteSize = 6
-	maxBytes = 256 // of a datagram, by the platform's protocol
-	maxNotes = (maxBytes - headSize) / noteSize
+	// Version 1 dated a primary by the time its answer was handled, which may be long after the answer was
+	// made.
+	version        = 2
+	headerSize     = 5
+	entrySize      = 6
+	maxMessageSize = 256 // size limit of a datagram in the platform's protocol
+	maxEntries     = (maxMessageSize - headerSize) / entrySize
 
 	durationStep = 4 * time.Millisecond
 	endedStep    = 16 * time.Millisecond
 	ageStep      = 4 * time.Millisecond
 	noClass      = 3
 
-	endedMost    = 15  // steps of endedStep that a note has room for
-	durationMost = 15  // the highest code of a duration
-	ageStepsMost = 254 // steps of ageStep that a note has room for
+	maxEndedSteps   = 15  // largest number of steps of endedStep that an entry can hold
+	maxDurationCode = 15  // largest duration code
+	maxAgeSteps     = 254 // largest number of steps of ageStep that an entry can hold
 
-	// maxAge is how old a datagram may be. They travel for tens of milliseconds; one that comes much later, or from a
-	// clock that went wrong, says nothing of now.
+	// maxAge is the maximum age of a message. Messages travel for tens of milliseconds; one that arrives much
+	// later, or was sent by a gateway with a wrong clock, does not describe the current state of a host.
 	maxAge = 2 * time.Second
-	// maxAhead is how far ahead of this clock a datagram may be: clocks are read apart.
-	maxAhead = 5 * time.Millisecond
+	// maxFuture is the tolerance for messages from the future, as sender and receiver read their clocks
+	// independently.
+	maxFuture = 5 * time.Millisecond
 )
 
-// Offsets are what the fleet's clock shows more than the one of this gateway: at least, and at most where that is Bounded.
+// Offsets holds the lower and the upper bound of the fleet's clock minus the local clock. The upper bound is
+// only valid if Bounded is set.
 type Offsets struct {
 	Min, Max time.Duration
 	Bounded  bool
 }
 
-// Config says what a State works with.
+// Config is the configuration of a State.
 type Config struct {
-	Gateways        int             // of the tier, this one included
+	Gateways        int             // number of gateways in the tier, including this one
 	Classes         []balance.Class // in the order of the settings, which all gateways share
-	MaxDelay        time.Duration   // how long a note may wait for others to go with it
-	BytesPerRequest float64         // bytes that may be delivered to others for each request taken here
-	Burst           float64         // bytes that may be saved up
+	MaxDelay        time.Duration   // maximum delay of an entry while more entries are collected for its message
+	BytesPerRequest float64         // bytes added to the send budget for each request that this gateway accepts
+	Burst           float64         // maximum send budget in bytes
 }
 
-// State is what one gateway tells and hears. It is not safe for concurrent use.
+// State holds the pending entries, the send budget and the known hosts of one gateway. It is not safe for
+// concurrent use.
 type State struct {
 	cfg     Config
 	classes map[string]int
-	hosts   map[uint32]string // by hash; "": more than one
+	hosts   map[uint32]string // host id by hash, or "" if several hosts share the hash
 	pending []balance.RemoteOutcome
 	budget  float64
-	due     time.Duration // when the pending notes go out
+	dueAt   time.Duration // when the pending entries are to be sent
 }
 
-// New makes a state.
+// New returns a State without hosts whose send budget is full.
 func New(cfg Config) *State {
 	s := &State{cfg: cfg, hosts: map[uint32]string{}, budget: cfg.Burst}
 	s.SetClasses(cfg.Classes)
 	return s
 }
 
-// SetClasses takes the classes anew, in the order that all gateways share.
+// SetClasses replaces the classes, which must be in the order that all gateways share.
 func (s *State) SetClasses(list []balance.Class) {
 	s.cfg.Classes, s.classes = list, map[string]int{}
 	for i, c := range list {
@@ -91,162 +99,170 @@
 	}
 }
 
-func hash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
+func hostHash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
 
-// AddHost makes a host known. What is told of two that share a hash is not believed of either.
+// AddHost adds a host. Entries about hosts that share a hash are ignored.
 func (s *State) AddHost(id string) {
-	h := hash(id)
+	h := hostHash(id)
 	if old, known := s.hosts[h]; known && old != id {
 		id = ""
 	}
 	s.hosts[h] = id
 }
 
-// RemoveHost lets go of a host that is gone for good.
+// RemoveHost removes a host.
 func (s *State) RemoveHost(id string) {
-	if h := hash(id); s.hosts[h] == id {
+	if h := hostHash(id); s.hosts[h] == id {
 		delete(s.hosts, h)
 	}
 }
 
-// Credit adds to the budget what one request that came in allows to be told.
+// Credit adds the share of one accepted request to the send budget.
 func (s *State) Credit() { s.budget = min(s.budget+s.cfg.BytesPerRequest, s.cfg.Burst) }
 
-// AddEntry takes how an attempt or a probe ended here; told says that others will hear of it.
-func (s *State) AddEntry(now time.Duration, n balance.RemoteOutcome) (told bool) {
-	cost := float64(noteSize * (s.cfg.Gateways - 1))
+// AddEntry adds the result of an attempt or a probe of this gateway to the pending entries. It returns false if the
+// budget is spent or the pending message is full; the result is then not sent.
+func (s *State) AddEntry(now time.Duration, entry balance.RemoteOutcome) (accepted bool) {
+	cost := float64(entrySize * (s.cfg.Gateways - 1))
 	if len(s.pending) == 0 {
-		cost += float64(headSize * (s.cfg.Gateways - 1))
+		cost += float64(headerSize * (s.cfg.Gateways - 1))
 	}
-	if s.budget < cost || len(s.pending) >= maxNotes {
+	if s.budget < cost || len(s.pending) >= maxEntries {
 		return false
 	}
 	s.budget -= cost
 	if len(s.pending) == 0 {
-		s.due = now + s.cfg.MaxDelay
+		s.dueAt = now + s.cfg.MaxDelay
 	}
-	if s.pending = append(s.pending, n); len(s.pending) == maxNotes {
-		s.due = now
+	if s.pending = append(s.pending, entry); len(s.pending) == maxEntries {
+		s.dueAt = now
 	}
 	return true
 }
 
-// Due says when a datagram is to be sent; not ok: there is none.
-func (s *State) Due() (at time.Duration, ok bool) { return s.due, len(s.pending) > 0 }
+// Due returns when the pending message is to be sent; ok is false if there is none.
+func (s *State) Due() (at time.Duration, ok bool) { return s.dueAt, len(s.pending) > 0 }
 
-// AppendMessage appends the datagram that is due.
+// AppendMessage appends the pending message to out and clears the pending entries.
 //
-// Positions are told by the fleet's clock, as hosts told them: how exactly the sender knows its own does not add to their age.
-func (s *State) AppendMessage(now time.Duration, ahead Offsets, out []byte) []byte {
+// Positions are encoded by the fleet's clock, as hosts report them, so that the uncertainty of the sender's
+// offset does not add to their age.
+func (s *State) AppendMessage(now time.Duration, offsets Offsets, out []byte) []byte {
 	out = append(out, version)
-	fleet := (now + ahead.Min) / time.Millisecond // rounded down: what is counted back from it is never later than it was
-	out = binary.BigEndian.AppendUint32(out, uint32(fleet))
-	fleetHead := fleet * time.Millisecond
-	head := fleetHead - ahead.Min
-	for _, n := range s.pending {
-		out = s.appendNote(out, n, head, fleetHead)
+	// Rounded down, so that no encoded time is later than the real one.
+	fleetMillis := (now + offsets.Min) / time.Millisecond
+	out = binary.BigEndian.AppendUint32(out, uint32(fleetMillis))
+	headerFleetClock := fleetMillis * time.Millisecond
+	headerClock := headerFleetClock - offsets.Min
+	for _, entry := range s.pending {
+		out = s.appendEntry(out, entry, headerClock, headerFleetClock)
 	}
 	s.pending = s.pending[:0]
 	return out
 }
 
-// appendNote appends one note to a datagram whose head is a time by this gateway's clock, and by the fleet's.
-func (s *State) appendNote(out []byte, n balance.RemoteOutcome, head, fleetHead time.Duration) []byte {
-	class, known := s.classes[n.Class]
+// appendEntry appends one entry to a message. The time in the message's header is passed by the local clock
+// and by the fleet's clock.
+func (s *State) appendEntry(out []byte, entry balance.RemoteOutcome, headerClock, headerFleetClock time.Duration) []byte {
+	class, known := s.classes[entry.Class]
 	if !known {
 		class = noClass
 	}
-	h := hash(n.Server)
-	// Roles count by their time: one told as later than it was seen would bring back a primary that is none any more.
-	ended := (max(head-n.At, 0) + endedStep - 1) / endedStep
-	if ended > endedMost {
-		ended, n.Role = endedMost, balance.Unknown
+	id := hostHash(entry.Server)
+	// The latest role wins: one dated later than it was observed could reinstate a former primary.
+	ended := (max(headerClock-entry.At, 0) + endedStep - 1) / endedStep
+	if ended > maxEndedSteps {
+		ended, entry.Role = maxEndedSteps, balance.Unknown
 	}
-	info := uint16(n.Result)<<12 | uint16(n.Role)<<10 | uint16(class)<<8 | uint16(durationCode(n.Took))<<4 | uint16(ended)
-	return append(out, byte(h>>16), byte(h>>8), byte(h), byte(info>>8), byte(info), ageCode(fleetHead-n.Position, n.Position))
+	info := uint16(entry.Result)<<12 | uint16(entry.Role)<<10 | uint16(class)<<8 | uint16(encodeDuration(entry.Took))<<4 | uint16(ended)
+	return append(out, byte(id>>16), byte(id>>8), byte(id), byte(info>>8), byte(info), encodeAge(headerFleetClock-entry.Position, entry.Position))
 }
 
-func durationCode(d time.Duration) int {
+func encodeDuration(d time.Duration) int {
 	if d <= durationStep {
 		return 0
 	}
-	return min(durationMost, int(math.Round(2*math.Log2(float64(d)/float64(durationStep)))))
+	return min(maxDurationCode, int(math.Round(2*math.Log2(float64(d)/float64(durationStep)))))
 }
 
-func durationOf(code int) time.Duration {
+func decodeDuration(code int) time.Duration {
 	return time.Duration(float64(durationStep) * math.Pow(2, float64(code)/2))
 }
 
-// ageCode rounds up: a position told must not be later than the host's.
-func ageCode(age, position time.Duration) byte {
+// encodeAge encodes the age of a position, or 0 if there is no position or it is too old. It rounds up, as a
+// decoded position must not be later than the host's.
+func encodeAge(age, position time.Duration) byte {
 	if position <= 0 {
 		return 0
 	}
 	steps := (max(age, 0) + ageStep - 1) / ageStep
-	if steps > ageStepsMost {
-		return 0 // too old to be of use
+	if steps > maxAgeSteps {
+		return 0
 	}
 	return byte(1 + steps)
 }
 
-// Errors of datagrams that can't be read.
+// Errors returned by Receive.
 var (
 	ErrVersion = errors.New("gossip: unknown version")
-	ErrLength  = errors.New("gossip: length of no datagram")
-	ErrClock   = errors.New("gossip: sent too long ago, or in the future")
-	ErrNote    = errors.New("gossip: a note with an unknown result or role")
+	ErrLength  = errors.New("gossip: invalid message length")
+	ErrClock   = errors.New("gossip: message too old or from the future")
+	ErrEntry   = errors.New("gossip: entry with an unknown result or role")
 )
 
-// Receive reads a datagram. One that is at fault in any part is not used at all. Notes on hosts that this gateway's list does not
-// name are left out. Positions come by the fleet's clock; when an attempt ended, and since when a host leads, by the clock that now is read from as the
-// earliest that it may have been. Without an upper bound of the fleet's clock neither is known.
-func (s *State) Receive(now time.Duration, ahead Offsets, b []byte, out []balance.RemoteOutcome) ([]balance.RemoteOutcome, error) {
+// Receive decodes a message and appends its entries to out. It rejects the whole message if any part of it is
+// invalid, and skips entries about unknown hosts. Positions are by the fleet's clock. The end of an attempt
+// and the time since when a host is primary are by the local clock, the one that now is read from, and are
+// the earliest possible times. Without an upper bound of the fleet's clock both are unknown.
+func (s *State) Receive(now time.Duration, offsets Offsets, b []byte, out []balance.RemoteOutcome) ([]balance.RemoteOutcome, error) {
 	switch {
 	case len(b) < 1 || b[0] != version:
 		return out, ErrVersion
-	case len(b) < headSize+noteSize || len(b) > maxBytes || (len(b)-headSize)%noteSize != 0:
+	case len(b) < headerSize+entrySize || len(b) > maxMessageSize || (len(b)-headerSize)%entrySize != 0:
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
-	// The head: the reading of the fleet's clock, modulo 2^32, that is nearest to now.
-	ms := (now + ahead.Min) / time.Millisecond
-	head := (ms + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(ms)))) * time.Millisecond
-	if ahead.Bounded && head-ahead.Max > now+maxAhead || head-ahead.Min < now-maxAge {
-		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-head+ahead.Min, now-head+ahead.Max)
+	// The header holds the fleet's clock modulo 2^32: take the value nearest to now.
+	fleetMillis := (now + offsets.Min) / time.Millisecond
+	headerFleetClock := (fleetMillis + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(fleetMillis)))) * time.Millisecond
+	if offsets.Bounded && headerFleetClock-offsets.Max > now+maxFuture || headerFleetClock-offsets.Min < now-maxAge {
+		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-headerFleetClock+offsets.Min, now-headerFleetClock+offsets.Max)
 	}
-	from := len(out)
-	for b = b[headSize:]; len(b) > 0; b = b[noteSize:] {
+	start := len(out)
+	for b = b[headerSize:]; len(b) > 0; b = b[entrySize:] {
 		out = append(out, balance.RemoteOutcome{})
-		n := &out[len(out)-1]
-		if err := s.readNote(now, ahead, head, b, n); err != nil {
-			return out[:from], err
+		entry := &out[len(out)-1]
+		if err := s.decodeEntry(now, offsets, headerFleetClock, b, entry); err != nil {
+			return out[:start], err
 		}
-		if n.Server == "" {
+		if entry.Server == "" {
 			out = out[:len(out)-1]
 		}
 	}
 	return out, nil
 }
 
-// readNote reads the first note of b into n, from a datagram whose head is a time by the fleet's clock. No server: it is not known.
-func (s *State) readNote(now time.Duration, ahead Offsets, head time.Duration, b []byte, n *balance.RemoteOutcome) error {
+// decodeEntry decodes the first entry of b into entry. The time in the message's header is passed by the
+// fleet's clock. It leaves the server empty if the host is unknown.
+func (s *State) decodeEntry(now time.Duration, offsets Offsets, headerFleetClock time.Duration, b []byte, entry *balance.RemoteOutcome) error {
 	info := binary.BigEndian.Uint16(b[3:])
-	n.Server, n.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
-	n.Result, n.Role, n.Took = balance.Result(info>>12), balance.Role(info>>10&3), durationOf(int(info>>4&15))
-	if n.Result > balance.Garbled || n.Role > balance.Replica {
-		return ErrNote
+	entry.Server, entry.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
+	entry.Result, entry.Role, entry.Took = balance.Result(info>>12), balance.Role(info>>10&3), decodeDuration(int(info>>4&15))
+	if entry.Result > balance.Garbled || entry.Role > balance.Replica {
+		return ErrEntry
 	}
-	if ahead.Bounded {
-		n.At = min(head-ahead.Max, now) - time.Duration(info&15)*endedStep
+	if offsets.Bounded {
+		entry.At = min(headerFleetClock-offsets.Max, now) - time.Duration(info&15)*endedStep
 	}
 	if class := int(info >> 8 & 3); class < min(noClass, len(s.cfg.Classes)) {
-		n.Class = s.cfg.Classes[class].Name
+		entry.Class = s.cfg.Classes[class].Name
 	}
 	if b[5] > 0 {
-		n.Position = head - time.Duration(b[5]-1)*ageStep // by the fleet's clock
-		n.NotBefore = min(n.Position-ahead.Max, now)
+		entry.Position = headerFleetClock - time.Duration(b[5]-1)*ageStep
+		entry.NotBefore = min(entry.Position-offsets.Max, now)
 	}
-	if n.Role == balance.Primary && (n.Position == 0 || !ahead.Bounded) {
-		n.Role = balance.Unknown // a primary's position is the time of its word; without one, or bounds, that is not known
+	if entry.Role == balance.Primary && (entry.Position == 0 || !offsets.Bounded) {
+		// The position dates the role of a primary; without it, or without an upper bound, the date is unknown.
+		entry.Role = balance.Unknown
 	}
 	return nil
 }
--- a/internal/control/pooling/link.go
+++ b/internal/control/pooling/connstate.go
@@ -8,36 +8,37 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// DefaultPrepared is how many prepared statements a host connection keeps.
+// DefaultPrepared is the default maximum number of prepared statements on a host connection.
 const DefaultPrepared = 100
 
-// ConnState is what one host connection has been set up with.
+// ConnState is the state of one host connection: the settings that are in effect and the statements prepared on it.
 type ConnState struct {
-	settings Settings
-	prepared *simplelru.LRU[uint64, *entry]
-	next     int
-	evicted  []string // names to close on the host
-	Hits     uint64   // statements that were prepared here already
-	Misses   uint64
+	settings   Settings
+	prepared   *simplelru.LRU[uint64, *preparedEntry]
+	lastNumber int      // number in the name of the last statement prepared
+	evicted    []string // names of statements to close on the host
+	Hits       uint64   // uses of statements that were already prepared
+	Misses     uint64   // uses of statements that had to be prepared
 }
 
-type entry struct {
+type preparedEntry struct {
 	statement *Statement
 	name      string
 }
 
-// NewConnState makes one of a new connection; prepared bounds its statements, DefaultPrepared for 0.
+// NewConnState returns the state of a new connection. It keeps at most that many prepared statements, or
+// DefaultPrepared if prepared is 0.
 func NewConnState(prepared int) *ConnState {
 	if prepared <= 0 {
 		prepared = DefaultPrepared
 	}
 	l := &ConnState{settings: NoSettings()}
-	l.prepared, _ = simplelru.NewLRU(prepared, func(_ uint64, e *entry) { l.evicted = append(l.evicted, e.name) })
+	l.prepared, _ = simplelru.NewLRU(prepared, func(_ uint64, e *preparedEntry) { l.evicted = append(l.evicted, e.name) })
 	return l
 }
 
-// SettingsQuery gives the statements that bring the connection to the session's settings: the fewest that do. They go in one query,
-// before anything of the session's; Carried says that they have run.
+// SettingsQuery returns the shortest list of statements that changes the connection's settings to those of the
+// session, or "" if they are equal. They are to be run as one query before any statement of the session.
 func (l *ConnState) SettingsQuery(s *Session) string {
 	if l.settings == s.settings {
 		return ""
@@ -49,31 +50,31 @@
 	it := l.settings.Root().Iterator()
 	for name, _, ok := it.Next(); ok; name, _, ok = it.Next() {
 		if _, kept := s.settings.Get(name); !kept {
-			reset = append(reset, "RESET "+ident(string(name)))
+			reset = append(reset, "RESET "+settingIdent(string(name)))
 		}
 	}
 	it = s.settings.Root().Iterator()
 	for name, value, ok := it.Next(); ok; name, value, ok = it.Next() {
 		if old, had := l.settings.Get(name); !had || old != value {
-			set = append(set, "SET "+ident(string(name))+" TO "+value)
+			set = append(set, "SET "+settingIdent(string(name))+" TO "+value)
 		}
 	}
-	// With more to take back than to set, everything is taken back at once.
+	// RESET ALL and setting everything again may need fewer statements.
 	if all := s.settings.Len() + 1; len(reset) > 1 && all < len(reset)+len(set) {
 		reset, set = []string{"RESET ALL"}, set[:0]
 		it = s.settings.Root().Iterator()
 		for name, value, ok := it.Next(); ok; name, value, ok = it.Next() {
-			set = append(set, "SET "+ident(string(name))+" TO "+value)
+			set = append(set, "SET "+settingIdent(string(name))+" TO "+value)
 		}
 	}
 	return strings.Join(append(reset, set...), "; ")
 }
 
-// SettingsApplied says that what Carry gave has run.
+// SettingsApplied records that the query which changes the settings to those of the session has been run.
 func (l *ConnState) SettingsApplied(s *Session) { l.settings = s.settings }
 
-// ident writes a setting's name: its parts are quoted where they need it.
-func ident(name string) string {
+// settingIdent returns a setting's name in SQL, with its parts quoted where necessary.
+func settingIdent(name string) string {
 	parts := strings.Split(name, ".")
 	for i, p := range parts {
 		plain := p != ""
@@ -88,37 +89,40 @@
 	return strings.Join(parts, ".")
 }
 
-// Use gives the name that a statement has on this connection; parse says that it has to be prepared there first.
+// Use returns the name of a statement on this connection. If parse is true, it has to be prepared under that
+// name first.
 func (l *ConnState) Use(st *Statement) (name string, parse bool) {
 	if e, ok := l.prepared.Get(st.hash); ok && e.statement.Same(st) {
 		l.Hits++
 		return e.name, false
 	}
 	l.Misses++
-	l.next++
-	name = fmt.Sprintf("yk%d", l.next)
+	l.lastNumber++
+	name = fmt.Sprintf("yk%d", l.lastNumber)
 	if e, ok := l.prepared.Peek(st.hash); ok { // another statement of the same hash
 		l.evicted = append(l.evicted, e.name)
 	}
-	l.prepared.Add(st.hash, &entry{st, name})
+	l.prepared.Add(st.hash, &preparedEntry{st, name})
 	return name, true
 }
 
-// Evicted gives the names to close on the host, since the last call.
+// Evicted returns the names of the statements to close on the host that were evicted since the last call.
 func (l *ConnState) Evicted() []string {
 	out := slices.Clone(l.evicted)
 	l.evicted = l.evicted[:0]
 	return out
 }
 
-// Forget says that a statement is not prepared there after all, or must be prepared anew: its plan no longer fits.
+// Forget removes a statement that could not be prepared, or that must be prepared again because its plan is
+// outdated.
 func (l *ConnState) Forget(st *Statement) {
 	if e, ok := l.prepared.Peek(st.hash); ok && e.statement.Same(st) {
 		l.prepared.Remove(st.hash)
 	}
 }
 
-// StatementRan says that a statement of the session has run on this connection, in the session's state after it.
+// StatementRan records that a statement of the session has run on this connection. The session's state is the one
+// after it.
 func (l *ConnState) StatementRan(c Command, s *Session) {
 	switch c.Kind {
 	case DiscardAll, DeallocateAll:
@@ -128,5 +132,5 @@
 	l.settings = s.settings
 }
 
-// AdoptSettings says that the connection has the session's settings: it went through all that the session did.
+// AdoptSettings records that the connection has the session's settings, as it has run all of the session's statements.
 func (l *ConnState) AdoptSettings(s *Session) { l.settings = s.settings }
