--- a/internal/control/draining/draining.go
+++ b/internal/control/draining/draining.go
@@ -15,7 +15,7 @@
 
 import "time"
 
-// HoldUp is the maximum time between reading the clock and acting on it, as guaranteed by the platform.
+// HoldUp is the maximum time between reading the clock and acting on the reading, as guaranteed by the platform.
 const HoldUp = 150 * time.Millisecond
 
 // State is the state of a host in the endpoint list.
@@ -38,7 +38,7 @@
 	return "gone"
 }
 
-// Open is the deadline of a host that accepts new requests without a time limit.
+// Open means that there is no time limit: new requests may be sent to the host at any time.
 const Open = time.Duration(0)
 
 // Bound is the time until which new requests may be sent to a host.
