--- a/balance/admission.go
+++ b/balance/admission.go
@@ -14,7 +14,7 @@
 	if r.reqs[e.ID] != nil {
 		return // doubled
 	} else if c == nil {
-		r.do(Refuse{ID: e.ID, Why: UnknownClass})
+		r.do(Refuse{ID: e.ID, Reason: UnknownClass})
 		return
 	}
 	q := &request{Request: e, seq: r.seq, cls: c, cell: cell, group: g, arrived: r.now, worth: c.Worth,
@@ -36,14 +36,14 @@
 	r.reqs[e.ID], r.seqs[q.seq] = q, q
 	if c.Need == Session {
 		if q.wrote = r.wrote(e); q.wrote > 0 {
-			q.wrote = max(q.wrote, e.Since)
+			q.wrote = max(q.wrote, e.MinPosition)
 		}
 	}
-	if e.Over > 0 || !c.primaryOnly() && shed(q, cell.badAttempts(g).replicas) {
+	if e.QuotaRetryAfter > 0 || !c.primaryOnly() && shed(q, cell.badAttempts(g).replicas) {
 		r.giveUp(q, Shed)
 		return
 	}
-	r.do(After{max(e.Deadline-r.now, 1), q.seq})
+	r.do(StartTimer{max(e.Deadline-r.now, 1), q.seq})
 	r.route(q)
 }
 
@@ -129,7 +129,7 @@
 	}
 	if !r.beating && len(r.waiting) > 0 {
 		r.beating, r.beatDue = true, r.now+beat
-		r.do(After{beat, tagBeat})
+		r.do(StartTimer{beat, tagBeat})
 	}
 }
 
@@ -142,10 +142,10 @@
 		cls.answers = min(cls.answers+1, guessFades)
 	}
 	switch {
-	case result == Full:
+	case result == QueueFull:
 		cut = 0.7
 	case answered:
-		m.share += (float64(took)/float64(cls.Aim+1) - m.share) / 8
+		m.share += (float64(took)/float64(cls.LatencyTarget+1) - m.share) / 8
 		if m.share > highShare {
 			cut = 0.9
 		} else if m.share < lowShare && float64(len(m.out)+1) >= m.limit*0.7 {
@@ -155,14 +155,14 @@
 	if cut > 0 && r.now-m.cutAt >= cutPause {
 		m.limit, m.cutAt = max(leastLimit, min(m.limit, float64(len(m.out)+1))*cut), r.now
 	}
-	if answered || result == Full {
+	if answered || result == QueueFull {
 		bad := c.badAttempts(m.group)
 		b := &bad.replicas
 		if m == m.group.primary {
 			b = &bad.primary
 		}
 		*b *= 1 - 1/badMemory
-		if (result != OK || took > cls.Aim) && blamed {
+		if (result != OK || took > cls.LatencyTarget) && blamed {
 			*b += 1 / badMemory
 		}
 	}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -83,7 +83,7 @@
 			if q := g.r.reqs[id]; q.worth < q.cls.Worth {
 				over++
 			}
-			g.do(Gone{id})
+			g.do(RequestCanceled{id})
 		}
 		if over > 20 {
 			t.Errorf("%d routers: %d of 200 requests over a share nobody exceeds", routers, over)
@@ -125,7 +125,7 @@
 		for seed := range 100 * hundreds {
 			g := seeded(t, seed)
 			l := list()
-			g.do(Members{Whole: true, List: l})
+			g.do(Members{Snapshot: true, List: l})
 			g.r.now = g.now
 			g.r.blacklist(g.r.members["p"], false)
 			g.r.members["p"].downUntil = g.now + time.Hour
@@ -152,7 +152,7 @@
 	for _, deadline := range []time.Duration{20 * ms, 50 * ms, 95 * ms, 20 * time.Second} {
 		g := newRig(t, func(s *Settings) {
 			for i := range s.Classes {
-				s.Classes[i].Aim, s.Classes[i].Deadline = deadline*4/5, deadline
+				s.Classes[i].LatencyTarget, s.Classes[i].Deadline = deadline*4/5, deadline
 			}
 		})
 		for _, class := range []string{"any", "own", "save", "keyed", "fresh"} {
--- a/balance/api.go
+++ b/balance/api.go
@@ -50,14 +50,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string
-	Need             Need
-	Bound            time.Duration // of Bounded reads; of Session ones too, where it is above 0
-	Effect           Effect
-	Scope            Scope         // of Keyed requests
-	KeyTTL           time.Duration // of Keyed requests
-	Aim, Deadline    time.Duration // wanted within, given up after
-	Worth, LateWorth float64       // LateWorth is a share of Worth
+	Name                    string
+	Need                    Need
+	Bound                   time.Duration // of Bounded reads; of Session ones too, where it is above 0
+	Effect                  Effect
+	Scope                   Scope         // of Keyed requests
+	KeyTTL                  time.Duration // of Keyed requests
+	LatencyTarget, Deadline time.Duration // wanted within, given up after
+	Worth, LateWorth        float64       // LateWorth is a share of Worth
 }
 
 // bounded says that its reads may see data of some age only.
@@ -78,13 +78,13 @@
 	OverShareWorth  float64
 	Checks          Checks
 	TokensCarried   bool // session reads say how old the session's last write is
-	Ask             bool // the list answers only when asked
+	SubscribeToList bool // the list answers only when asked
 	Probes, Cancel  bool // allowed
 	RetryAfter      bool
 	MaxRetryAfter   time.Duration
 	MaxAttempts     int // default 6
 	DrainGrace      time.Duration
-	HoldUp          time.Duration // that a send may take to get out; windows end as much earlier
+	MaxSendDelay    time.Duration // that a send may take to get out; windows end as much earlier
 	OverloadFactor  float64
 	ColdShare       float64
 	ColdTime        time.Duration
@@ -94,9 +94,9 @@
 }
 
 // SettingError says which setting makes no sense, and why.
-type SettingError struct{ Setting, Why string }
+type SettingError struct{ Setting, Reason string }
 
-func (e SettingError) Error() string { return e.Setting + ": " + e.Why }
+func (e SettingError) Error() string { return e.Setting + ": " + e.Reason }
 
 // Checked returns the settings with absent ones filled in; the error names the one that makes no sense.
 func (s Settings) Checked() (Settings, error) {
@@ -104,7 +104,7 @@
 		name string
 		v    float64
 	}{{"Tick", float64(s.Tick)}, {"MaxRetryAfter", float64(s.MaxRetryAfter)},
-		{"DrainGrace", float64(s.DrainGrace)}, {"HoldUp", float64(s.HoldUp)}, {"ColdTime", float64(s.ColdTime)},
+		{"DrainGrace", float64(s.DrainGrace)}, {"HoldUp", float64(s.MaxSendDelay)}, {"ColdTime", float64(s.ColdTime)},
 		{"MaxAttempts", float64(s.MaxAttempts)}, {"Routers", float64(s.Routers)}, {"ColdShare", s.ColdShare},
 		{"OverloadFactor", s.OverloadFactor}, {"OverShareWorth", s.OverShareWorth}} {
 		if !(f.v >= 0) {
@@ -119,7 +119,7 @@
 	}
 	named := map[string]bool{}
 	for _, c := range s.Classes {
-		if c.Aim < 0 || c.Deadline < 0 || c.Bound < 0 || c.KeyTTL < 0 {
+		if c.LatencyTarget < 0 || c.Deadline < 0 || c.Bound < 0 || c.KeyTTL < 0 {
 			return s, SettingError{"Classes[" + c.Name + "]", "negative time"}
 		}
 		if named[c.Name] {
@@ -148,7 +148,7 @@
 const (
 	Active State = iota
 	Draining
-	Left
+	Removed
 )
 
 // Member is one entry of the list of servers.
@@ -168,12 +168,12 @@
 
 // Members hands the router the list, whole or changes only.
 type Members struct {
-	Whole bool
-	List  []Member
+	Snapshot bool
+	List     []Member
 }
 
-// ListLost says that a call for the list failed or the subscription ended; the old list stands.
-type ListLost struct{}
+// ListUnavailable says that a call for the list failed or the subscription ended; the old list stands.
+type ListUnavailable struct{}
 
 // Cell is a part of the clients, with what it may use of the hosts. Cells that may use the same member share it by
 // weight: each can always have Reserve of its fair part of what the router keeps out there.
@@ -184,9 +184,9 @@
 	Servers map[string]bool // those it may read from; nil: all, with no reserve there. Any cell may use the primary
 }
 
-// Retune hands the router new settings, whole. A request under way keeps the class that it came with; limits, as the
+// SettingsUpdate hands the router new settings, whole. A request under way keeps the class that it came with; limits, as the
 // number of attempts, hold for it too. They are to be as Checked gives them.
-type Retune struct{ Settings Settings }
+type SettingsUpdate struct{ Settings Settings }
 
 // Cells hands the router all cells there are. What is out or waits keeps its cell as it was.
 type Cells struct{ List []Cell }
@@ -198,15 +198,15 @@
 	Deadline                   time.Duration
 	Elapsed                    time.Duration // its client has been at it for so long with earlier tries; 0: not known
 	Retry                      bool
-	After                      time.Duration // the position that the session must see, with carried tokens; 0: WriteAge tells
+	SessionPosition            time.Duration // the position that the session must see, with carried tokens; 0: WriteAge tells
 	WriteAge                   time.Duration // since the session's last write, with carried tokens; 0: none
-	Since                      time.Duration // a position that a session which wrote must see too; 0: there is none
-	Over                       time.Duration // above 0: more than its share; refused, to come back after as long
-	// Lease says that its attempt keeps the member until its client is through, as a transaction does: it has no time-out
+	MinPosition                time.Duration // a position that a session which wrote must see too; 0: there is none
+	QuotaRetryAfter            time.Duration // above 0: more than its share; refused, to come back after as long
+	// Checkout says that its attempt keeps the member until its client is through, as a transaction does: it has no time-out
 	// but the deadline, and never goes again once it may have run. Patience is how long it may wait to be sent; 0: half of
 	// its time, as any.
-	Lease    bool
-	Patience time.Duration
+	Checkout bool
+	MaxWait  time.Duration
 }
 
 // Role of a member in its group.
@@ -220,7 +220,7 @@
 
 // Report is a member's word on itself, as old as it is.
 type Report struct {
-	Has       bool
+	Valid     bool
 	Role      Role          // Unknown: it holds none
 	Position  time.Duration // 0: not told
 	NotBefore time.Duration // a primary's was made no earlier, as a primary's position is the present
@@ -232,15 +232,15 @@
 const (
 	OK Result = iota
 	Failed
-	Full // never ran
+	QueueFull // never ran
 	TimedOut
 	NoConnection // never ran
 	Reset
-	Cancelled
-	NotSent // never ran
-	Miss    // never ran
-	Garbled // what came back can't be read; it says nothing of the member but that it lives
-	Stale   // a read ran on data older than its class allows, as the answer itself tells
+	Canceled
+	NotSent     // never ran
+	Misdirected // never ran
+	Garbled     // what came back can't be read; it says nothing of the member but that it lives
+	Stale       // a read ran on data older than its class allows, as the answer itself tells
 )
 
 // String is the result in a word or two.
@@ -248,8 +248,10 @@
 	return [...]string{"ok", "error", "turned away", "timed out", "no connection", "reset", "canceled", "not sent", "miss", "garbled", "stale"}[x]
 }
 
-// NeverRan says that the attempt had no effect and will have none.
-func (x Result) NeverRan() bool { return x == Full || x == NoConnection || x == NotSent || x == Miss }
+// NotExecuted says that the attempt had no effect and will have none.
+func (x Result) NotExecuted() bool {
+	return x == QueueFull || x == NoConnection || x == NotSent || x == Misdirected
+}
 
 // Outcome ends an attempt; each Send gets exactly one.
 type Outcome struct {
@@ -262,22 +264,22 @@
 	Role     Role
 	Position time.Duration // 0: not told; after a write, its commit
 	Report   Report
-	Made     Made // when the member said so; nothing: between the attempt's start and now
+	StatedAt TimeBounds // when the member said so; nothing: between the attempt's start and now
 	// Written is when the last byte of the query had been written; 0: when the attempt was sent.
 	Written time.Duration
 }
 
 // ProbeResult ends a Probe.
 type ProbeResult struct {
-	Server string
-	Result Result
-	Took   time.Duration
-	Report Report
-	Made   Made // NotAfter 0: now
+	Server   string
+	Result   Result
+	Took     time.Duration
+	Report   Report
+	StatedAt TimeBounds // NotAfter 0: now
 }
 
-// Heard is how an attempt or a probe of another router's ended, as that router told.
-type Heard struct {
+// RemoteOutcome is how an attempt or a probe of another router's ended, as that router told.
+type RemoteOutcome struct {
 	Server, Class string // no class: a probe
 	Result        Result
 	Took          time.Duration
@@ -289,19 +291,19 @@
 	Source        Source        // FromGossip, or FromAnswer where this router's host side learnt it behind an outcome
 }
 
-// Inherited is what an earlier router knew of a member, with times by this one's clock: an earlier process's, or that of a router
+// PriorEvidence is what an earlier router knew of a member, with times by this one's clock: an earlier process's, or that of a router
 // which panicked.
-type Inherited struct {
-	Server                   string
-	Leads, Follows, Position time.Duration // as in Seen
-	Alive                    bool          // it was not set aside
+type PriorEvidence struct {
+	Server                                      string
+	PrimaryNotBefore, ReplicaNotAfter, Position time.Duration // as in Seen
+	Alive                                       bool          // it was not set aside
 }
 
 // ClockBounds says how this router's clock stands to the one that positions are read by.
 type ClockBounds struct {
-	Known bool          // there are bounds: without them no position shows how old data is
-	Ages  time.Duration // to be added to the ages of positions; may be below 0
-	Most  time.Duration // the positions' clock shows so much more than this one, at most
+	Known     bool          // there are bounds: without them no position shows how old data is
+	AgeOffset time.Duration // to be added to the ages of positions; may be below 0
+	MaxOffset time.Duration // the positions' clock shows so much more than this one, at most
 }
 
 // ClockReplaced says that the bounds so far were wrong: a leader's word or a start that was dated by them does not count any more.
@@ -310,29 +312,29 @@
 // Timer is an After come due.
 type Timer struct{ Tag int64 }
 
-// Gone says that a request's client left; nothing more is owed.
-type Gone struct{ ID string }
+// RequestCanceled says that a request's client left; nothing more is owed.
+type RequestCanceled struct{ ID string }
 
-// Ending says that the router ends: what it holds has to be answered by then, however long its clients would wait.
-type Ending struct{ By time.Duration }
+// Shutdown says that the router ends: what it holds has to be answered by then, however long its clients would wait.
+type Shutdown struct{ By time.Duration }
 
 // Event is one of Members, ListLost, Cells, Retune, Request, Outcome, ProbeResult, Heard, Inherited,
 // ClockBounds, ClockReplaced, Timer, Gone, Ending.
 type Event any
 
-// Seen is what a router believes of a member.
-type Seen struct {
-	Server         string
-	Group          int
-	Limit          float64       // attempts that the router keeps out there at most
-	Out            int           // those out
-	Warmth         float64       // the least part of its capacity that it has, 0 to 1
-	Usable         bool          // open for reads and not set aside
-	Primary, Known bool          // believed to be the primary; a position of it is known
-	Leads          time.Duration // the newest word that it is the primary was made no earlier; 0: none
-	Follows        time.Duration // the newest word that it is none was made no later; 0: none
-	Position       time.Duration // 0: not known
-	Started        time.Duration // its last start, told or seen; 0: long ago
+// MemberView is what a router believes of a member.
+type MemberView struct {
+	Server           string
+	Group            int
+	Limit            float64       // attempts that the router keeps out there at most
+	InFlight         int           // those out
+	WarmUpWeight     float64       // the least part of its capacity that it has, 0 to 1
+	Usable           bool          // open for reads and not set aside
+	Primary, Known   bool          // believed to be the primary; a position of it is known
+	PrimaryNotBefore time.Duration // the newest word that it is the primary was made no earlier; 0: none
+	ReplicaNotAfter  time.Duration // the newest word that it is none was made no later; 0: none
+	Position         time.Duration // 0: not known
+	Started          time.Duration // its last start, told or seen; 0: long ago
 }
 
 // Send starts an attempt; attempts of a request count from 0.
@@ -343,24 +345,24 @@
 	Demand     Demand
 }
 
-// Why is the reason for which a request is given up.
-type Why int
+// Reason is the reason for which a request is given up.
+type Reason int
 
 const (
-	UnknownClass    Why = iota // of a class that the settings lack
-	Shed                       // by load shedding as it came: many attempts in its group end badly, or it is over its share
-	TooLate                    // it can hardly be answered in time, or was not sent in half of its time
-	NoAttemptLeft              // its attempts are used up, or it must not go again
-	FailsEverywhere            // it fails wherever it goes
-	Overdue                    // its time is over
+	UnknownClass    Reason = iota // of a class that the settings lack
+	Shed                          // by load shedding as it came: many attempts in its group end badly, or it is over its share
+	TooLate                       // it can hardly be answered in time, or was not sent in half of its time
+	NoAttemptLeft                 // its attempts are used up, or it must not go again
+	FailsEverywhere               // it fails wherever it goes
+	Overdue                       // its time is over
 )
 
 // String is the reason in a few words.
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"unknown class", "thinned", "too late", "no attempt left", "fails everywhere", "overdue"}[w]
 }
 
-func (w Why) unless(other bool, than Why) Why {
+func (w Reason) unless(other bool, than Reason) Reason {
 	if other {
 		return than
 	}
@@ -372,15 +374,15 @@
 type Refuse struct {
 	ID         string
 	RetryAfter time.Duration
-	Why        Why
+	Reason     Reason
 	Bad        float64
 }
 
 // Fail answers finally, promising nothing. Bad is as with Refuse.
 type Fail struct {
-	ID  string
-	Why Why
-	Bad float64
+	ID     string
+	Reason Reason
+	Bad    float64
 }
 
 // Cancel stops waiting for an attempt.
@@ -392,19 +394,19 @@
 // Probe checks on a member.
 type Probe struct{ Server string }
 
-// After asks for a Timer.
-type After struct {
+// StartTimer asks for a Timer.
+type StartTimer struct {
 	Wait time.Duration
 	Tag  int64
 }
 
 // PrimaryChange tells, for the log, that another member counts as a group's primary, or none, and the evidence that made it so.
 type PrimaryChange struct {
-	Group                   int
-	From, To                string // "": none
-	Source                  Source // of the last statement
-	About                   string // the member that it was on, whose evidence follows
-	Leads, Follows, Started time.Duration
+	Group                                      int
+	From, To                                   string // "": none
+	Source                                     Source // of the last statement
+	Server                                     string // the member that it was on, whose evidence follows
+	PrimaryNotBefore, ReplicaNotAfter, Started time.Duration
 }
 
 // Watch subscribes to changes of the list.
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -26,10 +26,10 @@
 
 func (r *Router) send(q *request, m *member) {
 	q.limit = 0
-	if q.cls.Effect == Safe && !q.Lease {
+	if q.cls.Effect == Safe && !q.Checkout {
 		q.limit = r.usefulUntil(q) - r.now
 		// An end too early for another attempt only throws away what the host goes on with.
-		if end := max(q.cls.Aim*6/10, 6*q.cls.took); m != q.group.primary && end+q.cls.attemptTime() <= q.limit {
+		if end := max(q.cls.LatencyTarget*6/10, 6*q.cls.took); m != q.group.primary && end+q.cls.attemptTime() <= q.limit {
 			q.limit = end
 		}
 	}
@@ -68,10 +68,10 @@
 }
 
 // giveUp ends a request at once: refused where that is true, failed otherwise.
-func (r *Router) giveUp(q *request, why Why) {
+func (r *Router) giveUp(q *request, why Reason) {
 	c, bad := q.cls, q.cell.badAttempts(q.group).replicas
 	if q.at == nil && q.ranAt == 0 || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
-		r.do(Refuse{q.ID, min(cmp.Or(q.Over, refusedRetryAfter), r.s.MaxRetryAfter), why, bad})
+		r.do(Refuse{q.ID, min(cmp.Or(q.QuotaRetryAfter, refusedRetryAfter), r.s.MaxRetryAfter), why, bad})
 	} else {
 		r.do(Fail{q.ID, why, bad})
 	}
@@ -80,11 +80,11 @@
 
 // repeatable says whether q may go again; keyed within a zone not: the new primary may stand in another.
 func (r *Router) repeatable(q *request) bool {
-	return q.ranAt == 0 || !q.Lease && q.cls.Effect == Safe || !q.Lease && q.cls.Effect == Keyed &&
-		q.cls.Scope != ScopeZone && r.now-q.ranAt < q.cls.KeyTTL-4*r.s.Tick-r.s.HoldUp
+	return q.ranAt == 0 || !q.Checkout && q.cls.Effect == Safe || !q.Checkout && q.cls.Effect == Keyed &&
+		q.cls.Scope != ScopeZone && r.now-q.ranAt < q.cls.KeyTTL-4*r.s.Tick-r.s.MaxSendDelay
 }
 
-func (c *class) attemptTime() time.Duration { return min(c.took*3/2, c.Aim/2) } // that an attempt needs
+func (c *class) attemptTime() time.Duration { return min(c.took*3/2, c.LatencyTarget/2) } // that an attempt needs
 
 // expectedTime is the time that an attempt for q is expected to need. A guess turns nobody away before half of the request's time is gone:
 // that time may be short for reasons of its own, such as the end of the process.
@@ -100,19 +100,19 @@
 func (r *Router) hopeless(q *request) bool {
 	return r.now+r.expectedTime(q) > r.usefulUntil(q) ||
 		q.attempts == 0 && r.now > q.arrived &&
-			r.now-q.arrived+2*beat > cmp.Or(q.Patience, (q.Deadline-q.arrived)/2)
+			r.now-q.arrived+2*beat > cmp.Or(q.MaxWait, (q.Deadline-q.arrived)/2)
 }
 
 func (r *Router) usefulUntil(q *request) time.Duration {
-	if q.cls.LateWorth > 0 || q.Lease {
+	if q.cls.LateWorth > 0 || q.Checkout {
 		return q.Deadline
 	}
-	return min(q.Deadline, q.arrived-q.Elapsed+q.cls.Aim)
+	return min(q.Deadline, q.arrived-q.Elapsed+q.cls.LatencyTarget)
 }
 
 // refusedPause is about how long q waits before it asks the primary m again, which did not run it.
 func (r *Router) refusedPause(q *request, m *member, result Result) time.Duration {
-	if result == Full && r.warmth(m) < 1 { // its budget counts what it turns away as well
+	if result == QueueFull && r.warmth(m) < 1 { // its budget counts what it turns away as well
 		q.coldDraw *= coldRetryFactor
 		return coldPause
 	}
@@ -138,7 +138,7 @@
 		r.end(q)
 	}
 	r.goOn(q, m, e.Result)
-	if e.Result == OK || e.Result == Miss {
+	if e.Result == OK || e.Result == Misdirected {
 		r.release(q.group)
 	}
 }
@@ -182,10 +182,10 @@
 		}
 	}
 	switch e.Result {
-	case OK, Failed, Garbled, Full, Miss, Stale:
+	case OK, Failed, Garbled, QueueFull, Misdirected, Stale:
 		r.noteAlive(m)
 	}
-	if q.ranAt == 0 && !e.Result.NeverRan() {
+	if q.ranAt == 0 && !e.Result.NotExecuted() {
 		q.ranAt = q.sentAt
 	}
 }
@@ -193,16 +193,16 @@
 // goOn sends q again, lets it wait or ends it, after its attempt at m ended so.
 func (r *Router) goOn(q *request, m *member, result Result) {
 	g := q.group
-	if (result == Full || result == NoConnection || result == NotSent) && m == r.primaryOf(g) {
+	if (result == QueueFull || result == NoConnection || result == NotSent) && m == r.primaryOf(g) {
 		// Sent back at once by hundreds of routers, rejects are all that a full primary gets to do.
 		q.notBefore = r.now + r.jitter(r.refusedPause(q, m, result))
 	}
-	if g.searcher == q && (q.done || result != Miss) {
+	if g.searcher == q && (q.done || result != Misdirected) {
 		g.searcher = nil
 	}
 	switch {
 	case q.done:
-	case q.notBefore > r.now || q.cls.Need == Write && result == Miss && g.primary == nil:
+	case q.notBefore > r.now || q.cls.Need == Write && result == Misdirected && g.primary == nil:
 		r.enqueue(q) // waits for the next beat or answer
 	case len(q.failed) >= 2:
 		r.giveUp(q, FailsEverywhere) // it fails wherever it goes: no member's fault
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -45,7 +45,7 @@
 	rest = append(rest, g.do(Timer{seq})...)
 	rest = append(rest, g.do(Outcome{ID: id, Server: "p", Result: TimedOut, Final: true})...)
 	rest = append(rest, g.do(Outcome{ID: id, Server: "p", Result: TimedOut})...)
-	rest = append(rest, g.do(Gone{id})...)
+	rest = append(rest, g.do(RequestCanceled{id})...)
 	if len(rest) != 0 {
 		t.Errorf("after the final answer: %v", rest)
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -14,7 +14,7 @@
 		"DrainGrace":      func(s *Settings) { s.DrainGrace = -1 },
 		"ColdTime":        func(s *Settings) { s.ColdTime = -1 },
 		"MaxAttempts":     func(s *Settings) { s.MaxAttempts = -1 },
-		"Classes[browse]": func(s *Settings) { s.Classes[0].Aim = -1 },
+		"Classes[browse]": func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
 		"named twice":     func(s *Settings) { s.Classes[1].Name = "browse" },
 	} {
 		s := settings()
@@ -31,7 +31,7 @@
 	for i := range 50 {
 		l := list()
 		l[1].Server = fmt.Sprint("a", i)
-		g.do(Members{Whole: true, List: l})
+		g.do(Members{Snapshot: true, List: l})
 		for range 10 {
 			id, acts := g.ask("any", 0)
 			for _, s := range sends(acts) {
@@ -80,7 +80,7 @@
 		l = append(l, Member{Server: fmt.Sprint("m", i), Group: i / 8, Primary: i%8 == 0, Weight: 1})
 	}
 	now := origin
-	acts := r.Handle(now, Members{Whole: true, List: l}, nil)
+	acts := r.Handle(now, Members{Snapshot: true, List: l}, nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += ms
@@ -95,7 +95,7 @@
 
 func BenchmarkIdleBeat(b *testing.B) {
 	r, _ := New(settings(), 1)
-	now, acts := origin, r.Handle(origin, Members{Whole: true, List: list()}, nil)
+	now, acts := origin, r.Handle(origin, Members{Snapshot: true, List: list()}, nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += beat
--- a/balance/cells.go
+++ b/balance/cells.go
@@ -37,7 +37,7 @@
 		n.Cell, n.classes, r.cells[c.ID] = c, map[string]*class{}, n
 		for _, cls := range r.s.Classes {
 			if n.classes[cls.Name] = known[cls.Name]; known[cls.Name] == nil || known[cls.Name].Class != cls {
-				n.classes[cls.Name] = &class{Class: cls, took: cls.Aim / 4}
+				n.classes[cls.Name] = &class{Class: cls, took: cls.LatencyTarget / 4}
 			}
 		}
 		r.all = r.all.with(n)
--- a/balance/cells_test.go
+++ b/balance/cells_test.go
@@ -13,7 +13,7 @@
 // celled is a rig of a primary and four replicas with two cells that share one of them.
 func celled(t *testing.T, change func(*Settings)) *rig {
 	g := newRig(t, change)
-	g.do(Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
+	g.do(Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
 		{Server: "b", Weight: 1}, {Server: "c", Weight: 1}, {Server: "d", Weight: 1}}})
 	for _, s := range []string{"a", "b", "c", "d"} {
 		g.know(s, Replica, 0)
@@ -116,7 +116,7 @@
 func TestOverIsRefusedAtOnceWithItsComeBack(t *testing.T) {
 	g := celled(t, nil)
 	for over, after := range map[time.Duration]time.Duration{70 * ms: 70 * ms, time.Hour: time.Second} {
-		_, acts := g.of(1, "save", func(q *Request) { q.Over = over })
+		_, acts := g.of(1, "save", func(q *Request) { q.QuotaRetryAfter = over })
 		if r, ok := acts[0].(Refuse); !ok || r.RetryAfter != after || len(acts) != 1 {
 			t.Errorf("over by %v: %v", over, acts)
 		}
@@ -130,7 +130,7 @@
 	g.know("b", Replica, 0)
 	moved := g.now - 5*ms
 	for range 50 { // the write is old enough for every replica; the move is not for a
-		id, acts := g.of(1, "own", func(q *Request) { q.WriteAge, q.Since = 500*ms, moved })
+		id, acts := g.of(1, "own", func(q *Request) { q.WriteAge, q.MinPosition = 500*ms, moved })
 		if to := sends(acts)[0]; to != "p" {
 			t.Fatalf("5 ms after the move a read goes to %s", to)
 		}
@@ -138,13 +138,13 @@
 	}
 	g.now += pinWindow
 	for range 50 {
-		id, acts := g.of(1, "own", func(q *Request) { q.WriteAge, q.Since = 800*ms, moved })
+		id, acts := g.of(1, "own", func(q *Request) { q.WriteAge, q.MinPosition = 800*ms, moved })
 		if to := sends(acts)[0]; to != "b" {
 			t.Fatalf("later a read goes to %s", to)
 		}
 		g.answer(id, "b", 0, OK, Unknown)
 	}
-	_, acts := g.of(1, "own", func(q *Request) { q.Since = moved }) // it never wrote
+	_, acts := g.of(1, "own", func(q *Request) { q.MinPosition = moved }) // it never wrote
 	if to := sends(acts)[0]; to == "p" {
 		t.Error("a session that never wrote is sent to the primary")
 	}
@@ -175,7 +175,7 @@
 		id, acts := g.of(cell, "save", nil)
 		want2 := sends(acts)[0]
 		m.of[g.r.cells[1]] = 5 // the flood's
-		g.answer(id, want2, 0, Full, Primary)
+		g.answer(id, want2, 0, QueueFull, Primary)
 		if got := g.r.cells[cell].badAttempts(g.r.groups[0]).primary > 0; got != want {
 			t.Errorf("cell %d is blamed: %v", cell, got)
 		}
@@ -275,7 +275,7 @@
 			for i := range 20 {
 				list = append(list, Member{Server: fmt.Sprint("s", i), Primary: i == 0, Weight: 1})
 			}
-			acts := r.Handle(now, Members{Whole: true, List: list}, nil)
+			acts := r.Handle(now, Members{Snapshot: true, List: list}, nil)
 			var c Cells
 			for i := range cells {
 				own := map[string]bool{}
@@ -286,7 +286,7 @@
 			}
 			r.Handle(now, c, nil)
 			for i := range 20 {
-				r.learn(r.members[fmt.Sprint("s", i)], Statement{Role: Replica, Position: now + time.Hour, Made: Made{NotBefore: now, NotAfter: now}})
+				r.learn(r.members[fmt.Sprint("s", i)], Statement{Role: Replica, Position: now + time.Hour, StatedAt: TimeBounds{NotBefore: now, NotAfter: now}})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -11,7 +11,7 @@
 // choose is the ordinary path: the primary for what needs it, the draw among replicas for other reads.
 func (r *Router) choose(q *request) *member {
 	c := q.cls
-	if c.primaryOnly() || c.Need == Session && q.wrote > 0 && r.now+r.clock.Ages-q.wrote < pinWindow {
+	if c.primaryOnly() || c.Need == Session && q.wrote > 0 && r.now+r.clock.AgeOffset-q.wrote < pinWindow {
 		return r.primaryFor(q, 1, 1)
 	}
 	if m := r.draw(q); m != nil {
@@ -83,7 +83,7 @@
 		}
 		// After an outage every router holds a few: those late or before a cold primary are spread in time.
 		if q.arrived < g.foundAt && q.sentAt < g.foundAt && q.notBefore < g.foundAt &&
-			(r.warmth(p) < 1 || r.now > q.arrived+q.cls.Aim) {
+			(r.warmth(p) < 1 || r.now > q.arrived+q.cls.LatencyTarget) {
 			spread := min(g.outage, q.Deadline-r.now)*3/4 + 1
 			q.notBefore = r.now + 1 + time.Duration(r.rng.Int64N(int64(spread)))
 		}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -72,7 +72,7 @@
 			}
 			p := acts[i].(Probe)
 			g.now += ms
-			acts = g.do(ProbeResult{Server: p.Server, Result: OK, Report: Report{Has: true, Position: g.now - c.behind}})
+			acts = g.do(ProbeResult{Server: p.Server, Result: OK, Report: Report{Valid: true, Position: g.now - c.behind}})
 		}
 		if to := sends(acts); len(to) != 1 || !strings.Contains(c.to, to[0]) {
 			t.Errorf("%s: sent to %q, want one of %s", c.name, to, c.to)
@@ -89,8 +89,8 @@
 			g.now += 10 * ms
 			id, acts := g.ask("browse", 0)
 			n += len(sends(acts))
-			g.do(Gone{id})
-			g.answer(id, "p", 0, Cancelled, Primary)
+			g.do(RequestCanceled{id})
+			g.answer(id, "p", 0, Canceled, Primary)
 		}
 		return n
 	}
@@ -99,8 +99,8 @@
 	}
 	for range 12 {
 		id, _ := g.ask("save", 0)
-		g.answer(id, "p", 0, Full, Primary)
-		g.do(Gone{id})
+		g.answer(id, "p", 0, QueueFull, Primary)
+		g.do(RequestCanceled{id})
 	}
 	if n := count(); n > 20 {
 		t.Errorf("%d of 100 reads sent to a full primary", n)
@@ -134,7 +134,7 @@
 	g := newRig(t, nil)
 	id, acts := g.ask("save", 0)
 	want(t, "first", sends(acts), []string{"p"})
-	acts = append(g.answer(id, "p", 0, Miss, Replica), g.beat(2*beat)...)
+	acts = append(g.answer(id, "p", 0, Misdirected, Replica), g.beat(2*beat)...)
 	second := sends(acts)
 	if len(second) != 1 || second[0] == "p" {
 		t.Fatalf("after the miss: %q", second)
@@ -202,7 +202,7 @@
 	id, acts := g.ask("save", 0)
 	for try, least := range []time.Duration{20 * ms, 40 * ms, 90 * ms} {
 		want(t, "sent", sends(acts), []string{"p"})
-		acts = g.answer(id, "p", try, Full, Primary)
+		acts = g.answer(id, "p", try, QueueFull, Primary)
 		from := g.now
 		for len(sends(acts)) == 0 && g.now-from < time.Second {
 			acts = g.beat(beat)
--- a/balance/clock_bounds_test.go
+++ b/balance/clock_bounds_test.go
@@ -27,7 +27,7 @@
 	if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
 		t.Error("a bounded read goes by a position whose age nothing bounds")
 	}
-	g.do(ClockBounds{Known: true, Ages: 10 * time.Second, Most: 10 * time.Second})
+	g.do(ClockBounds{Known: true, AgeOffset: 10 * time.Second, MaxOffset: 10 * time.Second})
 	if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
 		t.Error("a bounded read goes by a position that may be 10 s old")
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -72,7 +72,7 @@
 				result = TimedOut
 			}
 			f.later(f.now+ms, i, ProbeResult{Server: a.Server, Result: result, Took: ms})
-		case After:
+		case StartTimer:
 			f.later(f.now+a.Wait, i, Timer{a.Tag})
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	begin := max(f.now, f.busy[a.Server][first])
 	if begin-f.now > longestQueue {
-		return ms, Full
+		return ms, QueueFull
 	}
 	took := work
 	if began := origin + coldAt; a.Server == cold && f.now >= began {
@@ -141,7 +141,7 @@
 // the routers.
 func (f *fleet) play(load float64, class, host string, untold float64) {
 	const start, end = coldAt, 14 * time.Second
-	members := Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
+	members := Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}}}
 	for i := range replicas {
 		members.List = append(members.List, Member{Server: fmt.Sprint("r", i), Weight: 1})
 	}
--- a/balance/elapsed_test.go
+++ b/balance/elapsed_test.go
@@ -24,8 +24,8 @@
 				t.Errorf("%s is waited for longer than its aim", try.id)
 			}
 		case Refuse:
-			if try.sent || a.Why != TooLate {
-				t.Errorf("%s is refused: %v", try.id, a.Why)
+			if try.sent || a.Reason != TooLate {
+				t.Errorf("%s is refused: %v", try.id, a.Reason)
 			}
 		default:
 			t.Errorf("%s: %v", try.id, acts)
--- a/balance/even_test.go
+++ b/balance/even_test.go
@@ -12,12 +12,12 @@
 	const seeds, reads = 300, 10
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		r, err := New(Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 3000 * ms, Deadline: 9000 * ms, Worth: 1}}}, seed)
+		r, err := New(Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, LatencyTarget: 3000 * ms, Deadline: 9000 * ms, Worth: 1}}}, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		at := 1000 * ms
-		r.Handle(at, Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}, {Server: "s", Weight: 1}}}, nil)
+		r.Handle(at, Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}, {Server: "s", Weight: 1}}}, nil)
 		for i := range reads {
 			r.Handle(at, Request{ID: fmt.Sprint(i), Class: "a", Deadline: at + 9000*ms}, nil)
 		}
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -17,12 +17,12 @@
 type Source int
 
 const (
-	FromAnswer   Source = iota // an answer of the member's, whole
-	FromPart                   // the part that came of an answer which broke off, or which can't be read otherwise
-	FromReport                 // a load report that came without a role beside it
-	FromGossip                 // another router
-	FromHandover               // an earlier process of this router
-	FromList                   // the list of servers
+	FromAnswer        Source = iota // an answer of the member's, whole
+	FromPartialAnswer               // the part that came of an answer which broke off, or which can't be read otherwise
+	FromReport                      // a load report that came without a role beside it
+	FromGossip                      // another router
+	FromHandover                    // an earlier process of this router
+	FromList                        // the list of servers
 )
 
 // String is the source in a word.
@@ -30,8 +30,8 @@
 	return [...]string{"answer", "part of an answer", "report", "gossip", "handover", "list"}[s]
 }
 
-// Made bounds when a statement was made, by the router's clock.
-type Made struct {
+// TimeBounds bounds when a statement was made, by the router's clock.
+type TimeBounds struct {
 	NotBefore, NotAfter time.Duration
 	Epoch               int // of the clock by which it was dated; the router itself knows one only
 }
@@ -41,7 +41,7 @@
 	Source   Source
 	Role     Role          // Unknown: nothing was said of it
 	Position time.Duration // that its log had reached; 0: not told
-	Made     Made
+	StatedAt TimeBounds
 }
 
 // evidence is what is known of one member's role and log.
@@ -60,7 +60,7 @@
 // add takes a statement that reached the router at a time. Words against being read from bind as if they had been made as late as
 // possible, words for it as if they had been made as early as possible.
 func (e *evidence) add(now time.Duration, s Statement) {
-	if told := cmp.Or(s.Made.NotAfter, now); s.Position > e.position {
+	if told := cmp.Or(s.StatedAt.NotAfter, now); s.Position > e.position {
 		e.position, e.positionFrom, e.positionAt = s.Position, s.Source, told
 	} else if s.Position == e.position {
 		e.positionAt = max(e.positionAt, told) // its log stands still
@@ -68,11 +68,11 @@
 	e.told = e.told || s.Role != Unknown
 	switch s.Role {
 	case Primary:
-		if made := min(s.Made.NotBefore, now); made > e.leads {
+		if made := min(s.StatedAt.NotBefore, now); made > e.leads {
 			e.leads, e.leadsFrom = made, s.Source
 		}
 	case Replica:
-		if made := min(cmp.Or(s.Made.NotAfter, now), now); made > e.follows {
+		if made := min(cmp.Or(s.StatedAt.NotAfter, now), now); made > e.follows {
 			e.follows, e.followsFrom = made, s.Source
 		}
 	}
@@ -92,28 +92,28 @@
 
 // Grounds say on what evidence an attempt goes to a member.
 type Grounds struct {
-	Kind     GroundsKind
-	Source   Source        // of that evidence
-	Position time.Duration // the member's, as far as it is known; 0: it is not
-	Leads    time.Duration // with LeaderWord: the word was made no earlier
+	Kind             GroundsKind
+	Source           Source        // of that evidence
+	Position         time.Duration // the member's, as far as it is known; 0: it is not
+	PrimaryNotBefore time.Duration // with LeaderWord: the word was made no earlier
 	// SendBy is when the evidence no longer holds, so that the attempt must not begin later; 0: it holds for good. It moves with the
 	// bounds of the clock, which then had data so much older by Ages.
-	SendBy, Ages time.Duration
+	SendBy, AgeOffset time.Duration
 }
 
 // Expired says that the evidence does not hold any more, by the bounds of the clock as they are now.
 func (g Grounds) Expired(now time.Duration, clock ClockBounds) bool {
-	return g.SendBy > 0 && (!clock.Known || now > g.SendBy-max(0, clock.Ages-g.Ages))
+	return g.SendBy > 0 && (!clock.Known || now > g.SendBy-max(0, clock.AgeOffset-g.AgeOffset))
 }
 
 // GroundsKind is a kind of Grounds.
 type GroundsKind int
 
 const (
-	NotNeeded  GroundsKind = iota // a write, or a read that any member may serve: the member itself turns away what it can't
-	ByPosition                    // a replica that has applied the log far enough
-	LeaderWord                    // the member said that it is the primary, and nothing later speaks against it
-	Excused                       // the list names it, and it has told this router nothing of its role
+	NotNeeded        GroundsKind = iota // a write, or a read that any member may serve: the member itself turns away what it can't
+	ByPosition                          // a replica that has applied the log far enough
+	PrimaryStatement                    // the member said that it is the primary, and nothing later speaks against it
+	PresumedPrimary                     // the list names it, and it has told this router nothing of its role
 )
 
 // String is the kind in a word or two.
@@ -121,34 +121,34 @@
 	return [...]string{"not needed", "position", "leader's word", "list"}[k]
 }
 
-// RoleWords are a member's last words on its role as a host side reads them, before the router gets to them. The zero value has none.
-type RoleWords struct {
+// RoleStatements are a member's last words on its role as a host side reads them, before the router gets to them. The zero value has none.
+type RoleStatements struct {
 	follows time.Duration // when it last said that it is no primary; 0: it never did
 	leads   bool          // it has said since, in a whole answer, that it is
 }
 
-// Leads notes that a whole answer named the member the primary.
-func (w *RoleWords) Leads() { w.leads = true }
+// StatedPrimary notes that a whole answer named the member the primary.
+func (w *RoleStatements) StatedPrimary() { w.leads = true }
 
-// Follows notes that the member said that it is no primary. news: it had not, or has said otherwise since.
-func (w *RoleWords) Follows(now time.Duration) (news bool) {
+// StatedReplica notes that the member said that it is no primary. news: it had not, or has said otherwise since.
+func (w *RoleStatements) StatedReplica(now time.Duration) (news bool) {
 	news = w.leads || w.follows == 0
 	w.follows, w.leads = now, false
 	return news
 }
 
 // Refute says that the member has told, since an attempt was decided on, that it is not the primary that the attempt needs.
-func (w *RoleWords) Refute(g Grounds) bool {
-	return g.NeedsLeader() && w.follows > 0 && w.follows >= g.Leads
+func (w *RoleStatements) Refute(g Grounds) bool {
+	return g.NeedsPrimary() && w.follows > 0 && w.follows >= g.PrimaryNotBefore
 }
 
-// NeedsLeader says that a word of the member's that it follows takes the grounds away.
-func (g Grounds) NeedsLeader() bool { return g.Kind == LeaderWord || g.Kind == Excused }
+// NeedsPrimary says that a word of the member's that it follows takes the grounds away.
+func (g Grounds) NeedsPrimary() bool { return g.Kind == PrimaryStatement || g.Kind == PresumedPrimary }
 
 // learn takes a statement on m, and notes who is its group's primary now.
 func (r *Router) learn(m *member, s Statement) {
 	before := m.evidence
-	if s.Position > r.latestPosition(cmp.Or(s.Made.NotAfter, r.now)) {
+	if s.Position > r.latestPosition(cmp.Or(s.StatedAt.NotAfter, r.now)) {
 		s.Position = 0 // from the future: it would pass stale data as fresh once that has come
 	}
 	m.evidence.add(r.now, s)
@@ -174,7 +174,7 @@
 	if g.primary == was {
 		return
 	}
-	x := PrimaryChange{Group: g.id, Source: source, About: m.Server, Leads: after.leads, Follows: after.follows, Started: after.started}
+	x := PrimaryChange{Group: g.id, Source: source, Server: m.Server, PrimaryNotBefore: after.leads, ReplicaNotAfter: after.follows, Started: after.started}
 	if was != nil {
 		x.From = was.Server
 	}
@@ -192,8 +192,8 @@
 // changesMost is how many changes are kept for who asks for them; the simulator never does.
 const changesMost = 100
 
-// Changes gives what has changed since the last call, of who counts as a group's primary.
-func (r *Router) Changes() []PrimaryChange {
+// PrimaryChanges gives what has changed since the last call, of who counts as a group's primary.
+func (r *Router) PrimaryChanges() []PrimaryChange {
 	out := r.changes
 	r.changes = nil
 	return out
@@ -235,43 +235,43 @@
 	}
 	switch {
 	case m == m.group.primary:
-		return Grounds{Kind: LeaderWord, Source: e.leadsFrom, Position: e.position, Leads: e.leads}
+		return Grounds{Kind: PrimaryStatement, Source: e.leadsFrom, Position: e.position, PrimaryNotBefore: e.leads}
 	case r.fresh(q, m):
 		g := Grounds{Kind: ByPosition, Source: e.positionFrom, Position: e.position}
 		if q.cls.bounded() {
-			g.SendBy, g.Ages = r.sendBy(q, m), r.clock.Ages
+			g.SendBy, g.AgeOffset = r.sendBy(q, m), r.clock.AgeOffset
 		}
 		return g
 	}
-	return Grounds{Kind: Excused, Source: FromList, Position: e.position}
+	return Grounds{Kind: PresumedPrimary, Source: FromList, Position: e.position}
 }
 
 // learnOutcome takes what an attempt told. Of an answer that did not come whole only what speaks against the member counts.
 func (r *Router) learnOutcome(m *member, e Outcome) {
-	if e.Made == (Made{}) {
-		e.Made.NotBefore = r.now - e.Took
+	if e.StatedAt == (TimeBounds{}) {
+		e.StatedAt.NotBefore = r.now - e.Took
 		if e.Role == Primary { // its position is the present; of a write, its commit, rounded up
-			e.Made.NotBefore = max(e.Made.NotBefore, e.Position-r.clock.Most-slack)
+			e.StatedAt.NotBefore = max(e.StatedAt.NotBefore, e.Position-r.clock.MaxOffset-slack)
 		}
 	}
 	if !wholeAnswer(e.Result) {
 		if e.Role == Replica {
-			r.learn(m, Statement{Source: FromPart, Role: Replica, Made: e.Made})
+			r.learn(m, Statement{Source: FromPartialAnswer, Role: Replica, StatedAt: e.StatedAt})
 		}
 		return
 	}
-	r.learn(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, Made: e.Made})
+	r.learn(m, Statement{Source: FromAnswer, Role: e.Role, Position: e.Position, StatedAt: e.StatedAt})
 	if e.Role != Unknown {
 		e.Report.Role = Unknown // the report beside it is older
 	}
-	r.learnReport(m, e.Made, e.Report)
+	r.learnReport(m, e.StatedAt, e.Report)
 }
 
 // learnReport takes a load report, which says itself how old it is.
-func (r *Router) learnReport(m *member, made Made, rep Report) {
-	if rep.Has {
+func (r *Router) learnReport(m *member, made TimeBounds, rep Report) {
+	if rep.Valid {
 		made.NotBefore = rep.NotBefore
-		r.learn(m, Statement{Source: FromReport, Role: rep.Role, Position: rep.Position, Made: made})
+		r.learn(m, Statement{Source: FromReport, Role: rep.Role, Position: rep.Position, StatedAt: made})
 	}
 }
 
@@ -280,13 +280,13 @@
 	if !r.clock.Known {
 		return noBound
 	}
-	return at + r.clock.Most + slack
+	return at + r.clock.MaxOffset + slack
 }
 
 // onClockBounds takes how the clock stands. A position that turns out to lie in the future was none.
 func (r *Router) onClockBounds(e ClockBounds) {
 	first := e.Known && !r.clock.Known
-	narrower := first || e.Known && e.Most < r.clock.Most
+	narrower := first || e.Known && e.MaxOffset < r.clock.MaxOffset
 	if r.clock = e; !narrower {
 		return
 	}
@@ -320,16 +320,16 @@
 }
 
 // onInherited takes what an earlier router knew of a member.
-func (r *Router) onInherited(e Inherited) {
+func (r *Router) onInherited(e PriorEvidence) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	if e.Leads > 0 {
-		r.learn(m, Statement{Source: FromHandover, Role: Primary, Made: Made{NotBefore: e.Leads}})
+	if e.PrimaryNotBefore > 0 {
+		r.learn(m, Statement{Source: FromHandover, Role: Primary, StatedAt: TimeBounds{NotBefore: e.PrimaryNotBefore}})
 	}
-	if e.Follows > 0 {
-		r.learn(m, Statement{Source: FromHandover, Role: Replica, Made: Made{NotAfter: e.Follows}})
+	if e.ReplicaNotAfter > 0 {
+		r.learn(m, Statement{Source: FromHandover, Role: Replica, StatedAt: TimeBounds{NotAfter: e.ReplicaNotAfter}})
 	}
 	r.learn(m, Statement{Source: FromHandover, Position: e.Position})
 	m.suspect = m.suspect || !e.Alive // a probe comes before what is sent
@@ -338,5 +338,5 @@
 
 // wholeAnswer says that a result is told by an answer that came whole.
 func wholeAnswer(x Result) bool {
-	return x == OK || x == Failed || x == Full || x == Miss || x == Stale
+	return x == OK || x == Failed || x == QueueFull || x == Misdirected || x == Stale
 }
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -11,13 +11,13 @@
 // However statements on a member come in, what is known of it in the end is the same.
 func TestEvidenceDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		at := rapid.Custom(func(t *rapid.T) Made {
+		at := rapid.Custom(func(t *rapid.T) TimeBounds {
 			from := time.Duration(rapid.IntRange(1, 50).Draw(t, "from")) * ms
-			return Made{NotBefore: from, NotAfter: from + time.Duration(rapid.IntRange(0, 50).Draw(t, "width"))*ms}
+			return TimeBounds{NotBefore: from, NotAfter: from + time.Duration(rapid.IntRange(0, 50).Draw(t, "width"))*ms}
 		})
 		statement := rapid.Custom(func(t *rapid.T) Statement {
 			return Statement{Role: Role(rapid.IntRange(0, 2).Draw(t, "role")), Position: time.Duration(rapid.IntRange(0, 100).Draw(t, "position")) * ms,
-				Made: at.Draw(t, "made")}
+				StatedAt: at.Draw(t, "made")}
 		})
 		list := rapid.SliceOfN(statement, 1, 8).Draw(t, "statements")
 		start := time.Duration(rapid.IntRange(0, 100).Draw(t, "start")) * ms
@@ -39,10 +39,10 @@
 func TestALeadersWordStandsOnlyIfItIsCertainlyLater(t *testing.T) {
 	const now = origin
 	follows := func(from, to time.Duration) Statement {
-		return Statement{Role: Replica, Made: Made{NotBefore: now + from, NotAfter: now + to}}
+		return Statement{Role: Replica, StatedAt: TimeBounds{NotBefore: now + from, NotAfter: now + to}}
 	}
 	leads := func(from, to time.Duration) Statement {
-		return Statement{Role: Primary, Made: Made{NotBefore: now + from, NotAfter: now + to}}
+		return Statement{Role: Primary, StatedAt: TimeBounds{NotBefore: now + from, NotAfter: now + to}}
 	}
 	for name, c := range map[string]struct {
 		said    []Statement
@@ -131,7 +131,7 @@
 		"another router says so, of a while ago": {func(g *rig) {
 			g.know("p", Primary, 0)
 			g.now += 50 * ms
-			g.heard("p", func(h *Heard) { h.At = g.now - 100*ms }) // a router can't tell how long it was on its way
+			g.heard("p", func(h *RemoteOutcome) { h.At = g.now - 100*ms }) // a router can't tell how long it was on its way
 		}, ""},
 		"a part of an answer says so": {func(g *rig) { g.part("p", Replica) }, ""},
 		"a part says that it leads":   {func(g *rig) { g.part("a", Primary) }, "p"},
@@ -151,15 +151,15 @@
 		}, "a"},
 		"a report that it led before": {func(g *rig) {
 			g.know("a", Replica, 0)
-			g.do(ProbeResult{Server: "a", Result: OK, Report: Report{Has: true, Role: Primary, Position: g.now - ms, NotBefore: g.now - ms}})
+			g.do(ProbeResult{Server: "a", Result: OK, Report: Report{Valid: true, Role: Primary, Position: g.now - ms, NotBefore: g.now - ms}})
 		}, "p"},
 		"it leads, beside a report from before": {func(g *rig) {
-			g.do(Outcome{ID: "none", Server: "a", Result: OK, Role: Primary, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now},
-				Report: Report{Has: true, Role: Replica, Position: g.now - ms, NotBefore: g.now - ms}})
+			g.do(Outcome{ID: "none", Server: "a", Result: OK, Role: Primary, Position: g.now, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now},
+				Report: Report{Valid: true, Role: Replica, Position: g.now - ms, NotBefore: g.now - ms}})
 		}, "a"},
 		"it left long ago, after it had said that it follows": {func(g *rig) {
 			g.know("p", Replica, 0)
-			g.do(Members{List: []Member{{Server: "p", State: Left}}})
+			g.do(Members{List: []Member{{Server: "p", State: Removed}}})
 			g.now += 2 * forgetAfter
 			g.do(Members{List: []Member{{Server: "a", Weight: 1}}})
 			if g.r.members["p"] != nil {
@@ -167,8 +167,8 @@
 			}
 			g.do(Members{List: list()})
 		}, ""},
-		"an earlier router had heard that it follows":    {func(g *rig) { g.do(Inherited{Server: "p", Follows: g.now - ms, Alive: true}) }, ""},
-		"an earlier router had heard that another leads": {func(g *rig) { g.do(Inherited{Server: "a", Leads: g.now - ms, Alive: true}) }, "a"},
+		"an earlier router had heard that it follows":    {func(g *rig) { g.do(PriorEvidence{Server: "p", ReplicaNotAfter: g.now - ms, Alive: true}) }, ""},
+		"an earlier router had heard that another leads": {func(g *rig) { g.do(PriorEvidence{Server: "a", PrimaryNotBefore: g.now - ms, Alive: true}) }, "a"},
 		"the clock was wrong":                            {func(g *rig) { g.know("p", Primary, 0); g.do(ClockReplaced{}) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -188,12 +188,12 @@
 
 // report lets a probe be answered with a report of now.
 func (g *rig) report(server string, role Role) {
-	g.do(ProbeResult{Server: server, Result: OK, Report: Report{Has: true, Role: role, Position: g.now, NotBefore: g.now}})
+	g.do(ProbeResult{Server: server, Result: OK, Report: Report{Valid: true, Role: role, Position: g.now, NotBefore: g.now}})
 }
 
 // part lets an answer break off behind a role.
 func (g *rig) part(server string, role Role) {
-	g.do(Outcome{ID: "none", Server: server, Result: Reset, Role: role, Position: g.now, Made: Made{NotBefore: g.now, NotAfter: g.now}})
+	g.do(Outcome{ID: "none", Server: server, Result: Reset, Role: role, Position: g.now, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now}})
 }
 
 // A part of an answer tells no position.
@@ -211,14 +211,14 @@
 		{500 * ms, 500*ms - 146*ms}, // 354 ms, held up for 150: 4 ms of the protocol's 50 are used
 		{210 * ms, 210*ms - 71*ms},  // a third of the bound is all that is kept free
 	} {
-		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound = 150*ms, c.bound })
+		g := newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound = 150*ms, c.bound })
 		g.know("a", Replica, c.usable)
 		_, acts := g.ask("browse", 0)
 		s, ok := acts[len(acts)-1].(Send)
 		if !ok || s.Server != "a" || s.Grounds.Kind != ByPosition || s.Grounds.SendBy != g.now {
 			t.Errorf("with a position just inside the bound of %s: %+v", c.bound, acts)
 		}
-		g = newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound = 150*ms, c.bound })
+		g = newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound = 150*ms, c.bound })
 		g.know("a", Replica, c.usable+ms)
 		if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("with a position just outside: %+v", acts)
@@ -236,12 +236,12 @@
 		"it was far behind":            {300 * ms, 10 * ms, false},
 		"the group's log stands still": {10 * ms, 400 * ms, false},
 	} {
-		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
+		g := newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
 		told := g.now
 		g.know("a", Replica, c.lag)
 		g.now = told + 450*ms - c.lag // 450 ms old
 		g.know("b", Replica, 3*time.Second)
-		g.r.learn(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.moved, Made: Made{NotBefore: g.now - c.moved, NotAfter: g.now}})
+		g.r.learn(g.r.members["p"], Statement{Role: Primary, Position: g.now - c.moved, StatedAt: TimeBounds{NotBefore: g.now - c.moved, NotAfter: g.now}})
 		_, acts := g.ask("browse", 0)
 		if sent := slices.Contains(sends(acts), "a"); sent != c.sent {
 			t.Errorf("%s: sent %t, %v", name, sent, acts)
@@ -262,7 +262,7 @@
 	}
 	g := newRig(t, nil)
 	_, acts := g.ask("own", 10*ms)
-	if got := send(acts); got.Kind != Excused || !got.NeedsLeader() {
+	if got := send(acts); got.Kind != PresumedPrimary || !got.NeedsPrimary() {
 		t.Errorf("before anything was told: %+v", got)
 	}
 	_, acts = g.ask("save", 0)
@@ -271,7 +271,7 @@
 	}
 	g.know("p", Primary, 0)
 	_, acts = g.ask("own", 10*ms)
-	if got := send(acts); got.Kind != LeaderWord || got.Leads != g.now || !got.NeedsLeader() {
+	if got := send(acts); got.Kind != PrimaryStatement || got.PrimaryNotBefore != g.now || !got.NeedsPrimary() {
 		t.Errorf("to who said that it leads: %+v", got)
 	}
 	g.know("a", Replica, 0)
@@ -286,17 +286,17 @@
 	for name, again := range map[string]func(g *rig){
 		"by its answer": func(g *rig) { g.know("a", Replica, 310*ms) },
 		"by its report": func(g *rig) {
-			g.do(ProbeResult{Server: "a", Result: OK, Made: Made{NotBefore: g.now, NotAfter: g.now},
-				Report: Report{Has: true, Role: Replica, Position: g.now - 310*ms}})
+			g.do(ProbeResult{Server: "a", Result: OK, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now},
+				Report: Report{Valid: true, Role: Replica, Position: g.now - 310*ms}})
 		},
 	} {
-		g := newRig(t, func(s *Settings) { s.HoldUp, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
+		g := newRig(t, func(s *Settings) { s.MaxSendDelay, s.Classes[0].Bound, s.Probes = 150*ms, 500*ms, false })
 		g.know("a", Replica, 10*ms)
 		g.now += 300 * ms
 		again(g)
 		g.now += 140 * ms
 		g.know("b", Replica, 3*time.Second)
-		g.r.learn(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, Made: Made{NotBefore: g.now - 10*ms, NotAfter: g.now}})
+		g.r.learn(g.r.members["p"], Statement{Role: Primary, Position: g.now - 10*ms, StatedAt: TimeBounds{NotBefore: g.now - 10*ms, NotAfter: g.now}})
 		if _, acts := g.ask("browse", 0); slices.Contains(sends(acts), "a") {
 			t.Errorf("%s: a read of 500 ms goes to a log known to stand still for 450 ms, with no time for a hold-up: %v", name, acts)
 		}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -15,9 +15,9 @@
 		MaxRetryAfter: time.Second, DrainGrace: time.Second,
 		Classes: []balance.Class{
 			{Name: "view", Need: balance.Bounded, Bound: time.Second, Effect: balance.Safe,
-				Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1},
+				LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Worth: 1},
 			{Name: "save", Need: balance.Write, Effect: balance.Unsafe,
-				Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 4},
+				LatencyTarget: 500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 4},
 		},
 	}, 42)
 	if err != nil {
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	handle(balance.Members{Whole: true, List: []balance.Member{
+	handle(balance.Members{Snapshot: true, List: []balance.Member{
 		{Server: "db-1:5432", Primary: true, Weight: 1},
 		{Server: "db-2:5432", Weight: 1},
 	}})
@@ -50,7 +50,7 @@
 	handle(balance.Outcome{ID: "r2", Server: "db-1:5432", Result: balance.OK, Role: balance.Primary,
 		Took: 19 * time.Millisecond, Final: true})
 	handle(balance.ProbeResult{Server: "db-2:5432", Result: balance.OK,
-		Report: balance.Report{Has: true, Position: now - 30*time.Millisecond}})
+		Report: balance.Report{Valid: true, Position: now - 30*time.Millisecond}})
 	handle(balance.Request{ID: "r3", Class: "view", Deadline: now + time.Second})
 	// Output:
 	// send r1 to db-1:5432
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -27,7 +27,7 @@
 // that is held up between the last look and the write, as far as the bound has room for that. Where m keeps up and stands still just then,
 // the answer tells: see Stale.
 func (r *Router) sendBy(q *request, m *member) time.Duration {
-	by := m.evidence.position - r.clock.Ages + q.cls.Bound - slack
+	by := m.evidence.position - r.clock.AgeOffset + q.cls.Bound - slack
 	if !r.keepsUp(q, m) {
 		by -= r.holdUpMargin(q.cls)
 	}
@@ -35,32 +35,32 @@
 }
 
 func (r *Router) holdUpMargin(c *class) time.Duration {
-	return max(0, min(r.s.HoldUp-holdUpSlack, c.Bound/holdUpPart))
+	return max(0, min(r.s.MaxSendDelay-holdUpSlack, c.Bound/holdUpPart))
 }
 
 // keepsUp says that m's log, as it was told last, was hardly behind, and that its group's log has moved since not long ago: what is
 // known of m is then old only because nothing was heard of it lately.
 func (r *Router) keepsUp(q *request, m *member) bool {
-	lag := m.evidence.positionAt + r.clock.Ages - m.evidence.position
+	lag := m.evidence.positionAt + r.clock.AgeOffset - m.evidence.position
 	return lag <= q.cls.Bound/keepsUpPart && r.age(m.group.newest) <= q.cls.Bound-slack-r.holdUpMargin(q.cls)
 }
 
 // Demand is what the data behind a read's answer has to show. The zero value demands nothing.
 type Demand struct {
-	Reach time.Duration // the position that it must have reached; 0: any
-	Bound time.Duration // its age at most, when the query had been written; 0: any
+	MinPosition time.Duration // the position that it must have reached; 0: any
+	MaxAge      time.Duration // its age at most, when the query had been written; 0: any
 }
 
-// Refuted says that what a member told with an answer proves that its read ran on other data than demanded: it must not be served. A
+// Violated says that what a member told with an answer proves that its read ran on other data than demanded: it must not be served. A
 // primary's data is the present. Written is when the last byte of the query had been written.
-func (d Demand) Refuted(role Role, position, written time.Duration, clock ClockBounds) bool {
+func (d Demand) Violated(role Role, position, written time.Duration, clock ClockBounds) bool {
 	switch {
 	case role == Primary, position == 0:
 		return false
-	case d.Reach > 0 && position+slack < d.Reach:
+	case d.MinPosition > 0 && position+slack < d.MinPosition:
 		return true
 	}
-	return d.Bound > 0 && clock.Known && written+clock.Ages-position > d.Bound
+	return d.MaxAge > 0 && clock.Known && written+clock.AgeOffset-position > d.MaxAge
 }
 
 // demand is what q's class demands. Members that check reads need no second look.
@@ -70,10 +70,10 @@
 		return d
 	}
 	if q.cls.Need == Session {
-		d.Reach = q.wrote
+		d.MinPosition = q.wrote
 	}
 	if q.cls.bounded() {
-		d.Bound = max(q.cls.Bound, 1)
+		d.MaxAge = max(q.cls.Bound, 1)
 	}
 	return d
 }
@@ -82,7 +82,7 @@
 func (r *Router) Stale(now time.Duration, e Outcome) bool {
 	q := r.reqs[e.ID]
 	return q != nil && e.Result == OK &&
-		r.demand(q).Refuted(e.Role, e.Position, min(cmp.Or(e.Written, q.sentAt), now), r.clock)
+		r.demand(q).Violated(e.Role, e.Position, min(cmp.Or(e.Written, q.sentAt), now), r.clock)
 }
 
 // age is how old a position is, less the slack that the protocol has for what is not known of the clock; without bounds, any age.
@@ -90,7 +90,7 @@
 	if !r.clock.Known {
 		return noBound
 	}
-	return r.now + r.clock.Ages - position
+	return r.now + r.clock.AgeOffset - position
 }
 
 // probesPosition re-probes a replica for q, once per bound and less often if far behind; q waits for the answer. While nothing bounds the clock
@@ -105,7 +105,7 @@
 		if m.probeOut && r.now-m.probedAt < beat {
 			return r.clock.Known
 		}
-		if !m.probeOut && r.now-m.probedAt >= max(r.bound, min((m.probedAt+r.clock.Ages-m.evidence.position)/4, time.Second)) {
+		if !m.probeOut && r.now-m.probedAt >= max(r.bound, min((m.probedAt+r.clock.AgeOffset-m.evidence.position)/4, time.Second)) {
 			if n++; r.rng.IntN(n) == 0 {
 				next = m
 			}
@@ -121,8 +121,8 @@
 func (r *Router) wrote(e Request) time.Duration {
 	remembered := max(r.sessions[e.Session], r.floor)
 	switch {
-	case e.After > 0:
-		return max(remembered, e.After+slack) // a commit is told rounded up: of a member that told the same one this may be missing
+	case e.SessionPosition > 0:
+		return max(remembered, e.SessionPosition+slack) // a commit is told rounded up: of a member that told the same one this may be missing
 	case e.WriteAge > 0:
 		return max(remembered, r.now-e.WriteAge+slack)
 	}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -14,12 +14,12 @@
 		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, OverloadFactor: 2.5,
 		ColdShare: 0.25, ColdTime: 10 * time.Second,
 		Classes: []Class{
-			{Name: "browse", Need: Bounded, Bound: 200 * ms, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "own", Need: Session, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "any", Need: AnyData, Aim: 700 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "fresh", Need: Latest, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "save", Need: Write, Effect: Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 4, LateWorth: .5},
-			{Name: "keyed", Need: Write, Effect: Keyed, Scope: ScopeGroup, KeyTTL: 2 * time.Second, Aim: time.Second,
+			{Name: "browse", Need: Bounded, Bound: 200 * ms, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "own", Need: Session, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "any", Need: AnyData, LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "fresh", Need: Latest, LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "save", Need: Write, Effect: Unsafe, LatencyTarget: time.Second, Deadline: 4 * time.Second, Worth: 4, LateWorth: .5},
+			{Name: "keyed", Need: Write, Effect: Keyed, Scope: ScopeGroup, KeyTTL: 2 * time.Second, LatencyTarget: time.Second,
 				Deadline: 4 * time.Second, Worth: 4, LateWorth: .5},
 		}}
 }
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	g := &rig{t: t, r: r, now: origin}
-	g.do(Members{Whole: true, List: list()})
+	g.do(Members{Snapshot: true, List: list()})
 	return g
 }
 
@@ -96,7 +96,7 @@
 }
 
 func (g *rig) know(server string, role Role, behind time.Duration) {
-	g.r.learn(g.r.members[server], Statement{Role: role, Position: g.now - behind, Made: Made{NotBefore: g.now, NotAfter: g.now}})
+	g.r.learn(g.r.members[server], Statement{Role: role, Position: g.now - behind, StatedAt: TimeBounds{NotBefore: g.now, NotAfter: g.now}})
 }
 
 func (g *rig) answer(id, server string, try int, res Result, role Role) []Action {
--- a/balance/health.go
+++ b/balance/health.go
@@ -6,7 +6,7 @@
 
 // unresponsive says that m has work out and has been silent for longer than its answers usually take.
 func (r *Router) unresponsive(m *member) bool {
-	return len(m.out) > 0 && r.now-m.silentSince > max(silentFloor, 2*m.out[0].cls.took, m.out[0].cls.Aim/4)
+	return len(m.out) > 0 && r.now-m.silentSince > max(silentFloor, 2*m.out[0].cls.took, m.out[0].cls.LatencyTarget/4)
 }
 
 func (r *Router) probe(m *member) bool { // says whether one is out
@@ -61,7 +61,7 @@
 	m.probeOut = false
 	if e.Result == OK || e.Result == Garbled {
 		r.noteAlive(m)
-		r.learnReport(m, e.Made, e.Report)
+		r.learnReport(m, e.StatedAt, e.Report)
 		m.suspect = false
 		m.reinstate()
 	} else if e.Result != NotSent { // that is this router's own lack of a connection
@@ -72,12 +72,12 @@
 }
 
 // onHeard takes what another router tells: of a member, not a request. The dead show their start here.
-func (r *Router) onHeard(e Heard) {
+func (r *Router) onHeard(e RemoteOutcome) {
 	m := r.members[e.Server]
 	if m == nil {
 		return
 	}
-	r.learn(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, Made: Made{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
+	r.learn(m, Statement{Source: e.Source, Role: e.Role, Position: e.Position, StatedAt: TimeBounds{NotBefore: e.NotBefore, NotAfter: cmp.Or(e.NotAfter, r.now)}})
 	switch {
 	case e.Result == NoConnection:
 		m.suspect = m.suspect || e.At > m.silentSince // a probe comes before what is sent
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -9,7 +9,7 @@
 	// A crowded replica that still answers others must not be set aside; a silent one must.
 	for _, answers := range []bool{false, true} {
 		g := newRig(t, nil)
-		g.r.members["b"].State = Left
+		g.r.members["b"].State = Removed
 		id1, acts := g.ask("any", 0)
 		want(t, "first", sends(acts), []string{"a"})
 		id2, _ := g.ask("any", 0)
@@ -43,7 +43,7 @@
 
 func TestLastReplicaIsNotBlacklisted(t *testing.T) {
 	g := newRig(t, nil)
-	g.do(Members{Whole: true, List: list()[:2]})
+	g.do(Members{Snapshot: true, List: list()[:2]})
 	id, _ := g.ask("any", 0)
 	g.answer(id, "a", 0, Failed, Replica)
 	if !g.r.alive(g.r.members["a"]) {
@@ -108,7 +108,7 @@
 	}{{Reset, OK, true, true}, {Reset, Garbled, true, true}, {Reset, NotSent, true, true},
 		{NoConnection, NoConnection, true, false}, {Garbled, 0, false, true}} {
 		g := newRig(t, nil)
-		g.r.members["b"].State = Left
+		g.r.members["b"].State = Removed
 		id, _ := g.ask("any", 0)
 		other, _ := g.ask("any", 0)
 		asked := false
@@ -138,7 +138,7 @@
 		g := newRig(t, nil)
 		m := g.r.members["a"]
 		for range n {
-			g.r.members["b"].State = Left
+			g.r.members["b"].State = Removed
 			id, _ := g.ask("any", 0)
 			g.r.members["b"].State = Active
 			to := sends(g.answer(id, "a", 0, Failed, Replica))
--- a/balance/heard_test.go
+++ b/balance/heard_test.go
@@ -6,8 +6,8 @@
 )
 
 // heard tells the rig's router of an answer at another router.
-func (g *rig) heard(server string, change func(*Heard)) []Action {
-	h := Heard{Server: server, Class: "browse", Result: OK, Took: 50 * ms, Role: Replica, Position: g.now - 10*ms, At: g.now - 5*ms}
+func (g *rig) heard(server string, change func(*RemoteOutcome)) []Action {
+	h := RemoteOutcome{Server: server, Class: "browse", Result: OK, Took: 50 * ms, Role: Replica, Position: g.now - 10*ms, At: g.now - 5*ms}
 	if change != nil {
 		change(&h)
 	}
@@ -34,13 +34,13 @@
 func TestRolesThatAreHeardCountByTheirTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		told  []Heard
+		told  []RemoteOutcome
 		writs string // who gets a write
 	}{
-		{"the new primary is told", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}}, "a"},
-		{"and the old one's last answer comes after it", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "p", Role: Primary, At: origin + ms, NotBefore: origin + ms}}, "a"},
-		{"what was before this router's own word is old", []Heard{{Server: "a", Role: Primary, At: origin - ms, NotBefore: origin - ms}}, "p"},
-		{"the primary is none any more", []Heard{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "a", Role: Replica, At: origin + 3*ms, NotAfter: origin + 3*ms},
+		{"the new primary is told", []RemoteOutcome{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}}, "a"},
+		{"and the old one's last answer comes after it", []RemoteOutcome{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "p", Role: Primary, At: origin + ms, NotBefore: origin + ms}}, "a"},
+		{"what was before this router's own word is old", []RemoteOutcome{{Server: "a", Role: Primary, At: origin - ms, NotBefore: origin - ms}}, "p"},
+		{"the primary is none any more", []RemoteOutcome{{Server: "a", Role: Primary, At: origin + 2*ms, NotBefore: origin + 2*ms}, {Server: "a", Role: Replica, At: origin + 3*ms, NotAfter: origin + 3*ms},
 			{Server: "b", Role: Primary, At: origin + 4*ms, NotBefore: origin + 4*ms}}, "b"},
 	} {
 		g := newRig(t, nil)
@@ -60,7 +60,7 @@
 	g := newRig(t, nil)
 	g.heard("a", nil)
 	g.now += 10 * ms
-	g.heard("a", func(h *Heard) { h.Result, h.Position, h.Role, h.At = NoConnection, 0, Unknown, g.now })
+	g.heard("a", func(h *RemoteOutcome) { h.Result, h.Position, h.Role, h.At = NoConnection, 0, Unknown, g.now })
 	g.know("b", Replica, 0)
 	probed := false
 	for range 20 {
@@ -86,8 +86,8 @@
 		t.Error("another router's word wakes the dead")
 	}
 	g.now += time.Second
-	g.do(ProbeResult{Server: "a", Result: OK, Report: Report{Has: true, Position: g.now}})
-	g.heard("a", func(h *Heard) { h.Result, h.At = NoConnection, g.now+ms })
+	g.do(ProbeResult{Server: "a", Result: OK, Report: Report{Valid: true, Position: g.now}})
+	g.heard("a", func(h *RemoteOutcome) { h.Result, h.At = NoConnection, g.now+ms })
 	g.now += 10 * ms
 	g.heard("a", nil) // others are answered again
 	if g.r.members["a"].suspect {
@@ -98,10 +98,10 @@
 func TestBadEndsThinTheirGroupAlone(t *testing.T) {
 	// With many groups a full one made every router turn away reads for all others, whose hosts stood idle.
 	g := newRig(t, nil)
-	g.do(Members{Whole: true, List: append(list(), Member{Server: "x", Group: 2, Weight: 1}, Member{Server: "y", Group: 2, Weight: 1})})
+	g.do(Members{Snapshot: true, List: append(list(), Member{Server: "x", Group: 2, Weight: 1}, Member{Server: "y", Group: 2, Weight: 1})})
 	for range 40 {
 		g.now += 10 * ms
-		g.heard("a", func(h *Heard) { h.Result = Full })
+		g.heard("a", func(h *RemoteOutcome) { h.Result = QueueFull })
 		g.heard("x", nil)
 	}
 	refused := map[int]int{}
@@ -157,7 +157,7 @@
 	// ones drowned.
 	count := func(old State) (n int) {
 		g := newRig(t, func(s *Settings) { s.OverloadFactor = 4 })
-		g.do(Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
+		g.do(Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "a", Weight: 1},
 			{Server: "b", Weight: 1, State: old}, {Server: "c", Weight: 1, State: old}, {Server: "n", Weight: 1, Started: g.now}}})
 		for range 400 {
 			id, acts := g.ask("any", 0)
--- a/balance/hold_up_test.go
+++ b/balance/hold_up_test.go
@@ -16,7 +16,7 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			for age := 10 * ms; age < c.bound+100*ms; age += 10 * ms {
 				g := newRig(t, func(s *Settings) {
-					s.HoldUp, s.Classes[0].Bound, s.Classes[1].Bound, s.Probes = holdUp, c.bound, c.bound, false
+					s.MaxSendDelay, s.Classes[0].Bound, s.Classes[1].Bound, s.Probes = holdUp, c.bound, c.bound, false
 				})
 				g.know("a", Replica, 0) // and stalls from then on
 				position := g.now
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -31,7 +31,7 @@
 }
 
 func (r *Router) onMembers(e Members) {
-	if r.s.Ask && !r.watchSent {
+	if r.s.SubscribeToList && !r.watchSent {
 		r.watchSent = true
 		r.do(Watch{})
 	}
@@ -42,7 +42,7 @@
 			l.Weight = leastWeight // none, or nonsense: drawn where no other is
 		}
 		m := r.members[l.Server]
-		if m == nil && l.State == Left {
+		if m == nil && l.State == Removed {
 			continue
 		} else if m == nil {
 			g := r.group(l.Group)
@@ -61,11 +61,11 @@
 		}
 	}
 	for _, m := range r.members {
-		if e.Whole && !named[m.Server] {
-			r.setState(m, Left)
-			m.State = Left
+		if e.Snapshot && !named[m.Server] {
+			r.setState(m, Removed)
+			m.State = Removed
 		}
-		if m.State != Left || r.accepts(m, true) || len(m.out) > 0 || r.now-m.toldAt < forgetAfter {
+		if m.State != Removed || r.accepts(m, true) || len(m.out) > 0 || r.now-m.toldAt < forgetAfter {
 			continue
 		}
 		// Gone for good: a fleet that is replaced again and again must not fill memory.
@@ -109,7 +109,7 @@
 	if m.State == Draining {
 		return grace && r.now < cmp.Or(m.SendUntil, m.toldAt+r.s.DrainGrace)-2*r.s.Tick-beat
 	}
-	return m.State == Active || m.State == Left && r.s.DroppedStayOpen && !m.drained
+	return m.State == Active || m.State == Removed && r.s.DroppedStayOpen && !m.drained
 }
 
 // noteAlive notes a sign of life. After a death that was seen it means a start, told late.
--- a/balance/membership_test.go
+++ b/balance/membership_test.go
@@ -17,11 +17,11 @@
 }
 
 func TestListIsAskedForAndAskedAgain(t *testing.T) {
-	g := newRig(t, func(s *Settings) { s.Ask = true })
+	g := newRig(t, func(s *Settings) { s.SubscribeToList = true })
 	if _, ok := g.acts[0].(Watch); !ok {
 		t.Fatalf("first actions %v, want a Watch", g.acts)
 	}
-	a, ok := g.do(ListLost{})[0].(After)
+	a, ok := g.do(ListUnavailable{})[0].(StartTimer)
 	if !ok || a.Wait < time.Second {
 		t.Fatalf("a lost call is retried by %v, want a pause", g.acts)
 	}
@@ -53,7 +53,7 @@
 	g.now += time.Second
 	_, acts = g.ask("fresh", 0)
 	want(t, "after the grace", sends(acts), nil)
-	g.do(Members{Whole: true, List: list()[:2]})
+	g.do(Members{Snapshot: true, List: list()[:2]})
 	for range 8 {
 		_, acts = g.ask("any", 0)
 		if to := sends(acts); len(to) == 1 && to[0] == "b" {
@@ -64,7 +64,7 @@
 
 func TestDroppedStayOpen(t *testing.T) {
 	g := newRig(t, func(s *Settings) { s.DroppedStayOpen = true })
-	g.do(Members{Whole: true, List: list()[:1]})
+	g.do(Members{Snapshot: true, List: list()[:1]})
 	_, acts := g.ask("any", 0)
 	if to := sends(acts); len(to) != 1 || to[0] == "p" {
 		t.Errorf("dropped members are still in service here, but sent to %q", to)
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -99,11 +99,11 @@
 	g.held = []float64{0.03, 0.03, 0.5}[w.rng.IntN(3)]
 	g.gap = []time.Duration{40 * ms, 60 * ms, 300 * ms, 900 * ms}[w.rng.IntN(4)]
 	g.settings = balance.Settings{Routers: 1, Tick: ms, TokensCarried: true, Probes: w.chance(0.8), Cancel: true, RetryAfter: true,
-		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, HoldUp: modelHoldUp, OverloadFactor: 4, ColdShare: 0.25,
+		MaxRetryAfter: time.Second, MaxAttempts: 6, DrainGrace: time.Second, MaxSendDelay: modelHoldUp, OverloadFactor: 4, ColdShare: 0.25,
 		ColdTime: 2 * time.Second, Classes: []balance.Class{
-			{Name: "view", Need: balance.Bounded, Bound: bound, Aim: 400 * ms, Deadline: 900 * ms, Worth: 1},
-			{Name: "own", Need: balance.Session, Aim: 400 * ms, Deadline: 900 * ms, Worth: 1},
-			{Name: "order", Need: balance.Write, Effect: balance.Unsafe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: .7}}}
+			{Name: "view", Need: balance.Bounded, Bound: bound, LatencyTarget: 400 * ms, Deadline: 900 * ms, Worth: 1},
+			{Name: "own", Need: balance.Session, LatencyTarget: 400 * ms, Deadline: 900 * ms, Worth: 1},
+			{Name: "order", Need: balance.Write, Effect: balance.Unsafe, LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: .7}}}
 	for _, h := range w.hosts {
 		g.list[h.id] = h.list
 	}
@@ -145,7 +145,7 @@
 	}
 	g.router, g.requests, g.bounds = r, map[string]*modelRequest{}, balance.ClockBounds{}
 	g.router.Handle(g.local(), g.bounds, nil)
-	list := balance.Members{Whole: true}
+	list := balance.Members{Snapshot: true}
 	for _, m := range g.list {
 		list.List = append(list.List, g.entry(m))
 	}
@@ -161,8 +161,8 @@
 func (g *modelGateway) entry(m balance.Member) balance.Member {
 	if m.Started > 0 {
 		started := g.local()
-		if b := g.clock.Bounds(); b.Told {
-			started = min(started, m.Started-b.At(g.local()).Least)
+		if b := g.clock.Bounds(); b.HasMin {
+			started = min(started, m.Started-b.At(g.local()).Min)
 		}
 		m.Started = started
 	}
@@ -181,9 +181,9 @@
 // panicked replaces the module; the process goes on.
 func (g *modelGateway) panicked() {
 	g.w.note("the module panics")
-	var known []balance.Inherited
-	g.router.Look(g.local(), func(s balance.Seen) {
-		known = append(known, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
+	var known []balance.PriorEvidence
+	g.router.Views(g.local(), func(s balance.MemberView) {
+		known = append(known, balance.PriorEvidence{Server: s.Server, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: true})
 	})
 	g.end()
 	g.start(true)
@@ -195,16 +195,16 @@
 // restarted ends the process, and starts the next one: with what the last one knew, or with nothing.
 func (g *modelGateway) restarted(handover bool) {
 	g.w.note("the process ends, handover: %t", handover)
-	var known []balance.Inherited
-	g.router.Look(g.local(), func(s balance.Seen) {
-		known = append(known, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable})
+	var known []balance.PriorEvidence
+	g.router.Views(g.local(), func(s balance.MemberView) {
+		known = append(known, balance.PriorEvidence{Server: s.Server, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: s.Usable})
 	})
 	g.end()
 	g.life++
 	g.follows, g.lied, g.unshown = nil, false, g.unshown && handover
 	b := g.clock.Bounds()
 	g.clock, g.epoch = fleetclock.New(g.local()), 0
-	if handover && b.Bounded && !b.Doubted {
+	if handover && b.HasMax && !b.Contradicted {
 		g.clock.Inherit(g.local(), b.At(g.local()))
 	}
 	if !handover {
@@ -260,7 +260,7 @@
 func (g *modelGateway) members(whole bool, list []balance.Member) {
 	list = slices.Clone(list)
 	g.post(func() {
-		e := balance.Members{Whole: whole}
+		e := balance.Members{Snapshot: whole}
 		for _, m := range list {
 			g.list[m.Server] = m
 			g.w.note("list: %s leads %t started %t state %d", m.Server, m.Primary, m.Started > 0, m.State)
@@ -287,7 +287,7 @@
 			q.after = w.now - w.between(0, time.Second) // of a commit that was made through another gateway
 		}
 		if q.after > 0 {
-			r.After = q.after
+			r.SessionPosition = q.after
 		}
 	}
 	for _, c := range g.settings.Classes {
@@ -316,14 +316,14 @@
 	g.read(g.w.between(5*ms, 1900*ms), func() {
 		b := g.clock.Bounds()
 		offset := b.At(g.local())
-		n := balance.Heard{Server: h.id, Class: "view", Result: balance.OK, Took: 10 * ms, Source: balance.FromGossip, Position: s.position}
-		if b.Told {
-			n.At = s.at - offset.Least
+		n := balance.RemoteOutcome{Server: h.id, Class: "view", Result: balance.OK, Took: 10 * ms, Source: balance.FromGossip, Position: s.position}
+		if b.HasMin {
+			n.At = s.at - offset.Min
 		}
 		if n.Role = balance.Replica; s.leads {
 			n.Role = balance.Unknown
-			if b.Bounded {
-				n.Role, n.NotBefore = balance.Primary, s.position-offset.Most
+			if b.HasMax {
+				n.Role, n.NotBefore = balance.Primary, s.position-offset.Max
 			}
 		}
 		g.handle(n)
@@ -333,10 +333,10 @@
 // known is what the module is told of the clock.
 func (g *modelGateway) known() balance.ClockBounds {
 	b := g.clock.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return balance.ClockBounds{}
 	}
-	return balance.ClockBounds{Known: true, Ages: (b.Ages(g.local()) + ms).Truncate(ms), Most: (b.At(g.local()).Most + ms).Truncate(ms)}
+	return balance.ClockBounds{Known: true, AgeOffset: (b.AgeOffset(g.local()) + ms).Truncate(ms), MaxOffset: (b.At(g.local()).Max + ms).Truncate(ms)}
 }
 
 // handle hands the module an event and carries out what it answers.
@@ -359,11 +359,11 @@
 			g.answered(a.ID)
 		case balance.Cancel:
 			if q := g.requests[a.ID]; q != nil && q.attempt != nil {
-				g.ended(q.attempt, balance.Outcome{Result: balance.Cancelled})
+				g.ended(q.attempt, balance.Outcome{Result: balance.Canceled})
 			}
 		case balance.Probe:
 			g.probe(a.Server)
-		case balance.After:
+		case balance.StartTimer:
 			router, tag := g.router, a.Tag
 			g.read(a.Wait, func() {
 				if g.router == router {
@@ -372,8 +372,8 @@
 			})
 		}
 	}
-	for _, c := range g.router.Changes() {
-		g.w.note("module: primary %q, from %q, by %s on %s", c.To, c.From, c.Source, c.About)
+	for _, c := range g.router.PrimaryChanges() {
+		g.w.note("module: primary %q, from %q, by %s on %s", c.To, c.From, c.Source, c.Server)
 	}
 }
 
@@ -414,7 +414,7 @@
 	case t.over:
 		return
 	case now >= t.request.deadline, t.request.done, t.grounds.Expired(now, g.known()),
-		t.grounds.NeedsLeader() && g.follows[t.server.id] > 0 && g.follows[t.server.id] >= t.grounds.Leads:
+		t.grounds.NeedsPrimary() && g.follows[t.server.id] > 0 && g.follows[t.server.id] >= t.grounds.PrimaryNotBefore:
 		g.ended(t, balance.Outcome{Result: balance.NotSent})
 		return
 	case !t.server.alive:
@@ -475,7 +475,7 @@
 	commit := time.Duration(0)
 	switch {
 	case t.request.class == "order" && !s.leads:
-		result = balance.Miss
+		result = balance.Misdirected
 	case t.request.class == "order":
 		commit = s.tells
 	}
@@ -500,7 +500,7 @@
 // answer is what the gateway reads.
 func (g *modelGateway) answer(t *modelAttempt, s modelStanding, result balance.Result, commit time.Duration, spoilt bool, held time.Duration) {
 	h, now := t.server, g.local()
-	o := balance.Outcome{Result: result, Written: t.sent, Made: balance.Made{NotBefore: t.sent, NotAfter: now}}
+	o := balance.Outcome{Result: result, Written: t.sent, StatedAt: balance.TimeBounds{NotBefore: t.sent, NotAfter: now}}
 	if !s.leads && !spoilt {
 		g.heardFollower(h)
 	}
@@ -527,7 +527,7 @@
 			g.w.note("%s tells a position too old", h.id)
 		}
 		if result == balance.OK {
-			told.Present = position
+			told.PrimaryPosition = position
 		}
 	}
 	if g.reports && h.report.at > 0 {
@@ -537,10 +537,10 @@
 	if g.reports && h.report.at > 0 {
 		o.Report = g.localReport(h.report, now)
 	}
-	if b := g.clock.Bounds(); s.leads && b.Bounded {
-		o.Made.NotBefore = max(o.Made.NotBefore, min(position-b.At(now).Most-ms, now))
+	if b := g.clock.Bounds(); s.leads && b.HasMax {
+		o.StatedAt.NotBefore = max(o.StatedAt.NotBefore, min(position-b.At(now).Max-ms, now))
 	}
-	o.Made.Epoch = g.clock.Epoch()
+	o.StatedAt.Epoch = g.clock.Epoch()
 	if result == balance.OK && !t.request.done {
 		o.ID, o.Server = t.request.id, t.server.id
 		g.check(t, s, held, o)
@@ -553,13 +553,13 @@
 
 // observe lets the process learn of the fleet's clock, and checks that what it knows holds.
 func (g *modelGateway) observe(o fleetclock.Observation) {
-	if b := g.clock.Bounds(); g.unshown && o.Sent >= g.stepped && b.Bounded && o.Proves().Least > b.At(g.local()).Most {
+	if b := g.clock.Bounds(); g.unshown && o.Sent >= g.stepped && b.HasMax && o.OffsetInterval().Min > b.At(g.local()).Max {
 		g.unshown, g.shownAt = false, g.w.now
 		g.w.note("the step is shown by %s", o.Host)
 	}
 	g.clock.Observe(o)
 	b, ahead := g.clock.Bounds(), g.ahead()
-	if i := b.At(g.local()); !g.unshown && (b.Told && i.Least > ahead || b.Bounded && i.Most < ahead) {
+	if i := b.At(g.local()); !g.unshown && (b.HasMin && i.Min > ahead || b.HasMax && i.Max < ahead) {
 		g.broke = append(g.broke, fmt.Sprintf("the fleet's clock is ahead by %s, and taken to be by %+v", ahead, i))
 		g.w.note("BROKEN: %s", g.broke[len(g.broke)-1])
 	}
@@ -575,7 +575,7 @@
 	g.follows[h.id] = now
 	if news || g.w.chance(0.5) {
 		g.post(func() {
-			g.handle(balance.Heard{Server: h.id, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart, At: now, NotAfter: now})
+			g.handle(balance.RemoteOutcome{Server: h.id, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer, At: now, NotAfter: now})
 		})
 	}
 }
@@ -639,7 +639,7 @@
 		if g.router == router {
 			q := t.request
 			o.Final = q.done
-			if o.Made.Epoch != g.epoch && o.Made.Epoch != g.clock.Epoch() && o.Role == balance.Primary {
+			if o.StatedAt.Epoch != g.epoch && o.StatedAt.Epoch != g.clock.Epoch() && o.Role == balance.Primary {
 				o.Role = balance.Unknown
 			}
 			g.handle(o)
@@ -676,7 +676,7 @@
 	}
 	g.read(w.between(ms, 6*ms), func() {
 		now := g.local()
-		p := balance.ProbeResult{Server: server, Result: balance.OK, Made: balance.Made{NotBefore: sent, NotAfter: now}}
+		p := balance.ProbeResult{Server: server, Result: balance.OK, StatedAt: balance.TimeBounds{NotBefore: sent, NotAfter: now}}
 		if g.reports && s.at > 0 {
 			if !s.leads {
 				g.heardFollower(h)
@@ -684,7 +684,7 @@
 			g.observe(fleetclock.Observation{Host: h.id, Position: reportPosition(s), Sent: sent, Received: now})
 			p.Report = g.localReport(s, now)
 		}
-		p.Made.Epoch = g.clock.Epoch()
+		p.StatedAt.Epoch = g.clock.Epoch()
 		g.probed(p)
 	})
 }
@@ -694,11 +694,11 @@
 // localReport is a load report as the host side hands it on.
 func (g *modelGateway) localReport(s modelStanding, now time.Duration) balance.Report {
 	position := reportPosition(s)
-	r := balance.Report{Has: true, Role: balance.Replica, Position: position}
+	r := balance.Report{Valid: true, Role: balance.Replica, Position: position}
 	if s.leads {
 		r.Role = balance.Unknown
-		if b := g.clock.Bounds(); b.Bounded {
-			r.Role, r.NotBefore = balance.Primary, position-b.At(now).Most
+		if b := g.clock.Bounds(); b.HasMax {
+			r.Role, r.NotBefore = balance.Primary, position-b.At(now).Max
 		}
 	}
 	return r
--- a/balance/model_world_test.go
+++ b/balance/model_world_test.go
@@ -328,7 +328,7 @@
 		return
 	}
 	w.note("%s is gone", h.id)
-	h.list.State = balance.Left
+	h.list.State = balance.Removed
 	w.tell(h)
 	w.after(200*ms, func() {
 		w.quiet(70 * time.Second)
--- a/balance/retune_test.go
+++ b/balance/retune_test.go
@@ -7,24 +7,24 @@
 
 // New settings hold for what comes; a request under way keeps the class that it came with.
 func TestRetune(t *testing.T) {
-	s := Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 300 * ms, Deadline: 900 * ms, Worth: 1},
-		{Name: "w", Need: Write, Effect: Unsafe, Aim: 500 * ms, Deadline: 3000 * ms, Worth: 1}}, MaxAttempts: 3, DrainGrace: 1000 * ms}
+	s := Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, LatencyTarget: 300 * ms, Deadline: 900 * ms, Worth: 1},
+		{Name: "w", Need: Write, Effect: Unsafe, LatencyTarget: 500 * ms, Deadline: 3000 * ms, Worth: 1}}, MaxAttempts: 3, DrainGrace: 1000 * ms}
 	r, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := 1000 * ms
-	r.Handle(at, Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
+	r.Handle(at, Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
 	if acts := r.Handle(at, Request{ID: "old", Class: "a", Deadline: at + 900*ms}, nil); len(acts) != 2 {
 		t.Fatalf("%v", acts)
 	}
 	old := r.reqs["old"]
-	s.Classes = []Class{{Name: "a", Need: AnyData, Effect: Unsafe, Aim: 100 * ms, Deadline: 400 * ms, Worth: 1}, {Name: "n", Need: AnyData, Aim: ms, Deadline: ms}}
+	s.Classes = []Class{{Name: "a", Need: AnyData, Effect: Unsafe, LatencyTarget: 100 * ms, Deadline: 400 * ms, Worth: 1}, {Name: "n", Need: AnyData, LatencyTarget: ms, Deadline: ms}}
 	s, err = s.Checked()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Handle(at, Retune{s}, nil)
+	r.Handle(at, SettingsUpdate{s}, nil)
 	if r.reqs["old"] != old || old.cls.Effect != Safe || old.cls.Deadline != 900*ms {
 		t.Errorf("the class under way became %+v", old.cls.Class)
 	}
@@ -36,7 +36,7 @@
 		t.Errorf("a request of a class that has vanished: %v", acts)
 	}
 	kept := r.cells[0].classes["a"]
-	r.Handle(at, Retune{s}, nil)
+	r.Handle(at, SettingsUpdate{s}, nil)
 	if r.cells[0].classes["a"] != kept {
 		t.Error("a class that stays as it was loses what was learnt of it")
 	}
@@ -55,7 +55,7 @@
 			g.do(Outcome{ID: id, Server: "p", Result: OK, Role: Primary, Position: g.now, Took: ms, Final: true})
 			s := settings()
 			s.TokensCarried, s.Probes = !carried, false
-			g.do(Retune{s})
+			g.do(SettingsUpdate{s})
 			g.now += time.Second // past the pin, and no replica has told more
 			if _, acts := g.ask("own", 0); len(sends(acts)) != 1 || sends(acts)[0] != "p" {
 				t.Errorf("a read of the session goes to %v, want the primary", sends(acts))
--- a/balance/router.go
+++ b/balance/router.go
@@ -180,11 +180,11 @@
 	switch e := ev.(type) {
 	case Members:
 		r.onMembers(e)
-	case ListLost:
-		r.do(After{time.Second + time.Duration(r.rng.Int64N(int64(time.Second))), tagWatch})
+	case ListUnavailable:
+		r.do(StartTimer{time.Second + time.Duration(r.rng.Int64N(int64(time.Second))), tagWatch})
 	case Cells:
 		r.onCells(e)
-	case Retune:
+	case SettingsUpdate:
 		r.take(e.Settings)
 	case Request:
 		r.onRequest(e)
@@ -192,24 +192,24 @@
 		r.onOutcome(e)
 	case ProbeResult:
 		r.onProbe(e)
-	case Heard:
+	case RemoteOutcome:
 		r.onHeard(e)
 	case ClockBounds:
 		r.onClockBounds(e)
 	case ClockReplaced:
 		r.onClockReplaced()
-	case Inherited:
+	case PriorEvidence:
 		r.onInherited(e)
 	case Timer:
 		r.onTimer(e.Tag)
-	case Gone:
+	case RequestCanceled:
 		if q := r.reqs[e.ID]; q != nil {
 			r.end(q)
 		}
-	case Ending:
+	case Shutdown:
 		for _, q := range r.seqs {
 			q.Deadline = min(q.Deadline, e.By)
-			r.do(After{max(q.Deadline-r.now, 1), q.seq})
+			r.do(StartTimer{max(q.Deadline-r.now, 1), q.seq})
 		}
 	}
 	acts, r.acts = r.acts, nil
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -36,10 +36,10 @@
 					l[i].Started = g.now - c.age
 				}
 				if strings.Contains(c.gone, l[i].Server) {
-					l[i].State = Left
+					l[i].State = Removed
 				}
 			}
-			g.do(Members{Whole: true, List: l})
+			g.do(Members{Snapshot: true, List: l})
 			_, acts := g.ask(c.class, 0)
 			for _, s := range sends(append(acts, g.beat(300*ms)...)) {
 				if s == cold {
@@ -74,7 +74,7 @@
 		g := seeded(t, seed)
 		l := list()
 		l[0].Started = g.now
-		g.do(Members{Whole: true, List: l})
+		g.do(Members{Snapshot: true, List: l})
 		_, acts := g.ask("save", 0)
 		if len(sends(acts)) > 0 {
 			continue
--- a/balance/timeout_test.go
+++ b/balance/timeout_test.go
@@ -9,12 +9,12 @@
 // the host goes on with.
 func TestAnEarlyEndLeavesTimeForAnother(t *testing.T) {
 	for _, c := range []struct{ took, want int }{{25, 180}, {45, 300}} { // ms; 0.6 of the aim, or all of it
-		r, err := New(Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, Aim: 300 * ms, Deadline: 900 * ms, Worth: 1}}}, 1)
+		r, err := New(Settings{Tick: ms, Classes: []Class{{Name: "a", Need: AnyData, LatencyTarget: 300 * ms, Deadline: 900 * ms, Worth: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		at := 1000 * ms
-		r.Handle(at, Members{Whole: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
+		r.Handle(at, Members{Snapshot: true, List: []Member{{Server: "p", Primary: true, Weight: 1}, {Server: "q", Weight: 1}}}, nil)
 		r.cells[0].classes["a"].took = time.Duration(c.took) * ms
 		for _, a := range r.Handle(at, Request{ID: "x", Class: "a", Deadline: at + 900*ms}, nil) {
 			if s, ok := a.(Send); ok && (s.Server != "q" || int(s.Timeout/ms) != c.want) {
@@ -41,7 +41,7 @@
 		for _, class := range []string{"any", "save"} {
 			g := newRig(t, func(s *Settings) {
 				for i := range s.Classes {
-					s.Classes[i].Aim, s.Classes[i].Deadline, s.Classes[i].LateWorth = 10*time.Second, 20*time.Second, 0
+					s.Classes[i].LatencyTarget, s.Classes[i].Deadline, s.Classes[i].LateWorth = 10*time.Second, 20*time.Second, 0
 				}
 			})
 			for range c.answers {
@@ -61,7 +61,7 @@
 func TestAGuessedAnswerTimeEndsARequestOnceHalfItsTimeIsGone(t *testing.T) {
 	g := newRig(t, func(s *Settings) {
 		for i := range s.Classes {
-			s.Classes[i].Aim, s.Classes[i].Deadline = 10*time.Second, 20*time.Second
+			s.Classes[i].LatencyTarget, s.Classes[i].Deadline = 10*time.Second, 20*time.Second
 		}
 	})
 	c := g.r.cells[0].classes["any"]
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -26,7 +26,7 @@
 	router *balance.Router
 	zero   time.Duration
 	giveUp map[string]time.Duration // of each class
-	tries  *waits.Waits
+	tries  *waits.Estimator
 	first  map[string]string // class of each open request whose client had not tried before
 }
 
@@ -40,7 +40,7 @@
 
 // request tells the module how long a request's client has been at it.
 func (it *instance) request(now time.Duration, q balance.Request) balance.Request {
-	if q.Elapsed = it.tries.Try(q.Class, it.giveUp[q.Class], q.Deadline-now); q.Elapsed == 0 {
+	if q.Elapsed = it.tries.Observe(q.Class, it.giveUp[q.Class], q.Deadline-now); q.Elapsed == 0 {
 		it.first[q.ID] = q.Class
 	}
 	return q
@@ -140,13 +140,13 @@
 		return nil
 	case "UPDATE":
 		if e.Kind == "lost" {
-			return h.decide(now, e.Who, it, balance.ListLost{})
+			return h.decide(now, e.Who, it, balance.ListUnavailable{})
 		}
 		list, ok := h.tables[e.Ref]
 		if !ok {
 			return fmt.Errorf("UPDATE: list %d was never given", e.Ref)
 		}
-		return h.decide(now, e.Who, it, balance.Members{Whole: e.Kind != "incr", List: list})
+		return h.decide(now, e.Who, it, balance.Members{Snapshot: e.Kind != "incr", List: list})
 	}
 	ev, err := e.Balance(name, it.zero)
 	if err != nil || ev == nil {
@@ -155,7 +155,7 @@
 	switch v := ev.(type) {
 	case balance.Request:
 		ev = it.request(now, v)
-	case balance.Gone:
+	case balance.RequestCanceled:
 		it.ended(v.ID, false)
 	case balance.Outcome:
 		if v.Final {
--- a/cmd/yokemast/cells.go
+++ b/cmd/yokemast/cells.go
@@ -83,14 +83,14 @@
 			}
 			slices.Sort(hosts)
 			fmt.Fprintf(w, "%s\t%g\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", c.Cell, c.Weight, c.Tenants, dash(strings.Join(hosts, " ")),
-				dash(strings.Join(c.Borrowed, ",")), c.Held, c.Most, c.Taken, c.OverRate, c.OverConcurrency, c.OverTenant)
+				dash(strings.Join(c.Borrowed, ",")), c.Held, c.MaxHeld, c.Taken, c.OverRate, c.OverConcurrency, c.OverTenant)
 		}
 		overlaps(w, r.Overlaps, r.Relaxed)
-		if len(r.Moves)+len(r.Past) == 0 {
+		if len(r.Moves)+len(r.Ended) == 0 {
 			return
 		}
 		fmt.Fprintln(w, "\nTENANT\tFROM\tTO\tSTAGE\tREADS OVER\tWRITES HELD\tREASON")
-		for _, m := range append(r.Moves, r.Past...) {
+		for _, m := range append(r.Moves, r.Ended...) {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\t%d\t%s\n", m.Tenant, place(m.From, m.FromGroup), place(m.To, m.ToGroup), m.Stage,
 				100*m.Share, m.Held, dash(m.Reason))
 		}
@@ -159,7 +159,7 @@
 		fmt.Fprintln(w, "CELL\tGROUP\tTENANTS\tLOSES\tWINS")
 		for _, x := range f.Changes {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", x.Cell, x.Group, x.Tenants, dash(strings.Join(x.Lost, ",")),
-				dash(strings.Join(x.Won, ",")))
+				dash(strings.Join(x.Gained, ",")))
 		}
 		overlaps(w, f.Overlaps, f.Relaxed)
 	})
--- a/cmd/yokemast/peers_test.go
+++ b/cmd/yokemast/peers_test.go
@@ -32,8 +32,8 @@
 	}
 	classes := []balance.Class{{Name: "view"}, {Name: "own"}, {Name: "order"}}
 	state := gossip.New(gossip.Config{Gateways: 2, Classes: classes, Burst: 1e6})
-	state.Host("s-1")
-	state.Host("s-2")
+	state.AddHost("s-1")
+	state.AddHost("s-2")
 	b := make([]byte, 512)
 	_ = other.SetReadDeadline(time.Now().Add(patience))
 	n, _, err := other.ReadFrom(b)
@@ -50,8 +50,8 @@
 	}
 	for end := time.Now().Add(patience); len(follower.Asked()) == 0; {
 		now := time.Duration(time.Now().UnixNano())
-		state.Note(now, balance.Heard{Server: "s-2", Class: "view", Role: balance.Replica, Position: now, At: now})
-		for _, d := range [][]byte{[]byte("noise"), state.Datagram(now, gossip.Offsets{Bounded: true}, nil)} {
+		state.AddEntry(now, balance.RemoteOutcome{Server: "s-2", Class: "view", Role: balance.Replica, Position: now, At: now})
+		for _, d := range [][]byte{[]byte("noise"), state.AppendMessage(now, gossip.Offsets{Bounded: true}, nil)} {
 			if _, err := other.WriteTo(d, to); err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/yokemast/proof_cells_test.go
+++ b/cmd/yokemast/proof_cells_test.go
@@ -253,8 +253,8 @@
 func (m *moved) ends() cells.Move {
 	m.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r := report(m.t, m.socket); len(r.Moves) == 0 && len(r.Past) > 0 {
-			return r.Past[len(r.Past)-1]
+		if r := report(m.t, m.socket); len(r.Moves) == 0 && len(r.Ended) > 0 {
+			return r.Ended[len(r.Ended)-1]
 		}
 	}
 	m.t.Fatalf("the move does not end: %s", m.log)
@@ -397,7 +397,7 @@
 	go ask(b, "waiting")
 	for {
 		if r := report(t, m.socket); len(r.Moves) != 1 {
-			t.Fatalf("the move has ended before the write: %+v", r.Past)
+			t.Fatalf("the move has ended before the write: %+v", r.Ended)
 		} else if r.Moves[0].Held > 0 {
 			break
 		}
--- a/internal/control/budget/budget.go
+++ b/internal/control/budget/budget.go
@@ -102,8 +102,8 @@
 	return true
 }
 
-// Whole marks a message as complete, so that it needs no more bytes.
-func (b *Budget) Whole(h *Holding) { h.complete, h.need = true, h.held }
+// Complete marks a message as complete, so that it needs no more bytes.
+func (b *Budget) Complete(h *Holding) { h.complete, h.need = true, h.held }
 
 // Close releases all bytes of a message. Closing it again has no effect.
 func (b *Budget) Close(h *Holding) {
--- a/internal/control/budget/budget_test.go
+++ b/internal/control/budget/budget_test.go
@@ -27,7 +27,7 @@
 	if b.Take(y, 2) {
 		t.Fatal("more bytes are granted than are free")
 	}
-	b.Whole(x)
+	b.Complete(x)
 	b.Close(x)
 	b.Close(x)
 	if !b.Take(y, 2) || b.Used() != 6 {
@@ -75,7 +75,7 @@
 					kept = append(kept, m)
 					continue
 				}
-				b.Whole(m.h)
+				b.Complete(m.h)
 				b.Close(m.h)
 				ended++
 			}
--- a/internal/control/cells/bench_test.go
+++ b/internal/control/cells/bench_test.go
@@ -33,17 +33,17 @@
 		m.Primary = i == 0
 		list = append(list, m)
 	}
-	s.Hosts(0, true, list)
-	s.Look(0, seen(list, nil))
+	s.UpdateMembers(0, true, list)
+	s.ObserveMembers(0, seen(list, nil))
 	return s, c, list
 }
 
 func BenchmarkAdmit(b *testing.B) {
 	s, c, _ := large(b)
-	for name, ask := range map[string]func(i int) Ask{
-		"claim":  func(i int) Ask { return Ask{Claim: c.Tenants[i%len(c.Tenants)].Name, Key: "k", Group: 1} },
-		"prefix": func(i int) Ask { return Ask{Key: c.Tenants[i%1000*100].Prefixes[0], Group: 1} },
-		"hash":   func(i int) Ask { return Ask{Key: c.Tenants[i%len(c.Tenants)].Name, Group: 1} },
+	for name, ask := range map[string]func(i int) Request{
+		"claim":  func(i int) Request { return Request{Claim: c.Tenants[i%len(c.Tenants)].Name, Key: "k", Group: 1} },
+		"prefix": func(i int) Request { return Request{Key: c.Tenants[i%1000*100].Prefixes[0], Group: 1} },
+		"hash":   func(i int) Request { return Request{Key: c.Tenants[i%len(c.Tenants)].Name, Group: 1} },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -51,7 +51,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += time.Microsecond
 				v := s.Admit(now, ask(i))
-				if v.Kind != Go {
+				if v.Kind != Admitted {
 					b.Fatal(v)
 				}
 				s.Done(now, v.Ticket)
@@ -95,7 +95,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list[1].Weight = float64(1 + i%2)
-		s.Hosts(0, true, list)
+		s.UpdateMembers(0, true, list)
 	}
 }
 
@@ -104,7 +104,7 @@
 	all := seen(list, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Look(0, all)
+		s.ObserveMembers(0, all)
 	}
 }
 
--- a/internal/control/cells/cells_test.go
+++ b/internal/control/cells/cells_test.go
@@ -35,9 +35,9 @@
 	return list
 }
 
-func seen(list []balance.Member, change func(*balance.Seen)) (out []balance.Seen) {
+func seen(list []balance.Member, change func(*balance.MemberView)) (out []balance.MemberView) {
 	for _, m := range list {
-		x := balance.Seen{Server: m.Server, Group: m.Group, Limit: 8, Warmth: 1, Usable: true, Primary: m.Primary, Known: true}
+		x := balance.MemberView{Server: m.Server, Group: m.Group, Limit: 8, WarmUpWeight: 1, Usable: true, Primary: m.Primary, Known: true}
 		if change != nil {
 			change(&x)
 		}
@@ -76,18 +76,18 @@
 		t.Fatal(err)
 	}
 	g := &rig{t: t, s: s, now: start}
-	g.s.Hosts(g.now, true, twoGroups())
-	g.s.Look(g.now, seen(twoGroups(), nil))
+	g.s.UpdateMembers(g.now, true, twoGroups())
+	g.s.ObserveMembers(g.now, seen(twoGroups(), nil))
 	return g
 }
 
-func (g *rig) look(change func(*balance.Seen)) {
-	g.acts = append(g.acts, g.s.Look(g.now, seen(twoGroups(), change))...)
+func (g *rig) look(change func(*balance.MemberView)) {
+	g.acts = append(g.acts, g.s.ObserveMembers(g.now, seen(twoGroups(), change))...)
 }
 
 func (g *rig) ask(tenant string, write bool) Verdict {
 	g.n++
-	return g.s.Admit(g.now, Ask{ID: fmt.Sprint("q", g.n), Claim: tenant, Key: "k", Group: 1, Write: write, Deadline: g.now + 3*time.Second})
+	return g.s.Admit(g.now, Request{ID: fmt.Sprint("q", g.n), Claim: tenant, Key: "k", Group: 1, Write: write, Deadline: g.now + 3*time.Second})
 }
 
 func (g *rig) pass(d time.Duration) {
@@ -110,11 +110,11 @@
 func (g *rig) told() (out []string) {
 	for _, a := range g.acts {
 		switch a := a.(type) {
-		case Changed:
+		case MoveChanged:
 			out = append(out, a.Move.Stage.String())
 		case Release:
 			out = append(out, "release "+a.ID)
-		case GiveUp:
+		case HoldExpired:
 			out = append(out, "give up "+a.ID)
 		}
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	g := newRig(t, func(x *Config) { x.Users = users })
-	if v := g.s.Admit(g.now, Ask{User: "u", Claim: "apollo"}); v.Kind != Denied || g.s.Denied != 1 {
+	if v := g.s.Admit(g.now, Request{User: "u", Claim: "apollo"}); v.Kind != Denied || g.s.Denied != 1 {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -238,26 +238,26 @@
 		t.Errorf("it reads from %v", servers())
 	}
 	before := servers()
-	aside := seen(twoGroups(), func(x *balance.Seen) { x.Usable = x.Server != own })
-	g.s.Look(g.now, aside)
+	aside := seen(twoGroups(), func(x *balance.MemberView) { x.Usable = x.Server != own })
+	g.s.ObserveMembers(g.now, aside)
 	if diff := cmp.Diff(before, servers()); diff != "" {
 		t.Errorf("a host set aside just now is replaced: %s", diff)
 	}
 	g.now += borrowAfter
-	g.s.Look(g.now, aside)
+	g.s.ObserveMembers(g.now, aside)
 	if got := servers(); slices.Contains(got, own) || len(got) != 2 || len(g.s.Report().Cells[0].Borrowed) == 0 {
 		t.Errorf("without %s it reads from %v", own, got)
 	}
-	g.s.Look(g.now, seen(twoGroups(), nil))
+	g.s.ObserveMembers(g.now, seen(twoGroups(), nil))
 	if diff := cmp.Diff(before, servers()); diff != "" {
 		t.Errorf("nothing is given back: %s", diff)
 	}
 	// Its last replica leaves, then every host but the primary: reads fall back on the primary by the module.
-	g.s.Hosts(g.now, true, twoGroups()[:1])
+	g.s.UpdateMembers(g.now, true, twoGroups()[:1])
 	if got := servers(); len(got) != 0 {
 		t.Errorf("with a primary alone it reads from %v", got)
 	}
-	g.s.Hosts(g.now, true, twoGroups()[:2])
+	g.s.UpdateMembers(g.now, true, twoGroups()[:2])
 	if diff := cmp.Diff([]string{"g1-1"}, servers()); diff != "" {
 		t.Error(diff)
 	}
@@ -300,8 +300,8 @@
 		var after time.Duration
 		for _, tenant := range c.asks {
 			v := g.ask(tenant, false)
-			if v.Kind == Over {
-				reason, after = v.Reason, v.After
+			if v.Kind == OverLimit {
+				reason, after = v.Reason, v.RetryAfter
 			}
 			got += string("goh"[v.Kind])
 		}
@@ -340,8 +340,8 @@
 	runtime.ReadMemStats(&before)
 	for i := range 1_000_000 {
 		key := fmt.Sprint("patient-", i)
-		v := g.s.Admit(g.now, Ask{ID: key, Claim: key, Key: key, Group: 1, Deadline: g.now + time.Second})
-		if v.Kind != Go {
+		v := g.s.Admit(g.now, Request{ID: key, Claim: key, Key: key, Group: 1, Deadline: g.now + time.Second})
+		if v.Kind != Admitted {
 			t.Fatal(v)
 		}
 		g.s.Done(g.now, v.Ticket)
--- a/internal/control/cells/move.go
+++ b/internal/control/cells/move.go
@@ -161,7 +161,7 @@
 func (s *State) enter(now time.Duration, m *Move, stage Stage, reason string) {
 	m.Stage, m.Since, m.Reason = stage, now, reason
 	s.Stages[stage]++
-	s.acts = append(s.acts, Changed{m.snapshot()})
+	s.acts = append(s.acts, MoveChanged{m.snapshot()})
 }
 
 func (s *State) abort(now time.Duration, m *Move, why string) {
@@ -270,8 +270,8 @@
 		}
 		for _, server := range s.fleet.lends(now, r, s.cfg.Size) {
 			hosts++
-			if seen, ok := s.fleet.seen[server]; !ok || seen.Warmth < least {
-				least, why = seen.Warmth, server+" is cold"
+			if seen, ok := s.fleet.seen[server]; !ok || seen.WarmUpWeight < least {
+				least, why = seen.WarmUpWeight, server+" is cold"
 			}
 		}
 	}
--- a/internal/control/cells/move_test.go
+++ b/internal/control/cells/move_test.go
@@ -32,12 +32,12 @@
 	if over < 45 || over > 55 {
 		t.Errorf("%d of 100 reads go over at half time", over)
 	}
-	if v := g.ask("apollo", true); v.Kind != Go || v.Cell != from.id {
+	if v := g.ask("apollo", true); v.Kind != Admitted || v.Cell != from.id {
 		t.Errorf("a write: %+v", v)
 	}
 	g.pass(time.Second)
 	g.want("in time", "fenced", "settled")
-	if v := g.ask("apollo", true); v.Kind != Go || v.Cell != to.id || v.Since != 0 {
+	if v := g.ask("apollo", true); v.Kind != Admitted || v.Cell != to.id || v.Since != 0 {
 		t.Errorf("a write after it: %+v", v)
 	}
 	if from.active != 0 || to.active != 1 {
@@ -48,7 +48,7 @@
 func TestReadsGoOverAsHostsWarm(t *testing.T) {
 	g := newRig(t, nil)
 	g.move(Order{Tenant: "apollo", To: "hills"})
-	cold := func(w float64) { g.look(func(x *balance.Seen) { x.Warmth = w }) }
+	cold := func(w float64) { g.look(func(x *balance.MemberView) { x.WarmUpWeight = w }) }
 	cold(0.25)
 	g.pass(10 * time.Second)
 	g.want("with cold hosts", "planned", "warming")
@@ -90,10 +90,10 @@
 		g.move(across)
 		g.want(name, "planned", "warming", "fenced")
 		second := g.ask("apollo", true)
-		if first.Kind != Go || first.Group != 1 || second.Kind != Hold {
+		if first.Kind != Admitted || first.Group != 1 || second.Kind != Held {
 			t.Fatalf("%s: %+v, %+v", name, first, second)
 		}
-		if v := g.ask("apollo", false); v.Kind != Go || v.Group != 1 {
+		if v := g.ask("apollo", false); v.Kind != Admitted || v.Group != 1 {
 			t.Errorf("%s: a read during the fence: %+v", name, v)
 		}
 		switch {
@@ -110,7 +110,7 @@
 			g.pass(6 * time.Second)
 		}
 		g.want(name, c.want...)
-		if v := g.s.Resume(g.now, Ask{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Go ||
+		if v := g.s.Resume(g.now, Request{ID: "q2", Group: 1, Write: true, Deadline: g.now + time.Second}, second.Ticket); v.Kind != Admitted ||
 			v.Group != c.group || (v.Since > 0) != (c.group == 2) {
 			t.Errorf("%s: released: %+v", name, v)
 		}
@@ -121,7 +121,7 @@
 	g := newRig(t, nil)
 	write := g.ask("apollo", true)
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
-	headless := func(x *balance.Seen) { x.Primary = x.Primary && x.Group == 1 }
+	headless := func(x *balance.MemberView) { x.Primary = x.Primary && x.Group == 1 }
 	g.look(headless)
 	g.s.Done(g.now, write.Ticket)
 	g.pass(time.Second)
@@ -138,7 +138,7 @@
 	g.move(Order{Tenant: "apollo", FromGroup: 1, ToGroup: 2})
 	g.pass(10 * time.Second)
 	g.want("it never comes", "planned", "warming", "fenced", "aborted")
-	if v := g.ask("apollo", true); v.Kind != Go || v.Group != 1 {
+	if v := g.ask("apollo", true); v.Kind != Admitted || v.Group != 1 {
 		t.Errorf("the next write: %+v", v)
 	}
 }
@@ -226,14 +226,14 @@
 			t.Fatal(err)
 		}
 		i := slices.IndexFunc(f.Changes, func(c Change) bool { return c.Cell == r.Cell })
-		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{leaves}) || len(f.Changes[i].Won) != 1 {
+		if i < 0 || !slices.Equal(f.Changes[i].Lost, []string{leaves}) || len(f.Changes[i].Gained) != 1 {
 			t.Errorf("%s without %s: %+v", r.Cell, leaves, f.Changes)
 		}
 		rest := slices.DeleteFunc(twoGroups(), func(m balance.Member) bool { return m.Server == leaves })
 		other := newRig(t, nil)
-		other.s.Hosts(g.now, true, rest)
+		other.s.UpdateMembers(g.now, true, rest)
 		for _, x := range other.s.Report().Cells {
-			if x.Cell == r.Cell && !slices.Contains(x.Hosts["1"], f.Changes[i].Won[0]) {
+			if x.Cell == r.Cell && !slices.Contains(x.Hosts["1"], f.Changes[i].Gained[0]) {
 				t.Errorf("the plan says %v, it becomes %v", f.Changes[i], x.Hosts["1"])
 			}
 		}
--- a/internal/control/cells/placement.go
+++ b/internal/control/cells/placement.go
@@ -104,9 +104,9 @@
 
 // fleet is what is known of the hosts.
 type fleet struct {
-	members map[string]balance.Member // listed, and not gone
-	seen    map[string]balance.Seen   // the module's last word on each
-	badFrom map[string]time.Duration  // since when one is set aside
+	members map[string]balance.Member     // listed, and not gone
+	seen    map[string]balance.MemberView // the module's last word on each
+	badFrom map[string]time.Duration      // since when one is set aside
 	relaxed int
 }
 
--- a/internal/control/cells/property_test.go
+++ b/internal/control/cells/property_test.go
@@ -100,14 +100,14 @@
 			t.Fatal(err)
 		}
 		b, _ := New(config())
-		a.Hosts(0, true, hosts)
+		a.UpdateMembers(0, true, hosts)
 		for _, i := range rapid.Permutation(indexes(len(hosts))).Draw(t, "order") {
-			b.Hosts(0, false, hosts[i:i+1])
+			b.UpdateMembers(0, false, hosts[i:i+1])
 			if rapid.Bool().Draw(t, "another comes and goes") {
 				x := member("x", 1)
-				b.Hosts(0, false, []balance.Member{x})
-				x.State = balance.Left
-				b.Hosts(0, false, []balance.Member{x})
+				b.UpdateMembers(0, false, []balance.Member{x})
+				x.State = balance.Removed
+				b.UpdateMembers(0, false, []balance.Member{x})
 			}
 		}
 		for i := range a.cells {
@@ -146,7 +146,7 @@
 		do := func(acts []Action) {
 			for _, a := range acts {
 				switch a := a.(type) {
-				case Changed:
+				case MoveChanged:
 					if was, going := last[a.Move.Tenant]; going && was < Settled && a.Move.Stage <= was {
 						t.Fatalf("a move goes from %s to %s", was, a.Move.Stage)
 					}
@@ -157,13 +157,13 @@
 						t.Fatalf("%s is released and did not wait", a.ID)
 					}
 					delete(waiting, a.ID)
-					v := s.Resume(now, Ask{ID: a.ID, Claim: w.tenant, Group: 1, Write: true, Deadline: now + time.Second}, w.ticket)
-					if v.Kind == Go {
+					v := s.Resume(now, Request{ID: a.ID, Claim: w.tenant, Group: 1, Write: true, Deadline: now + time.Second}, w.ticket)
+					if v.Kind == Admitted {
 						flying[a.ID] = flight{w.tenant, v.Group, true, v.Ticket}
-					} else if v.Kind == Hold {
+					} else if v.Kind == Held {
 						waiting[a.ID] = flight{w.tenant, v.Group, true, v.Ticket}
 					}
-				case GiveUp:
+				case HoldExpired:
 					w, ok := waiting[a.ID]
 					if !ok {
 						t.Fatalf("%s is given up and did not wait", a.ID)
@@ -173,19 +173,19 @@
 				}
 			}
 		}
-		do(s.Hosts(now, true, twoGroups()))
-		do(s.Look(now, seen(twoGroups(), nil)))
+		do(s.UpdateMembers(now, true, twoGroups()))
+		do(s.ObserveMembers(now, seen(twoGroups(), nil)))
 		tenants := []string{"apollo", "apollo-x", "medi"}
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(t *rapid.T) {
 				n++
-				a := Ask{ID: fmt.Sprint("q", n), Claim: rapid.SampledFrom(tenants).Draw(t, "tenant"), Group: 1,
+				a := Request{ID: fmt.Sprint("q", n), Claim: rapid.SampledFrom(tenants).Draw(t, "tenant"), Group: 1,
 					Write: rapid.Bool().Draw(t, "write"), Deadline: now + time.Second}
 				switch v := s.Admit(now, a); v.Kind {
-				case Go:
+				case Admitted:
 					flying[a.ID] = flight{a.Claim, v.Group, a.Write, v.Ticket}
-				case Hold:
+				case Held:
 					waiting[a.ID] = flight{a.Claim, v.Group, a.Write, v.Ticket}
 				}
 			},
@@ -218,8 +218,8 @@
 			},
 			"hosts": func(t *rapid.T) {
 				warmth, headless := rapid.SampledFrom([]float64{0.25, 1}).Draw(t, "warmth"), rapid.Bool().Draw(t, "headless")
-				do(s.Look(now, seen(twoGroups(), func(x *balance.Seen) {
-					x.Warmth, x.Primary = warmth, x.Primary && !(headless && x.Group == 2)
+				do(s.ObserveMembers(now, seen(twoGroups(), func(x *balance.MemberView) {
+					x.WarmUpWeight, x.Primary = warmth, x.Primary && !(headless && x.Group == 2)
 				})))
 			},
 			"configure": func(t *rapid.T) {
--- a/internal/control/cells/report.go
+++ b/internal/control/cells/report.go
@@ -17,7 +17,7 @@
 	Hosts    map[string][]string `json:"hosts"`    // its own, by group
 	Borrowed []string            `json:"borrowed"` // read from in place of its own
 	Held     int                 `json:"held"`
-	Most     int                 `json:"most"` // that it may hold
+	MaxHeld  int                 `json:"most"` // that it may hold
 	CellCount
 }
 
@@ -27,7 +27,7 @@
 	Overlaps []NamedPair  `json:"overlaps"` // of cells that have hosts in common
 	Relaxed  int          `json:"relaxed"`  // slots that could not be filled within the overlap
 	Moves    []Move       `json:"moves"`    // under way
-	Past     []Move       `json:"past"`     // the last that ended
+	Ended    []Move       `json:"past"`     // the last that ended
 	Shed     uint64       `json:"shed"`
 }
 
@@ -41,12 +41,12 @@
 
 // Report says how everything stands; the caller may keep it.
 func (s *State) Report() Report {
-	out := Report{Cells: []CellReport{}, Overlaps: []NamedPair{}, Moves: []Move{}, Past: slices.Clone(s.past), Shed: s.Shed,
+	out := Report{Cells: []CellReport{}, Overlaps: []NamedPair{}, Moves: []Move{}, Ended: slices.Clone(s.past), Shed: s.Shed,
 		Relaxed: s.fleet.relaxed}
 	tenants := s.tenants()
 	for _, c := range s.cells {
 		r := CellReport{Cell: c.Name, Weight: c.Weight, Tenants: tenants[c], Hosts: map[string][]string{},
-			Borrowed: []string{}, Held: c.held, Most: c.most(s.cfg.Queue, s.cfg.Floor), CellCount: c.CellCount}
+			Borrowed: []string{}, Held: c.held, MaxHeld: c.most(s.cfg.Queue, s.cfg.Floor), CellCount: c.CellCount}
 		own := map[string]bool{}
 		for group, ranked := range c.ranked {
 			home := slices.Sorted(slices.Values(ranked.hosts[:ranked.home]))
@@ -112,7 +112,7 @@
 	Group   int      `json:"group"`
 	Tenants int      `json:"tenants"` // that it serves
 	Lost    []string `json:"lost"`
-	Won     []string `json:"won"`
+	Gained  []string `json:"won"`
 }
 
 // Forecast is what would change if hosts came or went.
--- a/internal/control/cells/state.go
+++ b/internal/control/cells/state.go
@@ -12,23 +12,23 @@
 // Action is what a caller has to do: one of Placed, Release, GiveUp, Changed.
 type Action any
 
-// Placed hands the decision module the cells as they are now.
-type Placed struct{ Cells balance.Cells }
+// CellsUpdated hands the decision module the cells as they are now.
+type CellsUpdated struct{ Cells balance.Cells }
 
 // Release says that a request which waited at a fence can go on: the caller asks for it again.
 type Release struct{ ID string }
 
-// GiveUp says that a request has waited at a fence for as long as it may. It is refused, to come back after a while.
-type GiveUp struct {
-	ID    string
-	After time.Duration
+// HoldExpired says that a request has waited at a fence for as long as it may. It is refused, to come back after a while.
+type HoldExpired struct {
+	ID         string
+	RetryAfter time.Duration
 }
 
-// Changed says that a move has come to another stage; for the log.
-type Changed struct{ Move Move }
+// MoveChanged says that a move has come to another stage; for the log.
+type MoveChanged struct{ Move Move }
 
-// Ask is what a request says of itself.
-type Ask struct {
+// Request is what a request says of itself.
+type Request struct {
 	ID       string
 	User     string // of its connection
 	Claim    string // the tenant that it names; "": none
@@ -43,10 +43,10 @@
 
 // Kinds of verdicts.
 const (
-	Go     Kind = iota // to the module, with the cell and the group
-	Over               // to the module as more than its share: refused, to come back after After
-	Hold               // it waits at a fence; Release or GiveUp follows
-	Denied             // its user may not act for its tenant
+	Admitted  Kind = iota // to the module, with the cell and the group
+	OverLimit             // to the module as more than its share: refused, to come back after After
+	Held                  // it waits at a fence; Release or GiveUp follows
+	Denied                // its user may not act for its tenant
 )
 
 // Ticket stands for a request that was taken; its caller gives it back with Done, once. The zero Ticket is none.
@@ -60,13 +60,13 @@
 
 // Verdict is the answer to an Ask.
 type Verdict struct {
-	Kind   Kind
-	Cell   int           // the module's number of it
-	Group  int           // that serves it
-	Since  time.Duration // a session that wrote must see all up to here; 0: no such time
-	After  time.Duration // of Over
-	Reason string        // of Over and Denied
-	Ticket Ticket        // of Go and Hold
+	Kind       Kind
+	Cell       int           // the module's number of it
+	Group      int           // that serves it
+	Since      time.Duration // a session that wrote must see all up to here; 0: no such time
+	RetryAfter time.Duration // of Over
+	Reason     string        // of Over and Denied
+	Ticket     Ticket        // of Go and Hold
 }
 
 // State is not safe for concurrent use.
@@ -89,7 +89,7 @@
 
 // New makes a state of a configuration; the error names the entry at fault.
 func New(c Config) (*State, error) {
-	s := &State{fleet: fleet{members: map[string]balance.Member{}, seen: map[string]balance.Seen{},
+	s := &State{fleet: fleet{members: map[string]balance.Member{}, seen: map[string]balance.MemberView{},
 		badFrom: map[string]time.Duration{}}, groups: map[int][]balance.Member{}, limited: map[*tenant]struct{}{}, nextID: 1}
 	if _, err := s.Configure(0, c); err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 }
 
 // Admit says what becomes of a request. On Go and Hold it is taken, and Done is owed.
-func (s *State) Admit(now time.Duration, a Ask) Verdict {
+func (s *State) Admit(now time.Duration, a Request) Verdict {
 	t, err := s.dir.find(a.User, a.Claim, a.Key)
 	if err != nil {
 		s.Denied++
@@ -162,12 +162,12 @@
 }
 
 // Resume says what becomes of a request that was released. Its ticket is given back before.
-func (s *State) Resume(now time.Duration, a Ask, k Ticket) Verdict {
+func (s *State) Resume(now time.Duration, a Request, k Ticket) Verdict {
 	s.Done(now, k)
 	return s.admit(now, a, k.tenant, false)
 }
 
-func (s *State) admit(now time.Duration, a Ask, t *tenant, charged bool) Verdict {
+func (s *State) admit(now time.Duration, a Request, t *tenant, charged bool) Verdict {
 	m, c := t.move, t.cell
 	v := Verdict{Group: t.routed(a.Group), Since: t.since}
 	switch {
@@ -175,29 +175,29 @@
 	case m.Stage == Warming && !a.Write && m.goesOver():
 		c = m.to
 	case m.Stage == Fenced && a.Write && a.Group == m.FromGroup:
-		v.Kind = Hold
+		v.Kind = Held
 	}
 	v.Cell = c.id
 	c.Taken++
 	if charged {
 		if after, reason := s.over(now, t, c); reason != "" {
-			v.Kind, v.Reason, v.After = Over, reason, min(max(after, comeBackLeast), comeBackMost)
+			v.Kind, v.Reason, v.RetryAfter = OverLimit, reason, min(max(after, comeBackLeast), comeBackMost)
 			return v
 		}
 	}
-	if v.Kind == Hold {
+	if v.Kind == Held {
 		// What was never sent is not held past half of its time: its client can come back.
 		until := now + (a.Deadline-now)/2
 		if len(m.waiting) >= s.cfg.Moves.Hold || until <= now {
 			s.Shed++
-			v.Kind, v.Reason, v.After = Over, "the tenant is being moved", s.left(now, m)
+			v.Kind, v.Reason, v.RetryAfter = OverLimit, "the tenant is being moved", s.left(now, m)
 			return v
 		}
 		m.waiting = append(m.waiting, waiting{a.ID, until})
 	}
 	take(t, c)
-	v.Ticket = Ticket{tenant: t, cell: c, taken: now, waits: v.Kind == Hold}
-	if a.Write && v.Kind == Go {
+	v.Ticket = Ticket{tenant: t, cell: c, taken: now, waits: v.Kind == Held}
+	if a.Write && v.Kind == Admitted {
 		t.writes++
 		v.Ticket.writes = true
 	}
@@ -209,8 +209,8 @@
 	return min(max(m.Since+s.cfg.Moves.Fence-now, comeBackLeast), comeBackMost)
 }
 
-// Hosts takes the list of hosts, whole or changes only.
-func (s *State) Hosts(now time.Duration, whole bool, list []balance.Member) []Action {
+// UpdateMembers takes the list of hosts, whole or changes only.
+func (s *State) UpdateMembers(now time.Duration, whole bool, list []balance.Member) []Action {
 	if s.fleet.takes(whole, list) {
 		s.rank()
 	}
@@ -218,8 +218,8 @@
 	return s.Tick(now)
 }
 
-// Look takes what the module believes of its members.
-func (s *State) Look(now time.Duration, seen []balance.Seen) []Action {
+// ObserveMembers takes what the module believes of its members.
+func (s *State) ObserveMembers(now time.Duration, seen []balance.MemberView) []Action {
 	for _, x := range seen {
 		if _, listed := s.fleet.members[x.Server]; !listed {
 			continue
@@ -280,7 +280,7 @@
 		}
 	}
 	if changed {
-		s.acts = append(s.acts, Placed{s.Cells()})
+		s.acts = append(s.acts, CellsUpdated{s.Cells()})
 	}
 }
 
@@ -304,7 +304,7 @@
 				return false
 			}
 			s.Shed++
-			s.acts = append(s.acts, GiveUp{w.id, s.left(now, m)})
+			s.acts = append(s.acts, HoldExpired{w.id, s.left(now, m)})
 			return true
 		})
 		s.advance(now, m)
--- a/internal/control/draining/draining.go
+++ b/internal/control/draining/draining.go
@@ -15,8 +15,8 @@
 
 import "time"
 
-// HoldUp is the maximum time between reading the clock and acting on the reading, as guaranteed by the platform.
-const HoldUp = 150 * time.Millisecond
+// MaxSendDelay is the maximum time between reading the clock and acting on the reading, as guaranteed by the platform.
+const MaxSendDelay = 150 * time.Millisecond
 
 // State is the state of a host in the endpoint list.
 type State int
@@ -25,7 +25,7 @@
 const (
 	Serving State = iota
 	Draining
-	Gone
+	Removed
 )
 
 func (s State) String() string {
@@ -43,8 +43,8 @@
 
 // Bound is the time until which new requests may be sent to a host.
 type Bound struct {
-	Server string
-	By     time.Duration // on the gateway's clock, or Open if there is no limit
+	Server    string
+	SendUntil time.Duration // on the gateway's clock, or Open if there is no limit
 }
 
 // Rules are the settings for hosts that drain or were removed.
@@ -55,13 +55,13 @@
 	DroppedStayOpen bool
 }
 
-// Word is the statement of an endpoint list about a host.
-type Word struct {
+// Notification is the statement of an endpoint list about a host.
+type Notification struct {
 	Server string
 	State  State
 	At     time.Duration // when the list arrived
-	// Since is when the gateway, or an old process of it, was notified earlier than At, or 0 if it was not.
-	Since time.Duration
+	// NotifiedAt is when the gateway, or an old process of it, was notified earlier than At, or 0 if it was not.
+	NotifiedAt time.Duration
 	// Agent is the discovery agent that sent the list, or "" if it is not known. A list of an unknown agent
 	// never ends a drain.
 	Agent    string
@@ -83,7 +83,7 @@
 
 // drainEndedBy reports whether w, a statement that the host serves, is newer than the notification of the
 // drain.
-func (h host) drainEndedBy(w Word) bool {
+func (h host) drainEndedBy(w Notification) bool {
 	return w.Agent != "" && (w.Agent == h.agent && w.Revision >= h.revision || w.Started > h.started)
 }
 
@@ -97,48 +97,48 @@
 func New(rules Rules) *Tracker { return &Tracker{rules: rules, hosts: map[string]host{}} }
 
 // Set handles the statement of an endpoint list about a host and returns the time limit for the host.
-func (t *Tracker) Set(w Word) Bound {
+func (t *Tracker) Set(w Notification) Bound {
 	h, known := t.hosts[w.Server]
 	if w.State == Serving {
 		if !known || h.drainEndedBy(w) {
 			delete(t.hosts, w.Server)
 		}
-		return Bound{Server: w.Server, By: t.Until(w.Server)}
+		return Bound{Server: w.Server, SendUntil: t.Until(w.Server)}
 	}
 	if !known {
 		h.notifiedAt = w.At
 	}
-	if w.Since > 0 {
-		h.notifiedAt = min(h.notifiedAt, w.Since)
+	if w.NotifiedAt > 0 {
+		h.notifiedAt = min(h.notifiedAt, w.NotifiedAt)
 	}
 	if !known || !w.Unlisted {
 		h.agent, h.revision = w.Agent, w.Revision
 	}
 	h.state, h.wasDraining, h.started = w.State, h.wasDraining || w.State == Draining, max(h.started, w.Started)
 	t.hosts[w.Server] = h
-	return Bound{Server: w.Server, By: t.sendUntil(h)}
+	return Bound{Server: w.Server, SendUntil: t.sendUntil(h)}
 }
 
 // State returns the current state of a host.
 func (t *Tracker) State(server string) State { return t.hosts[server].state }
 
-// ToldBy returns the discovery agent that last notified that a host drains or was removed, and the revision
+// NotifiedBy returns the discovery agent that last notified that a host drains or was removed, and the revision
 // of its list. The agent is "" if the host serves or the agent is not known.
-func (t *Tracker) ToldBy(server string) (agent string, revision int64) {
+func (t *Tracker) NotifiedBy(server string) (agent string, revision int64) {
 	h := t.hosts[server]
 	return h.agent, h.revision
 }
 
-// Retune applies new rules, also to hosts with an earlier notification, and returns the resulting time
+// SetRules applies new rules, also to hosts with an earlier notification, and returns the resulting time
 // limits. It returns nil if the rules have not changed.
-func (t *Tracker) Retune(rules Rules) []Bound {
+func (t *Tracker) SetRules(rules Rules) []Bound {
 	if rules == t.rules {
 		return nil
 	}
 	t.rules = rules
 	bounds := make([]Bound, 0, len(t.hosts))
 	for server, h := range t.hosts {
-		bounds = append(bounds, Bound{Server: server, By: t.sendUntil(h)})
+		bounds = append(bounds, Bound{Server: server, SendUntil: t.sendUntil(h)})
 	}
 	return bounds
 }
@@ -163,10 +163,10 @@
 func (t *Tracker) Forget(server string) { delete(t.hosts, server) }
 
 func (t *Tracker) sendUntil(h host) time.Duration {
-	if h.state == Gone && t.rules.DroppedStayOpen && !h.wasDraining {
+	if h.state == Removed && t.rules.DroppedStayOpen && !h.wasDraining {
 		return Open
 	}
 	// 0 would mean Open. Any time in the past gives the same result, so 1 is used for times before the
 	// clock's start.
-	return max(h.notifiedAt+t.rules.Grace-2*HoldUp, 1)
+	return max(h.notifiedAt+t.rules.Grace-2*MaxSendDelay, 1)
 }
--- a/internal/control/draining/draining_test.go
+++ b/internal/control/draining/draining_test.go
@@ -24,20 +24,20 @@
 		"grace minus two send delays":        {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}}},
 		"grace shorter than two send delays": {Rules{Grace: 200 * ms}, []change{{start, 0, Draining, start - 100*ms}}},
 		"draining in a second list":          {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Draining, start + 700*ms}}},
-		"from draining to removed":           {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Gone, start + 700*ms}}},
+		"from draining to removed":           {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms}, {start + 500*ms, 0, Removed, start + 700*ms}}},
 		"back in service and drained again": {Rules{Grace: time.Second}, []change{{start, 0, Draining, start + 700*ms},
 			{start + 500*ms, 0, Serving, Open}, {start + 600*ms, 0, Draining, start + 1300*ms}}},
 		"notified in the old process":  {Rules{Grace: time.Second}, []change{{start, start - 400*ms, Draining, start + 300*ms}}},
-		"removed without a time limit": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Gone, Open}}},
+		"removed without a time limit": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Removed, Open}}},
 		"removed after a drain": {Rules{Grace: time.Second, DroppedStayOpen: true}, []change{{start, 0, Draining, start + 700*ms},
-			{start + 100*ms, 0, Gone, start + 700*ms}}},
-		"clock that has just started": {Rules{}, []change{{100 * ms, 0, Gone, 1}}},
+			{start + 100*ms, 0, Removed, start + 700*ms}}},
+		"clock that has just started": {Rules{}, []change{{100 * ms, 0, Removed, 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(c.rules)
 			for i, s := range c.changes {
 				want := Bound{"s", s.want}
-				if diff := cmp.Diff(want, tracker.Set(Word{Server: "s", State: s.state, At: s.at, Since: s.since, Agent: "a"})); diff != "" {
+				if diff := cmp.Diff(want, tracker.Set(Notification{Server: "s", State: s.state, At: s.at, NotifiedAt: s.since, Agent: "a"})); diff != "" {
 					t.Errorf("change %d: %s", i, diff)
 				}
 				if got := tracker.Until("s"); got != s.want {
@@ -52,14 +52,14 @@
 func TestNewRulesApplyToNotifiedHosts(t *testing.T) {
 	const start = 10 * time.Second
 	tracker := New(Rules{Grace: time.Second})
-	tracker.Set(Word{Server: "s", State: Draining, At: start, Agent: "a"})
+	tracker.Set(Notification{Server: "s", State: Draining, At: start, Agent: "a"})
 	for _, grace := range []time.Duration{400 * ms, 3 * time.Second} {
-		want := []Bound{{"s", start + grace - 2*HoldUp}}
-		if diff := cmp.Diff(want, tracker.Retune(Rules{Grace: grace})); diff != "" {
+		want := []Bound{{"s", start + grace - 2*MaxSendDelay}}
+		if diff := cmp.Diff(want, tracker.SetRules(Rules{Grace: grace})); diff != "" {
 			t.Error(diff)
 		}
 	}
-	if got := tracker.Retune(Rules{Grace: 3 * time.Second}); got != nil {
+	if got := tracker.SetRules(Rules{Grace: 3 * time.Second}); got != nil {
 		t.Errorf("unchanged rules move bounds: %v", got)
 	}
 }
@@ -68,22 +68,22 @@
 // drain.
 func TestOnlyNewerStatementEndsDrain(t *testing.T) {
 	const start = 10 * time.Second
-	drain := Word{State: Draining, Agent: "a", Revision: 43, Started: 7}
+	drain := Notification{State: Draining, Agent: "a", Revision: 43, Started: 7}
 	for name, c := range map[string]struct {
-		before []Word
-		serves Word
+		before []Notification
+		serves Notification
 		want   State
 	}{
-		"agent that notified":                  {[]Word{drain}, Word{Agent: "a", Revision: 43, Started: 7}, Serving},
-		"older list of the same agent":         {[]Word{drain}, Word{Agent: "a", Revision: 42, Started: 7}, Draining},
-		"another agent":                        {[]Word{drain}, Word{Agent: "b", Started: 7}, Draining},
-		"another agent, earlier start":         {[]Word{drain}, Word{Agent: "b", Started: 3}, Draining},
-		"another agent, later start":           {[]Word{drain}, Word{Agent: "b", Started: 8}, Serving},
-		"agent that notified last of two":      {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "b"}, Serving},
-		"agent that notified first of two":     {[]Word{drain, {State: Draining, Agent: "b"}}, Word{Agent: "a"}, Draining},
-		"agent whose snapshot lacked the host": {[]Word{drain, {State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b", Started: 7}, Gone},
-		"only absent from an earlier snapshot": {[]Word{{State: Gone, Agent: "b", Unlisted: true}}, Word{Agent: "b"}, Serving},
-		"unknown agent":                        {[]Word{{State: Draining}}, Word{}, Draining},
+		"agent that notified":                  {[]Notification{drain}, Notification{Agent: "a", Revision: 43, Started: 7}, Serving},
+		"older list of the same agent":         {[]Notification{drain}, Notification{Agent: "a", Revision: 42, Started: 7}, Draining},
+		"another agent":                        {[]Notification{drain}, Notification{Agent: "b", Started: 7}, Draining},
+		"another agent, earlier start":         {[]Notification{drain}, Notification{Agent: "b", Started: 3}, Draining},
+		"another agent, later start":           {[]Notification{drain}, Notification{Agent: "b", Started: 8}, Serving},
+		"agent that notified last of two":      {[]Notification{drain, {State: Draining, Agent: "b"}}, Notification{Agent: "b"}, Serving},
+		"agent that notified first of two":     {[]Notification{drain, {State: Draining, Agent: "b"}}, Notification{Agent: "a"}, Draining},
+		"agent whose snapshot lacked the host": {[]Notification{drain, {State: Removed, Agent: "b", Unlisted: true}}, Notification{Agent: "b", Started: 7}, Removed},
+		"only absent from an earlier snapshot": {[]Notification{{State: Removed, Agent: "b", Unlisted: true}}, Notification{Agent: "b"}, Serving},
+		"unknown agent":                        {[]Notification{{State: Draining}}, Notification{}, Draining},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := New(Rules{Grace: time.Second})
--- a/internal/control/fleetclock/bench_test.go
+++ b/internal/control/fleetclock/bench_test.go
@@ -10,6 +10,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 3 * time.Millisecond
-		e.Observe(Observation{Host: "a", Position: now - 20*ms, Present: now - 20*ms, Sent: now - 60*ms, Received: now})
+		e.Observe(Observation{Host: "a", Position: now - 20*ms, PrimaryPosition: now - 20*ms, Sent: now - 60*ms, Received: now})
 	}
 }
--- a/internal/control/fleetclock/contradiction.go
+++ b/internal/control/fleetclock/contradiction.go
@@ -40,7 +40,7 @@
 // agreement adds a primary's answer to a query that was sent since the contradiction began. It returns the
 // answers that end the contradiction, or nil if there are not enough.
 func (c *contradiction) agreement(w witness) []witness {
-	if w.interval.Most >= unbounded || w.sent < c.start {
+	if w.interval.Max >= unbounded || w.sent < c.start {
 		return nil
 	}
 	earlier := c.independentOf(w)
@@ -97,5 +97,5 @@
 
 func agree(all []witness, at time.Duration) bool {
 	i := common(all, at)
-	return i.Least <= i.Most
+	return i.Min <= i.Max
 }
--- a/internal/control/fleetclock/fleetclock.go
+++ b/internal/control/fleetclock/fleetclock.go
@@ -50,28 +50,28 @@
 
 // Interval bounds the offset of the fleet's clock from the local clock: the fleet's time minus the local
 // time.
-type Interval struct{ Least, Most time.Duration }
+type Interval struct{ Min, Max time.Duration }
 
 // Width returns the length of the interval.
-func (i Interval) Width() time.Duration { return i.Most - i.Least }
+func (i Interval) Width() time.Duration { return i.Max - i.Min }
 
-func (i Interval) intersects(o Interval) bool { return i.Least <= o.Most && o.Least <= i.Most }
+func (i Interval) intersects(o Interval) bool { return i.Min <= o.Max && o.Min <= i.Max }
 
 func (i Interval) intersect(o Interval) Interval {
-	return Interval{max(i.Least, o.Least), min(i.Most, o.Most)}
+	return Interval{max(i.Min, o.Min), min(i.Max, o.Max)}
 }
 
 func (i Interval) hull(o Interval) Interval {
-	return Interval{min(i.Least, o.Least), max(i.Most, o.Most)}
+	return Interval{min(i.Min, o.Min), max(i.Max, o.Max)}
 }
 
 // after returns the interval widened by the drift that is possible within t.
 func (i Interval) after(t time.Duration) Interval {
-	if i.Least > -unbounded {
-		i.Least -= drift(t)
+	if i.Min > -unbounded {
+		i.Min -= drift(t)
 	}
-	if i.Most < unbounded {
-		i.Most += drift(t)
+	if i.Max < unbounded {
+		i.Max += drift(t)
 	}
 	return i
 }
@@ -81,20 +81,20 @@
 type Observation struct {
 	Host     string
 	Position time.Duration // highest position in the answer, on the fleet's clock, or 0 if there is none
-	// Present is the position that a primary stated together with its role in the answer to a query that it
+	// PrimaryPosition is the position that a primary stated together with its role in the answer to a query that it
 	// executed, or 0 if the answer has none.
-	Present        time.Duration
-	Sent, Received time.Duration // when the query was sent and the answer was read, on the local clock
+	PrimaryPosition time.Duration
+	Sent, Received  time.Duration // when the query was sent and the answer was read, on the local clock
 }
 
-// Proves returns the interval that the answer proves for the offset at the time when it was read.
-func (o Observation) Proves() Interval {
-	i := Interval{max(o.Position, o.Present) - rounding - o.Received, unbounded}
-	if o.Present > 0 {
-		i.Most = o.Present + rounding + maxPositionAge - o.Sent + drift(o.Received-o.Sent)
+// OffsetInterval returns the interval that the answer proves for the offset at the time when it was read.
+func (o Observation) OffsetInterval() Interval {
+	i := Interval{max(o.Position, o.PrimaryPosition) - rounding - o.Received, unbounded}
+	if o.PrimaryPosition > 0 {
+		i.Max = o.PrimaryPosition + rounding + maxPositionAge - o.Sent + drift(o.Received-o.Sent)
 	}
-	if i.Most < i.Least { // the answer contradicts itself, so that it gives no upper bound
-		i.Most = unbounded
+	if i.Max < i.Min { // the answer contradicts itself, so that it gives no upper bound
+		i.Max = unbounded
 	}
 	return i
 }
@@ -142,10 +142,10 @@
 
 // Observe adds an answer to the estimate.
 func (e *Estimate) Observe(o Observation) Change {
-	if o.Position <= 0 && o.Present <= 0 || o.Received < o.Sent {
+	if o.Position <= 0 && o.PrimaryPosition <= 0 || o.Received < o.Sent {
 		return Nothing
 	}
-	w := witness{host: o.Host, sent: o.Sent, received: o.Received, interval: o.Proves()}
+	w := witness{host: o.Host, sent: o.Sent, received: o.Received, interval: o.OffsetInterval()}
 	if e.contradiction != nil {
 		return e.settle(w)
 	}
@@ -161,7 +161,7 @@
 func (e *Estimate) narrow(w witness) Change {
 	before := e.Bounds()
 	e.addLower(w)
-	if w.interval.Most < unbounded {
+	if w.interval.Max < unbounded {
 		e.upper.add(w.upper())
 	}
 	return e.changeSince(before)
@@ -224,11 +224,11 @@
 func (e *Estimate) Bounds() Bounds {
 	if e.contradiction != nil && !e.contradiction.unknown() {
 		i := e.contradiction.hull.after(-e.contradiction.at)
-		return Bounds{lower: i.Least, upper: i.Most, Bounded: i.Most < unbounded, Told: true, Doubted: true}
+		return Bounds{lower: i.Min, upper: i.Max, HasMax: i.Max < unbounded, HasMin: true, Contradicted: true}
 	}
 	lower, hasLower := e.lower.bound()
 	upper, hasUpper := e.upper.bound()
-	b := Bounds{lower: -unbounded, upper: unbounded, Bounded: hasUpper, Told: hasLower}
+	b := Bounds{lower: -unbounded, upper: unbounded, HasMax: hasUpper, HasMin: hasLower}
 	if hasLower {
 		b.lower = -lower
 	}
@@ -241,9 +241,9 @@
 // Bounds is an interval that widens with time.
 type Bounds struct {
 	lower, upper time.Duration // extrapolated to when the local clock showed 0
-	Bounded      bool          // there is an upper bound
-	Told         bool          // there is a lower bound
-	Doubted      bool          // an answer contradicts the interval, and later answers have not yet agreed
+	HasMax       bool          // there is an upper bound
+	HasMin       bool          // there is a lower bound
+	Contradicted bool          // an answer contradicts the interval, and later answers have not yet agreed
 }
 
 // At returns the interval at the local time now.
@@ -254,16 +254,16 @@
 // Predates reports whether the primary's position in o proves that its answer is older than the query by more
 // than the given margin. It reports false if the offset is contradicted or not known on both sides.
 func (b Bounds) Predates(o Observation, margin time.Duration) bool {
-	return b.Told && b.Bounded && !b.Doubted && o.Present > 0 && o.Proves().Most+margin < b.At(o.Received).Least
+	return b.HasMin && b.HasMax && !b.Contradicted && o.PrimaryPosition > 0 && o.OffsetInterval().Max+margin < b.At(o.Received).Min
 }
 
 // Width returns the length of the interval without the drift since the last change.
 func (b Bounds) Width() time.Duration { return b.upper - b.lower }
 
-// Ages returns the correction to add to the age of a position that was computed with the local clock. No data
+// AgeOffset returns the correction to add to the age of a position that was computed with the local clock. No data
 // is then older than its computed age by more than AgeSlack. The result is meaningful only if there is an
 // upper bound.
-func (b Bounds) Ages(now time.Duration) time.Duration {
+func (b Bounds) AgeOffset(now time.Duration) time.Duration {
 	i := b.At(now)
-	return max(i.Least, i.Most-AgeSlack)
+	return max(i.Min, i.Max-AgeSlack)
 }
--- a/internal/control/fleetclock/fleetclock_test.go
+++ b/internal/control/fleetclock/fleetclock_test.go
@@ -24,7 +24,7 @@
 // present observes an answer that a primary made in the middle of a round trip of 10 ms.
 func (p *simulation) present(host string) Change {
 	p.now += minSeparation + 10*ms
-	return p.Observe(Observation{Host: host, Present: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
+	return p.Observe(Observation{Host: host, PrimaryPosition: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
 }
 
 // position observes an answer of a host whose replay position lags. A negative lag is a position in the
@@ -37,8 +37,8 @@
 func (p *simulation) check(t *testing.T, what string, bounded bool) {
 	t.Helper()
 	b := p.Bounds()
-	if i := b.At(p.now); b.Bounded != bounded || b.Told && i.Least > p.offset || bounded && i.Most < p.offset {
-		t.Errorf("%s: offset %s, bounds %v, bounded %t, want %t", what, p.offset, i, b.Bounded, bounded)
+	if i := b.At(p.now); b.HasMax != bounded || b.HasMin && i.Min > p.offset || bounded && i.Max < p.offset {
+		t.Errorf("%s: offset %s, bounds %v, bounded %t, want %t", what, p.offset, i, b.HasMax, bounded)
 	}
 }
 
@@ -74,12 +74,12 @@
 	p.check(t, "before an answer of a primary", false)
 	p.present("a")
 	p.check(t, "known", true)
-	before := p.Bounds().At(p.now).Most
+	before := p.Bounds().At(p.now).Max
 	for range 20 {
 		p.position("a", 2500*ms)
 		p.position("b", 2500*ms)
 	}
-	if upper := p.Bounds().At(p.now).Most; upper < before {
+	if upper := p.Bounds().At(p.now).Max; upper < before {
 		t.Errorf("repeated old positions lower the upper bound from %s to %s", before, upper)
 	}
 }
@@ -88,7 +88,7 @@
 	p := newSimulation(2 * time.Second)
 	p.now += 500 * ms
 	for _, host := range []string{"a", "b", "c", "a", "b"} { // delayed, and read together
-		p.Observe(Observation{Host: host, Present: p.now - 480*ms + p.offset, Sent: p.now - 500*ms, Received: p.now})
+		p.Observe(Observation{Host: host, PrimaryPosition: p.now - 480*ms + p.offset, Sent: p.now - 500*ms, Received: p.now})
 	}
 	p.check(t, "answers that arrived together", false)
 }
@@ -123,15 +123,15 @@
 				t.Fatalf("change %d", got)
 			}
 			p.check(t, "contradicted", c.bounded)
-			if b := p.Bounds(); !b.Doubted || b.At(p.now).Width() < 900*ms {
+			if b := p.Bounds(); !b.Contradicted || b.At(p.now).Width() < 900*ms {
 				t.Errorf("the interval is not marked as contradicted or does not include both: %+v", b.At(p.now))
 			}
 			epoch := p.Epoch()
 			p.present("a")
-			if !p.Bounds().Doubted {
+			if !p.Bounds().Contradicted {
 				t.Error("a single answer ended the contradiction")
 			}
-			if got := p.present("b"); got != Settled || p.Epoch() != epoch || p.Bounds().Doubted {
+			if got := p.present("b"); got != Settled || p.Epoch() != epoch || p.Bounds().Contradicted {
 				t.Errorf("change %d, epoch %d, %+v", got, p.Epoch(), p.Bounds())
 			}
 			p.check(t, "settled again", true)
@@ -147,13 +147,13 @@
 	for _, host := range []string{"a", "b"} {
 		sent := p.now - 20*ms
 		p.now += 10 * ms
-		p.Observe(Observation{Host: host, Present: p.now - 5*ms, Sent: sent, Received: p.now})
+		p.Observe(Observation{Host: host, PrimaryPosition: p.now - 5*ms, Sent: sent, Received: p.now})
 	}
-	if !p.Bounds().Doubted {
+	if !p.Bounds().Contradicted {
 		t.Error("answers to earlier queries ended the contradiction")
 	}
 	p.present("b") // agrees with the answer of host a and is independent of it
-	if !p.Bounds().Doubted {
+	if !p.Bounds().Contradicted {
 		t.Error("one answer to a later query and one to an earlier query ended the contradiction")
 	}
 }
@@ -169,7 +169,7 @@
 		t.Errorf("change %d", got)
 	}
 	p.check(t, "contradicted twice", true)
-	if lower := p.Bounds().At(p.now).Least; lower > 0 {
+	if lower := p.Bounds().At(p.now).Min; lower > 0 {
 		t.Errorf("the interval does not include the one known first: its minimum is %s", lower)
 	}
 }
@@ -210,12 +210,12 @@
 
 func TestNoLowerBoundBeforeFirstAnswer(t *testing.T) {
 	p := newSimulation(-time.Hour) // by the local clock, a host that has just started seems to have started an hour ago
-	if p.Bounds().Told {
+	if p.Bounds().HasMin {
 		t.Error("the local clock alone gives a lower bound")
 	}
 	p.position("a", 10*ms)
 	p.check(t, "one host", false)
-	if !p.Bounds().Told {
+	if !p.Bounds().HasMin {
 		t.Error("the answer of one host gives no lower bound")
 	}
 }
@@ -234,7 +234,7 @@
 
 func TestInvalidObservationsAreIgnored(t *testing.T) {
 	e := New(start)
-	for _, o := range []Observation{{Host: "a", Sent: start, Received: start + ms}, {Host: "a", Present: start, Sent: start + ms, Received: start}} {
+	for _, o := range []Observation{{Host: "a", Sent: start, Received: start + ms}, {Host: "a", PrimaryPosition: start, Sent: start + ms, Received: start}} {
 		if got := e.Observe(o); got != Nothing {
 			t.Errorf("%+v: change %d", o, got)
 		}
@@ -266,17 +266,17 @@
 			now = received
 			o := Observation{Host: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host"), Sent: sent, Received: received}
 			position := fleet(answered)
-			if n == wrongAnswer && (!wrongLocalClock || e.Bounds().Bounded) {
+			if n == wrongAnswer && (!wrongLocalClock || e.Bounds().HasMax) {
 				position += draw("wrong by", -time.Hour, time.Hour)
 			}
 			if rapid.Bool().Draw(t, "primary") {
-				o.Present = position.Truncate(ms)
+				o.PrimaryPosition = position.Truncate(ms)
 			} else {
 				o.Position = (position - draw("lag", 0, 3*time.Second)).Truncate(ms)
 			}
 			e.Observe(o)
 			b, truth := e.Bounds(), fleet(now)-now
-			if i := b.At(now); b.Told && i.Least > truth || b.Bounded && i.Most < truth {
+			if i := b.At(now); b.HasMin && i.Min > truth || b.HasMax && i.Max < truth {
 				t.Fatalf("answer %d: the offset %s lies outside %+v", n, truth, i)
 			}
 		}
@@ -286,7 +286,7 @@
 func TestOneWrongAnswerMovesNoBoundAfterSlowAnswer(t *testing.T) {
 	p := newSimulation(300 * ms)
 	p.now += 400 * ms
-	p.Observe(Observation{Host: "a", Present: p.now - 400*ms + p.offset, Sent: p.now - 400*ms, Received: p.now})
+	p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 400*ms + p.offset, Sent: p.now - 400*ms, Received: p.now})
 	p.check(t, "a slow first answer", true)
 	p.offset -= 250 * ms
 	p.present("b")
@@ -303,10 +303,10 @@
 		before(p)
 		for range 10_000 { // 40 queries are in flight at any time
 			p.now += ms
-			p.Observe(Observation{Host: "a", Present: p.now - 20*ms + p.offset, Sent: p.now - 40*ms, Received: p.now})
+			p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 20*ms + p.offset, Sent: p.now - 40*ms, Received: p.now})
 		}
-		if b := p.Bounds(); !b.Bounded || b.Doubted {
-			t.Errorf("%s: after 10 s of answers of one host bounded %t, contradicted %t", name, b.Bounded, b.Doubted)
+		if b := p.Bounds(); !b.HasMax || b.Contradicted {
+			t.Errorf("%s: after 10 s of answers of one host bounded %t, contradicted %t", name, b.HasMax, b.Contradicted)
 		}
 		p.check(t, name, true)
 	}
@@ -321,13 +321,13 @@
 				p.present("b")
 			}
 			old := p.now - 2500*ms
-			p.Observe(Observation{Host: "a", Present: old, Sent: p.now, Received: p.now + ms})
+			p.Observe(Observation{Host: "a", PrimaryPosition: old, Sent: p.now, Received: p.now + ms})
 			for i, host := range hosts {
 				sent := p.now + time.Duration(i+1)*1500*time.Microsecond
-				p.Observe(Observation{Host: host, Present: old, Sent: sent, Received: sent + ms})
+				p.Observe(Observation{Host: host, PrimaryPosition: old, Sent: sent, Received: sent + ms})
 			}
 			p.now += 10 * ms
-			if i := p.Bounds().At(p.now); i.Most < 0 {
+			if i := p.Bounds().At(p.now); i.Max < 0 {
 				t.Errorf("%s, known %t: repeating an old position moves the interval to %+v", name, known, i)
 			}
 		}
@@ -337,20 +337,20 @@
 func TestRepeatedPositionMovesNoBoundOfWideInterval(t *testing.T) {
 	p := newSimulation(0)
 	p.now += 400 * ms
-	p.Observe(Observation{Host: "a", Present: p.now - 400*ms, Sent: p.now - 400*ms, Received: p.now})
+	p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 400*ms, Sent: p.now - 400*ms, Received: p.now})
 	p.check(t, "a slow first answer", true)
 	old := p.now
 	p.now += 100 * ms
 	for range 3 {
 		p.now += minSeparation + 10*ms
-		p.Observe(Observation{Host: "a", Present: old, Sent: p.now - 10*ms, Received: p.now})
+		p.Observe(Observation{Host: "a", PrimaryPosition: old, Sent: p.now - 10*ms, Received: p.now})
 		p.check(t, "a position that does not advance", true)
 	}
 }
 
 func TestAnswerAllowsForRoundingAndPositionAge(t *testing.T) {
 	for _, deviation := range []time.Duration{-5*ms - ms, ms} {
-		if i := (Observation{Host: "a", Present: start + deviation, Sent: start, Received: start}).Proves(); i.Least > 0 || i.Most < 0 {
+		if i := (Observation{Host: "a", PrimaryPosition: start + deviation, Sent: start, Received: start}).OffsetInterval(); i.Min > 0 || i.Max < 0 {
 			t.Errorf("a primary's position that is off by %s proves %+v, which excludes the offset 0", deviation, i)
 		}
 	}
@@ -362,7 +362,7 @@
 	p.present("b")
 	p.now += minSeparation + 10*ms
 	p.offset = time.Second // the host's clock was set between its primary's position and its load report
-	p.Observe(Observation{Host: "a", Present: p.now - 5*ms, Position: p.now + p.offset, Sent: p.now - 10*ms, Received: p.now})
+	p.Observe(Observation{Host: "a", PrimaryPosition: p.now - 5*ms, Position: p.now + p.offset, Sent: p.now - 10*ms, Received: p.now})
 	p.check(t, "contradicted", false)
 }
 
@@ -370,7 +370,7 @@
 	for upper, want := range map[time.Duration]time.Duration{10 * ms: -ms, 100 * ms: 55 * ms} {
 		e := New(start)
 		e.Inherit(start, Interval{-ms, upper})
-		if got := e.Bounds().Ages(start); got != want {
+		if got := e.Bounds().AgeOffset(start); got != want {
 			t.Errorf("with an upper bound of %s the correction of ages is %s, want %s", upper, got, want)
 		}
 	}
--- a/internal/control/fleetclock/witness.go
+++ b/internal/control/fleetclock/witness.go
@@ -34,14 +34,14 @@
 	if b.received < a.received {
 		a, b = b, a
 	}
-	return b.interval.Most < a.at(b.received).Least
+	return b.interval.Max < a.at(b.received).Min
 }
 
 // at returns the interval of the witness at the local time t.
 func (w witness) at(t time.Duration) Interval { return w.interval.after(t - w.received) }
 
-func (w witness) lower() bound { return bound{w, -(w.interval.Least + drift(w.received))} }
-func (w witness) upper() bound { return bound{w, w.interval.Most - drift(w.received)} }
+func (w witness) lower() bound { return bound{w, -(w.interval.Min + drift(w.received))} }
+func (w witness) upper() bound { return bound{w, w.interval.Max - drift(w.received)} }
 
 // common returns the intersection of the intervals of all witnesses at a local time. Its minimum is above its
 // maximum if they do not agree.
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -51,17 +51,17 @@
 
 // Offsets are what the fleet's clock shows more than the one of this gateway: at least, and at most where that is Bounded.
 type Offsets struct {
-	Least, Most time.Duration
-	Bounded     bool
+	Min, Max time.Duration
+	Bounded  bool
 }
 
 // Config says what a State works with.
 type Config struct {
-	Gateways int             // of the tier, this one included
-	Classes  []balance.Class // in the order of the settings, which all gateways share
-	Hold     time.Duration   // how long a note may wait for others to go with it
-	PerTake  float64         // bytes that may be delivered to others for each request taken here
-	Burst    float64         // bytes that may be saved up
+	Gateways        int             // of the tier, this one included
+	Classes         []balance.Class // in the order of the settings, which all gateways share
+	MaxDelay        time.Duration   // how long a note may wait for others to go with it
+	BytesPerRequest float64         // bytes that may be delivered to others for each request taken here
+	Burst           float64         // bytes that may be saved up
 }
 
 // State is what one gateway tells and hears. It is not safe for concurrent use.
@@ -69,7 +69,7 @@
 	cfg     Config
 	classes map[string]int
 	hosts   map[uint32]string // by hash; "": more than one
-	pending []balance.Heard
+	pending []balance.RemoteOutcome
 	budget  float64
 	due     time.Duration // when the pending notes go out
 }
@@ -77,12 +77,12 @@
 // New makes a state.
 func New(cfg Config) *State {
 	s := &State{cfg: cfg, hosts: map[uint32]string{}, budget: cfg.Burst}
-	s.Classes(cfg.Classes)
+	s.SetClasses(cfg.Classes)
 	return s
 }
 
-// Classes takes the classes anew, in the order that all gateways share.
-func (s *State) Classes(list []balance.Class) {
+// SetClasses takes the classes anew, in the order that all gateways share.
+func (s *State) SetClasses(list []balance.Class) {
 	s.cfg.Classes, s.classes = list, map[string]int{}
 	for i, c := range list {
 		if i < noClass {
@@ -93,8 +93,8 @@
 
 func hash(host string) uint32 { return uint32(xxhash.Sum64String(host) >> 40) }
 
-// Host makes a host known. What is told of two that share a hash is not believed of either.
-func (s *State) Host(id string) {
+// AddHost makes a host known. What is told of two that share a hash is not believed of either.
+func (s *State) AddHost(id string) {
 	h := hash(id)
 	if old, known := s.hosts[h]; known && old != id {
 		id = ""
@@ -102,18 +102,18 @@
 	s.hosts[h] = id
 }
 
-// Forget lets go of a host that is gone for good.
-func (s *State) Forget(id string) {
+// RemoveHost lets go of a host that is gone for good.
+func (s *State) RemoveHost(id string) {
 	if h := hash(id); s.hosts[h] == id {
 		delete(s.hosts, h)
 	}
 }
 
 // Credit adds to the budget what one request that came in allows to be told.
-func (s *State) Credit() { s.budget = min(s.budget+s.cfg.PerTake, s.cfg.Burst) }
+func (s *State) Credit() { s.budget = min(s.budget+s.cfg.BytesPerRequest, s.cfg.Burst) }
 
-// Note takes how an attempt or a probe ended here; told says that others will hear of it.
-func (s *State) Note(now time.Duration, n balance.Heard) (told bool) {
+// AddEntry takes how an attempt or a probe ended here; told says that others will hear of it.
+func (s *State) AddEntry(now time.Duration, n balance.RemoteOutcome) (told bool) {
 	cost := float64(noteSize * (s.cfg.Gateways - 1))
 	if len(s.pending) == 0 {
 		cost += float64(headSize * (s.cfg.Gateways - 1))
@@ -123,7 +123,7 @@
 	}
 	s.budget -= cost
 	if len(s.pending) == 0 {
-		s.due = now + s.cfg.Hold
+		s.due = now + s.cfg.MaxDelay
 	}
 	if s.pending = append(s.pending, n); len(s.pending) == maxNotes {
 		s.due = now
@@ -134,15 +134,15 @@
 // Due says when a datagram is to be sent; not ok: there is none.
 func (s *State) Due() (at time.Duration, ok bool) { return s.due, len(s.pending) > 0 }
 
-// Datagram appends the datagram that is due.
+// AppendMessage appends the datagram that is due.
 //
 // Positions are told by the fleet's clock, as hosts told them: how exactly the sender knows its own does not add to their age.
-func (s *State) Datagram(now time.Duration, ahead Offsets, out []byte) []byte {
+func (s *State) AppendMessage(now time.Duration, ahead Offsets, out []byte) []byte {
 	out = append(out, version)
-	fleet := (now + ahead.Least) / time.Millisecond // rounded down: what is counted back from it is never later than it was
+	fleet := (now + ahead.Min) / time.Millisecond // rounded down: what is counted back from it is never later than it was
 	out = binary.BigEndian.AppendUint32(out, uint32(fleet))
 	fleetHead := fleet * time.Millisecond
-	head := fleetHead - ahead.Least
+	head := fleetHead - ahead.Min
 	for _, n := range s.pending {
 		out = s.appendNote(out, n, head, fleetHead)
 	}
@@ -151,7 +151,7 @@
 }
 
 // appendNote appends one note to a datagram whose head is a time by this gateway's clock, and by the fleet's.
-func (s *State) appendNote(out []byte, n balance.Heard, head, fleetHead time.Duration) []byte {
+func (s *State) appendNote(out []byte, n balance.RemoteOutcome, head, fleetHead time.Duration) []byte {
 	class, known := s.classes[n.Class]
 	if !known {
 		class = noClass
@@ -200,7 +200,7 @@
 // Receive reads a datagram. One that is at fault in any part is not used at all. Notes on hosts that this gateway's list does not
 // name are left out. Positions come by the fleet's clock; when an attempt ended, and since when a host leads, by the clock that now is read from as the
 // earliest that it may have been. Without an upper bound of the fleet's clock neither is known.
-func (s *State) Receive(now time.Duration, ahead Offsets, b []byte, out []balance.Heard) ([]balance.Heard, error) {
+func (s *State) Receive(now time.Duration, ahead Offsets, b []byte, out []balance.RemoteOutcome) ([]balance.RemoteOutcome, error) {
 	switch {
 	case len(b) < 1 || b[0] != version:
 		return out, ErrVersion
@@ -208,14 +208,14 @@
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
 	// The head: the reading of the fleet's clock, modulo 2^32, that is nearest to now.
-	ms := (now + ahead.Least) / time.Millisecond
+	ms := (now + ahead.Min) / time.Millisecond
 	head := (ms + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(ms)))) * time.Millisecond
-	if ahead.Bounded && head-ahead.Most > now+maxAhead || head-ahead.Least < now-maxAge {
-		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-head+ahead.Least, now-head+ahead.Most)
+	if ahead.Bounded && head-ahead.Max > now+maxAhead || head-ahead.Min < now-maxAge {
+		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-head+ahead.Min, now-head+ahead.Max)
 	}
 	from := len(out)
 	for b = b[headSize:]; len(b) > 0; b = b[noteSize:] {
-		out = append(out, balance.Heard{})
+		out = append(out, balance.RemoteOutcome{})
 		n := &out[len(out)-1]
 		if err := s.readNote(now, ahead, head, b, n); err != nil {
 			return out[:from], err
@@ -228,7 +228,7 @@
 }
 
 // readNote reads the first note of b into n, from a datagram whose head is a time by the fleet's clock. No server: it is not known.
-func (s *State) readNote(now time.Duration, ahead Offsets, head time.Duration, b []byte, n *balance.Heard) error {
+func (s *State) readNote(now time.Duration, ahead Offsets, head time.Duration, b []byte, n *balance.RemoteOutcome) error {
 	info := binary.BigEndian.Uint16(b[3:])
 	n.Server, n.Source = s.hosts[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])], balance.FromGossip
 	n.Result, n.Role, n.Took = balance.Result(info>>12), balance.Role(info>>10&3), durationOf(int(info>>4&15))
@@ -236,14 +236,14 @@
 		return ErrNote
 	}
 	if ahead.Bounded {
-		n.At = min(head-ahead.Most, now) - time.Duration(info&15)*endedStep
+		n.At = min(head-ahead.Max, now) - time.Duration(info&15)*endedStep
 	}
 	if class := int(info >> 8 & 3); class < min(noClass, len(s.cfg.Classes)) {
 		n.Class = s.cfg.Classes[class].Name
 	}
 	if b[5] > 0 {
 		n.Position = head - time.Duration(b[5]-1)*ageStep // by the fleet's clock
-		n.NotBefore = min(n.Position-ahead.Most, now)
+		n.NotBefore = min(n.Position-ahead.Max, now)
 	}
 	if n.Role == balance.Primary && (n.Position == 0 || !ahead.Bounded) {
 		n.Role = balance.Unknown // a primary's position is the time of its word; without one, or bounds, that is not known
--- a/internal/control/listwatch/listwatch.go
+++ b/internal/control/listwatch/listwatch.go
@@ -28,8 +28,8 @@
 	"time"
 )
 
-// Whole is the revision of a gateway that has no list yet. A call with it asks for a snapshot of the list.
-const Whole = -1
+// NoRevision is the revision of a gateway that has no list yet. A call with it asks for a snapshot of the list.
+const NoRevision = -1
 
 const (
 	// watchWait is how long a watch asks discovery to wait for a change. It limits how long a dead connection
@@ -84,8 +84,8 @@
 
 // Reasons of failures.
 const (
-	Broken Failure = iota // the connection failed or the answer is invalid
-	Busy                  // discovery rejected the call
+	Broken   Failure = iota // the connection failed or the answer is invalid
+	Rejected                // discovery rejected the call
 )
 
 // activeCall is a call in flight.
@@ -145,28 +145,28 @@
 // Broken reports whether a call to the current address has failed or become silent since the last answer.
 func (w *Watch) Broken() bool { return w.broken }
 
-// Recounts returns how often an agent was assumed to have reset its revisions, because two of its lists had a
+// RevisionResets returns how often an agent was assumed to have reset its revisions, because two of its lists had a
 // lower revision than an earlier one. It is also possible that these lists were outdated.
-func (w *Watch) Recounts() int { return w.revisionResets }
+func (w *Watch) RevisionResets() int { return w.revisionResets }
 
 // Latency returns the latency of recent answers, without the wait of their calls.
 func (w *Watch) Latency() time.Duration { return w.latency }
 
-// Move changes the address of discovery. It does nothing if the address is the current one. Calls in flight
+// SetAddress changes the address of discovery. It does nothing if the address is the current one. Calls in flight
 // to other addresses continue, and their answers are used until the new address has answered, so that a
 // series of changes of the address cannot prevent the gateway from receiving a list.
-func (w *Watch) Move(now time.Duration, address string) {
+func (w *Watch) SetAddress(now time.Duration, address string) {
 	if address == w.address {
 		return
 	}
 	// Another agent may number its revisions differently. The last agent's revision could hide changes
 	// permanently.
-	w.address, w.revision, w.answered = address, Whole, false
+	w.address, w.revision, w.answered = address, NoRevision, false
 	if _, known := w.addresses[address]; !known {
-		w.addresses[address] = addressState{revision: Whole}
+		w.addresses[address] = addressState{revision: NoRevision}
 	}
 	w.moved, w.broken, w.overloaded, w.silentStart, w.rejections, w.nextCall = true, false, false, noTime, 0, never
-	if !slices.ContainsFunc(w.calls, func(c activeCall) bool { return c.Address == address && c.Revision == Whole && !c.silent }) {
+	if !slices.ContainsFunc(w.calls, func(c activeCall) bool { return c.Address == address && c.Revision == NoRevision && !c.silent }) {
 		w.nextCall = now
 	}
 }
@@ -180,7 +180,7 @@
 	c := w.calls[i]
 	w.calls = slices.Delete(w.calls, i, i+1)
 	// The call started before the last change of the address. Another agent's list may have been used since.
-	if c.Address != w.address || w.moved && c.Revision != Whole {
+	if c.Address != w.address || w.moved && c.Revision != NoRevision {
 		return !w.answered && w.acceptRevision(c.Call, revision)
 	}
 	w.failures = 0
@@ -205,7 +205,7 @@
 // reset its revisions. In that case the answer to a later call for a snapshot has a lower revision too.
 func (w *Watch) acceptRevision(c Call, revision int64) bool {
 	u := w.addresses[c.Address]
-	confirmed := u.lowerRevisionAfter > 0 && c.ID > u.lowerRevisionAfter && c.Revision == Whole
+	confirmed := u.lowerRevisionAfter > 0 && c.ID > u.lowerRevisionAfter && c.Revision == NoRevision
 	if revision >= u.revision || confirmed {
 		if revision < u.revision {
 			w.revisionResets++
@@ -232,7 +232,7 @@
 		return
 	}
 	w.broken = true
-	if reason == Busy {
+	if reason == Rejected {
 		w.nextCall = now + w.pause(now, c)
 		w.silentStart, w.overloaded = noTime, true // the next chain of calls starts with the next call
 		return
@@ -346,7 +346,7 @@
 	c := Call{ID: w.lastID, Address: w.address, Revision: w.revision, Began: now}
 	switch {
 	case w.addresses[w.address].lowerRevisionAfter > 0:
-		c.Revision = Whole
+		c.Revision = NoRevision
 	case w.answered && !w.broken:
 		c.Wait = watchWait
 	}
--- a/internal/control/listwatch/listwatch_test.go
+++ b/internal/control/listwatch/listwatch_test.go
@@ -41,7 +41,7 @@
 		return func(w *Watch, now time.Duration) { w.Failed(now, id, reason) }
 	}
 	move := func(address string) func(*Watch, time.Duration) {
-		return func(w *Watch, now time.Duration) { w.Move(now, address) }
+		return func(w *Watch, now time.Duration) { w.SetAddress(now, address) }
 	}
 	first := event{0, nil, []string{"call 1 a after 41 wait 0s"}}
 	watching := []event{first, {0, answer(1, 42, true), []string{"call 2 a after 42 wait 1s"}}}
@@ -133,7 +133,7 @@
 			if a.rejections = min(a.rejections, 1); at >= a.reachableFrom-maxPause {
 				a.rejections = 0 // this rejection counts for those after reachableFrom
 			}
-			return at, true, Busy
+			return at, true, Rejected
 		case 2: // answered before the change
 			if at := now + c.Wait + a.latency; at < a.reachableFrom {
 				return at, false, 0
@@ -147,7 +147,7 @@
 		return now + 5*ms, true, Broken
 	case a.rejections > 0:
 		a.rejections--
-		return now + time.Duration(a.rng.Int64N(int64(a.maxRejectTime))), true, Busy
+		return now + time.Duration(a.rng.Int64N(int64(a.maxRejectTime))), true, Rejected
 	}
 	return now + a.latency, false, 0 // there is a change, so that the call does not wait
 }
@@ -188,7 +188,7 @@
 		now = max(now, min(next, moveAt))
 		if now >= moveAt {
 			addresses++
-			w.Move(now, fmt.Sprint("a", addresses%2))
+			w.SetAddress(now, fmt.Sprint("a", addresses%2))
 			moveAt = now + 200*ms
 		}
 		i := slices.IndexFunc(events, func(e event) bool { return e.at <= now })
@@ -265,7 +265,7 @@
 	q := &queue{serviceTime: 140 * ms, maxWait: 2 * time.Second, capacity: 20}
 	all, done := make([]*Watch, gateways), map[int]bool{}
 	for i := range all {
-		all[i] = New("a", Whole, uint64(i))
+		all[i] = New("a", NoRevision, uint64(i))
 	}
 	retry := make([]time.Duration, gateways) // next calls of hasty gateways
 	for now := time.Duration(0); now < within; now += tick {
@@ -274,7 +274,7 @@
 			done[c.gateway] = true
 		}
 		for _, c := range late {
-			all[c.gateway].Failed(now, c.id, Busy)
+			all[c.gateway].Failed(now, c.id, Rejected)
 			retry[c.gateway] = now + maxBackoff
 		}
 		for gateway, w := range all {
@@ -287,7 +287,7 @@
 			begin, _, _ := w.Step(now)
 			for _, c := range begin {
 				if len(q.calls) >= q.capacity {
-					w.Failed(now, c.ID, Busy)
+					w.Failed(now, c.ID, Rejected)
 					retry[gateway] = now + maxBackoff
 					continue
 				}
@@ -321,7 +321,7 @@
 		began := time.Duration(0)
 		for range 2 {
 			begun, _, _ = w.Step(began)
-			w.Failed(began+maxRejectTime, begun[0].ID, Busy)
+			w.Failed(began+maxRejectTime, begun[0].ID, Rejected)
 			_, _, began = w.Step(began + maxRejectTime)
 		}
 		if began > maxChainTime {
@@ -335,11 +335,11 @@
 	bounds := [][2]time.Duration{{minPause, minPause + firstPauseSpread}, {maxPause - pauseSpread, maxPause}}
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(1000) {
-		w, now := New("a", Whole, seed), time.Duration(0)
+		w, now := New("a", NoRevision, seed), time.Duration(0)
 		for _, b := range bounds {
 			begin, _, _ := w.Step(now)
 			now += 10 * ms
-			w.Failed(now, begin[0].ID, Busy)
+			w.Failed(now, begin[0].ID, Rejected)
 			_, _, next := w.Step(now)
 			if pause := next - now; pause < b[0] || pause > b[1] {
 				t.Fatalf("seed %d: a pause of %s after a rejected call", seed, pause)
--- a/internal/control/listwatch/outdated_list_test.go
+++ b/internal/control/listwatch/outdated_list_test.go
@@ -14,7 +14,7 @@
 	step(w, 0)
 	step(w, queuedSilentAfter) // call 2 starts in parallel
 	now = queuedSilentAfter + 10*ms
-	w.Move(now, "b")
+	w.SetAddress(now, "b")
 	step(w, now)
 	if !w.Answered(now, 2, 43) {
 		t.Fatal("the newest list of the previous address is not used")
@@ -31,7 +31,7 @@
 
 func TestOutdatedListIsNotUsedAfterMoveAndBack(t *testing.T) {
 	w, now := moveWithSilentCall(t, 41)
-	w.Move(now, "a")
+	w.SetAddress(now, "a")
 	step(w, now)
 	if w.Answered(now+ms, 1, 42) {
 		t.Error("a list of revision 42 is used after one of revision 43 of the same address")
@@ -39,8 +39,8 @@
 }
 
 func TestOutdatedSnapshotIsNoRevisionReset(t *testing.T) {
-	w, now := moveWithSilentCall(t, Whole) // call 2 asks for a snapshot too
-	w.Move(now, "a")
+	w, now := moveWithSilentCall(t, NoRevision) // call 2 asks for a snapshot too
+	w.SetAddress(now, "a")
 	begun, _, _ := w.Step(now)
 	if w.Answered(now+ms, begun[0].ID, 42) {
 		t.Error("a list of revision 42 is used after one of revision 43 of the same address")
@@ -62,7 +62,7 @@
 		for _, c := range begun {
 			w.Answered(now, c.ID, int64(i))
 		}
-		w.Move(now, fmt.Sprint("a", i+1))
+		w.SetAddress(now, fmt.Sprint("a", i+1))
 	}
 	if w.Step(1000 * 100 * ms); len(w.addresses) > maxCalls+1 {
 		t.Errorf("the state of %d addresses is kept", len(w.addresses))
@@ -75,11 +75,11 @@
 	if w.Answered(ms, begun[0].ID, 3) {
 		t.Fatal("an answer with a lower revision is used at once")
 	}
-	w.Move(2*ms, "b")
+	w.SetAddress(2*ms, "b")
 	w.Step(2 * ms)
-	w.Move(3*ms, "a")
+	w.SetAddress(3*ms, "a")
 	begun, _, _ = w.Step(3 * ms)
-	w.Move(4*ms, "b")
+	w.SetAddress(4*ms, "b")
 	w.Step(4 * ms)
 	if len(begun) != 1 || !w.Answered(5*ms, begun[0].ID, 3) {
 		t.Errorf("the snapshot that confirms the lower revision is not used: %+v", begun)
--- a/internal/control/pooling/link.go
+++ b/internal/control/pooling/link.go
@@ -11,8 +11,8 @@
 // DefaultPrepared is how many prepared statements a host connection keeps.
 const DefaultPrepared = 100
 
-// Link is what one host connection has been set up with.
-type Link struct {
+// ConnState is what one host connection has been set up with.
+type ConnState struct {
 	settings Settings
 	prepared *simplelru.LRU[uint64, *entry]
 	next     int
@@ -26,19 +26,19 @@
 	name      string
 }
 
-// NewLink makes one of a new connection; prepared bounds its statements, DefaultPrepared for 0.
-func NewLink(prepared int) *Link {
+// NewConnState makes one of a new connection; prepared bounds its statements, DefaultPrepared for 0.
+func NewConnState(prepared int) *ConnState {
 	if prepared <= 0 {
 		prepared = DefaultPrepared
 	}
-	l := &Link{settings: NoSettings()}
+	l := &ConnState{settings: NoSettings()}
 	l.prepared, _ = simplelru.NewLRU(prepared, func(_ uint64, e *entry) { l.evicted = append(l.evicted, e.name) })
 	return l
 }
 
-// Carry gives the statements that bring the connection to the session's settings: the fewest that do. They go in one query,
+// SettingsQuery gives the statements that bring the connection to the session's settings: the fewest that do. They go in one query,
 // before anything of the session's; Carried says that they have run.
-func (l *Link) Carry(s *Session) string {
+func (l *ConnState) SettingsQuery(s *Session) string {
 	if l.settings == s.settings {
 		return ""
 	}
@@ -69,8 +69,8 @@
 	return strings.Join(append(reset, set...), "; ")
 }
 
-// Carried says that what Carry gave has run.
-func (l *Link) Carried(s *Session) { l.settings = s.settings }
+// SettingsApplied says that what Carry gave has run.
+func (l *ConnState) SettingsApplied(s *Session) { l.settings = s.settings }
 
 // ident writes a setting's name: its parts are quoted where they need it.
 func ident(name string) string {
@@ -89,7 +89,7 @@
 }
 
 // Use gives the name that a statement has on this connection; parse says that it has to be prepared there first.
-func (l *Link) Use(st *Statement) (name string, parse bool) {
+func (l *ConnState) Use(st *Statement) (name string, parse bool) {
 	if e, ok := l.prepared.Get(st.hash); ok && e.statement.Same(st) {
 		l.Hits++
 		return e.name, false
@@ -105,21 +105,21 @@
 }
 
 // Evicted gives the names to close on the host, since the last call.
-func (l *Link) Evicted() []string {
+func (l *ConnState) Evicted() []string {
 	out := slices.Clone(l.evicted)
 	l.evicted = l.evicted[:0]
 	return out
 }
 
 // Forget says that a statement is not prepared there after all, or must be prepared anew: its plan no longer fits.
-func (l *Link) Forget(st *Statement) {
+func (l *ConnState) Forget(st *Statement) {
 	if e, ok := l.prepared.Peek(st.hash); ok && e.statement.Same(st) {
 		l.prepared.Remove(st.hash)
 	}
 }
 
-// Ran says that a statement of the session has run on this connection, in the session's state after it.
-func (l *Link) Ran(c Command, s *Session) {
+// StatementRan says that a statement of the session has run on this connection, in the session's state after it.
+func (l *ConnState) StatementRan(c Command, s *Session) {
 	switch c.Kind {
 	case DiscardAll, DeallocateAll:
 		l.prepared.Purge()
@@ -128,5 +128,5 @@
 	l.settings = s.settings
 }
 
-// Follow says that the connection has the session's settings: it went through all that the session did.
-func (l *Link) Follow(s *Session) { l.settings = s.settings }
+// AdoptSettings says that the connection has the session's settings: it went through all that the session did.
+func (l *ConnState) AdoptSettings(s *Session) { l.settings = s.settings }
--- a/internal/control/pooling/model_test.go
+++ b/internal/control/pooling/model_test.go
@@ -162,7 +162,7 @@
 		}
 		type link struct {
 			*server
-			*Link
+			*ConnState
 			taken bool
 		}
 		var clients []*client
@@ -171,7 +171,7 @@
 			clients = append(clients, &client{own: newServer(), s: NewSession(nil), link: -1, number: i})
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "links") {
-			links = append(links, &link{newServer(), NewLink(3), false})
+			links = append(links, &link{newServer(), NewConnState(3), false})
 		}
 		names := []string{"a", "b", "c", "d"}
 		command := func(t *rapid.T) string {
@@ -195,12 +195,12 @@
 				c.link = rapid.SampledFrom(free).Draw(t, "link")
 				l := links[c.link]
 				l.taken = true
-				if sql := l.Carry(c.s); sql != "" {
+				if sql := l.SettingsQuery(c.s); sql != "" {
 					if _, ok := l.batch(Scan(sql)); !ok {
 						t.Fatalf("carrying fails: %s", sql)
 					}
 				}
-				l.Carried(c.s)
+				l.SettingsApplied(c.s)
 			}
 			return links[c.link]
 		}
@@ -226,17 +226,17 @@
 					commands = commands[:1] // it may not stand among others
 				}
 				wantTags, wantOK := c.own.batch(commands)
-				c.s.Start()
+				c.s.StartBatch()
 				tags, ok := l.batch(commands)
 				for i, tag := range tags {
 					c.s.Completed(commands[i], tag)
-					l.Ran(commands[i], c.s)
+					l.StatementRan(commands[i], c.s)
 				}
 				if !ok {
 					c.s.Failed()
 				}
-				c.s.Ready(l.status())
-				l.Follow(c.s)
+				c.s.EndBatch(l.status())
+				l.AdoptSettings(c.s)
 				if !slices.Equal(tags, wantTags) || ok != wantOK || l.status() != c.own.status() {
 					t.Fatalf("%v is answered %v %v %c, on a connection of its own %v %v %c", sql, tags, ok, l.status(), wantTags, wantOK,
 						c.own.status())
@@ -289,7 +289,7 @@
 				i := rapid.IntRange(0, len(links)-1).Draw(t, "link")
 				for _, c := range clients {
 					if c.link == i {
-						carried := c.s.Lost()
+						carried := c.s.ConnectionLost()
 						if carried != (c.own.status() == 'I') {
 							t.Fatalf("carried %v with status %c", carried, c.own.status())
 						}
@@ -300,7 +300,7 @@
 						c.link = -1
 					}
 				}
-				links[i] = &link{newServer(), NewLink(3), false}
+				links[i] = &link{newServer(), NewConnState(3), false}
 			},
 		})
 	})
--- a/internal/control/pooling/pool.go
+++ b/internal/control/pooling/pool.go
@@ -8,16 +8,16 @@
 
 // Limits bound the connections to hosts.
 type Limits struct {
-	Total    int           // open or being opened, to all hosts
-	PerHost  int           // of them to one host; 0: as many as Total
-	Least    int           // that a host can have even where others hold the total: an idle one of theirs is closed for it
-	Opening  int           // being opened to one host at a time; 0: any number
-	PerSec   float64       // opened to one host in a second, with as many at once; 0: any number
-	Rest     time.Duration // after use before the next one
-	Idle     time.Duration // a connection is closed after as much idling
-	Age      time.Duration // and at this age, give or take a quarter, so that they are not all opened anew together; 0: never
-	Memory   time.Duration // in which the number kept halves to what is used; 0: only Idle closes any
-	ColdPart float64       // of PerHost that a host has that starts cold; 0: all
+	Total             int           // open or being opened, to all hosts
+	PerHost           int           // of them to one host; 0: as many as Total
+	MinPerHost        int           // that a host can have even where others hold the total: an idle one of theirs is closed for it
+	Opening           int           // being opened to one host at a time; 0: any number
+	OpenRate          float64       // opened to one host in a second, with as many at once; 0: any number
+	MinRest           time.Duration // after use before the next one
+	Idle              time.Duration // a connection is closed after as much idling
+	Age               time.Duration // and at this age, give or take a quarter, so that they are not all opened anew together; 0: never
+	PeakHalfLife      time.Duration // in which the number kept halves to what is used; 0: only Idle closes any
+	SlowStartFraction float64       // of PerHost that a host has that starts cold; 0: all
 }
 
 // Choice is what to do for one who needs a connection.
@@ -70,7 +70,7 @@
 func (p *Pools) host(name string) *pool {
 	h := p.hosts[name]
 	if h == nil {
-		h = &pool{tokens: max(1, p.limits.PerSec), ends: map[int]time.Duration{}}
+		h = &pool{tokens: max(1, p.limits.OpenRate), ends: map[int]time.Duration{}}
 		p.hosts[name] = h
 	}
 	return h
@@ -81,8 +81,8 @@
 	if most <= 0 {
 		most = p.limits.Total
 	}
-	if h.cold && p.limits.ColdPart > 0 {
-		most = max(1, int(float64(most)*p.limits.ColdPart))
+	if h.cold && p.limits.SlowStartFraction > 0 {
+		most = max(1, int(float64(most)*p.limits.SlowStartFraction))
 	}
 	return most
 }
@@ -92,7 +92,7 @@
 func (p *Pools) SetTotal(n int) (end []int) {
 	p.limits.Total = n
 	for p.total > n {
-		id := p.evict(&pool{open: p.limits.Least})
+		id := p.evict(&pool{open: p.limits.MinPerHost})
 		if id == 0 {
 			break
 		}
@@ -110,7 +110,7 @@
 	h := p.host(name)
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		x := h.idle[i]
-		if now-x.since < p.limits.Rest {
+		if now-x.since < p.limits.MinRest {
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
@@ -136,7 +136,7 @@
 			return Full, 0, dead
 		}
 	}
-	if p.limits.PerSec > 0 {
+	if p.limits.OpenRate > 0 {
 		h.tokens--
 	}
 	h.open++
@@ -150,7 +150,7 @@
 func (p *Pools) evict(h *pool) int {
 	var from *pool
 	for _, o := range p.hosts {
-		if len(o.idle) == 0 || o != h && o.open <= p.limits.Least && h.open >= p.limits.Least {
+		if len(o.idle) == 0 || o != h && o.open <= p.limits.MinPerHost && h.open >= p.limits.MinPerHost {
 			continue
 		}
 		if from == nil || o.idle[0].since < from.idle[0].since || o.idle[0].since == from.idle[0].since && o.idle[0].id < from.idle[0].id {
@@ -168,11 +168,11 @@
 }
 
 func (p *Pools) token(now time.Duration, h *pool) bool {
-	if p.limits.PerSec <= 0 {
+	if p.limits.OpenRate <= 0 {
 		return true
 	}
 	if h.tokenAt > 0 {
-		h.tokens = min(max(1, p.limits.PerSec), h.tokens+(now-h.tokenAt).Seconds()*p.limits.PerSec)
+		h.tokens = min(max(1, p.limits.OpenRate), h.tokens+(now-h.tokenAt).Seconds()*p.limits.OpenRate)
 	}
 	h.tokenAt = now
 	return h.tokens >= 1
@@ -186,13 +186,13 @@
 
 // decay lets what was in use at most be forgotten by half in each Memory.
 func (p *Pools) decay(now time.Duration, h *pool) {
-	if p.limits.Memory > 0 && h.peakAt > 0 {
-		for h.peakAt+p.limits.Memory <= now && h.peak > float64(h.used) {
+	if p.limits.PeakHalfLife > 0 && h.peakAt > 0 {
+		for h.peakAt+p.limits.PeakHalfLife <= now && h.peak > float64(h.used) {
 			h.peak = float64(h.used) + (h.peak-float64(h.used))/2
-			h.peakAt += p.limits.Memory
+			h.peakAt += p.limits.PeakHalfLife
 		}
 	}
-	if h.peakAt == 0 || h.peakAt+p.limits.Memory <= now {
+	if h.peakAt == 0 || h.peakAt+p.limits.PeakHalfLife <= now {
 		h.peakAt = now
 	}
 }
@@ -209,8 +209,8 @@
 	h.ends[id] = end
 }
 
-// NotOpened says that a connection did not come up.
-func (p *Pools) NotOpened(name string) {
+// OpenFailed says that a connection did not come up.
+func (p *Pools) OpenFailed(name string) {
 	h := p.host(name)
 	h.opening--
 	h.open--
@@ -232,8 +232,8 @@
 	return true
 }
 
-// Close lets nothing new to a host, or something again. The idle connections of a closed one are to be closed.
-func (p *Pools) Close(name string, closed bool) (end []int) {
+// SetClosed lets nothing new to a host, or something again. The idle connections of a closed one are to be closed.
+func (p *Pools) SetClosed(name string, closed bool) (end []int) {
 	h := p.host(name)
 	h.closed = closed
 	if closed {
@@ -252,14 +252,14 @@
 	return end
 }
 
-// Cold says whether a host has just started.
-func (p *Pools) Cold(name string, cold bool) { p.host(name).cold = cold }
+// SetCold says whether a host has just started.
+func (p *Pools) SetCold(name string, cold bool) { p.host(name).cold = cold }
 
-// Drop ends the idle connections of a host, whose address has changed.
-func (p *Pools) Drop(name string) []int { return p.drop(p.host(name)) }
+// CloseIdle ends the idle connections of a host, whose address has changed.
+func (p *Pools) CloseIdle(name string) []int { return p.drop(p.host(name)) }
 
-// Forget ends the idle connections of a host that is gone for good, and forgets it once none is in use.
-func (p *Pools) Forget(name string) (end []int) {
+// RemoveHost ends the idle connections of a host that is gone for good, and forgets it once none is in use.
+func (p *Pools) RemoveHost(name string) (end []int) {
 	if h := p.hosts[name]; h != nil {
 		h.closed = true
 		if end = p.drop(h); h.open == 0 {
@@ -278,7 +278,7 @@
 		spare := h.open - h.opening - int(h.peak+0.999)
 		for _, x := range h.idle {
 			over := p.limits.Idle > 0 && now-x.since > p.limits.Idle || x.endAt > 0 && now >= x.endAt
-			if !over && p.limits.Memory > 0 && spare > 0 {
+			if !over && p.limits.PeakHalfLife > 0 && spare > 0 {
 				over, spare = true, 0
 			}
 			if !over {
--- a/internal/control/pooling/pool_test.go
+++ b/internal/control/pooling/pool_test.go
@@ -12,7 +12,7 @@
 func TestPoolsAreBounded(t *testing.T) {
 	alive := func(int) bool { return true }
 	const second = time.Second
-	p := NewPools(Limits{Total: 4, PerHost: 3, Least: 1, Idle: 10 * second}, 1)
+	p := NewPools(Limits{Total: 4, PerHost: 3, MinPerHost: 1, Idle: 10 * second}, 1)
 	next := 0
 	open := func(now time.Duration, host string) (Choice, int) {
 		c, id, _ := p.Take(now, host, alive)
@@ -42,7 +42,7 @@
 	if c, evicted, _ := p.Take(2*second, "c", alive); c != Open || evicted != 1 {
 		t.Errorf("for a host without any: %v, closing %d", c, evicted)
 	}
-	p.NotOpened("c")
+	p.OpenFailed("c")
 	if p.Put(3*second, "a", 2, false) {
 		t.Error("an unclean one is kept")
 	}
@@ -50,7 +50,7 @@
 	if got := p.Tick(14 * second); !slices.Equal(got, []int{3}) || p.Total() != 1 {
 		t.Errorf("too long idle: %v, %d left", got, p.Total())
 	}
-	p.Close("b", true)
+	p.SetClosed("b", true)
 	if p.Put(15*second, "b", 4, true) || p.Total() != 0 {
 		t.Error("a host that drains keeps a connection")
 	}
@@ -60,7 +60,7 @@
 }
 
 func TestPoolsOpenNoStorm(t *testing.T) {
-	p := NewPools(Limits{Total: 1000, PerSec: 10, Opening: 5}, 1)
+	p := NewPools(Limits{Total: 1000, OpenRate: 10, Opening: 5}, 1)
 	opened := 0
 	for ms := range 2000 {
 		now := time.Duration(ms+1) * time.Millisecond
@@ -82,7 +82,7 @@
 }
 
 func TestPoolsShrinkSlowlyAndAgeApart(t *testing.T) {
-	p := NewPools(Limits{Total: 100, Memory: time.Minute, Age: time.Hour}, 1)
+	p := NewPools(Limits{Total: 100, PeakHalfLife: time.Minute, Age: time.Hour}, 1)
 	ends := map[time.Duration]bool{}
 	for id := 1; id <= 40; id++ {
 		p.Take(time.Second, "a", nil)
@@ -110,8 +110,8 @@
 func TestPropertyPoolsNeverGoOverTheirLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{Total: rapid.IntRange(1, 12).Draw(t, "total"), PerHost: rapid.IntRange(0, 6).Draw(t, "host"),
-			Least: rapid.IntRange(0, 2).Draw(t, "least"), Idle: 5 * time.Second, Rest: 30 * time.Millisecond,
-			Age: time.Duration(rapid.IntRange(0, 20).Draw(t, "age")) * time.Second, Memory: time.Second}
+			MinPerHost: rapid.IntRange(0, 2).Draw(t, "least"), Idle: 5 * time.Second, MinRest: 30 * time.Millisecond,
+			Age: time.Duration(rapid.IntRange(0, 20).Draw(t, "age")) * time.Second, PeakHalfLife: time.Second}
 		p := NewPools(l, 7)
 		now, next := time.Second, 0
 		type held struct {
@@ -160,7 +160,7 @@
 					p.Opened(now, h, next)
 					used = append(used, held{h, next})
 				} else {
-					p.NotOpened(h)
+					p.OpenFailed(h)
 				}
 			},
 			"put": func(t *rapid.T) {
@@ -176,8 +176,8 @@
 			},
 			"tick":   func(*rapid.T) { closeAll(p.Tick(now)) },
 			"time":   func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond },
-			"drain":  func(t *rapid.T) { closeAll(p.Close(host(t), rapid.Bool().Draw(t, "closed"))) },
-			"forget": func(t *rapid.T) { closeAll(p.Forget(host(t))); p.Close("a", false) },
+			"drain":  func(t *rapid.T) { closeAll(p.SetClosed(host(t), rapid.Bool().Draw(t, "closed"))) },
+			"forget": func(t *rapid.T) { closeAll(p.RemoveHost(host(t))); p.SetClosed("a", false) },
 			"": func(t *rapid.T) {
 				total := len(used) + len(idle) + opening["a"] + opening["b"] + opening["c"]
 				if p.Total() != total || total > l.Total {
@@ -194,7 +194,7 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	p := NewPools(Limits{Total: 400, PerHost: 20, Idle: time.Minute, Memory: time.Minute}, 1)
+	p := NewPools(Limits{Total: 400, PerHost: 20, Idle: time.Minute, PeakHalfLife: time.Minute}, 1)
 	alive := func(int) bool { return true }
 	now, id := time.Second, 0
 	for h := range 20 {
--- a/internal/control/pooling/session.go
+++ b/internal/control/pooling/session.go
@@ -125,8 +125,8 @@
 // Pins are the reasons why the session must keep its host connection.
 func (s *Session) Pins() Pin { return s.pins }
 
-// Open says that a transaction is open, as far as the host said.
-func (s *Session) Open() bool { return s.Status != 'I' }
+// InTransaction says that a transaction is open, as far as the host said.
+func (s *Session) InTransaction() bool { return s.Status != 'I' }
 
 // ReadOnly says that the open transaction was begun as one that only reads.
 func (s *Session) ReadOnly() bool { return len(s.levels) > 0 && s.readOnly }
@@ -146,17 +146,17 @@
 // Close forgets a prepared statement.
 func (s *Session) Close(name string) { delete(s.statements, name) }
 
-// All gives the prepared statements by name; they are the session's own, not to be changed.
-func (s *Session) All() map[string]*Statement { return s.statements }
+// AllPrepared gives the prepared statements by name; they are the session's own, not to be changed.
+func (s *Session) AllPrepared() map[string]*Statement { return s.statements }
 
-// Restore puts back the prepared statements as they were: what was asked has not happened.
-func (s *Session) Restore(all map[string]*Statement) { s.statements = all }
+// RestorePrepared puts back the prepared statements as they were: what was asked has not happened.
+func (s *Session) RestorePrepared(all map[string]*Statement) { s.statements = all }
 
 // Statements is how many are prepared.
 func (s *Session) Statements() int { return len(s.statements) }
 
-// Start says that a batch begins: a query, or a pipeline up to its Sync.
-func (s *Session) Start() {
+// StartBatch says that a batch begins: a query, or a pipeline up to its Sync.
+func (s *Session) StartBatch() {
 	if len(s.levels) == 0 {
 		s.implicit, s.implicitP = s.settings, s.pins
 	}
@@ -239,9 +239,9 @@
 	}
 }
 
-// Ready says that a batch has ended, and the status that the host told with it. Where the host knows of no transaction any more
+// EndBatch says that a batch has ended, and the status that the host told with it. Where the host knows of no transaction any more
 // that was thought to be open, it was rolled back.
-func (s *Session) Ready(status byte) {
+func (s *Session) EndBatch(status byte) {
 	if s.Status = status; status == 'I' && len(s.levels) > 0 {
 		s.undo()
 		s.levels = nil
@@ -254,8 +254,8 @@
 	s.settings, _, _ = s.settings.Insert([]byte(strings.ToLower(name)), Literal(value))
 }
 
-// Settles says that statements change settings in a way that is followed by reading them.
-func Settles(commands []Command) bool {
+// ChangesSettings says that statements change settings in a way that is followed by reading them.
+func ChangesSettings(commands []Command) bool {
 	for _, c := range commands {
 		switch c.Kind {
 		case Set, SetLocal, Reset, ResetAll, DiscardAll, Begin, Commit, Rollback, RollbackTo:
@@ -265,9 +265,9 @@
 	return false
 }
 
-// Lost says that the host connection is gone, and with it what was tied to it. Carried says whether the session can go on: not
+// ConnectionLost says that the host connection is gone, and with it what was tied to it. Carried says whether the session can go on: not
 // if it was pinned or in a transaction.
-func (s *Session) Lost() (carried bool) {
+func (s *Session) ConnectionLost() (carried bool) {
 	carried = s.pins == 0 && s.Status == 'I' && len(s.levels) == 0
 	s.undo()
 	s.levels, s.pins, s.Status = nil, 0, 'I'
--- a/internal/control/pooling/session_test.go
+++ b/internal/control/pooling/session_test.go
@@ -7,74 +7,74 @@
 )
 
 func TestWhatIsCarriedAndWhatPins(t *testing.T) {
-	run := func(s *Session, l *Link, sql string, ok bool, status byte) {
-		s.Start()
+	run := func(s *Session, l *ConnState, sql string, ok bool, status byte) {
+		s.StartBatch()
 		for _, c := range Scan(sql) {
 			if !ok {
 				s.Failed()
 				break
 			}
 			s.Completed(c, "")
-			l.Ran(c, s)
+			l.StatementRan(c, s)
 		}
-		s.Ready(status)
-		l.Follow(s)
+		s.EndBatch(status)
+		l.AdoptSettings(s)
 	}
 	for _, c := range []struct {
 		name string
-		do   func(s *Session, l *Link)
+		do   func(s *Session, l *ConnState)
 		want string // what another connection has to run first
 		pins Pin
 	}{
-		{"SET", func(s *Session, l *Link) { run(s, l, "SET work_mem = '4MB'", true, 'I') }, "SET work_mem TO '4MB'", 0},
-		{"SET of a list", func(s *Session, l *Link) { run(s, l, `SET search_path TO a, "B"`, true, 'I') }, `SET search_path TO a, "B"`, 0},
-		{"SET of a custom setting", func(s *Session, l *Link) { run(s, l, `SET app.tenant = 'x'`, true, 'I') }, `SET app.tenant TO 'x'`, 0},
-		{"SET that fails", func(s *Session, l *Link) { run(s, l, "SET work_mem = 'x'", false, 'I') }, "", 0},
-		{"SET then RESET", func(s *Session, l *Link) { run(s, l, "SET a = 1; RESET a", true, 'I') }, "", 0},
-		{"SET in a transaction that is rolled back", func(s *Session, l *Link) {
+		{"SET", func(s *Session, l *ConnState) { run(s, l, "SET work_mem = '4MB'", true, 'I') }, "SET work_mem TO '4MB'", 0},
+		{"SET of a list", func(s *Session, l *ConnState) { run(s, l, `SET search_path TO a, "B"`, true, 'I') }, `SET search_path TO a, "B"`, 0},
+		{"SET of a custom setting", func(s *Session, l *ConnState) { run(s, l, `SET app.tenant = 'x'`, true, 'I') }, `SET app.tenant TO 'x'`, 0},
+		{"SET that fails", func(s *Session, l *ConnState) { run(s, l, "SET work_mem = 'x'", false, 'I') }, "", 0},
+		{"SET then RESET", func(s *Session, l *ConnState) { run(s, l, "SET a = 1; RESET a", true, 'I') }, "", 0},
+		{"SET in a transaction that is rolled back", func(s *Session, l *ConnState) {
 			run(s, l, "BEGIN", true, 'T')
 			run(s, l, "SET a = 1", true, 'T')
 			run(s, l, "ROLLBACK", true, 'I')
 		}, "", 0},
-		{"SET before a savepoint that is rolled back to", func(s *Session, l *Link) {
+		{"SET before a savepoint that is rolled back to", func(s *Session, l *ConnState) {
 			run(s, l, "BEGIN; SET a = 1; SAVEPOINT s; SET a = 2; SET b = 2; ROLLBACK TO s; COMMIT", true, 'I')
 		}, "SET a TO 1", 0},
-		{"SET LOCAL", func(s *Session, l *Link) { run(s, l, "BEGIN; SET LOCAL a = 1; COMMIT", true, 'I') }, "", 0},
-		{"SET in a query of several statements that fails", func(s *Session, l *Link) {
-			s.Start()
+		{"SET LOCAL", func(s *Session, l *ConnState) { run(s, l, "BEGIN; SET LOCAL a = 1; COMMIT", true, 'I') }, "", 0},
+		{"SET in a query of several statements that fails", func(s *Session, l *ConnState) {
+			s.StartBatch()
 			s.Completed(Scan("SET a = 1")[0], "SET")
 			s.Failed()
-			s.Ready('I')
-			l.Follow(s)
+			s.EndBatch('I')
+			l.AdoptSettings(s)
 		}, "", 0},
-		{"a transaction that the host ended", func(s *Session, l *Link) {
+		{"a transaction that the host ended", func(s *Session, l *ConnState) {
 			run(s, l, "BEGIN; SET a = 1", true, 'T')
-			s.Ready('I')
-			l.Follow(s)
+			s.EndBatch('I')
+			l.AdoptSettings(s)
 		}, "", 0},
-		{"DISCARD ALL", func(s *Session, l *Link) { run(s, l, "SET a = 1; LISTEN x; DISCARD ALL", true, 'I') }, "", 0},
-		{"LISTEN", func(s *Session, l *Link) { run(s, l, "LISTEN x", true, 'I') }, "", PinListen},
-		{"LISTEN then UNLISTEN", func(s *Session, l *Link) { run(s, l, "LISTEN x; UNLISTEN *", true, 'I') }, "", 0},
-		{"LISTEN in a transaction that is rolled back", func(s *Session, l *Link) {
+		{"DISCARD ALL", func(s *Session, l *ConnState) { run(s, l, "SET a = 1; LISTEN x; DISCARD ALL", true, 'I') }, "", 0},
+		{"LISTEN", func(s *Session, l *ConnState) { run(s, l, "LISTEN x", true, 'I') }, "", PinListen},
+		{"LISTEN then UNLISTEN", func(s *Session, l *ConnState) { run(s, l, "LISTEN x; UNLISTEN *", true, 'I') }, "", 0},
+		{"LISTEN in a transaction that is rolled back", func(s *Session, l *ConnState) {
 			run(s, l, "BEGIN; LISTEN x", true, 'T')
 			run(s, l, "ROLLBACK", true, 'I')
 		}, "", 0},
-		{"a temporary table", func(s *Session, l *Link) { run(s, l, "CREATE TEMP TABLE t (a int)", true, 'I') }, "", PinTempTable},
-		{"an advisory lock outlives a rollback", func(s *Session, l *Link) {
+		{"a temporary table", func(s *Session, l *ConnState) { run(s, l, "CREATE TEMP TABLE t (a int)", true, 'I') }, "", PinTempTable},
+		{"an advisory lock outlives a rollback", func(s *Session, l *ConnState) {
 			run(s, l, "BEGIN; SELECT pg_advisory_lock(1)", true, 'T')
 			run(s, l, "ROLLBACK", true, 'I')
 		}, "", PinAdvisoryLock},
-		{"a cursor WITH HOLD", func(s *Session, l *Link) { run(s, l, "DECLARE c CURSOR WITH HOLD FOR SELECT 1", true, 'I') }, "", PinHoldCursor},
-		{"PREPARE in SQL", func(s *Session, l *Link) { run(s, l, "PREPARE p AS SELECT 1", true, 'I') }, "", PinSQLPrepare},
-		{"a setting that can't be tracked", func(s *Session, l *Link) { run(s, l, "SELECT set_config('a', 'x', false)", true, 'I') }, "", PinUntracked},
+		{"a cursor WITH HOLD", func(s *Session, l *ConnState) { run(s, l, "DECLARE c CURSOR WITH HOLD FOR SELECT 1", true, 'I') }, "", PinHoldCursor},
+		{"PREPARE in SQL", func(s *Session, l *ConnState) { run(s, l, "PREPARE p AS SELECT 1", true, 'I') }, "", PinSQLPrepare},
+		{"a setting that can't be tracked", func(s *Session, l *ConnState) { run(s, l, "SELECT set_config('a', 'x', false)", true, 'I') }, "", PinUntracked},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, l, other := NewSession(nil), NewLink(0), NewLink(0)
+			s, l, other := NewSession(nil), NewConnState(0), NewConnState(0)
 			c.do(s, l)
-			if got := other.Carry(s); got != c.want || s.Pins() != c.pins {
+			if got := other.SettingsQuery(s); got != c.want || s.Pins() != c.pins {
 				t.Errorf("another connection runs %q, pins %v; want %q, %v", got, s.Pins().Names(), c.want, c.pins.Names())
 			}
-			if got := l.Carry(s); got != "" {
+			if got := l.SettingsQuery(s); got != "" {
 				t.Errorf("its own connection has to run %q", got)
 			}
 		})
@@ -98,14 +98,14 @@
 		{"SET a = 1; SET b = 1; SET c = 1; SET d = 1", "SET e = 1", "RESET ALL; SET e TO 1"},
 		{"SET a = 1", "SET b = 1", "RESET a; SET b TO 1"},
 	} {
-		l := NewLink(0)
-		l.Carried(session(c.has))
-		if got := l.Carry(session(c.wants)); got != c.want {
+		l := NewConnState(0)
+		l.SettingsApplied(session(c.has))
+		if got := l.SettingsQuery(session(c.wants)); got != c.want {
 			t.Errorf("from %q to %q: %q, want %q", c.has, c.wants, got, c.want)
 		}
 	}
 	s := NewSession(map[string]string{"user": "u", "application_name": "it's", "search_path": `a, "b"`, "options": "-c x=1"})
-	if got, want := NewLink(0).Carry(s), `SET application_name TO 'it''s'; SET search_path TO 'a', 'b'`; got != want {
+	if got, want := NewConnState(0).SettingsQuery(s), `SET application_name TO 'it''s'; SET search_path TO 'a', 'b'`; got != want {
 		t.Errorf("from a startup message: %s, want %s", got, want)
 	}
 	s.Completed(Scan("SET application_name = 'x'")[0], "SET")
@@ -117,11 +117,11 @@
 
 func TestWhatAFunctionHasSetIsTakenFromTheHostsReport(t *testing.T) {
 	s := NewSession(nil)
-	if Settles(Scan("SELECT prepare_me()")) || !Settles(Scan("SELECT 1; SET TIME ZONE 'UTC'")) {
+	if ChangesSettings(Scan("SELECT prepare_me()")) || !ChangesSettings(Scan("SELECT 1; SET TIME ZONE 'UTC'")) {
 		t.Error("what changes settings is not told apart")
 	}
 	s.Reported("TimeZone", "Asia/Kolkata")
-	if got := NewLink(0).Carry(s); got != "SET timezone TO 'Asia/Kolkata'" {
+	if got := NewConnState(0).SettingsQuery(s); got != "SET timezone TO 'Asia/Kolkata'" {
 		t.Errorf("another connection runs %q", got)
 	}
 }
@@ -129,7 +129,7 @@
 func TestStatementsOfTheSameHashAreToldApart(t *testing.T) {
 	a, b := NewStatement("SELECT 1", nil), NewStatement("SELECT 2", nil)
 	b.hash = a.hash
-	l := NewLink(0)
+	l := NewConnState(0)
 	first, _ := l.Use(a)
 	second, parse := l.Use(b)
 	if first == second || !parse {
@@ -156,28 +156,28 @@
 	}
 	x, y := session(1), session(2)
 	b.Run("five settings and three statements", func(b *testing.B) {
-		l := NewLink(0)
+		l := NewConnState(0)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			s := x
 			if i%2 == 1 {
 				s = y
 			}
-			if l.Carry(s) == "" {
+			if l.SettingsQuery(s) == "" {
 				b.Fatal("nothing to carry")
 			}
-			l.Carried(s)
+			l.SettingsApplied(s)
 			for _, name := range []string{"s0", "s1", "s2"} {
 				l.Use(s.Prepared(name))
 			}
 		}
 	})
 	b.Run("nothing to carry", func(b *testing.B) {
-		l := NewLink(0)
-		l.Carried(x)
+		l := NewConnState(0)
+		l.SettingsApplied(x)
 		b.ReportAllocs()
 		for b.Loop() {
-			if l.Carry(x) != "" {
+			if l.SettingsQuery(x) != "" {
 				b.Fatal("something to carry")
 			}
 			l.Use(x.Prepared("s0"))
--- a/internal/control/pooling/sql_test.go
+++ b/internal/control/pooling/sql_test.go
@@ -84,14 +84,14 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, sql string) {
-		s, l := NewSession(nil), NewLink(0)
+		s, l := NewSession(nil), NewConnState(0)
 		for _, c := range Scan(sql) {
 			s.Completed(c, "")
 		}
 		// Whatever is carried must be read back as what it was: a setting can't turn into another statement.
-		for _, c := range Scan(l.Carry(s)) {
+		for _, c := range Scan(l.SettingsQuery(s)) {
 			if c.Kind != Set && c.Kind != Empty && c.Kind != Reset && c.Kind != Neutral {
-				t.Fatalf("%q carries %q", sql, l.Carry(s))
+				t.Fatalf("%q carries %q", sql, l.SettingsQuery(s))
 			}
 		}
 	})
