--- a/internal/control/reload/need_test.go
+++ b/internal/control/reload/need_test.go
@@ -12,7 +12,7 @@
 	v := New(balance.Settings{Classes: []balance.Class{view}}, time.Second)
 	loose := view
 	loose.Need, loose.Bound = balance.AnyData, 0
-	v.Take(0, balance.Settings{Classes: []balance.Class{loose}})
+	v.Update(0, balance.Settings{Classes: []balance.Class{loose}})
 	if got := v.InForce().Classes[0]; got.Need != balance.Bounded || got.Bound != view.Bound {
 		t.Errorf("a read may be served from data of any age before the new settings are binding: %+v", got)
 	}
@@ -41,7 +41,7 @@
 			return balance.Settings{Classes: []balance.Class{a}}
 		}
 		v := New(class(c.old), time.Second)
-		v.Take(0, class(c.new))
+		v.Update(0, class(c.new))
 		if got := v.InForce().Classes[0]; got.Need != c.want {
 			t.Errorf("from need %d to %d: %d, want %d", c.old, c.new, got.Need, c.want)
 		} else if got.Need == balance.Session && got.Bound != class(c.old).Classes[0].Bound+class(c.new).Classes[0].Bound {
@@ -57,7 +57,7 @@
 	lax, strict := balance.Settings{DroppedStayOpen: true, TokensCarried: true}, balance.Settings{}
 	for _, c := range []struct{ old, new balance.Settings }{{lax, strict}, {strict, lax}} {
 		v := New(c.old, time.Second)
-		v.Take(0, c.new)
+		v.Update(0, c.new)
 		if got := v.InForce(); got.DroppedStayOpen || got.TokensCarried {
 			t.Errorf("from %+v to %+v: %+v", c.old, c.new, got)
 		}
--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -34,8 +34,8 @@
 // InForce returns the settings that apply.
 func (v *Versions) InForce() balance.Settings { return v.inForce }
 
-// Take adds a version, which must be valid. It reports whether the version differs from the newest one.
-func (v *Versions) Take(now time.Duration, s balance.Settings) (changed bool) {
+// Update adds a version, which must be valid. It reports whether the version differs from the newest one.
+func (v *Versions) Update(now time.Duration, s balance.Settings) (changed bool) {
 	if newest := v.next; newest == nil && reflect.DeepEqual(v.inForce, s) || newest != nil && reflect.DeepEqual(*newest, s) {
 		return false
 	}
--- a/internal/control/reload/reload_test.go
+++ b/internal/control/reload/reload_test.go
@@ -34,10 +34,10 @@
 
 func TestGracePeriod(t *testing.T) {
 	v := New(settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms)), grace)
-	if v.Take(0, settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms))) {
+	if v.Update(0, settings(10, class("a", balance.Safe, 500*ms), class("b", balance.Safe, 500*ms))) {
 		t.Error("an identical version is reported as a change")
 	}
-	if !v.Take(1000*ms, settings(3, class("a", balance.Unsafe, 300*ms), class("c", balance.Safe, 100*ms))) {
+	if !v.Update(1000*ms, settings(3, class("a", balance.Unsafe, 300*ms), class("c", balance.Safe, 100*ms))) {
 		t.Error("a different version is not reported as a change")
 	}
 	want := settings(3, class("a", balance.Unsafe, 300*ms), class("c", balance.Safe, 100*ms), class("b", balance.Safe, 500*ms))
@@ -51,7 +51,7 @@
 		t.Errorf("after the grace period: %q", got)
 	}
 	// A less strict value applies from the end of the grace period.
-	v.Take(3000*ms, settings(9, class("a", balance.Safe, 900*ms), class("c", balance.Safe, 100*ms)))
+	v.Update(3000*ms, settings(9, class("a", balance.Safe, 900*ms), class("c", balance.Safe, 100*ms)))
 	if a := v.InForce().Classes[0]; a.Effect != balance.Unsafe || a.Bound != 300*ms || v.InForce().MaxAttempts != 3 {
 		t.Errorf("the less strict value applies in the grace period: %+v", a)
 	}
@@ -100,7 +100,7 @@
 			v.Settle(now)
 			if rapid.Bool().Draw(t, "reload") {
 				s := draw("next")
-				v.Take(now, s)
+				v.Update(now, s)
 				history = append(history, told{now, s})
 			}
 			newest := len(history) - 1
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -25,8 +25,8 @@
 const (
 	Starting Phase = iota // not ready yet
 	Serving
-	Draining // an operator drains the gateway; Resume ends the drain
-	Ending   // SIGTERM was received; the shutdown cannot be undone
+	Draining     // an operator drains the gateway; Resume ends the drain
+	ShuttingDown // SIGTERM was received; the shutdown cannot be undone
 )
 
 var phases = [...]string{"starting", "serving", "draining", "ending"}
@@ -37,9 +37,9 @@
 type NewProcess int
 
 const (
-	None      NewProcess = iota
-	Connected            // the new process runs and shares the limits with this one
-	TookOver             // the new process is ready and takes over the clients
+	NoNewProcess NewProcess = iota
+	Connected               // the new process runs and shares the limits with this one
+	TookOver                // the new process is ready and takes over the clients
 )
 
 var newProcessStates = [...]string{"none", "came", "took"}
@@ -54,11 +54,11 @@
 	Drain                  // an operator starts a drain
 	Resume                 // an operator ends the drain
 	Terminate              // SIGTERM
-	HeirCame
-	HeirReady
-	HeirLost   // the new process died or did not become ready
-	ElderFound // this process is the new process of a hot restart
-	ElderGone  // the old process has exited
+	NewProcessConnected
+	NewProcessReady
+	NewProcessLost   // the new process died or did not become ready
+	OldProcessFound  // this process is the new process of a hot restart
+	OldProcessExited // the old process has exited
 )
 
 var events = [...]string{"ready", "drain", "resume", "terminate", "heir came", "heir ready", "heir lost", "elder found", "elder gone"}
@@ -68,12 +68,12 @@
 // Times are the time limits that the platform sets, as durations since the event that each refers to. All are
 // above 0.
 type Times struct {
-	// FrontAway is how long after the process stops reporting ready the load balancer still opens connections
+	// LoadBalancerDelay is how long after the process stops reporting ready the load balancer still opens connections
 	// to it: 0.2 s, plus the tenth of a second between two of its readiness probes.
-	FrontAway time.Duration
-	// Shed, LastAnswer and End are durations since SIGTERM, in this order: when to close connections between
+	LoadBalancerDelay time.Duration
+	// CloseConnections, LastAnswer and End are durations since SIGTERM, in this order: when to close connections between
 	// requests, when the last answer is due, and when the process must have exited.
-	Shed, LastAnswer, End time.Duration
+	CloseConnections, AnswersDue, Exit time.Duration
 	// Accept is the minimum time after SIGTERM for which new connections are accepted. Clients keep connecting
 	// for 0.2 to 0.4 s.
 	Accept time.Duration
@@ -84,17 +84,17 @@
 
 // View is the behavior that the state of the process requires from now on.
 type View struct {
-	Phase  Phase
-	Heir   NewProcess
-	Yes    bool          // the process answers readiness probes and operators with ready
-	Accept bool          // new connections are accepted
-	Shed   bool          // connections are closed as soon as they are between requests
-	Pass   bool          // connections are passed to the new process instead of being closed
-	Shared bool          // two processes share the limits of one gateway
-	Last   time.Duration // when the last answer is due, or 0 if there is no deadline
-	Idle   bool          // no new requests are expected: the process exits once it has answered all that it accepted
-	Over   bool          // the process exits now, even with unanswered requests
-	Next   time.Duration // when the view changes without an event, or 0 if it does not
+	Phase            Phase
+	NewProcess       NewProcess
+	Ready            bool          // the process answers readiness probes and operators with ready
+	Accept           bool          // new connections are accepted
+	CloseConnections bool          // connections are closed as soon as they are between requests
+	HandOver         bool          // connections are passed to the new process instead of being closed
+	LimitsShared     bool          // two processes share the limits of one gateway
+	AnswersDue       time.Duration // when the last answer is due, or 0 if there is no deadline
+	ExitWhenIdle     bool          // no new requests are expected: the process exits once it has answered all that it accepted
+	ExitNow          bool          // the process exits now, even with unanswered requests
+	NextChange       time.Duration // when the view changes without an event, or 0 if it does not
 }
 
 // ErrShuttingDown is returned if a process that shuts down is to resume service.
@@ -119,10 +119,10 @@
 // New returns the state of a process that starts.
 func New(t Times) *State { return &State{times: t} }
 
-// Retime changes the time limits to those of new settings, which the platform applies from binds on. Until
+// SetTimes changes the time limits to those of new settings, which the platform applies from binds on. Until
 // then SIGKILL may come by the old or the new settings, so the earlier time limits apply. They stay in force
 // if SIGTERM is received before binds.
-func (s *State) Retime(now time.Duration, t Times, binds time.Duration) {
+func (s *State) SetTimes(now time.Duration, t Times, binds time.Duration) {
 	s.settle(now)
 	s.times = s.times.earlier(t)
 	s.nextTimes, s.settleAt = t, binds
@@ -130,14 +130,14 @@
 
 // settle replaces the time limits by the newest ones if settleAt has passed.
 func (s *State) settle(now time.Duration) {
-	if s.phase != Ending && s.settleAt > 0 && now >= s.settleAt {
+	if s.phase != ShuttingDown && s.settleAt > 0 && now >= s.settleAt {
 		s.times, s.settleAt = s.nextTimes, 0
 	}
 }
 
 // earlier returns o with the earlier of both time limits for each step of a shutdown.
 func (t Times) earlier(o Times) Times {
-	o.Shed, o.LastAnswer, o.End = min(t.Shed, o.Shed), min(t.LastAnswer, o.LastAnswer), min(t.End, o.End)
+	o.CloseConnections, o.AnswersDue, o.Exit = min(t.CloseConnections, o.CloseConnections), min(t.AnswersDue, o.AnswersDue), min(t.Exit, o.Exit)
 	return o
 }
 
@@ -157,7 +157,7 @@
 		}
 	case Resume:
 		switch s.phase {
-		case Ending:
+		case ShuttingDown:
 			return ErrShuttingDown
 		case Draining:
 			if s.phase = Serving; !s.ready {
@@ -165,23 +165,23 @@
 			}
 		}
 	case Terminate:
-		if s.phase != Ending {
+		if s.phase != ShuttingDown {
 			s.wasDraining = s.phase == Draining
-			s.phase, s.terminatedAt = Ending, now
+			s.phase, s.terminatedAt = ShuttingDown, now
 		}
-	case HeirCame:
-		if s.newProcess == None {
+	case NewProcessConnected:
+		if s.newProcess == NoNewProcess {
 			s.newProcess = Connected
 		}
-	case HeirReady:
+	case NewProcessReady:
 		if s.newProcess != TookOver {
 			s.newProcess, s.takenOverAt = TookOver, now
 		}
-	case HeirLost:
-		s.newProcess = None
-	case ElderFound:
+	case NewProcessLost:
+		s.newProcess = NoNewProcess
+	case OldProcessFound:
 		s.oldProcess = true
-	case ElderGone:
+	case OldProcessExited:
 		s.oldProcess = false
 	default:
 		return fmt.Errorf("service: unknown event %d", e)
@@ -193,13 +193,13 @@
 func (s *State) View(now time.Duration) View {
 	// A process accepts clients before it is ready, and they wait for it, unless the old process still serves
 	// them.
-	v := View{Phase: s.phase, Heir: s.newProcess, Yes: s.phase == Serving, Accept: s.ready || !s.oldProcess, Shared: s.newProcess != None || s.oldProcess}
+	v := View{Phase: s.phase, NewProcess: s.newProcess, Ready: s.phase == Serving, Accept: s.ready || !s.oldProcess, LimitsShared: s.newProcess != NoNewProcess || s.oldProcess}
 	next := func(at time.Duration) bool { // reports whether the time has passed, and records it as a coming change otherwise
 		if now >= at {
 			return true
 		}
-		if v.Next == 0 || at < v.Next {
-			v.Next = at
+		if v.NextChange == 0 || at < v.NextChange {
+			v.NextChange = at
 		}
 		return false
 	}
@@ -207,23 +207,23 @@
 	case Draining:
 		// Until the load balancer has noticed the drain, clients whose connections are closed would reconnect
 		// here.
-		v.Shed = next(s.drainStart + s.times.FrontAway)
-	case Ending:
+		v.CloseConnections = next(s.drainStart + s.times.LoadBalancerDelay)
+	case ShuttingDown:
 		// Without a new process, no other one replaces this gateway so soon. Clients are served as before on
 		// their existing connections, and readiness probes are answered as before.
-		v.Yes = s.ready && !s.wasDraining
-		v.Last = s.terminatedAt + s.times.LastAnswer
-		shed := next(s.terminatedAt + s.times.Shed)
-		v.Shed = shed || s.wasDraining && next(s.drainStart+s.times.FrontAway)
+		v.Ready = s.ready && !s.wasDraining
+		v.AnswersDue = s.terminatedAt + s.times.AnswersDue
+		shed := next(s.terminatedAt + s.times.CloseConnections)
+		v.CloseConnections = shed || s.wasDraining && next(s.drainStart+s.times.LoadBalancerDelay)
 		v.Accept = !shed || !next(s.terminatedAt+s.times.Accept)
-		v.Idle = !v.Accept
-		v.Over = next(s.terminatedAt + s.times.End)
+		v.ExitWhenIdle = !v.Accept
+		v.ExitNow = next(s.terminatedAt + s.times.Exit)
 	}
 	if s.newProcess == TookOver {
-		v.Accept, v.Shed, v.Pass = false, true, true
-		v.Idle = s.phase == Ending
-		if s.phase != Ending && next(s.takenOverAt+s.times.Linger) {
-			v.Idle = true
+		v.Accept, v.CloseConnections, v.HandOver = false, true, true
+		v.ExitWhenIdle = s.phase == ShuttingDown
+		if s.phase != ShuttingDown && next(s.takenOverAt+s.times.Linger) {
+			v.ExitWhenIdle = true
 		}
 	}
 	return v
--- a/internal/control/service/service_test.go
+++ b/internal/control/service/service_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-var times = Times{FrontAway: 350 * ms, Accept: 450 * ms, Shed: 2950 * ms, LastAnswer: 3550 * ms, End: 3620 * ms, Linger: 10 * time.Second}
+var times = Times{LoadBalancerDelay: 350 * ms, Accept: 450 * ms, CloseConnections: 2950 * ms, AnswersDue: 3550 * ms, Exit: 3620 * ms, Linger: 10 * time.Second}
 
 type step struct {
 	at      time.Duration
@@ -26,47 +26,47 @@
 		want  View
 	}{
 		"starting": {nil, on, View{Accept: true}},
-		"serving":  {[]step{{0, Ready, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
+		"serving":  {[]step{{0, Ready, false}}, on, View{Phase: Serving, Ready: true, Accept: true}},
 		"drained before ready": {[]step{{0, Drain, false}, {1 * ms, Ready, false}}, 100 * ms,
-			View{Phase: Draining, Accept: true, Next: 350 * ms}},
+			View{Phase: Draining, Accept: true, NextChange: 350 * ms}},
 		"drain fails readiness at once and keeps connections until the load balancer notices": {[]step{{0, Ready, false}, {on, Drain, false}},
-			on, View{Phase: Draining, Accept: true, Next: on + 350*ms}},
+			on, View{Phase: Draining, Accept: true, NextChange: on + 350*ms}},
 		"drain closes connections after that": {[]step{{0, Ready, false}, {on, Drain, false}}, on + 350*ms,
-			View{Phase: Draining, Accept: true, Shed: true}},
+			View{Phase: Draining, Accept: true, CloseConnections: true}},
 		"second drain does not restart the time": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 300*ms, Drain, false}}, on + 350*ms,
-			View{Phase: Draining, Accept: true, Shed: true}},
+			View{Phase: Draining, Accept: true, CloseConnections: true}},
 		"resume during a drain": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 100*ms, Resume, false}}, on + 350*ms,
-			View{Phase: Serving, Yes: true, Accept: true}},
-		"resume without a drain":         {[]step{{0, Ready, false}, {on, Resume, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
+			View{Phase: Serving, Ready: true, Accept: true}},
+		"resume without a drain":         {[]step{{0, Ready, false}, {on, Resume, false}}, on, View{Phase: Serving, Ready: true, Accept: true}},
 		"drain and resume before ready":  {[]step{{0, Drain, false}, {1 * ms, Resume, false}}, on, View{Accept: true}},
 		"resume before ready":            {[]step{{0, Resume, false}}, on, View{Accept: true}},
-		"starting beside an old process": {[]step{{0, ElderFound, false}}, on, View{Shared: true}},
-		"ready beside an old process":    {[]step{{0, ElderFound, false}, {0, Ready, false}}, on, View{Phase: Serving, Yes: true, Accept: true, Shared: true}},
-		"old process exits after ready":  {[]step{{0, ElderFound, false}, {0, Ready, false}, {0, ElderGone, false}}, on, View{Phase: Serving, Yes: true, Accept: true}},
-		"old process exits before ready": {[]step{{0, ElderFound, false}, {0, ElderGone, false}}, on, View{Accept: true}},
-		"SIGTERM before ready":           {[]step{{on, Terminate, false}}, on, View{Phase: Ending, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
+		"starting beside an old process": {[]step{{0, OldProcessFound, false}}, on, View{LimitsShared: true}},
+		"ready beside an old process":    {[]step{{0, OldProcessFound, false}, {0, Ready, false}}, on, View{Phase: Serving, Ready: true, Accept: true, LimitsShared: true}},
+		"old process exits after ready":  {[]step{{0, OldProcessFound, false}, {0, Ready, false}, {0, OldProcessExited, false}}, on, View{Phase: Serving, Ready: true, Accept: true}},
+		"old process exits before ready": {[]step{{0, OldProcessFound, false}, {0, OldProcessExited, false}}, on, View{Accept: true}},
+		"SIGTERM before ready":           {[]step{{on, Terminate, false}}, on, View{Phase: ShuttingDown, Accept: true, AnswersDue: on + 3550*ms, NextChange: on + 2950*ms}},
 		"resume after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Resume, true}}, on + ms,
-			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
+			View{Phase: ShuttingDown, Ready: true, Accept: true, AnswersDue: on + 3550*ms, NextChange: on + 2950*ms}},
 		"serving after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 2949*ms,
-			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
+			View{Phase: ShuttingDown, Ready: true, Accept: true, AnswersDue: on + 3550*ms, NextChange: on + 2950*ms}},
 		"closing connections after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 2950*ms,
-			View{Phase: Ending, Yes: true, Shed: true, Idle: true, Last: on + 3550*ms, Next: on + 3620*ms}},
+			View{Phase: ShuttingDown, Ready: true, CloseConnections: true, ExitWhenIdle: true, AnswersDue: on + 3550*ms, NextChange: on + 3620*ms}},
 		"exit after SIGTERM": {[]step{{0, Ready, false}, {on, Terminate, false}}, on + 3620*ms,
-			View{Phase: Ending, Yes: true, Shed: true, Idle: true, Over: true, Last: on + 3550*ms}},
+			View{Phase: ShuttingDown, Ready: true, CloseConnections: true, ExitWhenIdle: true, ExitNow: true, AnswersDue: on + 3550*ms}},
 		"SIGTERM during a drain": {[]step{{0, Ready, false}, {on, Drain, false}, {on + 400*ms, Terminate, false}}, on + 400*ms,
-			View{Phase: Ending, Accept: true, Shed: true, Last: on + 3950*ms, Next: on + 3350*ms}},
+			View{Phase: ShuttingDown, Accept: true, CloseConnections: true, AnswersDue: on + 3950*ms, NextChange: on + 3350*ms}},
 		"drain after SIGTERM has no effect": {[]step{{0, Ready, false}, {on, Terminate, false}, {on + ms, Drain, false}}, on + ms,
-			View{Phase: Ending, Yes: true, Accept: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"new process shares the limits": {[]step{{0, Ready, false}, {on, HeirCame, false}}, on,
-			View{Phase: Serving, Heir: Connected, Yes: true, Accept: true, Shared: true}},
-		"ready new process takes over the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}}, on,
-			View{Phase: Serving, Heir: TookOver, Yes: true, Shed: true, Pass: true, Shared: true, Next: on + 10*time.Second}},
-		"lost new process returns the clients": {[]step{{0, Ready, false}, {on, HeirCame, false}, {on, HeirReady, false}, {on + ms, HeirLost, false}},
-			on + ms, View{Phase: Serving, Yes: true, Accept: true}},
-		"SIGTERM with a new process exits once all requests are answered": {[]step{{0, Ready, false}, {0, HeirReady, false}, {on, Terminate, false}}, on,
-			View{Phase: Ending, Heir: TookOver, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true, Last: on + 3550*ms, Next: on + 2950*ms}},
-		"no SIGTERM after the takeover": {[]step{{0, Ready, false}, {0, HeirReady, false}}, 10 * time.Second,
-			View{Phase: Serving, Heir: TookOver, Yes: true, Shed: true, Pass: true, Shared: true, Idle: true}},
+			View{Phase: ShuttingDown, Ready: true, Accept: true, AnswersDue: on + 3550*ms, NextChange: on + 2950*ms}},
+		"new process shares the limits": {[]step{{0, Ready, false}, {on, NewProcessConnected, false}}, on,
+			View{Phase: Serving, NewProcess: Connected, Ready: true, Accept: true, LimitsShared: true}},
+		"ready new process takes over the clients": {[]step{{0, Ready, false}, {on, NewProcessConnected, false}, {on, NewProcessReady, false}}, on,
+			View{Phase: Serving, NewProcess: TookOver, Ready: true, CloseConnections: true, HandOver: true, LimitsShared: true, NextChange: on + 10*time.Second}},
+		"lost new process returns the clients": {[]step{{0, Ready, false}, {on, NewProcessConnected, false}, {on, NewProcessReady, false}, {on + ms, NewProcessLost, false}},
+			on + ms, View{Phase: Serving, Ready: true, Accept: true}},
+		"SIGTERM with a new process exits once all requests are answered": {[]step{{0, Ready, false}, {0, NewProcessReady, false}, {on, Terminate, false}}, on,
+			View{Phase: ShuttingDown, NewProcess: TookOver, Ready: true, CloseConnections: true, HandOver: true, LimitsShared: true, ExitWhenIdle: true, AnswersDue: on + 3550*ms, NextChange: on + 2950*ms}},
+		"no SIGTERM after the takeover": {[]step{{0, Ready, false}, {0, NewProcessReady, false}}, 10 * time.Second,
+			View{Phase: Serving, NewProcess: TookOver, Ready: true, CloseConnections: true, HandOver: true, LimitsShared: true, ExitWhenIdle: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New(times)
@@ -84,14 +84,14 @@
 
 // Clients keep connecting for a while after SIGTERM, however short the deadlines are.
 func TestAcceptAfterTerminate(t *testing.T) {
-	s := New(Times{FrontAway: 350 * ms, Shed: 250 * ms, Accept: 450 * ms, LastAnswer: 850 * ms, End: 920 * ms, Linger: 10 * time.Second})
+	s := New(Times{LoadBalancerDelay: 350 * ms, CloseConnections: 250 * ms, Accept: 450 * ms, AnswersDue: 850 * ms, Exit: 920 * ms, Linger: 10 * time.Second})
 	_ = s.Handle(0, Ready)
 	_ = s.Handle(0, Terminate)
 	for _, c := range []struct {
 		at, next     time.Duration
 		accept, idle bool
 	}{{249 * ms, 250 * ms, true, false}, {250 * ms, 450 * ms, true, false}, {449 * ms, 450 * ms, true, false}, {450 * ms, 920 * ms, false, true}} {
-		if v := s.View(c.at); v.Accept != c.accept || v.Idle != c.idle || v.Next != c.next {
+		if v := s.View(c.at); v.Accept != c.accept || v.ExitWhenIdle != c.idle || v.NextChange != c.next {
 			t.Errorf("at %s: %+v", c.at, v)
 		}
 	}
@@ -100,7 +100,7 @@
 // SIGKILL may come by the old or by the new settings until the new ones are binding.
 func TestShutdownUsesEarlierTimes(t *testing.T) {
 	at := func(last time.Duration) Times {
-		return Times{Shed: last - 600*ms, LastAnswer: last, End: last + 70*ms, Accept: 450 * ms, Linger: 10 * time.Second}
+		return Times{CloseConnections: last - 600*ms, AnswersDue: last, Exit: last + 70*ms, Accept: 450 * ms, Linger: 10 * time.Second}
 	}
 	type retime struct{ now, last time.Duration }
 	const binds, old, longer, shorter = 1200 * ms, 2 * time.Second, 3 * time.Second, time.Second
@@ -123,15 +123,15 @@
 		t.Run(name, func(t *testing.T) {
 			s := New(at(old))
 			for _, r := range c.before {
-				s.Retime(r.now, at(r.last), r.now+binds)
+				s.SetTimes(r.now, at(r.last), r.now+binds)
 			}
 			_ = s.Handle(c.terminate, Terminate)
 			for _, r := range c.after {
-				s.Retime(r.now, at(r.last), r.now+binds)
+				s.SetTimes(r.now, at(r.last), r.now+binds)
 			}
 			_ = s.Handle(2*binds, Resume) // must have no effect at any time
-			if v := s.View(c.terminate + ms); v.Last != c.terminate+c.want {
-				t.Errorf("the last answer is due %s after SIGTERM, want %s", v.Last-c.terminate, c.want)
+			if v := s.View(c.terminate + ms); v.AnswersDue != c.terminate+c.want {
+				t.Errorf("the last answer is due %s after SIGTERM, want %s", v.AnswersDue-c.terminate, c.want)
 			}
 		})
 	}
@@ -151,25 +151,25 @@
 			if v.Phase == Draining && before.Phase != Draining {
 				drainedAt = now
 			}
-			if v.Phase == Ending && before.Phase != Ending {
+			if v.Phase == ShuttingDown && before.Phase != ShuttingDown {
 				endAt = now
 			}
 			switch {
-			case before.Phase == Ending && v.Phase != Ending:
+			case before.Phase == ShuttingDown && v.Phase != ShuttingDown:
 				t.Fatal("a shutdown was undone")
-			case v.Phase == Draining && v.Yes:
+			case v.Phase == Draining && v.Ready:
 				t.Fatal("ready while draining")
-			case v.Phase == Draining && now >= drainedAt+times.FrontAway && !v.Shed:
+			case v.Phase == Draining && now >= drainedAt+times.LoadBalancerDelay && !v.CloseConnections:
 				t.Fatal("a drain does not close connections")
-			case v.Phase == Ending && now >= endAt+times.End && !v.Over:
+			case v.Phase == ShuttingDown && now >= endAt+times.Exit && !v.ExitNow:
 				t.Fatal("the process does not exit in time")
-			case v.Phase != Ending && v.Over:
+			case v.Phase != ShuttingDown && v.ExitNow:
 				t.Fatal("the process exits without SIGTERM")
-			case v.Next != 0 && v.Next <= now:
+			case v.NextChange != 0 && v.NextChange <= now:
 				t.Fatal("the next change is not in the future")
-			case v.Next != 0 && cmp.Equal(before, v) && cmp.Equal(v, s.View(v.Next)):
+			case v.NextChange != 0 && cmp.Equal(before, v) && cmp.Equal(v, s.View(v.NextChange)):
 				t.Fatal("the view does not change at the time that it gives")
-			case v.Pass && v.Accept:
+			case v.HandOver && v.Accept:
 				t.Fatal("two processes accept connections")
 			}
 		}
--- a/internal/control/waits/waits.go
+++ b/internal/control/waits/waits.go
@@ -35,8 +35,8 @@
 	maxRetries, maxExpectedRetries = 3, 512
 )
 
-// Waits holds the waits that one gateway has observed. It is not safe for concurrent use.
-type Waits struct{ classes map[string]*histogram }
+// Estimator holds the waits that one gateway has observed. It is not safe for concurrent use.
+type Estimator struct{ classes map[string]*histogram }
 
 // histogram counts attempts of one class by wait.
 type histogram struct {
@@ -47,12 +47,12 @@
 }
 
 // New returns an estimator without observations.
-func New() *Waits { return &Waits{classes: map[string]*histogram{}} }
+func New() *Estimator { return &Estimator{classes: map[string]*histogram{}} }
 
-// Try records an attempt of a class, whose client waits for the given time, and returns how long the client
+// Observe records an attempt of a class, whose client waits for the given time, and returns how long the client
 // has already spent on earlier attempts. It returns 0 for a first attempt and where the time cannot be
 // derived. deadline is that of the class.
-func (w *Waits) Try(class string, deadline, wait time.Duration) time.Duration {
+func (w *Estimator) Observe(class string, deadline, wait time.Duration) time.Duration {
 	if wait <= 0 || deadline <= 0 {
 		return 0
 	}
@@ -78,7 +78,7 @@
 // Unserved records that an attempt of a class has ended without being served: refused, failed, or canceled by
 // the client. It must not be called for an attempt that was classified as a client retry, since the retries
 // of that client are already counted.
-func (w *Waits) Unserved(class string) {
+func (w *Estimator) Unserved(class string) {
 	if h := w.classes[class]; h != nil {
 		h.expectedRetries = min(h.expectedRetries+maxRetries, maxExpectedRetries)
 	}
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -11,14 +11,14 @@
 
 // simulate simulates n clients of a program whose first attempts wait for the time first. If again returns a
 // time above 0 for a client, the client retries after it with the rest of the deadline.
-func simulate(w *Waits, n int, first time.Duration, retryAfter func(i int) time.Duration) (estimates []time.Duration) {
+func simulate(w *Estimator, n int, first time.Duration, retryAfter func(i int) time.Duration) (estimates []time.Duration) {
 	for i := range n {
-		if w.Try("view", 750*ms, first) != 0 {
+		if w.Observe("view", 750*ms, first) != 0 {
 			estimates = append(estimates, -1) // a first attempt that is classified as a retry
 		}
 		w.Unserved("view")
 		if after := retryAfter(i); after > 0 {
-			estimates = append(estimates, w.Try("view", 750*ms, min(first, 750*ms-after)))
+			estimates = append(estimates, w.Observe("view", 750*ms, min(first, 750*ms-after)))
 		}
 	}
 	return estimates
@@ -32,7 +32,7 @@
 			t.Fatalf("client %d: %v, want %v", i, got, want)
 		}
 	}
-	if got := w.Try("view", 750*ms, 450*ms); got != 0 {
+	if got := w.Observe("view", 750*ms, 450*ms); got != 0 {
 		t.Errorf("an attempt that may be the first is classified as a retry after %v", got)
 	}
 }
@@ -41,12 +41,12 @@
 	w := New()
 	w.Unserved("view")
 	for _, wait := range []time.Duration{450 * ms, 200 * ms, 0, -ms, 450 * ms} {
-		if got := w.Try("view", 750*ms, wait); got != 0 {
+		if got := w.Observe("view", 750*ms, wait); got != 0 {
 			t.Errorf("wait %v: %v", wait, got)
 		}
 		w.Unserved("view")
 	}
-	if got := w.Try("order", 0, ms); got != 0 {
+	if got := w.Observe("order", 0, ms); got != 0 {
 		t.Errorf("a class without a deadline: %v", got)
 	}
 }
@@ -56,7 +56,7 @@
 	w := New()
 	for range 200 {
 		for _, wait := range []time.Duration{700 * ms, 700 * ms, 320 * ms} {
-			if got := w.Try("view", 750*ms, wait); got != 0 {
+			if got := w.Observe("view", 750*ms, wait); got != 0 {
 				t.Fatalf("wait %v: %v", wait, got)
 			}
 			w.Unserved("view")
@@ -73,7 +73,7 @@
 		if i%20 == 0 {
 			wait = 320 * ms
 		}
-		if got := w.Try("view", 750*ms, wait); got != 0 {
+		if got := w.Observe("view", 750*ms, wait); got != 0 {
 			t.Fatalf("attempt %d: %v", i, got)
 		}
 	}
@@ -86,7 +86,7 @@
 		w, allowed, retries := New(), 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "tries") {
 			wait := time.Duration(rapid.IntRange(-10, 900).Draw(t, "wait")) * ms
-			got := w.Try("view", 750*ms, wait)
+			got := w.Observe("view", 750*ms, wait)
 			switch {
 			case got != 0 && got != 750*ms-wait:
 				t.Fatalf("wait %v: %v", wait, got)
@@ -121,6 +121,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		w.Unserved("view")
-		w.Try("view", 750*ms, time.Duration(100+i%340)*ms)
+		w.Observe("view", 750*ms, time.Duration(100+i%340)*ms)
 	}
 }
--- a/internal/disk/handover/handover.go
+++ b/internal/disk/handover/handover.go
@@ -36,23 +36,23 @@
 
 // Host is what was known of one.
 type Host struct {
-	Server, Address string
-	Group           int
-	State           balance.State
-	Listed          bool // as the primary
-	Weight          float64
-	Started         time.Duration // told or seen, whichever is later; 0: long ago
-	Leads           time.Duration // the newest word that it is the primary was made no earlier; 0: none
-	Follows         time.Duration // the newest word that it is none was made no later; 0: none
-	Position        time.Duration // of its log; 0: not known
-	Alive           bool          // not set aside
-	NotifiedFor     time.Duration // since the gateway was notified that it drains, at the time of the handover; 0: it does not
-	ToldBy          string        // agent of discovery that told so last; "": not known
-	ToldIn          int64         // the revision of its list
+	Server, Address  string
+	Group            int
+	State            balance.State
+	Listed           bool // as the primary
+	Weight           float64
+	Started          time.Duration // told or seen, whichever is later; 0: long ago
+	PrimaryNotBefore time.Duration // the newest word that it is the primary was made no earlier; 0: none
+	ReplicaNotAfter  time.Duration // the newest word that it is none was made no later; 0: none
+	Position         time.Duration // of its log; 0: not known
+	Alive            bool          // not set aside
+	NotifiedFor      time.Duration // since the gateway was notified that it drains, at the time of the handover; 0: it does not
+	NotifiedBy       string        // agent of discovery that told so last; "": not known
+	NotifiedRevision int64         // the revision of its list
 }
 
-// Knowledge is all that is handed over.
-type Knowledge struct {
+// State is all that is handed over.
+type State struct {
 	At       time.Duration // when it was put together; decoded, the earliest that this may have been
 	Revision int64         // of the list; below 0: none
 	Agent    string        // of discovery, that told the list; "": not known
@@ -63,7 +63,7 @@
 	Hosts                     []Host
 
 	ClockKnown bool                // Ahead is
-	Ahead      fleetclock.Interval // what the fleet's clock shows more than that of At
+	Offset     fleetclock.Interval // what the fleet's clock shows more than that of At
 }
 
 // The JSON names, in one place for both directions.
@@ -109,14 +109,14 @@
 func of(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Encode gives the handover.
-func Encode(k Knowledge) ([]byte, error) {
+func Encode(k State) ([]byte, error) {
 	at := down(k.At)
 	back := k.At - of(at) // by this much the clock is set back
 	b := body{At: at, Revision: k.Revision, Agent: k.Agent, Discovery: k.Discovery, First: k.FirstDiscovery, Newest: up(k.Newest), Hosts: make([]host, 0, len(k.Hosts)),
-		Clock: k.ClockKnown, Ahead: down(k.Ahead.Least + back), Most: up(k.Ahead.Most + back)}
+		Clock: k.ClockKnown, Ahead: down(k.Offset.Min + back), Most: up(k.Offset.Max + back)}
 	for _, h := range k.Hosts {
 		b.Hosts = append(b.Hosts, host{h.Server, h.Address, h.Group, int(h.State), h.Listed, h.Weight, up(moved(h.Started, -back)),
-			down(moved(h.Leads, -back)), up(moved(h.Follows, -back)), down(h.Position), h.Alive, up(h.NotifiedFor), h.ToldBy, h.ToldIn})
+			down(moved(h.PrimaryNotBefore, -back)), up(moved(h.ReplicaNotAfter, -back)), down(h.Position), h.Alive, up(h.NotifiedFor), h.NotifiedBy, h.NotifiedRevision})
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
@@ -159,48 +159,48 @@
 // put together after it was asked for and before it came, which gives two ends for how the clocks differ. Each time is converted by the end
 // that is safe for it: words that a host leads are never later than they were, words that it does not and starts never earlier, and the
 // fleet's clock lies inside the interval.
-func Decode(asked, now time.Duration, b []byte) (Knowledge, error) {
+func Decode(asked, now time.Duration, b []byte) (State, error) {
 	switch {
 	case now-asked > oldest:
-		return Knowledge{}, fmt.Errorf("%w: it took %s", ErrOld, now-asked)
+		return State{}, fmt.Errorf("%w: it took %s", ErrOld, now-asked)
 	case len(b) < headSize || len(b) > MaxBytes || string(b[:4]) != magic:
-		return Knowledge{}, fmt.Errorf("%w: %d bytes", ErrTorn, len(b))
+		return State{}, fmt.Errorf("%w: %d bytes", ErrTorn, len(b))
 	case headVersion(b) != version && headVersion(b) != dated && headVersion(b) != earlier:
-		return Knowledge{}, fmt.Errorf("%w: %d, this program's is %d", ErrVersion, headVersion(b), version)
+		return State{}, fmt.Errorf("%w: %d, this program's is %d", ErrVersion, headVersion(b), version)
 	}
 	text := b[headSize:]
 	if string(head(headVersion(b), text)) != string(b[:headSize]) || !gjson.ValidBytes(text) {
-		return Knowledge{}, fmt.Errorf("%w: length or checksum", ErrTorn)
+		return State{}, fmt.Errorf("%w: length or checksum", ErrTorn)
 	}
 	root := gjson.ParseBytes(text)
-	k := Knowledge{At: of(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
+	k := State{At: of(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
 		FirstDiscovery: root.Get("first_discovery").Str, Newest: of(root.Get("newest").Int())}
 	k.ClockKnown = root.Get("clock").Bool() && headVersion(b) == version // an earlier one took a clock for right that was nearly so
-	k.Ahead = fleetclock.Interval{Least: of(root.Get("ahead_least").Int()), Most: of(root.Get("ahead_most").Int())}
+	k.Offset = fleetclock.Interval{Min: of(root.Get("ahead_least").Int()), Max: of(root.Get("ahead_most").Int())}
 	if headVersion(b) != version && k.Newest > 0 {
 		k.Newest = Later
 	}
 	least, most := asked-k.At, now-k.At // what this process's clock shows more
-	k.At, k.Ahead = asked, fleetclock.Interval{Least: k.Ahead.Least - most, Most: k.Ahead.Most - least}
+	k.At, k.Offset = asked, fleetclock.Interval{Min: k.Offset.Min - most, Max: k.Offset.Max - least}
 	for i, e := range root.Get("hosts").Array() {
 		h := Host{Server: e.Get("id").Str, Address: e.Get("address").Str, Group: int(e.Get("group").Int()),
 			State: balance.State(e.Get("state").Int()), Listed: e.Get("listed").Bool(), Weight: e.Get("weight").Num,
-			Started: of(e.Get("started").Int()), Leads: of(e.Get("leads").Int()), Follows: of(e.Get("follows").Int()),
+			Started: of(e.Get("started").Int()), PrimaryNotBefore: of(e.Get("leads").Int()), ReplicaNotAfter: of(e.Get("follows").Int()),
 			Position: of(e.Get("position").Int()), Alive: e.Get("alive").Bool(),
-			NotifiedFor: of(e.Get("notified_for").Int()), ToldBy: e.Get("told_by").Str,
-			ToldIn: e.Get("told_in").Int()}
+			NotifiedFor: of(e.Get("notified_for").Int()), NotifiedBy: e.Get("told_by").Str,
+			NotifiedRevision: e.Get("told_in").Int()}
 		if headVersion(b) != version {
-			h.Position, h.Leads = 0, 0 // by a clock that may have been off
+			h.Position, h.PrimaryNotBefore = 0, 0 // by a clock that may have been off
 			if headVersion(b) == earlier && balance.Role(e.Get("role").Int()) == balance.Replica {
-				h.Follows = of(e.Get("role_at").Int()) // never earlier than the answer
+				h.ReplicaNotAfter = of(e.Get("role_at").Int()) // never earlier than the answer
 			}
 		}
-		h.Leads, h.Started, h.Follows = moved(h.Leads, least), moved(h.Started, most), moved(h.Follows, most)
+		h.PrimaryNotBefore, h.Started, h.ReplicaNotAfter = moved(h.PrimaryNotBefore, least), moved(h.Started, most), moved(h.ReplicaNotAfter, most)
 		// What lies ahead would pass stale data as fresh for good.
-		if h.Server == "" || h.State < balance.Active || h.State > balance.Left || h.Leads > now ||
-			k.ClockKnown && h.Position > now+k.Ahead.Most+time.Millisecond ||
-			h.Position < 0 || h.Leads < 0 || h.Follows < 0 || h.Started < 0 || h.NotifiedFor < 0 {
-			return Knowledge{}, fmt.Errorf("%w: hosts.%d", ErrHost, i)
+		if h.Server == "" || h.State < balance.Active || h.State > balance.Removed || h.PrimaryNotBefore > now ||
+			k.ClockKnown && h.Position > now+k.Offset.Max+time.Millisecond ||
+			h.Position < 0 || h.PrimaryNotBefore < 0 || h.ReplicaNotAfter < 0 || h.Started < 0 || h.NotifiedFor < 0 {
+			return State{}, fmt.Errorf("%w: hosts.%d", ErrHost, i)
 		}
 		k.Hosts = append(k.Hosts, h)
 	}
--- a/internal/disk/handover/handover_test.go
+++ b/internal/disk/handover/handover_test.go
@@ -13,13 +13,13 @@
 
 const now = 1_767_225_600 * time.Second
 
-func known() Knowledge {
+func known() State {
 	ms := time.Millisecond
-	return Knowledge{At: now - 3*ms, Revision: 41, Agent: "a", Discovery: "c", FirstDiscovery: "d", Newest: now - 200*ms, Hosts: []Host{
-		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, Leads: now - 5*ms, Follows: now - time.Minute,
+	return State{At: now - 3*ms, Revision: 41, Agent: "a", Discovery: "c", FirstDiscovery: "d", Newest: now - 200*ms, Hosts: []Host{
+		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, PrimaryNotBefore: now - 5*ms, ReplicaNotAfter: now - time.Minute,
 			Position: now - 9*ms, Alive: true},
-		{Server: "s-2", Address: "127.0.0.8:5432", State: balance.Draining, Weight: 0.5, Started: now - time.Second, Follows: now - ms,
-			NotifiedFor: 300 * ms, ToldBy: "b", ToldIn: 40}}, ClockKnown: true, Ahead: fleetclock.Interval{Least: -30 * ms, Most: 2 * time.Second}}
+		{Server: "s-2", Address: "127.0.0.8:5432", State: balance.Draining, Weight: 0.5, Started: now - time.Second, ReplicaNotAfter: now - ms,
+			NotifiedFor: 300 * ms, NotifiedBy: "b", NotifiedRevision: 40}}, ClockKnown: true, Offset: fleetclock.Interval{Min: -30 * ms, Max: 2 * time.Second}}
 }
 
 func TestThereAndBack(t *testing.T) {
@@ -46,12 +46,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Ahead.Least > told.Ahead.Least || got.Ahead.Most < told.Ahead.Most {
-		t.Errorf("the fleet's clock is ahead by %v, was %v", got.Ahead, told.Ahead)
+	if got.Offset.Min > told.Offset.Min || got.Offset.Max < told.Offset.Max {
+		t.Errorf("the fleet's clock is ahead by %v, was %v", got.Offset, told.Offset)
 	}
 	for i, h := range got.Hosts {
 		was := told.Hosts[i]
-		if h.Leads > was.Leads || h.Follows < was.Follows || h.Started < was.Started || h.Position > was.Position {
+		if h.PrimaryNotBefore > was.PrimaryNotBefore || h.ReplicaNotAfter < was.ReplicaNotAfter || h.Started < was.Started || h.Position > was.Position {
 			t.Errorf("%+v, was %+v", h, was)
 		}
 	}
@@ -102,10 +102,10 @@
 		}
 		want := known()
 		least, most := asked-want.At, came-want.At
-		want.At, want.Ahead = asked, fleetclock.Interval{Least: want.Ahead.Least - most, Most: want.Ahead.Most - least}
-		want.Hosts[0].Leads += least
-		want.Hosts[0].Follows += most
-		want.Hosts[1].Follows += most
+		want.At, want.Offset = asked, fleetclock.Interval{Min: want.Offset.Min - most, Max: want.Offset.Max - least}
+		want.Hosts[0].PrimaryNotBefore += least
+		want.Hosts[0].ReplicaNotAfter += most
+		want.Hosts[1].ReplicaNotAfter += most
 		want.Hosts[1].Started += most
 		if d := cmp.Diff(want, got); d != "" {
 			t.Errorf("%s: %s", step, d)
@@ -124,13 +124,13 @@
 	b, _ := Encode(known())
 	two, err2 := Decode(at, at, append(head(dated, b[headSize:]), b[headSize:]...))
 	want2 := known()
-	want2.ClockKnown, want2.Newest, want2.Hosts[0].Position, want2.Hosts[0].Leads = false, Later, 0, 0
+	want2.ClockKnown, want2.Newest, want2.Hosts[0].Position, want2.Hosts[0].PrimaryNotBefore = false, Later, 0, 0
 	if d := cmp.Diff(want2, two); d != "" || err2 != nil {
 		t.Error(err2, d)
 	}
-	want := Knowledge{At: now - 3*time.Millisecond, Revision: 41, Hosts: []Host{
+	want := State{At: now - 3*time.Millisecond, Revision: 41, Hosts: []Host{
 		{Server: "s-1", Address: "127.0.0.9:5432", Group: 3, Listed: true, Weight: 1, Alive: true},
-		{Server: "s-2", Address: "127.0.0.8:5432", Group: 3, Listed: true, Weight: 1, Follows: now - 10*time.Millisecond, Alive: true}}}
+		{Server: "s-2", Address: "127.0.0.8:5432", Group: 3, Listed: true, Weight: 1, ReplicaNotAfter: now - 10*time.Millisecond, Alive: true}}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
 		t.Error(err, d)
 	}
@@ -142,13 +142,13 @@
 	for _, step := range []time.Duration{-900 * ms, -400 * ms, -100 * ms, 100 * ms, 400 * ms, 900 * ms, 3 * time.Second} {
 		for _, survey := range []time.Duration{0, 800 * ms} { // after it was asked for
 			asked, elder := now, now+survey-step // one moment, by the two clocks
-			k := Knowledge{At: elder, ClockKnown: true, Ahead: fleetclock.Interval{Least: step - ms, Most: step + ms}}
+			k := State{At: elder, ClockKnown: true, Offset: fleetclock.Interval{Min: step - ms, Max: step + ms}}
 			b, _ := Encode(k)
 			got, err := Decode(asked, asked+survey+ms, b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if i := got.Ahead; got.ClockKnown && (i.Least > 0 || i.Most < 0) {
+			if i := got.Offset; got.ClockKnown && (i.Min > 0 || i.Max < 0) {
 				t.Errorf("a step of %s, surveyed after %s: the fleet's clock shows as much as the new one, handed over is %+v", step, survey, i)
 			}
 		}
--- a/internal/disk/handover/small_step_test.go
+++ b/internal/disk/handover/small_step_test.go
@@ -10,7 +10,7 @@
 	for _, step := range []time.Duration{-900 * time.Millisecond, -300 * time.Millisecond, -60 * time.Millisecond} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			told := known()
-			told.Hosts[0].Position, told.Hosts[0].Leads = told.At+told.Ahead.Most-2*time.Second, told.At-2*time.Second
+			told.Hosts[0].Position, told.Hosts[0].PrimaryNotBefore = told.At+told.Offset.Max-2*time.Second, told.At-2*time.Second
 			b, err := Encode(told)
 			if err != nil {
 				t.Fatal(err)
@@ -20,14 +20,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if age := asked + got.Ahead.Most - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
+			if age := asked + got.Offset.Max - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
 				t.Errorf("a position 2 s old is %s old to the new process", age)
 			}
-			if ago := asked - got.Hosts[0].Leads; ago < 2*time.Second-time.Millisecond {
+			if ago := asked - got.Hosts[0].PrimaryNotBefore; ago < 2*time.Second-time.Millisecond {
 				t.Errorf("a leader's word made 2 s ago is %s old to the new process", ago)
 			}
-			if want := told.Ahead.Most - step; got.Ahead.Most < want {
-				t.Errorf("the fleet's clock is ahead by %s at most, want no less than %s", got.Ahead.Most, want)
+			if want := told.Offset.Max - step; got.Offset.Max < want {
+				t.Errorf("the fleet's clock is ahead by %s at most, want no less than %s", got.Offset.Max, want)
 			}
 		})
 	}
--- a/internal/lifecycle/lease.go
+++ b/internal/lifecycle/lease.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		ncfg.Storage, ncfg.Restart, ncfg.Keep = st, !fresh, disk.Save
+		ncfg.Storage, ncfg.Restart, ncfg.Persist = st, !fresh, disk.Save
 	}
 	node, err := consensus.New(ncfg)
 	if err != nil {
--- a/internal/lifecycle/pools.go
+++ b/internal/lifecycle/pools.go
@@ -32,13 +32,13 @@
 	}
 	made := make([]*frontend.Pool, len(list))
 	for i, p := range list {
-		for _, name := range []string{p.Read, p.Own, p.Write} {
+		for _, name := range []string{p.Read, p.ReadAfterWrite, p.Write} {
 			if n, ok := need[name]; !ok || (n == balance.Write) != (name == p.Write) {
 				return nil, nil, fmt.Errorf("pools.pool: %q: class %q is not one of the platform's that fits", p.Name, name)
 			}
 		}
-		made[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, Own: p.Own, Write: p.Write,
-			Transaction: p.Transaction, Idle: p.Idle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, Most: p.Most, Stats: &frontend.PoolStats{}}
+		made[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, Own: p.ReadAfterWrite, Write: p.Write,
+			Transaction: p.MaxTransaction, Idle: p.MaxIdle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, Most: p.MaxSessions, Stats: &frontend.PoolStats{}}
 	}
 	takes := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	return made, func(user, database string) *frontend.Pool {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -54,7 +54,7 @@
 	r.counts.Reloads.Add(1)
 	r.log.Info("configuration read anew", zap.String("discovery", c.Discovery))
 	r.watcher.Move(c.Discovery)
-	r.x.Retune(c.Settings.Balance)
+	r.x.UpdateSettings(c.Settings.Balance)
 	connect, idle := connections(c.Settings)
 	r.hosts.Retune(connect, idle, c.Settings.Balance.ColdTime)
 	r.front.Retune(retryAdvice(c.Settings.Balance))
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -101,7 +101,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(ctx)
-	g := &gateway{c: c, own: own, log: log, clock: exchange.NewClock().Watched(log, counts), counts: counts, ctx: ctx, group: group}
+	g := &gateway{c: c, own: own, log: log, clock: exchange.NewClock().WithContradictionLog(log, counts), counts: counts, ctx: ctx, group: group}
 	g.begun = g.clock.Now() - time.Since(began)
 	defer g.logCounters()
 	g.duty = newController(g.clock, c.Settings.Balance.Classes, log, counts)
@@ -141,9 +141,9 @@
 		if g.others, err = peers.Listen(config); err != nil {
 			return err
 		}
-		exchanged.Tell = g.others.Tell
+		exchanged.SendGossip = g.others.Tell
 		exchanged.Gossip = gossip.New(gossip.Config{Gateways: settings.Routers, Classes: settings.Classes,
-			Hold: tellHold, PerTake: tellPerTake, Burst: tellBurst})
+			MaxDelay: tellHold, BytesPerRequest: tellPerTake, Burst: tellBurst})
 	}
 	if g.x, err = exchange.New(exchanged); err != nil {
 		return err
@@ -158,7 +158,7 @@
 			return admin.Serve(g.ctx, calls, g.duty, g.log, g.counts)
 		})
 	}
-	limits, prepared, wait := pooling.Limits{Rest: backend.DefaultRest}, 0, time.Duration(0)
+	limits, prepared, wait := pooling.Limits{MinRest: backend.DefaultRest}, 0, time.Duration(0)
 	var pool func(user, database string) *frontend.Pool
 	if g.own != nil {
 		limits, prepared, wait = g.own.Pools.Limits, g.own.Pools.Prepared, g.own.Pools.Wait
@@ -189,7 +189,7 @@
 	}
 	clients = min(int(float64(sockets)*clientPart), g.c.MemoryMB*clientsPerMB)
 	hosts = min(sockets-clients, g.c.MemoryMB*hostsPerMB)
-	if g.duty.view.Load().Shared {
+	if g.duty.view.Load().LimitsShared {
 		hosts = max(1, hosts/2)
 	}
 	return clients, hosts
@@ -198,7 +198,7 @@
 // heap is how many bytes the collector may let pile up.
 func (g *gateway) heap() int64 {
 	n := int64(min(float64(g.c.MemoryMB)*memoryPart, float64(g.c.MemoryMB-programMB)) * (1 << 20))
-	if g.duty.view.Load().Shared {
+	if g.duty.view.Load().LimitsShared {
 		n /= 2
 	}
 	return n
@@ -243,14 +243,14 @@
 		g.watcher.Move(g.c.Discovery)
 	}
 	if len(g.c.Known.Members) > 0 {
-		g.x.Members(exchange.List{Agent: g.c.Discovery, Revision: g.c.Known.Revision, At: g.begun, Whole: true, Hosts: g.c.Known.Members})
+		g.x.Members(exchange.List{Agent: g.c.Discovery, Revision: g.c.Known.Revision, At: g.begun, Snapshot: true, Hosts: g.c.Known.Members})
 	}
 	if inherited {
 		g.x.Inherit(g.upgrade.asked, known)
 	}
 	revision := firstRevision(g.c.Known, inherited)
 	if g.others != nil {
-		g.group.Go(func() error { return g.others.Run(g.ctx, g.x.Heard) })
+		g.group.Go(func() error { return g.others.Run(g.ctx, g.x.ReceiveGossip) })
 	}
 	g.group.Go(func() error { return g.x.Run(g.ctx, g.hosts) })
 	g.group.Go(func() error { return g.watcher.Run(g.ctx, revision) })
@@ -270,7 +270,7 @@
 // before knew may be older than what the file says, or come from another agent, which counts otherwise.
 func firstRevision(file discovery.List, inherited bool) int64 {
 	if inherited || len(file.Members) == 0 {
-		return listwatch.Whole
+		return listwatch.NoRevision
 	}
 	return file.Revision
 }
@@ -293,18 +293,18 @@
 
 // apply does what the state of the process asks for.
 func (g *gateway) apply(v service.View) {
-	if v.Last > 0 {
-		g.x.Ending(v.Last)
+	if v.AnswersDue > 0 {
+		g.x.BeginShutdown(v.AnswersDue)
 		g.front.Ending()
 	}
-	if v.Shared != g.shared {
-		g.shared = v.Shared
+	if v.LimitsShared != g.shared {
+		g.shared = v.LimitsShared
 		debug.SetMemoryLimit(g.heap())
 		_, hosts := g.connections()
 		g.hosts.Limit(hosts)
 		g.front.Resize(g.heap() / largePart)
 	}
-	g.front.Leave(v.Heir != service.None)
+	g.front.Leave(v.NewProcess != service.NoNewProcess)
 	switch {
 	case v.Accept && !g.accepting:
 		_ = g.listener.SetDeadline(time.Time{})
@@ -315,24 +315,24 @@
 			}
 			return nil
 		})
-	case !v.Accept && v.Phase == service.Ending && v.Heir == service.None && g.accepting:
+	case !v.Accept && v.Phase == service.ShuttingDown && v.NewProcess == service.NoNewProcess && g.accepting:
 		// What this machine has accepted already is taken first: closed now, it would be reset with the request it may hold.
 		g.closing.Store(true)
 		_ = g.listener.SetDeadline(time.Now().Add(lastAccepts))
-	case !v.Accept && v.Phase == service.Ending && v.Heir == service.None && !g.closing.Load():
+	case !v.Accept && v.Phase == service.ShuttingDown && v.NewProcess == service.NoNewProcess && !g.closing.Load():
 		_ = g.listener.Close()
 	case !v.Accept && g.accepting:
 		// Not closed: what waits in its queue is the heir's, or this process's again if the heir dies.
 		_ = g.listener.SetDeadline(time.Now())
 	}
 	g.accepting = v.Accept
-	if v.Shed {
-		g.front.Drain(g.upgrade.pass(v.Pass))
+	if v.CloseConnections {
+		g.front.Drain(g.upgrade.pass(v.HandOver))
 	} else {
 		g.front.Resume()
 	}
 	if g.others != nil && g.c.Admin != "" {
-		if v.Pass {
+		if v.HandOver {
 			g.others.Stop()
 		} else {
 			g.others.Start()
--- a/internal/lifecycle/service.go
+++ b/internal/lifecycle/service.go
@@ -45,7 +45,7 @@
 		longest = max(longest, class.Deadline)
 	}
 	kill := min(longest, longestCounted) + killAfter
-	return service.Times{FrontAway: frontAway, Accept: acceptFor, Shed: kill - answerAhead - shedAhead, LastAnswer: kill - answerAhead, End: kill - endAhead,
+	return service.Times{LoadBalancerDelay: frontAway, Accept: acceptFor, CloseConnections: kill - answerAhead - shedAhead, AnswersDue: kill - answerAhead, Exit: kill - endAhead,
 		Linger: linger}
 }
 
@@ -78,7 +78,7 @@
 	}
 	v := c.refresh()
 	if e != service.Ready { // that has a line of its own
-		c.log.Info("service", zap.Stringer("event", e), zap.Stringer("phase", v.Phase), zap.Stringer("heir", v.Heir), zap.Bool("yes", v.Yes))
+		c.log.Info("service", zap.Stringer("event", e), zap.Stringer("phase", v.Phase), zap.Stringer("heir", v.NewProcess), zap.Bool("yes", v.Ready))
 	}
 	c.wake()
 	return nil
@@ -88,7 +88,7 @@
 func (c *controller) retime(classes []balance.Class) {
 	now := c.clock.Now()
 	c.mu.Lock()
-	c.state.Retime(now, timesOf(classes), now+exchange.SettleAfter)
+	c.state.SetTimes(now, timesOf(classes), now+exchange.SettleAfter)
 	c.mu.Unlock()
 	c.wake()
 }
@@ -109,7 +109,7 @@
 }
 
 // Ready says whether the process says yes.
-func (c *controller) Ready() bool { return c.view.Load().Yes }
+func (c *controller) Ready() bool { return c.view.Load().Ready }
 
 // Drain sends the clients away.
 func (c *controller) Drain() error {
@@ -130,18 +130,18 @@
 		v := c.refresh()
 		apply(v)
 		all, _ := held()
-		if v.Idle && all == 0 {
+		if v.ExitWhenIdle && all == 0 {
 			return
 		}
-		if v.Over {
+		if v.ExitNow {
 			if waiting := c.awaitAnswers(ctx, held); waiting > 0 {
 				c.log.Warn("ending with requests unanswered", zap.Int("clients", waiting))
 			}
 			return
 		}
 		var next <-chan time.Time
-		if v.Next > 0 {
-			next = time.After(v.Next - c.clock.Now())
+		if v.NextChange > 0 {
+			next = time.After(v.NextChange - c.clock.Now())
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -70,12 +70,12 @@
 	g.upgrade.came = g.clock.Now()
 	if err != nil {
 		g.log.Warn("no handover", zap.Error(err))
-		_ = g.duty.tell(service.ElderFound) // someone may be there who does not answer
+		_ = g.duty.tell(service.OldProcessFound) // someone may be there who does not answer
 		return
 	}
 	g.upgrade.line, g.upgrade.elder = line, elder
 	if elder != nil {
-		_ = g.duty.tell(service.ElderFound)
+		_ = g.duty.tell(service.OldProcessFound)
 	}
 }
 
@@ -86,9 +86,9 @@
 }
 
 // inherited gives what the elder knew.
-func (g *gateway) inherited() (handover.Knowledge, bool) {
+func (g *gateway) inherited() (handover.State, bool) {
 	if g.upgrade.elder == nil {
-		return handover.Knowledge{}, false
+		return handover.State{}, false
 	}
 	k, err := handover.Decode(g.upgrade.asked, g.upgrade.came, g.upgrade.elder.Knowledge)
 	if err != nil {
@@ -119,10 +119,10 @@
 		switch {
 		case u.elder != nil:
 			u.elder.Follow(g.ctx, func(c *net.TCPConn, user string, idle time.Duration) { g.front.Adopt(g.ctx, c, user, idle) })
-			_ = g.duty.tell(service.ElderGone)
+			_ = g.duty.tell(service.OldProcessExited)
 		case u.line == nil:
 			line, err := succession.Claim(g.ctx, os.TempDir(), g.c.Listen, claimEvery)
-			_ = g.duty.tell(service.ElderGone)
+			_ = g.duty.tell(service.OldProcessExited)
 			if err != nil {
 				if g.ctx.Err() == nil {
 					g.log.Warn("no handover to a next process", zap.Error(err))
@@ -137,14 +137,14 @@
 		err := u.line.Await(g.ctx, succession.Heirs{Log: g.log, Estate: g.estate,
 			Came: func(h *succession.Heir) {
 				u.setHeir(h)
-				_ = g.duty.tell(service.HeirCame)
+				_ = g.duty.tell(service.NewProcessConnected)
 			},
-			Ready: func() { _ = g.duty.tell(service.HeirReady) },
+			Ready: func() { _ = g.duty.tell(service.NewProcessReady) },
 			Lost: func() {
 				if g.ctx.Err() != nil {
 					return // it is this process that ends
 				}
-				_ = g.duty.tell(service.HeirLost)
+				_ = g.duty.tell(service.NewProcessLost)
 				u.setHeir(nil)
 			}})
 		if err != nil {
@@ -161,7 +161,7 @@
 		e.Peers = g.others.Conn()
 	}
 	revision := g.watcher.Revision() // before the survey, which may know more than that
-	k, err := g.x.Survey(ctx)
+	k, err := g.x.HandoverState(ctx)
 	if err != nil {
 		return e, err
 	}
--- a/internal/memory/consensus/node.go
+++ b/internal/memory/consensus/node.go
@@ -31,10 +31,10 @@
 	// voter, which is bootstrapped with Voters.
 	Storage *raft.MemoryStorage
 	Restart bool
-	// Keep makes the hard state and new entries survive a crash; it returns once they are on disk, and Process
+	// Persist makes the hard state and new entries survive a crash; it returns once they are on disk, and Process
 	// sends nothing before. Nil keeps them in memory only: such a voter must never come back under its ID, as it
 	// would have forgotten its vote.
-	Keep func(hard *raftpb.HardState, entries []*raftpb.Entry) error
+	Persist func(hard *raftpb.HardState, entries []*raftpb.Entry) error
 }
 
 // ErrNotLeader is what Propose says on a node that does not lead; Leader names the one it knows of (0: none).
@@ -121,7 +121,7 @@
 			return nil, fmt.Errorf("consensus node %d: bootstrap: %w", cfg.ID, err)
 		}
 	}
-	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), keep: cfg.Keep}, nil
+	return &Node{id: cfg.ID, raw: raw, storage: storage, pending: make(map[uint64]bool), keep: cfg.Persist}, nil
 }
 
 // Tick moves the node's logical clock one tick on.
--- a/internal/memory/consensus/restart_test.go
+++ b/internal/memory/consensus/restart_test.go
@@ -28,7 +28,7 @@
 	disks := map[uint64]*kept{}
 	for id := uint64(1); id <= 3; id++ {
 		disks[id] = &kept{s: raft.NewMemoryStorage()}
-		n, err := New(Config{ID: id, Voters: []uint64{1, 2, 3}, Keep: disks[id].keep})
+		n, err := New(Config{ID: id, Voters: []uint64{1, 2, 3}, Persist: disks[id].keep})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 			t.Fatalf("seed %d: %+v", seed, second)
 		}
 		n, err := New(Config{ID: old, Voters: []uint64{1, 2, 3}, Storage: disks[old].s, Restart: true,
-			Keep: disks[old].keep})
+			Persist: disks[old].keep})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +70,7 @@
 func TestAVoterWhoseDiskFailsStopsSpeaking(t *testing.T) {
 	g := newGroup(t, 1, 0)
 	full := errors.New("no space left on device")
-	n, err := New(Config{ID: 1, Voters: []uint64{1, 2, 3}, Keep: func(*raftpb.HardState, []*raftpb.Entry) error {
+	n, err := New(Config{ID: 1, Voters: []uint64{1, 2, 3}, Persist: func(*raftpb.HardState, []*raftpb.Entry) error {
 		return full
 	}})
 	if err != nil {
--- a/internal/memory/exchange/bench_test.go
+++ b/internal/memory/exchange/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkRequest(b *testing.B) {
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
-			Classes: []balance.Class{{Name: "view", Need: balance.AnyData, Aim: time.Minute, Deadline: time.Minute}}}})
+			Classes: []balance.Class{{Name: "view", Need: balance.AnyData, LatencyTarget: time.Minute, Deadline: time.Minute}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/memory/exchange/cells.go
+++ b/internal/memory/exchange/cells.go
@@ -82,12 +82,12 @@
 	for _, m := range x.list {
 		list = append(list, m.Member)
 	}
-	x.carryOut(s.Hosts(now, true, list))
+	x.carryOut(s.UpdateMembers(now, true, list))
 	x.decide(s.Cells())
 }
 
-func question(o *open) cells.Ask {
-	return cells.Ask{ID: o.ID, User: o.User, Claim: o.Tenant, Key: o.Session, Group: o.Group, Write: o.Write,
+func question(o *open) cells.Request {
+	return cells.Request{ID: o.ID, User: o.User, Claim: o.Tenant, Key: o.Session, Group: o.Group, Write: o.Write,
 		Deadline: o.deadline}
 }
 
@@ -119,14 +119,14 @@
 	}
 	x.lookAt = now + lookEvery
 	x.seen = x.seen[:0]
-	x.router.Look(now, func(s balance.Seen) { x.seen = append(x.seen, s) })
-	x.carryOut(x.cells.Look(now, x.seen))
+	x.router.Views(now, func(s balance.MemberView) { x.seen = append(x.seen, s) })
+	x.carryOut(x.cells.ObserveMembers(now, x.seen))
 }
 
 func (x *Exchange) carryOut(acts []cells.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case cells.Placed:
+		case cells.CellsUpdated:
 			x.decide(a.Cells)
 		case cells.Release:
 			if o := x.open[a.ID]; o != nil && o.waits && !o.answered {
@@ -134,11 +134,11 @@
 				o.ticket = v.Ticket
 				x.pass(o, v)
 			}
-		case cells.GiveUp:
+		case cells.HoldExpired:
 			if o := x.open[a.ID]; o != nil && o.waits && !o.answered {
-				x.pass(o, cells.Verdict{Kind: cells.Over, Group: o.Group, After: a.After})
+				x.pass(o, cells.Verdict{Kind: cells.OverLimit, Group: o.Group, RetryAfter: a.RetryAfter})
 			}
-		case cells.Changed:
+		case cells.MoveChanged:
 			m := a.Move
 			x.cfg.Counters.Moves[m.Stage].Add(1)
 			x.cfg.Log.Info("move", zap.String("tenant", m.Tenant), zap.Stringer("stage", m.Stage), zap.String("from", m.From),
--- a/internal/memory/exchange/clock.go
+++ b/internal/memory/exchange/clock.go
@@ -49,8 +49,8 @@
 	return c
 }
 
-// Watched gives the same clock, which logs and counts what hosts' answers contradict of what is known.
-func (c Clock) Watched(log *zap.Logger, counts *counters.Set) Clock {
+// WithContradictionLog gives the same clock, which logs and counts what hosts' answers contradict of what is known.
+func (c Clock) WithContradictionLog(log *zap.Logger, counts *counters.Set) Clock {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	c.fleet.log, c.fleet.counts = log, counts
@@ -58,9 +58,9 @@
 	return c
 }
 
-// Held gives the same clock, whose readings reach their caller only when hold returns. Tests use it to stop a goroutine between
+// WithReadHook gives the same clock, whose readings reach their caller only when hold returns. Tests use it to stop a goroutine between
 // reading the clock and acting on what it read.
-func (c Clock) Held(hold func()) Clock {
+func (c Clock) WithReadHook(hold func()) Clock {
 	c.hold = hold
 	return c
 }
@@ -84,10 +84,10 @@
 // each little change.
 func (c Clock) ForModule() balance.ClockBounds {
 	now, b := c.Now(), c.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return balance.ClockBounds{}
 	}
-	return balance.ClockBounds{Known: true, Ages: up(b.Ages(now)), Most: up(b.At(now).Most)}
+	return balance.ClockBounds{Known: true, AgeOffset: up(b.AgeOffset(now)), MaxOffset: up(b.At(now).Max)}
 }
 
 // up rounds up to milliseconds.
@@ -108,21 +108,21 @@
 // Earliest is the earliest time by this clock at which the fleet's showed a position; not ok: there is no bound.
 func (c Clock) Earliest(position time.Duration) (t time.Duration, ok bool) {
 	b := c.Bounds()
-	if !b.Bounded || position <= 0 {
+	if !b.HasMax || position <= 0 {
 		return 0, false
 	}
-	return position - b.At(c.Now()).Most, true
+	return position - b.At(c.Now()).Max, true
 }
 
-// FleetAtMost is the latest time that the fleet's clock may show now; where nothing bounds it, one that no log has reached.
-func (c Clock) FleetAtMost() time.Duration { return c.fleetAtMost(c.Now()) }
+// MaxFleetTime is the latest time that the fleet's clock may show now; where nothing bounds it, one that no log has reached.
+func (c Clock) MaxFleetTime() time.Duration { return c.fleetAtMost(c.Now()) }
 
 func (c Clock) fleetAtMost(t time.Duration) time.Duration {
 	b := c.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return farAhead
 	}
-	return t + b.At(c.Now()).Most
+	return t + b.At(c.Now()).Max
 }
 
 // Observe learns from a host's answer.
@@ -159,10 +159,10 @@
 		what, count = "fleet's clock replaced", &c.fleet.counts.ClockReplaced
 	}
 	count.Add(1)
-	proves := o.Proves()
-	fields := []zap.Field{zap.String("host", o.Host), zap.Bool("primary", o.Present > 0), zap.Duration("answer_least", proves.Least)}
-	if o.Present > 0 {
-		fields = append(fields, zap.Duration("answer_most", proves.Most))
+	proves := o.OffsetInterval()
+	fields := []zap.Field{zap.String("host", o.Host), zap.Bool("primary", o.PrimaryPosition > 0), zap.Duration("answer_least", proves.Min)}
+	if o.PrimaryPosition > 0 {
+		fields = append(fields, zap.Duration("answer_most", proves.Max))
 	}
 	fields = append(fields, clockFields("before_", before, o.Received)...)
 	fields = append(fields, clockFields("now_", c.Bounds(), o.Received)...)
@@ -172,11 +172,11 @@
 // clockFields are the ends of an interval that are known.
 func clockFields(prefix string, b fleetclock.Bounds, now time.Duration) (fields []zap.Field) {
 	i := b.At(now)
-	if b.Told {
-		fields = append(fields, zap.Duration(prefix+"least", i.Least))
+	if b.HasMin {
+		fields = append(fields, zap.Duration(prefix+"least", i.Min))
 	}
-	if b.Bounded {
-		fields = append(fields, zap.Duration(prefix+"most", i.Most))
+	if b.HasMax {
+		fields = append(fields, zap.Duration(prefix+"most", i.Max))
 	}
 	return fields
 }
@@ -188,7 +188,7 @@
 		return
 	}
 	width := int64(-1)
-	if b.Told && b.Bounded {
+	if b.HasMin && b.HasMax {
 		width = b.Width().Microseconds()
 	}
 	f.counts.ClockWidth.Set(width)
--- a/internal/memory/exchange/events.go
+++ b/internal/memory/exchange/events.go
@@ -12,9 +12,9 @@
 // takes some a second and counts the rest.
 
 // gaveUp says that a request is given up, and why.
-func (x *Exchange) gaveUp(o *open, how string, why balance.Why, bad float64) {
+func (x *Exchange) gaveUp(o *open, how string, why balance.Reason, bad float64) {
 	reason := why.String()
-	if o.Over > 0 {
+	if o.QuotaRetryAfter > 0 {
 		reason = "over its share"
 	}
 	last := "none"
@@ -61,11 +61,11 @@
 	x.cfg.Counters.Primaries.Add(1)
 	now := x.cfg.Clock.Now()
 	fields := []zap.Field{zap.Int("group", c.Group), zap.String("from", c.From), zap.String("to", c.To), zap.Stringer("source", c.Source),
-		zap.String("about", c.About)}
+		zap.String("about", c.Server)}
 	for _, age := range []struct {
 		name string
 		at   time.Duration
-	}{{"led_ago", c.Leads}, {"followed_ago", c.Follows}, {"started_ago", c.Started}} {
+	}{{"led_ago", c.PrimaryNotBefore}, {"followed_ago", c.ReplicaNotAfter}, {"started_ago", c.Started}} {
 		if age.at > 0 {
 			fields = append(fields, zap.Duration(age.name, (now-age.at).Round(time.Microsecond)))
 		}
@@ -81,10 +81,10 @@
 	}
 	fields := []zap.Field{zap.Stringer("grounds", g.Kind), zap.Stringer("grounds_source", g.Source)}
 	if g.Position > 0 {
-		fields = append(fields, zap.Duration("position_age", (o.sentAt+g.Ages-g.Position).Round(time.Millisecond)))
+		fields = append(fields, zap.Duration("position_age", (o.sentAt+g.AgeOffset-g.Position).Round(time.Millisecond)))
 	}
-	if g.Leads > 0 {
-		fields = append(fields, zap.Duration("led_ago", (o.sentAt-g.Leads).Round(time.Millisecond)))
+	if g.PrimaryNotBefore > 0 {
+		fields = append(fields, zap.Duration("led_ago", (o.sentAt-g.PrimaryNotBefore).Round(time.Millisecond)))
 	}
 	return fields
 }
@@ -94,7 +94,7 @@
 func (x *Exchange) served(o *open, e Outcome) {
 	x.keepTrace(o, e.Server)
 	g := o.grounds
-	if !g.NeedsLeader() && (g.SendBy == 0 || g.SendBy-o.sentAt > o.class.Bound/2) {
+	if !g.NeedsPrimary() && (g.SendBy == 0 || g.SendBy-o.sentAt > o.class.Bound/2) {
 		return
 	}
 	fields := []zap.Field{zap.String("id", o.ID), zap.Int("attempt", e.Attempt), zap.String("host", e.Server), zap.String("class", o.Class),
--- a/internal/memory/exchange/evidence_test.go
+++ b/internal/memory/exchange/evidence_test.go
@@ -16,7 +16,7 @@
 // pair is an exchange that is driven by hand, with a listed primary p and a replica r.
 func pair(t *testing.T, clock Clock) (*Exchange, *hosts) {
 	t.Helper()
-	read := balance.Class{Aim: time.Minute, Deadline: time.Minute}
+	read := balance.Class{LatencyTarget: time.Minute, Deadline: time.Minute}
 	view, own, order := read, read, read
 	view.Name, view.Need, view.Bound = "view", balance.Bounded, time.Second
 	own.Name, own.Need = "own", balance.Session
@@ -51,8 +51,8 @@
 // learn has a host say something of itself just now.
 func learn(x *Exchange, server string, role balance.Role, position time.Duration) {
 	now := x.cfg.Clock.Now()
-	x.handle(now, learning{balance.Heard{Server: server, Result: balance.OK, Role: role, Position: position},
-		balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
+	x.handle(now, learning{balance.RemoteOutcome{Server: server, Result: balance.OK, Role: role, Position: position},
+		balance.TimeBounds{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
 }
 
 // known is a clock that is known to be right.
@@ -72,7 +72,7 @@
 	}
 	learn(x, "r", balance.Primary, 0)
 	x.restart()
-	if a := h.ask(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.LeaderWord {
+	if a := h.ask(x, "own", x.cfg.Clock.Now()); a == nil || a.Server != "r" || a.Grounds.Kind != balance.PrimaryStatement {
 		t.Errorf("a read goes to %+v", a)
 	}
 }
@@ -82,7 +82,7 @@
 	now := clock.Now()
 	for i, host := range []string{"p", "q", "p", "q"} {
 		at := now + time.Duration(i-4)*20*time.Millisecond
-		clock.Observe(fleetclock.Observation{Host: host, Present: at + by, Sent: at, Received: at})
+		clock.Observe(fleetclock.Observation{Host: host, PrimaryPosition: at + by, Sent: at, Received: at})
 	}
 }
 
@@ -108,14 +108,14 @@
 	x.noticeClock()
 	// What was dated before is handled after.
 	dated := clock.Now() // after all that r said
-	x.handle(dated, learning{balance.Heard{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.Made{NotBefore: dated,
+	x.handle(dated, learning{balance.RemoteOutcome{Server: "r", Result: balance.OK, Role: balance.Primary}, balance.TimeBounds{NotBefore: dated,
 		NotAfter: dated, Epoch: x.clockEpoch - 1}, balance.Report{}})
-	x.router.Look(clock.Now(), func(s balance.Seen) {
-		if s.Leads > 0 {
+	x.router.Views(clock.Now(), func(s balance.MemberView) {
+		if s.PrimaryNotBefore > 0 {
 			t.Errorf("%s leads by a word that the wrong clock dated", s.Server)
 		}
 	})
-	if a := h.ask(x, "view", 0); a != nil && a.Grounds.Kind != balance.Excused {
+	if a := h.ask(x, "view", 0); a != nil && a.Grounds.Kind != balance.PresumedPrimary {
 		t.Errorf("a read goes to %s on %+v", a.Server, a.Grounds)
 	}
 	learn(x, "r", balance.Replica, clock.Now()+500*time.Millisecond)
@@ -151,7 +151,7 @@
 	if a := h.ask(x, "own", wrote); a != nil && a.Server == "r" {
 		t.Error("it goes to a replica that lacks the write")
 	}
-	clock.Inherit(clock.Now(), fleetclock.Interval{Least: time.Hour, Most: time.Hour})
+	clock.Inherit(clock.Now(), fleetclock.Interval{Min: time.Hour, Max: time.Hour})
 	x.noticeClock()
 	if a := h.ask(x, "own", wrote); a != nil && a.Server == "r" {
 		t.Error("it goes to a replica that lacks the write once the clock is known")
@@ -165,8 +165,8 @@
 // That a host follows binds also before it is known how the clock stands.
 func TestAFollowersWordBindsBeforeTheClockIsKnown(t *testing.T) {
 	x, h := pair(t, NewClock())
-	x.handle(x.cfg.Clock.Now(), learning{balance.Heard{Server: "p", Result: balance.OK, Role: balance.Replica},
-		balance.Made{NotAfter: x.cfg.Clock.Now()}, balance.Report{}})
+	x.handle(x.cfg.Clock.Now(), learning{balance.RemoteOutcome{Server: "p", Result: balance.OK, Role: balance.Replica},
+		balance.TimeBounds{NotAfter: x.cfg.Clock.Now()}, balance.Report{}})
 	if a := h.ask(x, "own", x.cfg.Clock.Now()); a != nil {
 		t.Errorf("a read goes to %s on %+v", a.Server, a.Grounds)
 	}
@@ -176,20 +176,20 @@
 func TestAFollowersWordIsToldOnce(t *testing.T) {
 	x, h := pair(t, known())
 	x.cfg.Gossip = gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes, Burst: 1e6})
-	x.cfg.Gossip.Host("p")
-	x.cfg.Gossip.Host("r")
+	x.cfg.Gossip.AddHost("p")
+	x.cfg.Gossip.AddHost("r")
 	now := x.cfg.Clock.Now()
 	a := h.ask(x, "order", 0)
-	word := balance.Heard{Server: a.Server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart}
-	x.handle(now, learning{word, balance.Made{NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
-	x.handle(now, Outcome{Outcome: balance.Outcome{ID: a.ID, Attempt: a.Number, Server: a.Server, Result: balance.Miss, Role: balance.Replica,
-		Made: balance.Made{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}}})
+	word := balance.RemoteOutcome{Server: a.Server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer}
+	x.handle(now, learning{word, balance.TimeBounds{NotAfter: now, Epoch: x.clockEpoch}, balance.Report{}})
+	x.handle(now, Outcome{Outcome: balance.Outcome{ID: a.ID, Attempt: a.Number, Server: a.Server, Result: balance.Misdirected, Role: balance.Replica,
+		StatedAt: balance.TimeBounds{NotBefore: now, NotAfter: now, Epoch: x.clockEpoch}}})
 	x.clockProbes = map[string]bool{"r": true}
-	x.handle(now, balance.ProbeResult{Server: "r", Result: balance.OK, Made: balance.Made{NotAfter: now, Epoch: x.clockEpoch}})
+	x.handle(now, balance.ProbeResult{Server: "r", Result: balance.OK, StatedAt: balance.TimeBounds{NotAfter: now, Epoch: x.clockEpoch}})
 	other := gossip.New(gossip.Config{Gateways: 3, Classes: x.cfg.Settings.Classes})
-	other.Host("p")
-	other.Host("r")
-	heard, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.Datagram(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
+	other.AddHost("p")
+	other.AddHost("r")
+	heard, err := other.Receive(x.cfg.Clock.Now(), x.gossipOffsets(), x.cfg.Gossip.AppendMessage(x.cfg.Clock.Now(), x.gossipOffsets(), nil), nil)
 	if err != nil || len(heard) != 1 || heard[0].Class != "order" || heard[0].Role != balance.Replica {
 		t.Errorf("told %+v, %v", heard, err)
 	}
@@ -203,8 +203,8 @@
 		t.Fatal("a clock that is known is not handed over")
 	}
 	now := clock.Now()
-	clock.Observe(fleetclock.Observation{Host: "p", Present: now - time.Second, Sent: now, Received: now})
-	if b := clock.Bounds(); !b.Bounded || !b.Doubted {
+	clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now - time.Second, Sent: now, Received: now})
+	if b := clock.Bounds(); !b.HasMax || !b.Contradicted {
 		t.Fatalf("bounds %+v", b)
 	}
 	if x.survey().ClockKnown {
--- a/internal/memory/exchange/exchange.go
+++ b/internal/memory/exchange/exchange.go
@@ -23,13 +23,13 @@
 
 // Config is what an Exchange needs to know.
 type Config struct {
-	Settings balance.Settings
-	Seed     uint64
-	Clock    Clock
-	Log      *zap.Logger
-	Counters *counters.Set
-	Gossip   *gossip.State // what gateways tell each other; nil: nothing
-	Tell     func([]byte)  // sends a datagram to the other gateways; must not wait
+	Settings   balance.Settings
+	Seed       uint64
+	Clock      Clock
+	Log        *zap.Logger
+	Counters   *counters.Set
+	Gossip     *gossip.State // what gateways tell each other; nil: nothing
+	SendGossip func([]byte)  // sends a datagram to the other gateways; must not wait
 }
 
 const (
@@ -37,7 +37,7 @@
 	// to travel.
 	answerMargin = 15 * time.Millisecond
 	// windowMargin is kept free before the end of a keyed class's window, for the way to the host and a process that is held up.
-	windowMargin = 20*time.Millisecond + draining.HoldUp
+	windowMargin = 20*time.Millisecond + draining.MaxSendDelay
 	// retryAfter is when a client may try a group again that no list has named yet.
 	retryAfter = 500 * time.Millisecond
 	// forgetAfter is how long a host that left is remembered, later than the module forgets it: a fleet that is
@@ -87,7 +87,7 @@
 	hosts    Hosts
 	router   *balance.Router
 	versions *reload.Versions
-	tries    *waits.Waits
+	tries    *waits.Estimator
 	open     map[string]*open
 	groups   map[int]bool
 	list     map[string]Member // as discovery tells it, with times by the fleet's clock
@@ -97,8 +97,8 @@
 	endBy    time.Duration // the gateway ends; 0: it does not
 	cells    *cells.State  // nil: there are none
 	lookAt   time.Duration // when the cells are next told what the module believes
-	seen     []balance.Seen
-	heard    []balance.Heard
+	seen     []balance.MemberView
+	heard    []balance.RemoteOutcome
 	newest   time.Duration // of sessions' writes
 	begunAt  time.Duration
 
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s.HoldUp = draining.HoldUp
+	s.MaxSendDelay = draining.MaxSendDelay
 	router, err := balance.New(s, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -148,8 +148,8 @@
 // Submit takes a request; its answer comes on its channel.
 func (x *Exchange) Submit(r *Request) { x.post(r) }
 
-// Gone says that a request's client has left; no answer is owed.
-func (x *Exchange) Gone(r *Request) { x.post(gone{r}) }
+// CancelRequest says that a request's client has left; no answer is owed.
+func (x *Exchange) CancelRequest(r *Request) { x.post(gone{r}) }
 
 // Outcome ends an attempt.
 func (x *Exchange) Outcome(o Outcome) { x.post(o) }
@@ -159,13 +159,13 @@
 
 type datagram []byte
 
-// Heard takes a datagram of another gateway.
-func (x *Exchange) Heard(b []byte) { x.post(datagram(b)) }
+// ReceiveGossip takes a datagram of another gateway.
+func (x *Exchange) ReceiveGossip(b []byte) { x.post(datagram(b)) }
 
 type ending struct{ by time.Duration }
 
-// Ending says that requests that come from now on must be answered by then, however long their clients would wait.
-func (x *Exchange) Ending(by time.Duration) { x.post(ending{by}) }
+// BeginShutdown says that requests that come from now on must be answered by then, however long their clients would wait.
+func (x *Exchange) BeginShutdown(by time.Duration) { x.post(ending{by}) }
 
 // Run handles events until the context ends. It alone touches the module.
 func (x *Exchange) Run(ctx context.Context, hosts Hosts) error {
@@ -248,7 +248,7 @@
 			o.answered = true
 			x.cfg.Counters.Gone.Add(1)
 			x.unserved(o)
-			x.decide(balance.Gone{ID: o.ID})
+			x.decide(balance.RequestCanceled{ID: o.ID})
 			x.forget(o)
 		}
 	case Outcome:
@@ -258,9 +258,9 @@
 		if delete(x.clockProbes, e.Server); forClock && e.Result != balance.OK {
 			return // it was not the module that asked: a host is not set aside for it
 		}
-		x.dropOutdated(e.Made, new(balance.Role), &e.Report)
+		x.dropOutdated(e.StatedAt, new(balance.Role), &e.Report)
 		if !forClock { // many gateways that start would spend on it what they may tell
-			x.note(balance.Heard{Server: e.Server, Result: e.Result}, e.Made, e.Report)
+			x.note(balance.RemoteOutcome{Server: e.Server, Result: e.Result}, e.StatedAt, e.Report)
 		}
 		x.decide(e)
 	case learning:
@@ -296,10 +296,10 @@
 			continue
 		}
 		if o.deadline = by; o.waits { // at a fence, which counts with the deadline that it was told
-			x.pass(o, cells.Verdict{Kind: cells.Over, Group: o.Group})
+			x.pass(o, cells.Verdict{Kind: cells.OverLimit, Group: o.Group})
 		}
 	}
-	x.decide(balance.Ending{By: by})
+	x.decide(balance.Shutdown{By: by})
 }
 
 // answer gives the final answer, once.
@@ -329,7 +329,7 @@
 	switch {
 	case !o.answered || x.open[o.ID] != o:
 	case o.out:
-		x.hosts.Withdraw(o.ID, o.attempts-1)
+		x.hosts.CancelUnsent(o.ID, o.attempts-1)
 	default:
 		delete(x.open, o.ID)
 		x.done(o)
@@ -350,7 +350,7 @@
 	for _, a := range x.acts {
 		x.act(a)
 	}
-	for _, c := range x.router.Changes() {
+	for _, c := range x.router.PrimaryChanges() {
 		x.primaryChanged(c)
 	}
 }
@@ -369,7 +369,7 @@
 	x.router, _ = balance.New(s, x.cfg.Seed) // New took these settings before
 	x.cfg.Counters.Timers.Add(-int64(len(x.timers)))
 	x.timers = nil
-	list := balance.Members{Whole: true}
+	list := balance.Members{Snapshot: true}
 	for _, m := range x.list {
 		list.List = append(list.List, x.bound(m))
 	}
@@ -389,12 +389,12 @@
 		x.send(a)
 	case balance.Refuse:
 		if o := x.open[a.ID]; o != nil {
-			x.gaveUp(o, "refused", a.Why, a.Bad)
+			x.gaveUp(o, "refused", a.Reason, a.Bad)
 			x.answer(o, Answer{Kind: Refused, Reason: "turned away", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
 		}
 	case balance.Fail:
 		if o := x.open[a.ID]; o != nil {
-			x.gaveUp(o, "failed", a.Why, a.Bad)
+			x.gaveUp(o, "failed", a.Reason, a.Bad)
 			x.answer(o, Answer{Kind: Failed, Reason: "given up"}, &x.cfg.Counters.Failed)
 		}
 	case balance.Cancel:
@@ -403,7 +403,7 @@
 	case balance.Probe:
 		x.cfg.Counters.Probes.Add(1)
 		x.hosts.Probe(a.Server)
-	case balance.After:
+	case balance.StartTimer:
 		x.seq++
 		x.timers.push(x.cfg.Clock.Now()+a.Wait, a.Tag, x.seq)
 		x.cfg.Counters.Timers.Add(1)
@@ -416,12 +416,12 @@
 	if o == nil {
 		return
 	}
-	t := Attempt{ID: a.ID, Number: o.attempts, Server: a.Server, Command: o.Command, Left: o.Left, Sent: now, Until: o.deadline}
+	t := Attempt{ID: a.ID, Number: o.attempts, Server: a.Server, Command: o.Command, ClientDisconnected: o.ClientDisconnected, Sent: now, Deadline: o.deadline}
 	o.attempts++
 	o.out, o.sentAt = true, now
 	x.cfg.Counters.Sent.Add(1)
 	if a.Timeout != 0 {
-		t.Until = min(t.Until, now+a.Timeout)
+		t.Deadline = min(t.Deadline, now+a.Timeout)
 	}
 	t.Grounds, t.Demand, o.grounds = a.Grounds, a.Demand, a.Grounds
 	t.Keyed = o.Write && o.class.Effect == balance.Keyed
--- a/internal/memory/exchange/exchange_test.go
+++ b/internal/memory/exchange/exchange_test.go
@@ -21,13 +21,13 @@
 	until  map[string]time.Duration
 }
 
-func (h *hosts) Send(a Attempt)       { h.sent = append(h.sent, a) }
-func (h *hosts) Cancel(string, int)   {}
-func (h *hosts) Withdraw(string, int) {}
-func (h *hosts) Probe(server string)  { h.probed = append(h.probed, server) }
-func (h *hosts) Members([]Member)     {}
-func (h *hosts) Forget(string)        {}
-func (h *hosts) Until(server string, by time.Duration) {
+func (h *hosts) Send(a Attempt)           { h.sent = append(h.sent, a) }
+func (h *hosts) Cancel(string, int)       {}
+func (h *hosts) CancelUnsent(string, int) {}
+func (h *hosts) Probe(server string)      { h.probed = append(h.probed, server) }
+func (h *hosts) Members([]Member)         {}
+func (h *hosts) Forget(string)            {}
+func (h *hosts) SetSendDeadline(server string, by time.Duration) {
 	if h.until == nil {
 		h.until = map[string]time.Duration{}
 	}
@@ -39,9 +39,9 @@
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
 			Classes: []balance.Class{
-				{Name: "view", Need: balance.Bounded, Bound: time.Second, Aim: time.Minute, Deadline: time.Minute},
-				{Name: "order", Need: balance.Write, Effect: balance.Unsafe, Aim: time.Minute, Deadline: time.Minute},
-				{Name: "pay", Need: balance.Write, Effect: balance.Keyed, KeyTTL: 10 * time.Second, Aim: time.Minute, Deadline: time.Minute}}}})
+				{Name: "view", Need: balance.Bounded, Bound: time.Second, LatencyTarget: time.Minute, Deadline: time.Minute},
+				{Name: "order", Need: balance.Write, Effect: balance.Unsafe, LatencyTarget: time.Minute, Deadline: time.Minute},
+				{Name: "pay", Need: balance.Write, Effect: balance.Keyed, KeyTTL: 10 * time.Second, LatencyTarget: time.Minute, Deadline: time.Minute}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		n++
 		c := make(chan Answer, 1)
 		x.handle(x.cfg.Clock.Now(), &Request{ID: string(rune('a' + n)), Class: class, Group: 1, Write: class != "view",
-			Left: func() bool { return false }, Arrived: x.cfg.Clock.Now(), Answer: c})
+			ClientDisconnected: func() bool { return false }, Arrived: x.cfg.Clock.Now(), Answer: c})
 		return c
 	}
 }
@@ -68,7 +68,7 @@
 
 // take hands over a list that arrived at a time, and handles it.
 func take(x *Exchange, at time.Duration, e members) {
-	x.handle(x.cfg.Clock.Now(), x.bounds.take(List{Agent: "a", At: at, Whole: e.whole, Hosts: e.list}))
+	x.handle(x.cfg.Clock.Now(), x.bounds.take(List{Agent: "a", At: at, Snapshot: e.whole, Hosts: e.list}))
 }
 
 func TestStartBy(t *testing.T) {
@@ -79,11 +79,11 @@
 	list(x, balance.Draining)
 	told := x.cfg.Clock.Now()
 	ask("order")
-	if len(h.sent) != 3 || h.sent[0].Left == nil {
+	if len(h.sent) != 3 || h.sent[0].ClientDisconnected == nil {
 		t.Fatalf("sent %v", h.sent)
 	}
 	write, excused, draining := h.sent[1].StartBy, h.sent[0], h.sent[2].StartBy
-	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.Excused || draining <= told || draining > told+time.Second {
+	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.PresumedPrimary || draining <= told || draining > told+time.Second {
 		t.Errorf("bounds %v, %v (%v), %v after %v", write, excused.StartBy, excused.Grounds, draining-told, told-before)
 	}
 }
@@ -105,7 +105,7 @@
 	by := x.cfg.Clock.Now() + 50*time.Second
 	x.handle(x.cfg.Clock.Now(), ending{by})
 	ask("order")
-	if len(h.sent) != 1 || h.sent[0].Until != by {
+	if len(h.sent) != 1 || h.sent[0].Deadline != by {
 		t.Errorf("sent %v, want one that is waited for until %v", h.sent, by)
 	}
 }
@@ -163,7 +163,7 @@
 	came := x.cfg.Clock.Now() - 400*time.Millisecond
 	take(x, came, only(balance.Draining))
 	ask("order")
-	if want := came + time.Second - 2*draining.HoldUp; len(h.sent) != 1 || h.sent[0].StartBy != want {
+	if want := came + time.Second - 2*draining.MaxSendDelay; len(h.sent) != 1 || h.sent[0].StartBy != want {
 		t.Errorf("sent %v, want one that goes out by %v", h.sent, want)
 	}
 }
@@ -172,8 +172,8 @@
 func TestAListBindsBeforeItIsHandled(t *testing.T) {
 	x, h, _ := fresh(t)
 	at := x.cfg.Clock.Now()
-	x.Members(List{Agent: "a", At: at, Whole: true, Hosts: only(balance.Draining).list})
-	if want := at + time.Second - 2*draining.HoldUp; h.until["s"] != want {
+	x.Members(List{Agent: "a", At: at, Snapshot: true, Hosts: only(balance.Draining).list})
+	if want := at + time.Second - 2*draining.MaxSendDelay; h.until["s"] != want {
 		t.Errorf("the host side may send until %v, want %v", h.until["s"], want)
 	}
 	// An older list that is handled later must not open the host again.
@@ -193,7 +193,7 @@
 		s.DrainGrace = grace
 		x.handle(at, retuning{s})
 		x.settle(at + 2*SettleAfter)
-		if want := at + grace - 2*draining.HoldUp; h.until["s"] != want {
+		if want := at + grace - 2*draining.MaxSendDelay; h.until["s"] != want {
 			t.Errorf("grace of %s: the host side may send until %v, want %v", grace, h.until["s"], want)
 		}
 	}
@@ -208,11 +208,11 @@
 	next, h, _ := fresh(t)
 	asked := next.cfg.Clock.Now()
 	next.Inherit(asked, known)
-	if want := asked - ago + time.Second - 2*draining.HoldUp; h.until["s"] > want {
+	if want := asked - ago + time.Second - 2*draining.MaxSendDelay; h.until["s"] > want {
 		t.Errorf("the next process may send until %v, want %v", h.until["s"], want)
 	}
 	take(next, next.cfg.Clock.Now(), only(balance.Draining)) // discovery says so too
-	if want := asked - ago + time.Second - 2*draining.HoldUp; h.until["s"] > want {
+	if want := asked - ago + time.Second - 2*draining.MaxSendDelay; h.until["s"] > want {
 		t.Errorf("after discovery's word it may send until %v, want %v", h.until["s"], want)
 	}
 }
@@ -282,10 +282,10 @@
 		return c
 	}
 	s := x.cfg.Settings
-	s.Classes = append(s.Classes, balance.Class{Name: "quick", Need: balance.Bounded, Bound: time.Second, Aim: 20 * time.Second,
+	s.Classes = append(s.Classes, balance.Class{Name: "quick", Need: balance.Bounded, Bound: time.Second, LatencyTarget: 20 * time.Second,
 		Deadline: time.Minute})
 	x.use(s)
-	x.decide(balance.Retune{Settings: s})
+	x.decide(balance.SettingsUpdate{Settings: s})
 	for _, id := range []string{"0", "1", "2", "5", "6", "7"} {
 		try(id, 40*time.Second)
 	}
@@ -330,7 +330,7 @@
 		}
 		for i, host := range []string{"s", "t"} {
 			at := now + time.Duration(i-5)*20*time.Millisecond // round trips that lie apart
-			x.cfg.Clock.Observe(fleetclock.Observation{Host: host, Present: at - off, Sent: at, Received: at})
+			x.cfg.Clock.Observe(fleetclock.Observation{Host: host, PrimaryPosition: at - off, Sent: at, Received: at})
 		}
 		if got := x.startedAt(started); (now - got - time.Minute).Abs() > 5*time.Millisecond {
 			t.Errorf("ahead by %s: once that is known a start a minute ago counts as %s ago", off, now-got)
--- a/internal/memory/exchange/first_list_test.go
+++ b/internal/memory/exchange/first_list_test.go
@@ -12,7 +12,7 @@
 func TestADrainThatTheFirstListTellsCountsFromTheProcesssStart(t *testing.T) {
 	x, _, _ := fresh(t)
 	arrived := x.begunAt + 400*time.Millisecond // the first answer of discovery
-	x.bounds.take(List{Agent: "a", At: arrived, Whole: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
+	x.bounds.take(List{Agent: "a", At: arrived, Snapshot: true, Hosts: []Member{{Address: "h:1", Member: balance.Member{Server: "n", Group: 1, State: balance.Draining, Weight: 1}}}})
 	if by, want := x.bounds.until("n"), x.begunAt+x.cfg.Settings.DrainGrace-300*time.Millisecond; by > want {
 		t.Errorf("new requests may go to it until %s after the end of the grace, less two hold-ups", by-want)
 	}
@@ -21,11 +21,11 @@
 // The list of another agent of discovery may be behind that which told a drain, to this process or to the one before it.
 func TestAnotherAgentsListEndsNoDrainUnlessItTellsALaterStart(t *testing.T) {
 	drained := func(x *Exchange) {
-		x.Members(List{Agent: "a", Revision: 43, At: x.begunAt - time.Minute, Whole: true, Hosts: only(balance.Draining).list})
+		x.Members(List{Agent: "a", Revision: 43, At: x.begunAt - time.Minute, Snapshot: true, Hosts: only(balance.Draining).list})
 	}
 	inherited := func(x *Exchange) {
-		x.Inherit(x.begunAt, handover.Knowledge{Agent: "b", Hosts: []handover.Host{
-			{Server: "s", Address: "h:1", Group: 1, State: balance.Draining, NotifiedFor: time.Minute, ToldBy: "a", ToldIn: 43}}})
+		x.Inherit(x.begunAt, handover.State{Agent: "b", Hosts: []handover.Host{
+			{Server: "s", Address: "h:1", Group: 1, State: balance.Draining, NotifiedFor: time.Minute, NotifiedBy: "a", NotifiedRevision: 43}}})
 	}
 	for name, c := range map[string]struct {
 		told     func(*Exchange)
@@ -50,9 +50,9 @@
 			c.told(x)
 			host := only(balance.Active).list[0]
 			if host.Started = c.started; c.agent == "" {
-				x.Inherit(x.begunAt, handover.Knowledge{Agent: "a", Hosts: []handover.Host{{Server: "s", Address: "h:1", Group: 1, Listed: true, Weight: 1, Started: c.started}}})
+				x.Inherit(x.begunAt, handover.State{Agent: "a", Hosts: []handover.Host{{Server: "s", Address: "h:1", Group: 1, Listed: true, Weight: 1, Started: c.started}}})
 			} else {
-				x.Members(List{Agent: c.agent, Revision: c.revision, At: x.begunAt, Whole: true, Hosts: []Member{host}})
+				x.Members(List{Agent: c.agent, Revision: c.revision, At: x.begunAt, Snapshot: true, Hosts: []Member{host}})
 			}
 			for _, p := range x.queue {
 				x.handle(p.at, p.ev)
--- a/internal/memory/exchange/gossip.go
+++ b/internal/memory/exchange/gossip.go
@@ -10,8 +10,8 @@
 )
 
 // note tells the other gateways how an attempt or a probe ended, and when the host said what it said of its role.
-func (x *Exchange) note(n balance.Heard, made balance.Made, rep balance.Report) {
-	if x.cfg.Gossip == nil || n.Result == balance.Cancelled || n.Result == balance.NotSent {
+func (x *Exchange) note(n balance.RemoteOutcome, made balance.TimeBounds, rep balance.Report) {
+	if x.cfg.Gossip == nil || n.Result == balance.Canceled || n.Result == balance.NotSent {
 		return // that is this gateway's own doing and says nothing of the host
 	}
 	if n.Result == balance.Stale {
@@ -21,13 +21,13 @@
 	if n.At = now; made.NotAfter > 0 {
 		n.At = made.NotAfter
 	}
-	if rep.Has {
+	if rep.Valid {
 		n.Position = max(n.Position, rep.Position)
 		if n.Role == balance.Unknown {
 			n.Role = rep.Role
 		}
 	}
-	if !x.cfg.Gossip.Note(now, n) {
+	if !x.cfg.Gossip.AddEntry(now, n) {
 		x.cfg.Counters.Untold.Add(1)
 	}
 }
@@ -36,10 +36,10 @@
 func (x *Exchange) gossipOffsets() gossip.Offsets {
 	b := x.cfg.Clock.Bounds()
 	offset := b.At(x.cfg.Clock.Now())
-	if !b.Told {
-		offset.Least = 0
+	if !b.HasMin {
+		offset.Min = 0
 	}
-	return gossip.Offsets{Least: offset.Least, Most: offset.Most, Bounded: b.Bounded}
+	return gossip.Offsets{Min: offset.Min, Max: offset.Max, Bounded: b.HasMax}
 }
 
 // tell sends what is due to the other gateways.
@@ -48,7 +48,7 @@
 		return
 	}
 	if at, ok := x.cfg.Gossip.Due(); ok && at <= now {
-		x.cfg.Tell(x.cfg.Gossip.Datagram(now, x.gossipOffsets(), nil))
+		x.cfg.SendGossip(x.cfg.Gossip.AppendMessage(now, x.gossipOffsets(), nil))
 	}
 }
 
--- a/internal/memory/exchange/handover.go
+++ b/internal/memory/exchange/handover.go
@@ -10,22 +10,22 @@
 	"yokemast/internal/disk/handover"
 )
 
-type surveying struct{ done chan handover.Knowledge }
+type surveying struct{ done chan handover.State }
 
 type inheriting struct {
-	known handover.Knowledge
+	known handover.State
 	list  members // of the hosts that it names
 }
 
-// Survey says what is known of the hosts, for a process that follows this one. The list's revision is not known here.
-func (x *Exchange) Survey(ctx context.Context) (handover.Knowledge, error) {
-	s := surveying{make(chan handover.Knowledge, 1)}
+// HandoverState says what is known of the hosts, for a process that follows this one. The list's revision is not known here.
+func (x *Exchange) HandoverState(ctx context.Context) (handover.State, error) {
+	s := surveying{make(chan handover.State, 1)}
 	x.post(s)
 	select {
 	case k := <-s.done:
 		return k, nil
 	case <-ctx.Done():
-		return handover.Knowledge{}, ctx.Err()
+		return handover.State{}, ctx.Err()
 	}
 }
 
@@ -33,13 +33,13 @@
 //
 // How long ago the earlier process was notified of a drain counts from when it was asked, not from when it answered: that is
 // never later than it was.
-func (x *Exchange) Inherit(askedAt time.Duration, k handover.Knowledge) {
+func (x *Exchange) Inherit(askedAt time.Duration, k handover.State) {
 	if k.ClockKnown {
-		x.cfg.Clock.Inherit(k.At, k.Ahead)
+		x.cfg.Clock.Inherit(k.At, k.Offset)
 	}
-	l := List{Agent: k.Agent, Revision: k.Revision, At: x.cfg.Clock.Now(), Whole: true, Hosts: make([]Member, 0, len(k.Hosts)), inherited: true}
+	l := List{Agent: k.Agent, Revision: k.Revision, At: x.cfg.Clock.Now(), Snapshot: true, Hosts: make([]Member, 0, len(k.Hosts)), inherited: true}
 	for _, h := range k.Hosts {
-		m := Member{Address: h.Address, ToldBy: h.ToldBy, ToldIn: h.ToldIn, Member: balance.Member{Server: h.Server, Group: h.Group, State: h.State,
+		m := Member{Address: h.Address, NotifiedBy: h.NotifiedBy, NotifiedRevision: h.NotifiedRevision, Member: balance.Member{Server: h.Server, Group: h.Group, State: h.State,
 			Primary: h.Listed, Weight: h.Weight}}
 		if h.Started > 0 {
 			m.Started = x.cfg.Clock.fleetAtMost(h.Started)
@@ -52,23 +52,23 @@
 	x.post(inheriting{known: k, list: x.bounds.take(l)})
 }
 
-func (x *Exchange) survey() handover.Knowledge {
+func (x *Exchange) survey() handover.State {
 	now := x.cfg.Clock.Now()
 	b := x.cfg.Clock.Bounds()
-	k := handover.Knowledge{At: now, Revision: -1, Agent: x.bounds.lastAgent(), Newest: max(x.newest, x.cfg.Settings.Floor), ClockKnown: b.Bounded && !b.Doubted}
+	k := handover.State{At: now, Revision: -1, Agent: x.bounds.lastAgent(), Newest: max(x.newest, x.cfg.Settings.Floor), ClockKnown: b.HasMax && !b.Contradicted}
 	if k.ClockKnown {
-		k.Ahead = b.At(now)
+		k.Offset = b.At(now)
 	}
-	x.router.Look(now, func(s balance.Seen) {
+	x.router.Views(now, func(s balance.MemberView) {
 		m, listed := x.list[s.Server]
-		if !listed || m.State == balance.Left {
+		if !listed || m.State == balance.Removed {
 			return
 		}
 		h := handover.Host{Server: s.Server, Address: m.Address, Group: m.Group, State: m.State, Listed: m.Primary,
-			Weight: m.Weight, Started: s.Started, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: s.Usable || s.Primary}
+			Weight: m.Weight, Started: s.Started, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: s.Usable || s.Primary}
 		if at, ok := x.bounds.notifiedAt(s.Server); ok {
 			h.NotifiedFor = now - at
-			h.ToldBy, h.ToldIn = x.bounds.toldBy(s.Server)
+			h.NotifiedBy, h.NotifiedRevision = x.bounds.toldBy(s.Server)
 		}
 		k.Hosts = append(k.Hosts, h)
 	})
@@ -78,7 +78,7 @@
 
 // recall is what the module knows of the hosts, for another one that takes its place after a panic. Where even that fails, each
 // host counts as a follower until it says otherwise.
-func (x *Exchange) recall() (out []balance.Inherited) {
+func (x *Exchange) recall() (out []balance.PriorEvidence) {
 	now := x.cfg.Clock.Now()
 	defer func() {
 		if p := recover(); p == nil {
@@ -86,11 +86,11 @@
 		}
 		out = nil
 		for server := range x.list {
-			out = append(out, balance.Inherited{Server: server, Follows: now, Alive: true})
+			out = append(out, balance.PriorEvidence{Server: server, ReplicaNotAfter: now, Alive: true})
 		}
 	}()
-	x.router.Look(now, func(s balance.Seen) {
-		out = append(out, balance.Inherited{Server: s.Server, Leads: s.Leads, Follows: s.Follows, Position: s.Position, Alive: true})
+	x.router.Views(now, func(s balance.MemberView) {
+		out = append(out, balance.PriorEvidence{Server: s.Server, PrimaryNotBefore: s.PrimaryNotBefore, ReplicaNotAfter: s.ReplicaNotAfter, Position: s.Position, Alive: true})
 	})
 	return out
 }
@@ -100,7 +100,7 @@
 	k := e.known
 	x.members(e.list)
 	for _, h := range k.Hosts {
-		x.decide(balance.Inherited{Server: h.Server, Leads: h.Leads, Follows: h.Follows, Position: h.Position, Alive: h.Alive})
+		x.decide(balance.PriorEvidence{Server: h.Server, PrimaryNotBefore: h.PrimaryNotBefore, ReplicaNotAfter: h.ReplicaNotAfter, Position: h.Position, Alive: h.Alive})
 	}
 	s := x.cfg.Settings
 	if s.Restarted = true; !s.TokensCarried {
@@ -108,7 +108,7 @@
 		s.Floor = max(s.Floor, k.Newest)
 	}
 	x.cfg.Settings = s
-	x.decide(balance.Retune{Settings: s})
+	x.decide(balance.SettingsUpdate{Settings: s})
 }
 
 // wrote notes the last write that the module remembers of any session.
--- a/internal/memory/exchange/members.go
+++ b/internal/memory/exchange/members.go
@@ -17,9 +17,9 @@
 	balance.Member
 	Address string
 	// NotifiedAt is when an earlier process of this gateway was notified that it drains or is gone; 0: not known.
-	NotifiedAt time.Duration
-	ToldBy     string // agent of discovery that told that earlier process so; "": not known
-	ToldIn     int64  // the revision of its list
+	NotifiedAt       time.Duration
+	NotifiedBy       string // agent of discovery that told that earlier process so; "": not known
+	NotifiedRevision int64  // the revision of its list
 }
 
 // List is what an agent of discovery told: all hosts, or entries that changed.
@@ -27,7 +27,7 @@
 	Agent    string // its address
 	Revision int64
 	At       time.Duration // when it arrived, or earlier, where the gateway counts as notified since then
-	Whole    bool
+	Snapshot bool
 	Hosts    []Member
 
 	inherited bool // it is what an earlier process knew, with starts that were rounded up
@@ -59,28 +59,28 @@
 }
 
 var drainStates = map[balance.State]draining.State{balance.Active: draining.Serving, balance.Draining: draining.Draining,
-	balance.Left: draining.Gone}
+	balance.Removed: draining.Removed}
 
 // states is drainStates the other way round.
-var states = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Gone: balance.Left}
+var states = map[draining.State]balance.State{draining.Serving: balance.Active, draining.Draining: balance.Draining, draining.Removed: balance.Removed}
 
 // take puts a list in force, and gives it with the states that hold, and the latest starts: a list that is behind takes none back. A host that drains when the process first hears of it may have done so
 // since before the process began: what discovery's agent has counts as notified from the process's first moment.
 func (b *bounds) take(l List) members {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, named := members{l.Whole, slices.Clone(l.Hosts)}, map[string]bool{}
+	e, named := members{l.Snapshot, slices.Clone(l.Hosts)}, map[string]bool{}
 	for i, m := range e.list {
 		named[m.Server] = true
 		b.tellLocked(b.drains.Set(b.wordLocked(l, m)))
 		e.list[i].State, e.list[i].Started = states[b.drains.State(m.Server)], max(m.Started, b.known[m.Server])
 	}
-	if !l.Whole {
+	if !l.Snapshot {
 		return e
 	}
 	for server, started := range b.known {
 		if !named[server] {
-			b.tellLocked(b.drains.Set(draining.Word{Server: server, State: draining.Gone, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
+			b.tellLocked(b.drains.Set(draining.Notification{Server: server, State: draining.Removed, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
 				Started: started}))
 		}
 	}
@@ -88,8 +88,8 @@
 }
 
 // wordLocked is what a list tells of a host. Of an earlier process's, that a host serves ends no drain: what another list told may be later.
-func (b *bounds) wordLocked(l List, m Member) draining.Word {
-	w := draining.Word{Server: m.Server, State: drainStates[m.State], At: l.At, Since: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
+func (b *bounds) wordLocked(l List, m Member) draining.Notification {
+	w := draining.Notification{Server: m.Server, State: drainStates[m.State], At: l.At, NotifiedAt: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
 		Started: m.Started}
 	latest, known := b.known[m.Server]
 	if !known {
@@ -102,7 +102,7 @@
 		latest = max(latest, m.Started)
 	}
 	if b.known[m.Server] = latest; l.inherited {
-		w.Agent, w.Revision = m.ToldBy, m.ToldIn
+		w.Agent, w.Revision = m.NotifiedBy, m.NotifiedRevision
 		return w
 	}
 	b.agent = l.Agent
@@ -111,7 +111,7 @@
 
 func (b *bounds) tellLocked(bound draining.Bound) {
 	if b.hosts != nil {
-		b.hosts.Until(bound.Server, bound.By)
+		b.hosts.SetSendDeadline(bound.Server, bound.SendUntil)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (b *bounds) retune(s balance.Settings) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	moved := b.drains.Retune(drainRules(s))
+	moved := b.drains.SetRules(drainRules(s))
 	for _, bound := range moved {
 		b.tellLocked(bound)
 	}
@@ -130,7 +130,7 @@
 func (b *bounds) renew(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tellLocked(draining.Bound{Server: server, By: b.drains.Until(server)})
+	b.tellLocked(draining.Bound{Server: server, SendUntil: b.drains.Until(server)})
 }
 
 func (b *bounds) until(server string) time.Duration {
@@ -143,7 +143,7 @@
 func (b *bounds) toldBy(server string) (agent string, revision int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drains.ToldBy(server)
+	return b.drains.NotifiedBy(server)
 }
 
 // lastAgent is the agent of discovery whose list was taken last; "": none was.
@@ -188,14 +188,14 @@
 // members takes a list. Its bounds may be older than what holds by now.
 func (x *Exchange) members(e members) {
 	now := x.cfg.Clock.Now()
-	ev := balance.Members{Whole: e.whole, List: make([]balance.Member, 0, len(e.list))}
+	ev := balance.Members{Snapshot: e.whole, List: make([]balance.Member, 0, len(e.list))}
 	local, named := make([]Member, 0, len(e.list)), map[string]bool{}
 	for _, m := range e.list {
 		named[m.Server] = true
 		x.noteState(now, m)
 		x.list[m.Server] = m
 		if x.cfg.Gossip != nil {
-			x.cfg.Gossip.Host(m.Server)
+			x.cfg.Gossip.AddHost(m.Server)
 		}
 		x.groups[m.Group] = true
 		m.Member = x.bound(m)
@@ -207,19 +207,19 @@
 		x.bounds.renew(m.Server)
 	}
 	for server, m := range x.list {
-		if e.whole && !named[server] && m.State != balance.Left {
-			m.State = balance.Left
+		if e.whole && !named[server] && m.State != balance.Removed {
+			m.State = balance.Removed
 			x.noteState(now, m)
 			x.list[server] = m
 		}
-		if m.State == balance.Left {
+		if m.State == balance.Removed {
 			x.forgetHost(now, server)
 		}
 	}
 	x.decide(ev)
 	x.askClock()
 	if x.cells != nil {
-		x.carryOut(x.cells.Hosts(now, e.whole, ev.List))
+		x.carryOut(x.cells.UpdateMembers(now, e.whole, ev.List))
 	}
 }
 
@@ -235,7 +235,7 @@
 // Primaries' positions are the newest, so they are asked where the list names any.
 func (x *Exchange) askClock() {
 	now := x.cfg.Clock.Now()
-	if x.cfg.Clock.Bounds().Told || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
+	if x.cfg.Clock.Bounds().HasMin || !x.cfg.Settings.Probes || len(x.clockProbes) > 0 || x.clockRounds >= clockProbeRounds ||
 		now < x.clockAskAt {
 		return
 	}
@@ -282,10 +282,10 @@
 		return 0
 	}
 	now, b := x.cfg.Clock.Now(), x.cfg.Clock.Bounds()
-	if !b.Told {
+	if !b.HasMin {
 		return now
 	}
-	return min(fleet-b.At(now).Least, now)
+	return min(fleet-b.At(now).Min, now)
 }
 
 // noticeClock puts in force what is known by now of how this clock stands to the fleet's, and hands everybody the list anew where that
@@ -300,11 +300,11 @@
 	if x.clockEpoch != epoch {
 		x.clockEpoch = epoch
 		x.decide(balance.ClockReplaced{})
-	} else if x.clockTold == b.Told && x.clockDoubted == b.Doubted && x.clockBounded == b.Bounded {
+	} else if x.clockTold == b.HasMin && x.clockDoubted == b.Contradicted && x.clockBounded == b.HasMax {
 		return
 	}
-	x.clockTold, x.clockDoubted, x.clockBounded = b.Told, b.Doubted, b.Bounded
-	x.cfg.Log.Info("fleet's clock", append([]zap.Field{zap.Bool("doubted", b.Doubted), zap.Int("epoch", epoch)}, clockFields("", b, x.cfg.Clock.Now())...)...)
+	x.clockTold, x.clockDoubted, x.clockBounded = b.HasMin, b.Contradicted, b.HasMax
+	x.cfg.Log.Info("fleet's clock", append([]zap.Field{zap.Bool("doubted", b.Contradicted), zap.Int("epoch", epoch)}, clockFields("", b, x.cfg.Clock.Now())...)...)
 	e := members{}
 	for _, m := range x.list {
 		e.list = append(e.list, m)
@@ -321,7 +321,7 @@
 	delete(x.list, server)
 	x.bounds.forget(server)
 	if x.cfg.Gossip != nil {
-		x.cfg.Gossip.Forget(server)
+		x.cfg.Gossip.RemoveHost(server)
 	}
 	x.hosts.Forget(server)
 }
--- a/internal/memory/exchange/outcome.go
+++ b/internal/memory/exchange/outcome.go
@@ -7,19 +7,19 @@
 // What becomes of attempts, and what hosts say of themselves with them and beside them.
 
 type learning struct {
-	heard  balance.Heard
-	made   balance.Made
+	heard  balance.RemoteOutcome
+	made   balance.TimeBounds
 	report balance.Report
 }
 
 // Learned takes what a host said of itself beside the outcomes: behind one, or in an answer that may yet break off.
-func (x *Exchange) Learned(h balance.Heard, made balance.Made, r balance.Report) {
+func (x *Exchange) Learned(h balance.RemoteOutcome, made balance.TimeBounds, r balance.Report) {
 	x.post(learning{h, made, r})
 }
 
 // dropOutdated takes out what was dated by bounds of the fleet's clock that have turned out wrong since. That a host is no primary, and
 // its position, stand whatever the clock.
-func (x *Exchange) dropOutdated(made balance.Made, role *balance.Role, report *balance.Report) {
+func (x *Exchange) dropOutdated(made balance.TimeBounds, role *balance.Role, report *balance.Report) {
 	if made.Epoch == x.clockEpoch {
 		return
 	}
@@ -34,10 +34,10 @@
 
 func (x *Exchange) learned(e learning) {
 	x.dropOutdated(e.made, &e.heard.Role, &e.report)
-	if e.heard.Source != balance.FromPart { // the outcome of the same answer tells the others: a note is dear in a large fleet
+	if e.heard.Source != balance.FromPartialAnswer { // the outcome of the same answer tells the others: a note is dear in a large fleet
 		x.note(e.heard, e.made, e.report)
 	}
-	if e.report.Has {
+	if e.report.Valid {
 		e.heard.Position = max(e.heard.Position, e.report.Position)
 	}
 	e.heard.At, e.heard.NotBefore, e.heard.NotAfter = e.made.NotAfter, e.made.NotBefore, e.made.NotAfter
@@ -45,7 +45,7 @@
 }
 
 func (x *Exchange) outcome(e Outcome) {
-	x.dropOutdated(e.Made, &e.Role, &e.Report)
+	x.dropOutdated(e.StatedAt, &e.Role, &e.Report)
 	if x.stale(e.Outcome) {
 		e.Result, e.Value = balance.Stale, nil
 	}
@@ -55,7 +55,7 @@
 		return // of a request that a panic cut off
 	}
 	o.out, o.last = false, e.Result
-	if o.ranAt == 0 && !e.Result.NeverRan() {
+	if o.ranAt == 0 && !e.Result.NotExecuted() {
 		o.ranAt = o.sentAt
 	}
 	if e.Result == balance.OK {
@@ -70,7 +70,7 @@
 		x.answer(o, Answer{Kind: Served, Value: e.Value}, &x.cfg.Counters.Served)
 	}
 	e.Final = o.answered
-	x.note(balance.Heard{Server: e.Server, Class: o.Class, Result: e.Result, Took: e.Took, Role: e.Role, Position: e.Position}, e.Made, e.Report)
+	x.note(balance.RemoteOutcome{Server: e.Server, Class: o.Class, Result: e.Result, Took: e.Took, Role: e.Role, Position: e.Position}, e.StatedAt, e.Report)
 	x.decide(e.Outcome)
 	x.forget(o)
 }
--- a/internal/memory/exchange/ownread_test.go
+++ b/internal/memory/exchange/ownread_test.go
@@ -33,7 +33,7 @@
 			clock := NewClock()
 			x, h := pair(t, clock)
 			now := clock.Now()
-			clock.Observe(fleetclock.Observation{Host: "p", Present: now - way, Sent: now - way, Received: now})
+			clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now - way, Sent: now - way, Received: now})
 			x.noticeClock()
 			learn(x, "p", balance.Replica, 0)
 			stopped := clock.Now()
--- a/internal/memory/exchange/request.go
+++ b/internal/memory/exchange/request.go
@@ -41,9 +41,9 @@
 		wait = r.Wait
 	}
 	patience := time.Duration(0)
-	if r.Lease > 0 {
+	if r.Checkout > 0 {
 		// What waits for a host waits no longer than any of its class would.
-		patience, wait = wait/2, r.Lease
+		patience, wait = wait/2, r.Checkout
 	}
 	o := &open{Request: r, patience: patience, class: class, deadline: r.Arrived + max(wait-answerMargin, wait/2)}
 	if x.endBy > 0 {
@@ -68,24 +68,24 @@
 // pass hands a request to the module, or lets it wait at a fence.
 func (x *Exchange) pass(o *open, v cells.Verdict) {
 	r := o.Request
-	if o.waits = v.Kind == cells.Hold; o.waits {
+	if o.waits = v.Kind == cells.Held; o.waits {
 		x.cfg.Counters.Held.Add(1)
 		return
 	}
-	q := balance.Request{ID: r.ID, Class: r.Class, Session: r.Session, Group: v.Group, Cell: v.Cell, After: r.After,
-		Deadline: o.deadline, Elapsed: x.tries.Try(r.Class, o.class.Deadline, r.Wait), Retry: r.Retry, Lease: r.Lease > 0,
-		Patience: o.patience}
+	q := balance.Request{ID: r.ID, Class: r.Class, Session: r.Session, Group: v.Group, Cell: v.Cell, SessionPosition: r.After,
+		Deadline: o.deadline, Elapsed: x.tries.Observe(r.Class, o.class.Deadline, r.Wait), Retry: r.Retry, Checkout: r.Checkout > 0,
+		MaxWait: o.patience}
 	if o.again = q.Elapsed > 0; o.again {
 		x.cfg.Counters.Again.Add(1)
 	}
 	if v.Since > 0 {
-		q.Since = x.cfg.Clock.fleetAtMost(v.Since)
+		q.MinPosition = x.cfg.Clock.fleetAtMost(v.Since)
 	}
-	if q.Over = r.Over; q.Over > 0 {
+	if q.QuotaRetryAfter = r.QuotaRetryAfter; q.QuotaRetryAfter > 0 {
 		x.cfg.Counters.Over.Add(1)
-	} else if v.Kind == cells.Over {
+	} else if v.Kind == cells.OverLimit {
 		x.cfg.Counters.Over.Add(1)
-		q.Over = max(v.After, 1)
+		q.QuotaRetryAfter = max(v.RetryAfter, 1)
 	}
 	x.decide(q)
 }
--- a/internal/memory/exchange/retune.go
+++ b/internal/memory/exchange/retune.go
@@ -11,12 +11,12 @@
 
 type retuning struct{ settings balance.Settings }
 
-// Retune takes new settings, whole. They are to be as Checked gives them.
-func (x *Exchange) Retune(s balance.Settings) { x.post(retuning{s}) }
+// UpdateSettings takes new settings, whole. They are to be as Checked gives them.
+func (x *Exchange) UpdateSettings(s balance.Settings) { x.post(retuning{s}) }
 
 func (x *Exchange) retune(s balance.Settings) {
-	s.HoldUp = draining.HoldUp
-	if x.versions.Take(x.cfg.Clock.Now(), s) {
+	s.MaxSendDelay = draining.MaxSendDelay
+	if x.versions.Update(x.cfg.Clock.Now(), s) {
 		x.force("taken")
 	}
 }
@@ -34,9 +34,9 @@
 	s.Floor, s.Restarted = x.cfg.Settings.Floor, x.cfg.Settings.Restarted // no file says that
 	x.use(s)
 	if x.cfg.Gossip != nil {
-		x.cfg.Gossip.Classes(s.Classes)
+		x.cfg.Gossip.SetClasses(s.Classes)
 	}
-	x.decide(balance.Retune{Settings: s})
+	x.decide(balance.SettingsUpdate{Settings: s})
 	if x.bounds.retune(s) {
 		x.rebind()
 	}
--- a/internal/memory/exchange/stale_answer_test.go
+++ b/internal/memory/exchange/stale_answer_test.go
@@ -32,7 +32,7 @@
 			}
 			sent := h.sent[0].Sent
 			x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "read", Server: "r", Result: balance.OK, Role: balance.Replica,
-				Position: sent - c.age, Made: balance.Made{NotBefore: sent, NotAfter: sent, Epoch: x.clockEpoch}}})
+				Position: sent - c.age, StatedAt: balance.TimeBounds{NotBefore: sent, NotAfter: sent, Epoch: x.clockEpoch}}})
 			select {
 			case a := <-answer:
 				if served := a.Kind == Served; served == c.expired {
--- a/internal/memory/exchange/trace.go
+++ b/internal/memory/exchange/trace.go
@@ -42,7 +42,7 @@
 	r := &t.reads[t.count%tracedReads]
 	r.id = [16]byte{}
 	copy(r.id[:], o.ID)
-	r.server, r.sentAt, r.age = server, o.sentAt, o.sentAt+o.grounds.Ages-o.grounds.Position
+	r.server, r.sentAt, r.age = server, o.sentAt, o.sentAt+o.grounds.AgeOffset-o.grounds.Position
 	t.count++
 }
 
--- a/internal/memory/exchange/trace_test.go
+++ b/internal/memory/exchange/trace_test.go
@@ -29,7 +29,7 @@
 // contradict has a primary's answer speak against what is believed of the clock, once.
 func contradict(clock Clock) {
 	now := clock.Now()
-	clock.Observe(fleetclock.Observation{Host: "p", Present: now + 300*time.Millisecond, Sent: now, Received: now + time.Millisecond})
+	clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now + 300*time.Millisecond, Sent: now, Received: now + time.Millisecond})
 }
 
 // traced gives what is logged by then.
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -35,15 +35,15 @@
 
 // Pool is one pool of clients that may ask general SQL.
 type Pool struct {
-	Name              string
-	Users, Databases  []string // empty: any
-	Tenants           []string
-	Mode              pooling.Mode
-	Group             int
-	Read, Own, Write  string
-	Transaction, Idle time.Duration
-	MaxBatch          int
-	MaxMessage, Most  int
+	Name                        string
+	Users, Databases            []string // empty: any
+	Tenants                     []string
+	Mode                        pooling.Mode
+	Group                       int
+	Read, ReadAfterWrite, Write string
+	MaxTransaction, MaxIdle     time.Duration
+	MaxBatch                    int
+	MaxMessage, MaxSessions     int
 }
 
 // Control is the control socket.
@@ -284,15 +284,15 @@
 func (f *File) pools(r reader) error {
 	n := f.root.one("pools")
 	f.Pools = Pools{Prepared: value[int](n, "prepared"), Wait: value[time.Duration](n, "wait"), Limits: pooling.Limits{Total: value[int](n, "total"),
-		PerHost: value[int](n, "per-host"), Least: value[int](n, "least"), Opening: value[int](n, "opening"),
-		PerSec: value[float64](n, "per-second"), Rest: value[time.Duration](n, "rest"), Age: value[time.Duration](n, "age"),
-		Memory: value[time.Duration](n, "memory"), ColdPart: value[float64](n, "cold-part")}}
+		PerHost: value[int](n, "per-host"), MinPerHost: value[int](n, "least"), Opening: value[int](n, "opening"),
+		OpenRate: value[float64](n, "per-second"), MinRest: value[time.Duration](n, "rest"), Age: value[time.Duration](n, "age"),
+		PeakHalfLife: value[time.Duration](n, "memory"), SlowStartFraction: value[float64](n, "cold-part")}}
 	for _, p := range n.all("pool") {
 		x := Pool{Name: p.title, Users: texts(p, "user"), Databases: texts(p, "database"), Group: value[int](p, "group"),
-			Read: value[string](p, "read"), Own: value[string](p, "own"), Write: value[string](p, "write"),
-			Transaction: value[time.Duration](p, "transaction"), Idle: value[time.Duration](p, "idle"), MaxBatch: value[int](p, "batch"),
-			Tenants: texts(p, "tenant"), MaxMessage: value[int](p, "message"), Most: value[int](p, "most")}
-		x.Own = cmp.Or(x.Own, x.Read)
+			Read: value[string](p, "read"), ReadAfterWrite: value[string](p, "own"), Write: value[string](p, "write"),
+			MaxTransaction: value[time.Duration](p, "transaction"), MaxIdle: value[time.Duration](p, "idle"), MaxBatch: value[int](p, "batch"),
+			Tenants: texts(p, "tenant"), MaxMessage: value[int](p, "message"), MaxSessions: value[int](p, "most")}
+		x.ReadAfterWrite = cmp.Or(x.ReadAfterWrite, x.Read)
 		var ok bool
 		if x.Mode, ok = pooling.ParseMode(value[string](p, "mode")); !ok {
 			return r.fail(p.one("mode").pos, "pools.pool.mode", "%q: neither statement, transaction nor session", value[string](p, "mode"))
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &File{Path: "f", Pools: Pools{Prepared: 100, Wait: 100 * time.Millisecond, Limits: pooling.Limits{Rest: 30 * time.Millisecond}}, Control: Control{"/run/yokemast/control.sock", 0o660}, Cells: &cells.Config{Claims: true, Size: 3,
+	want := &File{Path: "f", Pools: Pools{Prepared: 100, Wait: 100 * time.Millisecond, Limits: pooling.Limits{MinRest: 30 * time.Millisecond}}, Control: Control{"/run/yokemast/control.sock", 0o660}, Cells: &cells.Config{Claims: true, Size: 3,
 		Overlap: 1, Reserve: 0.5, Buckets: 1024, Queue: 4, Floor: 16, Gateways: 1,
 		Cells: []cells.Cell{{Name: "coast", Weight: 2, Pins: []string{"s-1", "s-2"}, Rate: 200, Burst: 50},
 			{Name: "hills", Weight: 1}},
--- a/internal/wire/admin/admin.go
+++ b/internal/wire/admin/admin.go
@@ -110,7 +110,7 @@
 
 func (n *noting) WriteHeader(status int) {
 	if status >= 400 {
-		n.counts.CallsNo.Add(1)
+		n.counts.CallsFailed.Add(1)
 	}
 	n.ResponseWriter.WriteHeader(status)
 }
--- a/internal/wire/backend/attempt.go
+++ b/internal/wire/backend/attempt.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// Withdraw ends an attempt that still waits for its connection. One whose first byte may have gone out goes on: only its end
+// CancelUnsent ends an attempt that still waits for its connection. One whose first byte may have gone out goes on: only its end
 // says what became of it.
-func (b *Backend) Withdraw(id string, number int) {
+func (b *Backend) CancelUnsent(id string, number int) {
 	b.mu.Lock()
 	t := b.attempts[key{id, number}]
 	b.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-var canceled = exchange.Outcome{Outcome: balance.Outcome{Result: balance.Cancelled}}
+var canceled = exchange.Outcome{Outcome: balance.Outcome{Result: balance.Canceled}}
 
 // attempt is one attempt. Whoever ends it first tells its outcome.
 type attempt struct {
@@ -161,7 +161,7 @@
 	}
 	switch {
 	case t.conn == nil, keep:
-	case t.converses && o.Result == balance.Cancelled: // what has arrived may hold a word against the host
+	case t.converses && o.Result == balance.Canceled: // what has arrived may hold a word against the host
 		t.conn.stopWaiting()
 	default:
 		t.conn.close()
@@ -192,9 +192,9 @@
 // try carries out the attempt on one connection. again: nothing of it has gone out there, and another may serve.
 func (t *attempt) try() (again bool) {
 	result := func(r balance.Result) { t.end(exchange.Outcome{Outcome: balance.Outcome{Result: r}}) }
-	c, err := t.b.take(t.opening, t.Server, t.Until)
-	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoRoom); c, err = t.b.take(t.opening, t.Server, t.Until) {
-		until := min(end, t.Until)
+	c, err := t.b.take(t.opening, t.Server, t.Deadline)
+	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoRoom); c, err = t.b.take(t.opening, t.Server, t.Deadline) {
+		until := min(end, t.Deadline)
 		if t.StartBy > 0 {
 			until = min(until, t.StartBy)
 		}
@@ -217,7 +217,7 @@
 	if !converses {
 		command = t.Command.(Command)
 		if large == nil {
-			query = command.AppendQuery(nil, t.Until-now)
+			query = command.AppendQuery(nil, t.Deadline-now)
 		}
 	}
 	due := t.due(now)
@@ -239,9 +239,9 @@
 	}
 	var r reply
 	if large != nil {
-		r = c.exchange(func() error { return t.writeLarge(c, large, now) }, true, command.Tag(), limits{t.Until, t.WriteBy, t.calledOff})
+		r = c.exchange(func() error { return t.writeLarge(c, large, now) }, true, command.Tag(), limits{t.Deadline, t.WriteBy, t.calledOff})
 	} else {
-		r = c.roundTrip(query, command.Tag(), limits{t.Until, t.WriteBy, t.calledOff})
+		r = c.roundTrip(query, command.Tag(), limits{t.Deadline, t.WriteBy, t.calledOff})
 	}
 	if r.result == balance.NotSent {
 		return t.leave(c)
@@ -263,7 +263,7 @@
 	t.mu.Unlock()
 	t.b.put(t.Server, c)
 	o := exchange.Outcome{Outcome: balance.Outcome{Result: r.result, Role: r.role, Position: r.position,
-		Report: r.report, Made: made, Written: r.written}}
+		Report: r.report, StatedAt: made, Written: r.written}}
 	if r.result == balance.OK {
 		o.Value = r.value
 	}
@@ -276,7 +276,7 @@
 	t.mu.Lock()
 	off := t.withdrawn || t.ended
 	t.mu.Unlock()
-	return off || t.Left != nil && t.Left()
+	return off || t.ClientDisconnected != nil && t.ClientDisconnected()
 }
 
 // leave gives up a connection on which nothing of the attempt has gone out. again: the attempt has not ended.
@@ -297,7 +297,7 @@
 // due says whether the attempt may still begin: its time, its host's drain and the evidence that it was decided on allow it.
 func (t *attempt) due(now time.Duration) bool {
 	switch {
-	case now >= t.Until, t.StartBy > 0 && now > t.StartBy:
+	case now >= t.Deadline, t.StartBy > 0 && now > t.StartBy:
 		return false
 	case t.Grounds.Expired(now, t.b.cfg.Clock.ForModule()), t.b.refuted(t.Server, t.Grounds):
 		return false
@@ -307,12 +307,12 @@
 
 // refuted says that what a host told proves that its answer must not be served.
 func (t *attempt) refuted(r *reply, written time.Duration) bool {
-	return t.Demand.Refuted(r.role, r.position, written, t.b.cfg.Clock.ForModule())
+	return t.Demand.Violated(r.role, r.position, written, t.b.cfg.Clock.ForModule())
 }
 
 // writeLarge writes a query that does not fit into memory.
 func (t *attempt) writeLarge(c *conn, query Large, now time.Duration) error {
-	if err := query.WriteQuery(c, t.Until-now); err != nil {
+	if err := query.WriteQuery(c, t.Deadline-now); err != nil {
 		return err
 	}
 	if !t.await() {
--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -32,7 +32,7 @@
 	Outcome(exchange.Outcome)
 	Probed(balance.ProbeResult)
 	// Learned takes what a host said of itself beside the outcomes, and when.
-	Learned(balance.Heard, balance.Made, balance.Report)
+	Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report)
 }
 
 // Command is what a request asks a host to run.
@@ -102,7 +102,7 @@
 	address string
 	cold    time.Duration // until then
 	until   time.Duration // nothing new goes out to it later; 0: no such bound
-	words   balance.RoleWords
+	words   balance.RoleStatements
 }
 
 // New makes a backend whose goroutines belong to the group and end with the context.
@@ -129,21 +129,21 @@
 			h = &host{}
 			b.hosts[m.Server] = h
 		}
-		b.pools.Close(m.Server, false) // it may have been forgotten before
-		if h.address != m.Address || m.State == balance.Left {
-			b.closeLocked(b.pools.Drop(m.Server))
+		b.pools.SetClosed(m.Server, false) // it may have been forgotten before
+		if h.address != m.Address || m.State == balance.Removed {
+			b.closeLocked(b.pools.CloseIdle(m.Server))
 		}
 		h.address = m.Address
 		if b.cfg.ColdTime > 0 && m.Started > 0 {
 			h.cold = m.Started + b.cfg.ColdTime
-			b.pools.Cold(m.Server, b.cfg.Clock.Now() < h.cold)
+			b.pools.SetCold(m.Server, b.cfg.Clock.Now() < h.cold)
 		}
 	}
 }
 
-// Until says that nothing new may go out to a host later than by: a connection that was asked for before it was told to drain
+// SetSendDeadline says that nothing new may go out to a host later than by: a connection that was asked for before it was told to drain
 // may come up long after. 0: it may again.
-func (b *Backend) Until(server string, by time.Duration) {
+func (b *Backend) SetSendDeadline(server string, by time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[server]; h != nil {
@@ -182,7 +182,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.hosts[server] != nil {
-		b.closeLocked(b.pools.Forget(server))
+		b.closeLocked(b.pools.RemoveHost(server))
 		delete(b.hosts, server)
 	}
 }
@@ -196,7 +196,7 @@
 		case <-b.ctx.Done():
 			b.mu.Lock()
 			for server := range b.hosts {
-				b.closeLocked(b.pools.Drop(server))
+				b.closeLocked(b.pools.CloseIdle(server))
 			}
 			var out []*attempt
 			for _, t := range b.attempts {
@@ -216,7 +216,7 @@
 		for server, h := range b.hosts {
 			if h.cold > 0 && now >= h.cold {
 				h.cold = 0
-				b.pools.Cold(server, false)
+				b.pools.SetCold(server, false)
 			}
 		}
 		b.mu.Unlock()
@@ -236,7 +236,7 @@
 	case errors.Is(err, errNoRoom), errors.Is(err, errExpired), errors.Is(err, errUnknown):
 		return balance.NotSent
 	case errors.As(err, &refused) && refused.Code == pg.CodeTooMany:
-		return balance.Full
+		return balance.QueueFull
 	}
 	return balance.NoConnection
 }
--- a/internal/wire/backend/backend_test.go
+++ b/internal/wire/backend/backend_test.go
@@ -22,9 +22,9 @@
 
 type outcomes chan exchange.Outcome
 
-func (o outcomes) Outcome(e exchange.Outcome)                        { o <- e }
-func (outcomes) Probed(balance.ProbeResult)                          {}
-func (outcomes) Learned(balance.Heard, balance.Made, balance.Report) {}
+func (o outcomes) Outcome(e exchange.Outcome)                                      { o <- e }
+func (outcomes) Probed(balance.ProbeResult)                                        {}
+func (outcomes) Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report) {}
 
 func (outcomes) AppendQuery(out []byte, _ time.Duration) []byte { return pg.AppendQuery(out, "x") }
 
@@ -62,7 +62,7 @@
 			ConnectTimeout: c.connect, IdleTimeout: time.Minute}, to)
 		b.Members([]exchange.Member{{Member: balance.Member{Server: "closed"}, Address: closed.Addr().String()},
 			{Member: balance.Member{Server: "mute"}, Address: mute.Addr().String()}})
-		b.Send(exchange.Attempt{ID: "a", Server: c.server, Command: to, Sent: clock.Now(), Until: clock.Now() + c.until})
+		b.Send(exchange.Attempt{ID: "a", Server: c.server, Command: to, Sent: clock.Now(), Deadline: clock.Now() + c.until})
 		if got := <-to; got.Result != c.want {
 			t.Errorf("%s: result %v, want %v", c.name, got.Result, c.want)
 		}
@@ -104,7 +104,7 @@
 				return nil
 			}}, to)
 		b.Members([]exchange.Member{{Member: balance.Member{Server: "s"}, Address: address}})
-		b.Send(exchange.Attempt{ID: "a", Server: "s", Command: to, Sent: clock.Now(), Until: clock.Now() + time.Minute})
+		b.Send(exchange.Attempt{ID: "a", Server: "s", Command: to, Sent: clock.Now(), Deadline: clock.Now() + time.Minute})
 		if got := <-to; got.Result != c.want {
 			t.Errorf("%s: result %v, want %v", c.name, got.Result, c.want)
 		}
@@ -115,7 +115,7 @@
 
 type probes chan balance.ProbeResult
 
-func (probes) Learned(balance.Heard, balance.Made, balance.Report) {}
+func (probes) Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report) {}
 
 func (p probes) Probed(e balance.ProbeResult) { p <- e }
 func (probes) Outcome(exchange.Outcome)       {}
@@ -206,7 +206,7 @@
 				var armed atomic.Bool
 				var readings atomic.Int64
 				clock := exchange.NewClock()
-				held := clock.Held(func() {
+				held := clock.WithReadHook(func() {
 					if armed.Load() && readings.Add(1) == int64(reading)+1 {
 						time.Sleep(holdUp)
 					}
@@ -214,7 +214,7 @@
 				ctx, stop := context.WithCancel(context.Background())
 				group, counts := &errgroup.Group{}, &counters.Set{}
 				x, err := exchange.New(exchange.Config{Clock: clock, Log: zap.NewNop(), Counters: counts, Settings: balance.Settings{DrainGrace: grace,
-					Classes: []balance.Class{{Name: "order", Need: balance.Write, Effect: balance.Unsafe, Aim: 400 * time.Millisecond, Deadline: time.Minute, LateWorth: 0.7}}}})
+					Classes: []balance.Class{{Name: "order", Need: balance.Write, Effect: balance.Unsafe, LatencyTarget: 400 * time.Millisecond, Deadline: time.Minute, LateWorth: 0.7}}}})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -223,7 +223,7 @@
 				group.Go(func() error { return x.Run(ctx, b) })
 				defer func() { stop(); _ = group.Wait() }()
 				member := exchange.Member{Address: address, Member: balance.Member{Server: "s", Group: 1, Primary: true, Weight: 1}}
-				x.Members(exchange.List{Agent: "a", At: clock.Now(), Whole: true, Hosts: []exchange.Member{member}})
+				x.Members(exchange.List{Agent: "a", At: clock.Now(), Snapshot: true, Hosts: []exchange.Member{member}})
 				ask := func(id string, wait time.Duration) chan exchange.Answer {
 					answer := make(chan exchange.Answer, 1)
 					x.Submit(&exchange.Request{ID: id, Class: "order", Group: 1, Write: true, Arrived: clock.Now(), Wait: wait, Command: outcomes(nil), Answer: answer})
--- a/internal/wire/backend/cancel_test.go
+++ b/internal/wire/backend/cancel_test.go
@@ -42,7 +42,7 @@
 		case o.ID == id && o.Result == balance.OK:
 			served++
 			release(o)
-		case o.ID == id && o.Result == balance.Cancelled:
+		case o.ID == id && o.Result == balance.Canceled:
 			canceled++
 		case o.ID == id && o.Result == balance.NotSent: // those before have not given their connections back yet
 			unsent++
@@ -70,13 +70,13 @@
 	r := newRig(t, func(c net.Conn, _ int64) { _, _ = c.Write(row()) })
 	for name, command := range map[string]any{"statement": plain{outcomes(nil)}, "conversation": bulky{}} {
 		now := r.clock.Now()
-		r.b.Send(exchange.Attempt{ID: name, Server: "s", Command: command, Sent: now, Until: now + soon, Left: func() bool { return true }})
+		r.b.Send(exchange.Attempt{ID: name, Server: "s", Command: command, Sent: now, Deadline: now + soon, ClientDisconnected: func() bool { return true }})
 		if o := wait(t, r.outcomes, name); o.Result != balance.NotSent {
 			t.Errorf("%s: it ended with %v", name, o.Result)
 		}
 	}
 	now := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: "stays", Server: "s", Command: outcomes(nil), Sent: now, Until: now + soon, Left: func() bool { return false }})
+	r.b.Send(exchange.Attempt{ID: "stays", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon, ClientDisconnected: func() bool { return false }})
 	if o := wait(t, r.outcomes, "the last outcome"); o.Result != balance.OK || r.queries.Load() != 1 {
 		t.Errorf("for a client that stays it ended with %v, after %d queries", o.Result, r.queries.Load())
 	}
--- a/internal/wire/backend/conn.go
+++ b/internal/wire/backend/conn.go
@@ -30,12 +30,12 @@
 	address      string
 	clock        exchange.Clock
 	incoming     *incoming
-	in           *bufio.Reader // of incoming
-	writeLimited bool          // a deadline for writing was set: it has to be moved each time
-	key          pg.Key        // that a cancel names
-	link         *pooling.Link // what it has been set up with; nil: nothing
-	clean        bool          // nothing is out on it and nothing is left over
-	used         bool          // it has carried a query before: the answer to that may come once more
+	in           *bufio.Reader      // of incoming
+	writeLimited bool               // a deadline for writing was set: it has to be moved each time
+	key          pg.Key             // that a cancel names
+	link         *pooling.ConnState // what it has been set up with; nil: nothing
+	clean        bool               // nothing is out on it and nothing is left over
+	used         bool               // it has carried a query before: the answer to that may come once more
 	closing      sync.Once
 	follows      func() // is called as soon as the host has said that it is no primary; nil: nobody is
 }
@@ -298,9 +298,9 @@
 func resultOf(code string) balance.Result {
 	switch code {
 	case pg.CodeReadOnly, pg.CodeTooFarBehind:
-		return balance.Miss
+		return balance.Misdirected
 	case pg.CodeTooMany:
-		return balance.Full
+		return balance.QueueFull
 	}
 	return balance.Failed
 }
--- a/internal/wire/backend/dial.go
+++ b/internal/wire/backend/dial.go
@@ -47,7 +47,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
-		b.pools.NotOpened(server)
+		b.pools.OpenFailed(server)
 		b.wakeLocked(server)
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 		b.closeLocked([]int{c.id})
 	}
 	if h == nil {
-		b.pools.Forget(server)
+		b.pools.RemoveHost(server)
 	}
 	b.wakeLocked(server)
 }
--- a/internal/wire/backend/evidence_test.go
+++ b/internal/wire/backend/evidence_test.go
@@ -24,8 +24,8 @@
 
 // told is what a backend told of a host beside an outcome.
 type told struct {
-	heard balance.Heard
-	made  balance.Made
+	heard balance.RemoteOutcome
+	made  balance.TimeBounds
 }
 
 // recorder keeps what a backend tells.
@@ -36,7 +36,7 @@
 
 func (r *recorder) Outcome(e exchange.Outcome) { r.outcomes <- e }
 func (*recorder) Probed(balance.ProbeResult)   {}
-func (r *recorder) Learned(h balance.Heard, made balance.Made, _ balance.Report) {
+func (r *recorder) Learned(h balance.RemoteOutcome, made balance.TimeBounds, _ balance.Report) {
 	r.told <- told{h, made}
 }
 
@@ -102,7 +102,7 @@
 
 func (r *rig) send(id string, g balance.Grounds) {
 	now := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Until: now + soon, Grounds: g})
+	r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon, Grounds: g})
 }
 
 func role(name string) []byte {
@@ -172,7 +172,7 @@
 	before := r.clock.Now()
 	r.send("first", balance.Grounds{})
 	first := wait(t, r.outcomes, "the first outcome")
-	if first.Role != balance.Replica || first.Made.NotAfter < before {
+	if first.Role != balance.Replica || first.StatedAt.NotAfter < before {
 		t.Fatalf("the first attempt ended with %+v", first.Outcome)
 	}
 	after := r.clock.Now()
@@ -181,9 +181,9 @@
 		grounds balance.Grounds
 		want    balance.Result
 	}{
-		{"on an older word that it leads", balance.Grounds{Kind: balance.LeaderWord, Leads: before}, balance.NotSent},
-		{"on the list's word", balance.Grounds{Kind: balance.Excused}, balance.NotSent},
-		{"on a newer word that it leads", balance.Grounds{Kind: balance.LeaderWord, Leads: after}, balance.OK},
+		{"on an older word that it leads", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before}, balance.NotSent},
+		{"on the list's word", balance.Grounds{Kind: balance.PresumedPrimary}, balance.NotSent},
+		{"on a newer word that it leads", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: after}, balance.OK},
 		{"on its position", balance.Grounds{Kind: balance.ByPosition, Position: before}, balance.OK},
 		{"a write", balance.Grounds{Kind: balance.NotNeeded}, balance.OK},
 	} {
@@ -212,7 +212,7 @@
 	if got := wait(t, r.told, "the report"); got.heard.Role != balance.Replica {
 		t.Errorf("told %+v", got)
 	}
-	r.send("a", balance.Grounds{Kind: balance.LeaderWord, Leads: before})
+	r.send("a", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before})
 	if o := wait(t, r.outcomes, "the outcome"); o.Result != balance.NotSent {
 		t.Errorf("on an older word that it leads it ends with %v", o.Result)
 	}
@@ -242,7 +242,7 @@
 			if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.Reset {
 				t.Errorf("the first attempt ended with %v", o.Result)
 			}
-			r.send("second", balance.Grounds{Kind: balance.LeaderWord, Leads: before})
+			r.send("second", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before})
 			if o := wait(t, r.outcomes, "the second outcome"); o.Result != c.want {
 				t.Errorf("the second attempt ended with %v, want %v", o.Result, c.want)
 			}
@@ -309,8 +309,8 @@
 			})
 			now := r.clock.Now()
 			r.clock.Inherit(now, fleetclock.Interval{})
-			r.b.Send(exchange.Attempt{ID: "a", Server: "s", Command: outcomes(nil), Sent: now, Until: now + soon,
-				Demand: balance.Demand{Bound: time.Second}})
+			r.b.Send(exchange.Attempt{ID: "a", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon,
+				Demand: balance.Demand{MaxAge: time.Second}})
 			rest := wait(t, r.outcomes, "the outcome").Value.(pg.Value).Rest
 			defer rest.Close()
 			var err error
--- a/internal/wire/backend/lease.go
+++ b/internal/wire/backend/lease.go
@@ -41,9 +41,9 @@
 }
 
 // Link is what the connection has been set up with.
-func (h *Host) Link() *pooling.Link {
+func (h *Host) Link() *pooling.ConnState {
 	if h.c.link == nil {
-		h.c.link = pooling.NewLink(h.t.b.cfg.Prepared)
+		h.c.link = pooling.NewConnState(h.t.b.cfg.Prepared)
 	}
 	return h.c.link
 }
@@ -158,7 +158,7 @@
 	c.clean = false
 	t.mu.Lock()
 	if !t.ended { // canceled, it is to wait for nothing
-		_ = c.SetReadDeadline(c.deadline(t.Until))
+		_ = c.SetReadDeadline(c.deadline(t.Deadline))
 	}
 	t.mu.Unlock()
 	if c.writeLimited { // by a statement before
@@ -176,5 +176,5 @@
 	h.notes.result = end.Result
 	made := t.b.observe(t.Server, &h.notes, t.Sent, t.Keyed)
 	t.finish(exchange.Outcome{Outcome: balance.Outcome{Result: end.Result, Role: h.notes.role, Position: h.notes.position,
-		Report: h.notes.report, Made: made}}, end.Busy, false)
+		Report: h.notes.report, StatedAt: made}}, end.Busy, false)
 }
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -21,14 +21,14 @@
 
 // observe learns from what a host told of itself in an answer to a query sent at a time, by this machine's clock. It says when the
 // host made it. The answer to a keyed write may be that of an earlier one, commit and all: it tells no present.
-func (b *Backend) observe(server string, r *reply, sent time.Duration, keyed bool) balance.Made {
+func (b *Backend) observe(server string, r *reply, sent time.Duration, keyed bool) balance.TimeBounds {
 	clock := b.cfg.Clock
 	received := clock.Now()
 	clock.Observe(r.observation(server, sent, received, keyed))
 	if r.role == balance.Unknown && r.report.Role == balance.Replica {
 		b.followsNow(server)
 	}
-	made := balance.Made{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()} // what is dated below is no older than the epoch
+	made := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()} // what is dated below is no older than the epoch
 	if r.role == balance.Primary {
 		b.leadsNow(server)
 		if earliest, ok := clock.Earliest(r.position); ok && !keyed { // a primary's position is the present; of a write, its commit, rounded up
@@ -42,11 +42,11 @@
 // observation is what an answer tells of the fleet's clock.
 func (r *reply) observation(server string, sent, received time.Duration, keyed bool) fleetclock.Observation {
 	told := fleetclock.Observation{Host: server, Position: r.position, Sent: sent, Received: received}
-	if r.report.Has {
+	if r.report.Valid {
 		told.Position = max(told.Position, r.report.Position)
 	}
 	if r.role == balance.Primary && r.result == balance.OK && !keyed { // of what it turned away its log may stand elsewhere
-		told.Present = r.position
+		told.PrimaryPosition = r.position
 	}
 	return told
 }
@@ -66,7 +66,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[server]; h != nil {
-		h.words.Leads()
+		h.words.StatedPrimary()
 	}
 }
 
@@ -76,11 +76,11 @@
 	now := b.cfg.Clock.Now()
 	b.mu.Lock()
 	h := b.hosts[server]
-	news := h != nil && h.words.Follows(now)
+	news := h != nil && h.words.StatedReplica(now)
 	b.mu.Unlock()
 	if news {
-		b.to.Learned(balance.Heard{Server: server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPart},
-			balance.Made{NotAfter: now, Epoch: b.cfg.Clock.Epoch()}, balance.Report{})
+		b.to.Learned(balance.RemoteOutcome{Server: server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer},
+			balance.TimeBounds{NotAfter: now, Epoch: b.cfg.Clock.Epoch()}, balance.Report{})
 	}
 }
 
--- a/internal/wire/backend/position_test.go
+++ b/internal/wire/backend/position_test.go
@@ -28,7 +28,7 @@
 		"a replica's answer":     {func(now time.Duration) reply { return reply{role: balance.Replica, position: now} }, false, false},
 		"an answer with no role": {func(now time.Duration) reply { return reply{position: now} }, false, false},
 		"a primary that turns away": {func(now time.Duration) reply {
-			return reply{result: balance.Full, role: balance.Primary, position: now}
+			return reply{result: balance.QueueFull, role: balance.Primary, position: now}
 		}, false, false},
 		"a primary that fails": {func(now time.Duration) reply {
 			return reply{result: balance.Failed, role: balance.Primary, position: now}
@@ -45,7 +45,7 @@
 		sent := clock.Now()
 		r := c.told(sent)
 		b.observe("s", &r, sent, c.keyed)
-		if got := clock.Bounds().Bounded; got != c.want {
+		if got := clock.Bounds().HasMax; got != c.want {
 			t.Errorf("%s: bounded %t", name, got)
 		}
 		if r.position != 0 && r.position != sent {
@@ -55,7 +55,7 @@
 }
 
 func reported(role balance.Role, position time.Duration) balance.Report {
-	return balance.Report{Has: true, Role: role, Position: position}
+	return balance.Report{Valid: true, Role: role, Position: position}
 }
 
 func TestAPrimarysWordIsDatedByItsPositionOnceTheClockIsBounded(t *testing.T) {
@@ -65,7 +65,7 @@
 	if made := b.observe("s", &r, now, false); made.NotBefore != now {
 		t.Errorf("before, it is dated %s after its query", made.NotBefore-now)
 	}
-	clock.Inherit(clock.Now(), fleetclock.Interval{Least: time.Hour, Most: time.Hour + 2*time.Millisecond})
+	clock.Inherit(clock.Now(), fleetclock.Interval{Min: time.Hour, Max: time.Hour + 2*time.Millisecond})
 	r = reply{role: balance.Primary, position: clock.Now() + time.Hour}
 	if made := b.observe("s", &r, now-10*time.Second, false); made.NotBefore < now-20*time.Millisecond || made.NotBefore > clock.Now() {
 		t.Errorf("it is dated %s after", made.NotBefore-now)
@@ -93,7 +93,7 @@
 	} {
 		got := report(in)
 		got.NotBefore = 0 // see dated
-		if want.Has && want.Position-got.Position == time.Millisecond {
+		if want.Valid && want.Position-got.Position == time.Millisecond {
 			got.Position = want.Position // a binary fraction may lie one below: that never flatters
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -115,7 +115,7 @@
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("unbounded: %s", diff)
 		}
-		clock.Inherit(clock.Now(), fleetclock.Interval{Least: -time.Millisecond, Most: 5 * time.Millisecond})
+		clock.Inherit(clock.Now(), fleetclock.Interval{Min: -time.Millisecond, Max: 5 * time.Millisecond})
 		if got := dated(clock, reported(role, position)); got.Role != role || got.Position != position || got.NotBefore > position-5*time.Millisecond ||
 			got.NotBefore < position-7*time.Millisecond {
 			t.Errorf("bounded: %+v", got)
--- a/internal/wire/backend/probe.go
+++ b/internal/wire/backend/probe.go
@@ -56,7 +56,7 @@
 			b.put(server, c)
 			if p.Result = r.result; r.result == balance.OK {
 				answer := reply{report: report(string(r.value.Data))}
-				p.Made = b.observe(server, &answer, sent, false)
+				p.StatedAt = b.observe(server, &answer, sent, false)
 				p.Report = answer.report
 			}
 			switch r.result {
--- a/internal/wire/backend/repeated_answer_test.go
+++ b/internal/wire/backend/repeated_answer_test.go
@@ -61,7 +61,7 @@
 			}
 			time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
 			var readings atomic.Int64
-			held := r.clock.Held(func() {
+			held := r.clock.WithReadHook(func() {
 				if readings.Add(1) != reading+1 {
 					return
 				}
@@ -114,7 +114,7 @@
 			}
 			for n, id := range []string{"first", "second"} {
 				now := r.clock.Now()
-				r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Until: now + soon, Keyed: c.keyed})
+				r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon, Keyed: c.keyed})
 				want := balance.OK
 				if n == 1 {
 					want = c.want
--- a/internal/wire/backend/replaced_clock_test.go
+++ b/internal/wire/backend/replaced_clock_test.go
@@ -16,12 +16,12 @@
 	epoch := r.clock.Epoch()
 	r.b.cfg.DialControl = func(string, string, syscall.RawConn) error { // while the connection comes up
 		for now := r.clock.Now(); r.clock.Epoch() == epoch; now += time.Millisecond {
-			r.clock.Observe(fleetclock.Observation{Host: "p", Present: now + time.Hour, Sent: now, Received: now})
+			r.clock.Observe(fleetclock.Observation{Host: "p", PrimaryPosition: now + time.Hour, Sent: now, Received: now})
 		}
 		return nil
 	}
 	now := r.clock.Now()
-	r.send("a", balance.Grounds{Kind: balance.ByPosition, Position: now, SendBy: now + time.Minute, Ages: r.clock.ForModule().Ages})
+	r.send("a", balance.Grounds{Kind: balance.ByPosition, Position: now, SendBy: now + time.Minute, AgeOffset: r.clock.ForModule().AgeOffset})
 	if o := wait(t, r.outcomes, "the outcome"); o.Result != balance.NotSent {
 		t.Errorf("it ended with %v", o.Result)
 	}
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -133,6 +133,6 @@
 	b.put(t.Server, s.c)
 	if s.whole {
 		made := b.observe(t.Server, &s.r, t.Sent, t.Keyed)
-		b.to.Learned(balance.Heard{Server: t.Server, Result: balance.OK, Role: s.r.role, Position: s.r.position}, made, s.r.report)
+		b.to.Learned(balance.RemoteOutcome{Server: t.Server, Result: balance.OK, Role: s.r.role, Position: s.r.position}, made, s.r.report)
 	}
 }
--- a/internal/wire/backend/unread_word_test.go
+++ b/internal/wire/backend/unread_word_test.go
@@ -47,12 +47,12 @@
 	})
 	before := r.clock.Now()
 	until := before + 100*time.Millisecond
-	r.b.Send(exchange.Attempt{ID: "first", Server: "s", Sent: before, Until: until, Grounds: balance.Grounds{Kind: balance.LeaderWord, Leads: before},
+	r.b.Send(exchange.Attempt{ID: "first", Server: "s", Sent: before, Deadline: until, Grounds: balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before},
 		Command: lateReader{answered: answered}})
 	if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.TimedOut {
 		t.Fatalf("the first attempt ended with %+v", o.Outcome)
 	}
-	r.send("second", balance.Grounds{Kind: balance.LeaderWord, Leads: before})
+	r.send("second", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before})
 	if o := wait(t, r.outcomes, "the second outcome"); o.Result != balance.NotSent {
 		t.Errorf("an attempt that needs the primary ended with %v after the host's word that it follows had come", o.Result)
 	}
@@ -96,7 +96,7 @@
 	stalled, resume chan struct{}
 }
 
-func (s *stalledReader) Learned(balance.Heard, balance.Made, balance.Report) {
+func (s *stalledReader) Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report) {
 	s.stalled <- struct{}{}
 	<-s.resume
 }
@@ -130,13 +130,13 @@
 		t.Errorf("when Cancel has returned the host reads %v", err)
 	}
 	close(reader.resume)
-	if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.Cancelled || o.Role != balance.Unknown {
+	if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.Canceled || o.Role != balance.Unknown {
 		t.Errorf("the first attempt ended with %+v", o.Outcome)
 	}
 	if err := first.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the outcome was told before its connection was closed: %v", err)
 	}
-	r.send("second", balance.Grounds{Kind: balance.LeaderWord, Leads: later})
+	r.send("second", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: later})
 	if o := wait(t, r.outcomes, "the second outcome"); o.Result != balance.NotSent {
 		t.Errorf("an attempt that needs the primary ended with %v after the host's word that it follows had come", o.Result)
 	}
@@ -171,13 +171,13 @@
 		want balance.Result
 	}{
 		"its time is over": {func(_ *rig, first *conn) { untilLate(first) }, balance.Reset},
-		"it is canceled":   {func(r *rig, _ *conn) { r.b.Cancel("first", 0) }, balance.Cancelled},
+		"it is canceled":   {func(r *rig, _ *conn) { r.b.Cancel("first", 0) }, balance.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := &talk{asked: make(chan struct{}), over: make(chan struct{}), read: make(chan struct{})}
 			r := newRig(t, func(c net.Conn, _ int64) { _, _ = c.Write(append(role("follower"), row()...)) })
 			before := r.clock.Now()
-			r.b.Send(exchange.Attempt{ID: "first", Server: "s", Sent: before, Until: before + 100*time.Millisecond, Command: k})
+			r.b.Send(exchange.Attempt{ID: "first", Server: "s", Sent: before, Deadline: before + 100*time.Millisecond, Command: k})
 			wait(t, k.asked, "the query")
 			first := r.b.attempts[key{"first", 0}].conn
 			for socket.Quiet(first) {
@@ -191,7 +191,7 @@
 			if wait(t, k.read, "the end of what came"); !k.late {
 				t.Error("what came past its time does not say so")
 			}
-			r.send("second", balance.Grounds{Kind: balance.LeaderWord, Leads: before})
+			r.send("second", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before})
 			if o := wait(t, r.outcomes, "the second outcome"); o.Result != balance.NotSent {
 				t.Errorf("an attempt that needs the primary ended with %v after the host's word that it follows had come", o.Result)
 			}
--- a/internal/wire/backend/write_by_test.go
+++ b/internal/wire/backend/write_by_test.go
@@ -53,7 +53,7 @@
 			bulkyQuery()
 			now := r.clock.Now()
 			window := now + 500*time.Millisecond
-			r.b.Send(exchange.Attempt{ID: "a", Server: "slow", Command: c.command, Sent: now, Until: now + soon, StartBy: window, WriteBy: window})
+			r.b.Send(exchange.Attempt{ID: "a", Server: "slow", Command: c.command, Sent: now, Deadline: now + soon, StartBy: window, WriteBy: window})
 			wait(t, begun, "the beginning of the query")
 			time.AfterFunc(window-r.clock.Now()+50*time.Millisecond, func() { close(over) })
 			if wait(t, whole, "the end of the query") {
@@ -103,13 +103,13 @@
 		}
 	})
 	first := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: "first", Server: "one", Command: long{}, Sent: first, Until: first + 200*time.Millisecond})
+	r.b.Send(exchange.Attempt{ID: "first", Server: "one", Command: long{}, Sent: first, Deadline: first + 200*time.Millisecond})
 	if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.OK {
 		t.Fatalf("the first attempt ended with %v", o.Result)
 	}
 	time.Sleep(first + 220*time.Millisecond - r.clock.Now()) // its deadline has passed
 	now := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: "second", Server: "one", Command: short{}, Sent: now, Until: now + soon})
+	r.b.Send(exchange.Attempt{ID: "second", Server: "one", Command: short{}, Sent: now, Deadline: now + soon})
 	if o := wait(t, r.outcomes, "the second outcome"); o.Result != balance.OK {
 		t.Errorf("the conversation ended with %v", o.Result)
 	}
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -21,7 +21,7 @@
 }
 
 var states = map[string]balance.State{"SERVING": balance.Active, "DRAINING": balance.Draining,
-	"DELETED": balance.Left}
+	"DELETED": balance.Removed}
 
 // ParseList reads a list. The error names what is at fault; such a list is not to be used in part.
 func ParseList(b []byte) (List, error) {
@@ -65,7 +65,7 @@
 		return m, errors.New("id: missing")
 	case !known:
 		return m, fmt.Errorf("phase: unknown word %s", e.Get("phase").Raw)
-	case err != nil && state != balance.Left:
+	case err != nil && state != balance.Removed:
 		return m, fmt.Errorf("host_port: %w", err)
 	case cell.Type != gjson.Number && cell.Type != gjson.Null:
 		return m, errors.New("cell: no number")
--- a/internal/wire/discovery/notified_test.go
+++ b/internal/wire/discovery/notified_test.go
@@ -105,7 +105,7 @@
 	p := play(41)
 	p.answer(p.begin(0)[0], 0, 42)
 	p.answer(p.begin(time.Second)[0], time.Second, 43)
-	if diff := cmp.Diff([]int64{listwatch.Whole, 42}, p.revisions); diff != "" || p.Revision() != 43 {
+	if diff := cmp.Diff([]int64{listwatch.NoRevision, 42}, p.revisions); diff != "" || p.Revision() != 43 {
 		t.Errorf("while a list is handed over: %s, after it: %d", diff, p.Revision())
 	}
 }
@@ -126,7 +126,7 @@
 	p := play(41)
 	p.answer(p.begin(0)[0], 0, 42)
 	p.begin(0)
-	p.decisions.Move(p.began+500*ms, "b")
+	p.decisions.SetAddress(p.began+500*ms, "b")
 	p.answer(p.begin(500 * ms)[0], 510*ms, 7)
 	if got := p.last(); got != 510*ms {
 		t.Errorf("it counts as notified %s after the last answer of the agent before", got)
--- a/internal/wire/discovery/watch.go
+++ b/internal/wire/discovery/watch.go
@@ -31,7 +31,7 @@
 	longestAgo = 30 * time.Second
 	// promptly is how long the answer to a watch may take at most, beside what answers took lately, that was there when the watch was opened:
 	// the process may be held up behind the reading of its clock at the beginning, and before the one at the end.
-	promptly = 2 * draining.HoldUp
+	promptly = 2 * draining.MaxSendDelay
 )
 
 // errBusy says that discovery has too many calls.
@@ -58,7 +58,7 @@
 // NewWatcher makes a watcher of the agent at an address; the seed draws when it asks again after it was turned away.
 func NewWatcher(address string, seed uint64) *Watcher {
 	w := &Watcher{address: address, seed: seed, wake: make(chan struct{}, 1)}
-	w.revision.Store(listwatch.Whole)
+	w.revision.Store(listwatch.NoRevision)
 	return w
 }
 
@@ -128,7 +128,7 @@
 			return nil
 		case <-timer.C:
 		case <-w.wake:
-			s.decisions.Move(w.Clock.Now(), w.Address())
+			s.decisions.SetAddress(w.Clock.Now(), w.Address())
 			w.revision.Store(s.decisions.Revision())
 		case r := <-s.results:
 			s.ended(r)
@@ -195,7 +195,7 @@
 	if r.list.Complete || len(r.list.Members) > 0 {
 		s.Log.Info("hosts listed", zap.Bool("whole", r.list.Complete), zap.Int64("revision", r.list.Revision), zap.Int("entries", len(r.list.Members)),
 			zap.String("agent", r.call.Address), zap.Duration("handled_after", now-r.at), zap.Duration("notified_before", r.at-notified))
-		s.Members(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Whole: r.list.Complete, Hosts: r.list.Members})
+		s.Members(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Snapshot: r.list.Complete, Hosts: r.list.Members})
 	}
 	s.revision.Store(s.decisions.Revision())
 	if !s.answered {
@@ -207,7 +207,7 @@
 // agent names who told the list of a call. One that counts anew goes by another name from then on: what it tells may be older than what it
 // told before.
 func (s *session) agent(c listwatch.Call) string {
-	if n := s.decisions.Recounts(); n > 0 {
+	if n := s.decisions.RevisionResets(); n > 0 {
 		return fmt.Sprintf("%s#%d", c.Address, n)
 	}
 	return c.Address
@@ -233,7 +233,7 @@
 	s.Counters.ListErrors.Add(1)
 	why := listwatch.Broken
 	if errors.Is(r.err, errBusy) {
-		why = listwatch.Busy
+		why = listwatch.Rejected
 	}
 	s.decisions.Failed(now, r.call.ID, why)
 	if s.failed++; s.failed == 1 { // once for each time that it is out, not ten times a second
@@ -245,7 +245,7 @@
 func (s *session) call(ctx context.Context, c listwatch.Call) (r result) {
 	r.call = c
 	u := url.URL{Scheme: "http", Host: c.Address, Path: "/v1/endpoints"}
-	if c.Revision != listwatch.Whole {
+	if c.Revision != listwatch.NoRevision {
 		u.RawQuery = url.Values{"after": {strconv.FormatInt(c.Revision, 10)},
 			"wait_ms": {strconv.FormatInt(c.Wait.Milliseconds(), 10)}}.Encode()
 	}
--- a/internal/wire/frontend/frontend.go
+++ b/internal/wire/frontend/frontend.go
@@ -59,7 +59,7 @@
 // Exchange takes requests.
 type Exchange interface {
 	Submit(*exchange.Request)
-	Gone(*exchange.Request)
+	CancelRequest(*exchange.Request)
 }
 
 // Config is what a Server needs to know.
@@ -172,7 +172,7 @@
 		}
 		serve := func() { c.serve(ctx) }
 		if !room {
-			s.cfg.Counters.ClientsOver.Add(1)
+			s.cfg.Counters.ClientsRefused.Add(1)
 			s.note("rejected: connection limit reached", c)
 			serve = c.reject
 		}
@@ -345,7 +345,7 @@
 			continue
 		}
 		if pressed {
-			s.cfg.Counters.ClientsPressed.Add(1)
+			s.cfg.Counters.ClientsEvictedEarly.Add(1)
 		}
 		s.evict(i.c)
 	}
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -331,27 +331,27 @@
 	if g.wrote > 0 {
 		r.After = g.wrote
 	} else if g.wrote < 0 {
-		r.After = c.s.cfg.Clock.FleetAtMost() // it wrote, and the host did not say when
+		r.After = c.s.cfg.Clock.MaxFleetTime() // it wrote, and the host did not say when
 	}
 	pins := false
 	for _, x := range b.Commands {
 		pins = pins || x.Pin != 0
 	}
 	if pins || begins || g.pool.Mode == pooling.BySession || !b.Ends {
-		r.Lease = g.pool.Transaction
+		r.Checkout = g.pool.Transaction
 		if pins || g.pool.Mode == pooling.BySession {
-			r.Lease = sessionLease
+			r.Checkout = sessionLease
 		}
 	}
 	if m := int64(g.pool.Most); m > 0 && g.pool.Stats.Leased.Load() >= m {
-		r.Over = overPool
+		r.QuotaRetryAfter = overPool
 	}
 	if begins {
 		g.pool.Stats.Transactions.Add(1)
 	}
 	l := relay.New(g.state, g.pool.Mode, g.write, b)
 	l.Idle = g.pool.Idle
-	if !write && r.Lease == 0 && g.wrote > 0 {
+	if !write && r.Checkout == 0 && g.wrote > 0 {
 		l.MustSee = g.wrote
 	}
 	l.Pinned = func(p pooling.Pin) {
@@ -362,7 +362,7 @@
 		}
 	}
 	g.answers = make(chan exchange.Answer, 1)
-	r.Command, r.Answer, r.Left = l, g.answers, c.gone
+	r.Command, r.Answer, r.ClientDisconnected = l, g.answers, c.gone
 	g.request = r
 	g.hold(l)
 	c.s.x.Submit(r)
@@ -405,7 +405,7 @@
 		l.Close()
 		g.hold(nil)
 		if !first {
-			g.state.Lost()
+			g.state.ConnectionLost()
 			return g.fatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
 		}
 		if a.Kind == exchange.Served { // its Done comes before
@@ -413,7 +413,7 @@
 		}
 		return g.say(b, errorOf(a))
 	case <-c.closed:
-		c.s.x.Gone(g.request)
+		c.s.x.CancelRequest(g.request)
 		l.Mute()
 		l.Close()
 		return false
@@ -437,10 +437,10 @@
 	switch {
 	case d.Err != nil:
 		g.lease.Mute()
-		g.c.s.x.Gone(g.request)
+		g.c.s.x.CancelRequest(g.request)
 		g.hold(nil)
 		g.pool.Stats.Lost.Add(1)
-		g.state.Lost()
+		g.state.ConnectionLost()
 		return g.fatal(relay.ErrorOf(d.Err))
 	case !d.Keep:
 		g.hold(nil)
--- a/internal/wire/frontend/large.go
+++ b/internal/wire/frontend/large.go
@@ -67,7 +67,7 @@
 func (m *memory) whole(h *budget.Holding) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.budget.Whole(h)
+	m.budget.Complete(h)
 	m.wake()
 }
 
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -229,7 +229,7 @@
 	st := cmd.statement
 	// Its client's wait runs from when it was sent, also while others of this connection are answered before it.
 	r := &exchange.Request{ID: st.ID, User: c.user, Tenant: st.Tenant, Class: st.Class, Session: st.Key, Group: st.Group, Write: st.Write,
-		Retry: st.Retry, Arrived: cmd.arrived, Wait: st.Wait, After: st.After, Left: c.gone,
+		Retry: st.Retry, Arrived: cmd.arrived, Wait: st.Wait, After: st.After, ClientDisconnected: c.gone,
 		Command: st, Answer: answer}
 	c.s.x.Submit(r)
 	select {
@@ -241,7 +241,7 @@
 		}
 		return c.write(pg.AppendReady(appendAnswer(nil, st, a)))
 	case <-c.closed:
-		c.s.x.Gone(r)
+		c.s.x.CancelRequest(r)
 	case <-ctx.Done():
 	}
 	return false
--- a/internal/wire/frontend/session_test.go
+++ b/internal/wire/frontend/session_test.go
@@ -29,8 +29,8 @@
 	gone  chan *exchange.Request
 }
 
-func (f *fake) Submit(r *exchange.Request) { f.taken <- r }
-func (f *fake) Gone(r *exchange.Request)   { f.gone <- r }
+func (f *fake) Submit(r *exchange.Request)        { f.taken <- r }
+func (f *fake) CancelRequest(r *exchange.Request) { f.gone <- r }
 
 // serving starts a front that listens on loopback.
 func serving(t *testing.T) (*Server, *fake, string) {
@@ -181,11 +181,11 @@
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the drain left an idle connection")
 	}
-	if r.Left() {
+	if r.ClientDisconnected() {
 		t.Error("its client is said to have left")
 	}
 	_ = n.Close()
-	await(t, "its request says that the client has left", r.Left)
+	await(t, "its request says that the client has left", r.ClientDisconnected)
 	select {
 	case got := <-f.gone:
 		if got != r {
--- a/internal/wire/peers/peers.go
+++ b/internal/wire/peers/peers.go
@@ -70,10 +70,10 @@
 // Tell sends a datagram to all. What can't be sent is lost, as any datagram may be.
 func (p *Peers) Tell(b []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(b, p.cfg.All); err != nil {
-		p.cfg.Counters.TellErrors.Add(1)
+		p.cfg.Counters.GossipErrors.Add(1)
 		return
 	}
-	p.cfg.Counters.Told.Add(1)
+	p.cfg.Counters.GossipSent.Add(1)
 }
 
 // Run hands over what comes in until the context ends. What it hands over is the receiver's to keep.
@@ -93,7 +93,7 @@
 			}
 			continue
 		case err != nil:
-			p.cfg.Counters.TellErrors.Add(1)
+			p.cfg.Counters.GossipErrors.Add(1)
 			time.Sleep(failedFor) // an error that lasts must not take the processor
 			continue
 		case from == p.cfg.Self:
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -33,7 +33,7 @@
 		}
 		return nil
 	}
-	if sql := link.Carry(x.s); sql != "" {
+	if sql := link.SettingsQuery(x.s); sql != "" {
 		x.query = pg.AppendQuery(x.query, sql)
 		x.expects = append(x.expects, expect{kind: pg.Query, hidden: true, carry: true})
 	}
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -48,7 +48,7 @@
 
 // run takes the batch to the host and its answer to the client.
 func (x *exchangeOf) run() error {
-	x.s.Start()
+	x.s.StartBatch()
 	x.h.Begin()
 	if err := x.build(); err != nil {
 		return err
@@ -152,7 +152,7 @@
 
 // rollback ends the open transaction and says whether the connection is clean after it.
 func (x *exchangeOf) rollback() bool {
-	if !x.s.Open() {
+	if !x.s.InTransaction() {
 		return x.h.Quiet()
 	}
 	x.h.Limit(rollbackIn)
@@ -175,7 +175,7 @@
 		}
 	}
 	x.s.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
-	x.s.Ready('I')
-	x.h.Link().Follow(x.s)
+	x.s.EndBatch('I')
+	x.h.Link().AdoptSettings(x.s)
 	return x.h.Quiet()
 }
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -82,7 +82,7 @@
 			return nil
 		}
 		x.out = pg.Append(x.out, kind, body)
-		if name, value, err := pg.Parameter(body); err == nil && !pooling.Settles(x.b.Commands) && !x.s.Open() {
+		if name, value, err := pg.Parameter(body); err == nil && !pooling.ChangesSettings(x.b.Commands) && !x.s.InTransaction() {
 			x.s.Reported(name, value)
 		}
 		return nil
@@ -148,7 +148,7 @@
 		case pg.ReadyForQuery:
 			ok = len(body) == 1
 			if e.carry {
-				x.h.Link().Carried(x.s)
+				x.h.Link().SettingsApplied(x.s)
 				x.pop()
 				return nil
 			}
@@ -189,7 +189,7 @@
 	e.commands = e.commands[1:]
 	had := x.s.Pins()
 	x.s.Completed(c, tag)
-	x.h.Link().Ran(c, x.s)
+	x.h.Link().StatementRan(c, x.s)
 	if fresh := x.s.Pins() &^ had; fresh != 0 {
 		x.l.Pinned(fresh)
 	}
@@ -204,8 +204,8 @@
 	if p := x.h.Position(); x.wrote < 0 && p > 0 {
 		x.wrote = p
 	}
-	x.s.Ready(body[0])
-	x.h.Link().Follow(x.s)
+	x.s.EndBatch(body[0])
+	x.h.Link().AdoptSettings(x.s)
 }
 
 // errCarry says that the session's settings could not be brought to the connection.
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -211,7 +211,7 @@
 	for {
 		start := time.Now()
 		saved := *l.Session
-		x := &exchangeOf{l: l, h: h, s: l.Session, b: batch, statements: maps.Clone(l.Session.All())}
+		x := &exchangeOf{l: l, h: h, s: l.Session, b: batch, statements: maps.Clone(l.Session.AllPrepared())}
 		l.run(h)
 		err := x.run()
 		l.run(nil)
@@ -219,13 +219,13 @@
 		switch {
 		case err != nil && !x.relayed && !x.sent:
 			*l.Session = saved
-			l.Session.Restore(x.statements)
+			l.Session.RestorePrepared(x.statements)
 			end.Result = balance.NotSent
 			return end
 		case err != nil && !x.relayed && batch == l.first:
 			// The module decides whether it goes again; for the session nothing has happened.
 			*l.Session = saved
-			l.Session.Restore(x.statements)
+			l.Session.RestorePrepared(x.statements)
 			end.Result = balance.Reset
 			var bad *badAnswer
 			switch {
@@ -234,7 +234,7 @@
 			case errors.Is(err, errCarry):
 				end.Result = balance.Failed
 			case errors.Is(err, errBehind):
-				end.Result, end.Clean = balance.Miss, h.Quiet()
+				end.Result, end.Clean = balance.Misdirected, h.Quiet()
 			case errors.Is(err, errStale):
 				end.Result = balance.Stale
 			}
@@ -244,7 +244,7 @@
 			end.Result = balance.Reset
 			return end
 		}
-		keep := !batch.Ends || l.Session.Open() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
+		keep := !batch.Ends || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
 		if !keep {
 			l.end(Done{Wrote: x.wrote})
 			end.Result, end.Clean = balance.OK, h.Quiet()
@@ -252,7 +252,7 @@
 		}
 		l.done <- Done{Keep: true, Wrote: x.wrote}
 		var idle <-chan time.Time // only an open transaction keeps others waiting
-		if l.Session.Open() {
+		if l.Session.InTransaction() {
 			idle = time.After(l.Idle)
 		}
 		var ended error
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -25,9 +25,9 @@
 
 type outcomes chan exchange.Outcome
 
-func (o outcomes) Outcome(e exchange.Outcome)                        { o <- e }
-func (outcomes) Probed(balance.ProbeResult)                          {}
-func (outcomes) Learned(balance.Heard, balance.Made, balance.Report) {}
+func (o outcomes) Outcome(e exchange.Outcome)                                      { o <- e }
+func (outcomes) Probed(balance.ProbeResult)                                        {}
+func (outcomes) Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report) {}
 
 // host answers every query with the same bytes.
 func host(t *testing.T, answer []byte) (address string) {
@@ -61,7 +61,7 @@
 
 // An answer tells the position of its data behind its rows. One that is older than its class allows is not served.
 func TestAConversationsAnswerThatIsTooOldIsNotServed(t *testing.T) {
-	bounded, session := balance.Demand{Bound: time.Second}, balance.Demand{Reach: time.Second}
+	bounded, session := balance.Demand{MaxAge: time.Second}, balance.Demand{MinPosition: time.Second}
 	for name, c := range map[string]struct {
 		role   string
 		age    time.Duration // of the position
@@ -81,8 +81,8 @@
 		t.Run(name, func(t *testing.T) {
 			clock := exchange.NewClock()
 			clock.Inherit(clock.Now(), fleetclock.Interval{})
-			if c.demand.Reach > 0 {
-				c.demand.Reach += clock.Now()
+			if c.demand.MinPosition > 0 {
+				c.demand.MinPosition += clock.Now()
 			}
 			complete := pg.Append(nil, pg.CommandComplete, []byte("SELECT 1\x00"))
 			answer := complete
@@ -102,7 +102,7 @@
 				served = append(served, b...)
 				return nil
 			}, &Batch{Messages: []Message{{Kind: pg.Query, Body: []byte("SELECT 1\x00")}}, Ends: true, Commands: pooling.Scan("SELECT 1")})
-			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Until: clock.Now() + soon, Command: lease, Demand: c.demand})
+			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + soon, Command: lease, Demand: c.demand})
 			if o := <-to; o.Result != c.want {
 				t.Errorf("it ends with %v, want %v", o.Result, c.want)
 			}
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -52,11 +52,11 @@
 		ConnIdle: d.span(top, "limits.connIdle"), ConnectTimeout: d.span(top, "limits.connectTimeout"),
 		Balance: balance.Settings{
 			Routers: d.whole(top, "balancers"), Tick: d.span(top, "step"),
-			OverShareWorth: d.number(top, "overShareWorth"),
-			Checks:         word(d, top, "domain.behind", checks),
-			TokensCarried:  d.text(top, "domain.tokens") == "client",
-			Ask:            d.text(top, "membershipMode") == "ask",
-			Probes:         d.truth(top, "limits.probes"), Cancel: d.truth(top, "limits.mayCancel"),
+			OverShareWorth:  d.number(top, "overShareWorth"),
+			Checks:          word(d, top, "domain.behind", checks),
+			TokensCarried:   d.text(top, "domain.tokens") == "client",
+			SubscribeToList: d.text(top, "membershipMode") == "ask",
+			Probes:          d.truth(top, "limits.probes"), Cancel: d.truth(top, "limits.mayCancel"),
 			RetryAfter:      d.truth(top, "limits.retryAfter"),
 			MaxRetryAfter:   d.span(top, "limits.maxRetryAfter"),
 			MaxAttempts:     d.whole(top, "limits.maxAttempts"),
@@ -82,7 +82,7 @@
 		d.at = fmt.Sprintf("profiles.%d.", i)
 		c := balance.Class{Name: d.text(p, "name"),
 			Effect: word(d, p, "effect", effects), Scope: word(d, p, "group", scopes),
-			KeyTTL: d.span(p, "keyTtl"), Aim: d.span(p, "onTime"), Deadline: d.span(p, "giveUp"),
+			KeyTTL: d.span(p, "keyTtl"), LatencyTarget: d.span(p, "onTime"), Deadline: d.span(p, "giveUp"),
 			Worth: d.number(p, "credit"), LateWorth: d.number(p, "lateWorth")}
 		var known bool
 		if c.Need, known = needs[need[i].String()]; !known {
@@ -109,7 +109,7 @@
 	}
 	// Reports state thousandths of a second; a whole one is taken off so that rounding never flatters.
 	ms := math.Floor(x0*1000+1e-6) - 1
-	out := balance.Report{Has: true, Position: zero + time.Duration(ms)*time.Millisecond}
+	out := balance.Report{Valid: true, Position: zero + time.Duration(ms)*time.Millisecond}
 	out.NotBefore = out.Position
 	if leads, told := values["x1"]; told && leads == 1 {
 		out.Role = balance.Primary
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -27,7 +27,7 @@
 			Probes: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 8, MaxAttempts: 10, DrainGrace: 7,
 			OverloadFactor: 4, ColdShare: 0.25, ColdTime: 16,
 			Classes: []balance.Class{
-				{Name: "r", Need: balance.Bounded, Bound: 500, Aim: 3, Deadline: 4, KeyTTL: 5, Worth: 1.5},
+				{Name: "r", Need: balance.Bounded, Bound: 500, LatencyTarget: 3, Deadline: 4, KeyTTL: 5, Worth: 1.5},
 				{Name: "w", Need: balance.Write, Effect: balance.Unsafe, LateWorth: 0.7}},
 			Tenants: []balance.Tenant{{Name: "t", PerSec: 2.5}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -22,10 +22,10 @@
 
 var (
 	states = map[string]balance.State{"": balance.Active, "active": balance.Active,
-		"leaving": balance.Draining, "left": balance.Left}
-	results = map[string]balance.Result{"Ok": balance.OK, "Failed": balance.Failed, "QueueFull": balance.Full,
+		"leaving": balance.Draining, "left": balance.Removed}
+	results = map[string]balance.Result{"Ok": balance.OK, "Failed": balance.Failed, "QueueFull": balance.QueueFull,
 		"TimedOut": balance.TimedOut, "ConnectError": balance.NoConnection, "ResetByPeer": balance.Reset,
-		"Canceled": balance.Cancelled, "Ignored": balance.NotSent, "Miss": balance.Miss}
+		"Canceled": balance.Canceled, "Ignored": balance.NotSent, "Miss": balance.Misdirected}
 )
 
 // Entry is one line of a TABLE.
@@ -109,7 +109,7 @@
 	case "TIMER":
 		return balance.Timer{Tag: e.Ctx}, nil
 	case "ABANDONED":
-		return balance.Gone{ID: e.RequestID}, nil
+		return balance.RequestCanceled{ID: e.RequestID}, nil
 	case "CLOSED_ATTEMPT":
 		res, err := word("how", e.How, results)
 		o := balance.Outcome{ID: e.RequestID, Attempt: e.Try, Server: e.Host, Result: res,
@@ -156,7 +156,7 @@
 		name, f["requestId"], f["try"] = "UNDO_SEND", a.ID, a.Attempt
 	case balance.Probe:
 		name, f["host"] = "POLL", a.Server
-	case balance.After:
+	case balance.StartTimer:
 		name, f["after"], f["ctx"] = "AFTER", int64(a.Wait), a.Tag
 	case balance.Watch:
 		name, f["enable"] = "FOLLOW", true
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -22,15 +22,15 @@
 			balance.Request{ID: "0a", Class: "g"}},
 		{"outcome", `{"CLOSED_ATTEMPT":{"who":1,"requestId":"0a","try":2,"host":"h:1","how":"Miss","spent":4,"mark":4002,` +
 			`"metrics":{"x0":2.5,"x1":1,"other":3}}}`,
-			balance.Outcome{ID: "0a", Attempt: 2, Server: "h:1", Result: balance.Miss, Took: 4, Role: balance.Replica,
+			balance.Outcome{ID: "0a", Attempt: 2, Server: "h:1", Result: balance.Misdirected, Took: 4, Role: balance.Replica,
 				Position: 6 * time.Second,
-				Report:   balance.Report{Has: true, Role: balance.Primary, Position: 7499 * time.Millisecond, NotBefore: 7499 * time.Millisecond}}},
+				Report:   balance.Report{Valid: true, Role: balance.Primary, Position: 7499 * time.Millisecond, NotBefore: 7499 * time.Millisecond}}},
 		{"role without position", `{"CLOSED_ATTEMPT":{"who":1,"requestId":"0a","host":"h:1","how":"Ok","finished":true,"mark":1}}`,
 			balance.Outcome{ID: "0a", Server: "h:1", Final: true, Role: balance.Primary}},
 		{"probe", `{"PING_RESULT":{"who":1,"host":"h:1","how":"TimedOut","spent":8}}`,
 			balance.ProbeResult{Server: "h:1", Result: balance.TimedOut, Took: 8}},
 		{"timer", `{"TIMER":{"who":1,"ctx":77}}`, balance.Timer{Tag: 77}},
-		{"gone", `{"ABANDONED":{"who":1,"requestId":"0a"}}`, balance.Gone{ID: "0a"}},
+		{"gone", `{"ABANDONED":{"who":1,"requestId":"0a"}}`, balance.RequestCanceled{ID: "0a"}},
 	} {
 		name, e, err := Line([]byte(c.line))
 		if err != nil {
@@ -51,7 +51,7 @@
 		`{"RESPOND_ERROR":{"requestId":"0a","who":2}}`:              balance.Fail{ID: "0a"},
 		`{"UNDO_SEND":{"requestId":"0a","try":1,"who":2}}`:          balance.Cancel{ID: "0a", Attempt: 1},
 		`{"POLL":{"host":"h:1","who":2}}`:                           balance.Probe{Server: "h:1"},
-		`{"AFTER":{"after":3,"ctx":4,"who":2}}`:                     balance.After{Wait: 3, Tag: 4},
+		`{"AFTER":{"after":3,"ctx":4,"who":2}}`:                     balance.StartTimer{Wait: 3, Tag: 4},
 		`{"FOLLOW":{"enable":true,"who":2}}`:                        balance.Watch{},
 	} {
 		got, err := Action(nil, 2, a)
