--- a/internal/wire/backend/attempt.go
+++ b/internal/wire/backend/attempt.go
@@ -14,11 +14,11 @@
 	"yokemast/internal/memory/exchange"
 )
 
-// workerIdle is how long a goroutine that has ended its attempt waits for another. Most attempts find one that waits, with
-// a stack that has grown already.
+// workerIdle is how long an idle worker goroutine waits for another attempt before it exits. Most attempts
+// are handed to such a worker, whose stack has already grown.
 const workerIdle = time.Second
 
-// Send starts an attempt.
+// Send starts an attempt on an idle worker, or on a new one if none is idle.
 func (b *Backend) Send(a exchange.Attempt) {
 	t := &attempt{b: b, Attempt: a}
 	b.mu.Lock()
@@ -49,7 +49,7 @@
 
 func (b *Backend) attempt(t *attempt) {
 	defer func() {
-		if p := recover(); p != nil { // one attempt must not end the process
+		if p := recover(); p != nil { // a panic in one attempt must not end the process
 			b.cfg.Counters.Panics.Add(1)
 			b.cfg.Log.Error("attempt panicked", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 			t.end(exchange.Outcome{Outcome: balance.Outcome{Result: balance.Reset}})
@@ -62,7 +62,8 @@
 	t.run()
 }
 
-// Cancel stops waiting for an attempt; the connection is closed before the outcome is told. Its sending has ended when Cancel returns.
+// Cancel cancels an attempt. Its connection is closed before the outcome is reported, and nothing of the
+// attempt is sent after Cancel has returned.
 func (b *Backend) Cancel(id string, number int) {
 	b.mu.Lock()
 	t := b.attempts[key{id, number}]
@@ -72,8 +73,8 @@
 	}
 }
 
-// CancelUnsent ends an attempt that still waits for its connection. One whose first byte may have gone out goes on: only its end
-// says what became of it.
+// CancelUnsent ends an attempt that still waits for its connection. An attempt whose first byte may have been
+// sent continues, because only its end shows whether it was executed.
 func (b *Backend) CancelUnsent(id string, number int) {
 	b.mu.Lock()
 	t := b.attempts[key{id, number}]
@@ -82,54 +83,55 @@
 		return
 	}
 	t.mu.Lock()
-	begun := t.begun
-	t.withdrawn = true // from here on it does not begin
+	started := t.started
+	t.mustNotStart = true
 	t.mu.Unlock()
-	if !begun {
+	if !started {
 		t.end(exchange.Outcome{Outcome: balance.Outcome{Result: balance.NotSent}})
 	}
 }
 
 var canceled = exchange.Outcome{Outcome: balance.Outcome{Result: balance.Canceled}}
 
-// attempt is one attempt. Whoever ends it first tells its outcome.
+// attempt is an attempt in flight. Several goroutines may end it; the first one reports its outcome.
 type attempt struct {
 	b *Backend
 	exchange.Attempt
 
-	mu    sync.Mutex
-	stop  context.CancelFunc // ends the opening of a connection; nil: none is being opened
-	conn  *conn              // only while something may be out on it
-	begun bool               // its first byte may have gone out
-	ended bool
+	mu         sync.Mutex
+	cancelDial context.CancelFunc // cancels the dial; nil if none is under way
+	conn       *conn              // set only while the attempt may have bytes in flight on it
+	started    bool               // its first byte may have been sent
+	ended      bool
 
-	awaits    bool // its goroutine waits for nothing but the host, and ends it
-	converses bool // its goroutine may wait for the client too, and gives the connection back
-	canceled  bool // while it awaits: it is to end so, once what has arrived is read
-	withdrawn bool
+	awaitsHost   bool // its goroutine waits only for the host and ends the attempt itself
+	converses    bool // its goroutine may also wait for the client; it releases the connection itself
+	canceled     bool // set while awaitsHost: the goroutine ends it as canceled once it has read the input that has arrived
+	mustNotStart bool
 }
 
-// opening gives the context in which the attempt opens a connection: it ends with the attempt.
-func (t *attempt) opening() context.Context {
+// dialContext returns the context in which the attempt opens a connection. It is canceled when the attempt ends.
+func (t *attempt) dialContext() context.Context {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ctx, stop := context.WithCancel(t.b.ctx)
-	if t.stop = stop; t.ended {
+	if t.cancelDial = stop; t.ended {
 		stop()
 	}
 	return ctx
 }
 
-// end tells the outcome, once. A connection with something out on it is closed first: what is sent next must not
-// meet it.
+// end reports the outcome, once. It first closes a connection on which bytes of the attempt may be in flight,
+// so that no later request can use it.
 func (t *attempt) end(o exchange.Outcome) { t.finish(o, -1, false) }
 
-// cancel ends the sending of an attempt that awaits its answer, and its wait: its goroutine looks at what has arrived, closes the
-// connection and ends it. false: it does not await one.
+// cancel closes the sending side of an attempt that waits for its host, and ends the wait. The attempt's
+// goroutine then reads what has arrived, closes the connection and ends the attempt. It returns false if the
+// attempt does not wait for its host.
 func (t *attempt) cancel() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.awaits || t.ended {
+	if !t.awaitsHost || t.ended {
 		return false
 	}
 	if !t.canceled {
@@ -139,17 +141,19 @@
 	return true
 }
 
-// await lets the attempt's goroutine end it when it is canceled. false: it has ended.
-func (t *attempt) await() bool {
+// awaitAnswer makes the attempt's goroutine responsible for ending it when it is canceled. It returns false if the
+// attempt has ended.
+func (t *attempt) awaitAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.awaits = !t.ended
-	return t.awaits
+	t.awaitsHost = !t.ended
+	return t.awaitsHost
 }
 
-// finish is end with the time that the host took, if that is known apart; below 0: all since it was sent. With keep the
-// connection stays open, for what is still to come of the answer; false: the attempt had ended or been canceled before.
-func (t *attempt) finish(o exchange.Outcome, busy time.Duration, keep bool) bool {
+// finish is end with the time that the host took, for callers that measure it separately; a negative time
+// stands for all the time since the attempt was sent. With keepConn the connection stays open for the rest of
+// the answer. It returns false if the attempt had already ended or been canceled.
+func (t *attempt) finish(o exchange.Outcome, hostTime time.Duration, keepConn bool) bool {
 	t.mu.Lock()
 	if t.ended {
 		t.mu.Unlock()
@@ -157,48 +161,49 @@
 	}
 	t.ended = true
 	if t.canceled {
-		o, busy, keep = canceled, -1, false
+		o, hostTime, keepConn = canceled, -1, false
 	}
 	switch {
-	case t.conn == nil, keep:
-	case t.converses && o.Result == balance.Canceled: // what has arrived may hold a word against the host
+	case t.conn == nil, keepConn:
+	case t.converses && o.Result == balance.Canceled: // the input that has arrived may state that the host is no primary
 		t.conn.stopWaiting()
 	default:
 		t.conn.close()
 	}
 	t.conn = nil
-	stop := t.stop
+	cancelDial := t.cancelDial
 	t.mu.Unlock()
-	if stop != nil {
-		stop()
+	if cancelDial != nil {
+		cancelDial()
 	}
 	t.b.mu.Lock()
 	delete(t.b.attempts, key{t.ID, t.Number})
 	t.b.mu.Unlock()
-	o.ID, o.Attempt, o.Server, o.Took = t.ID, t.Number, t.Server, busy
-	if busy < 0 {
+	o.ID, o.Attempt, o.Server, o.Took = t.ID, t.Number, t.Server, hostTime
+	if hostTime < 0 {
 		o.Took = t.b.cfg.Clock.Now() - t.Sent
 	}
-	t.b.to.Outcome(o)
+	t.b.reporter.Outcome(o)
 	return !t.canceled
 }
 
 func (t *attempt) run() {
-	for again := true; again; {
-		again = t.try()
+	for retry := true; retry; {
+		retry = t.tryConn()
 	}
 }
 
-// try carries out the attempt on one connection. again: nothing of it has gone out there, and another may serve.
-func (t *attempt) try() (again bool) {
+// tryConn runs the attempt on one connection. It returns true if nothing was sent on it and another connection
+// may be tried.
+func (t *attempt) tryConn() (retry bool) {
 	result := func(r balance.Result) { t.end(exchange.Outcome{Outcome: balance.Outcome{Result: r}}) }
-	c, err := t.b.take(t.opening, t.Server, t.Deadline)
-	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoRoom); c, err = t.b.take(t.opening, t.Server, t.Deadline) {
+	c, err := t.b.acquire(t.dialContext, t.Server, t.Deadline)
+	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoConnection); c, err = t.b.acquire(t.dialContext, t.Server, t.Deadline) {
 		until := min(end, t.Deadline)
 		if t.StartBy > 0 {
 			until = min(until, t.StartBy)
 		}
-		if !t.b.await(t.Server, until-t.b.cfg.Clock.Now()) {
+		if !t.b.awaitConn(t.Server, until-t.b.cfg.Clock.Now()) {
 			break
 		}
 	}
@@ -207,7 +212,7 @@
 		return false
 	}
 	now := t.b.cfg.Clock.Now()
-	talk, converses := t.Command.(Conversation)
+	conversation, converses := t.Command.(Conversation)
 	var command Command
 	var query []byte
 	large, _ := t.Command.(Large)
@@ -220,50 +225,50 @@
 			query = command.AppendQuery(nil, t.Deadline-now)
 		}
 	}
-	due := t.due(now)
+	mayStart := t.mayStart(now)
 	t.mu.Lock()
-	if t.ended || t.withdrawn || !due {
+	if t.ended || t.mustNotStart || !mayStart {
 		t.mu.Unlock()
-		t.b.put(t.Server, c)
+		t.b.release(t.Server, c)
 		result(balance.NotSent)
 		return false
 	}
-	t.conn, t.begun, t.awaits, t.converses = c, true, large == nil && !converses, converses
+	t.conn, t.started, t.awaitsHost, t.converses = c, true, large == nil && !converses, converses
 	t.mu.Unlock()
 	if converses {
-		if c.clean = c.unspoken(); !c.clean || t.calledOff() {
-			return t.leave(c)
+		if c.clean = c.noUnreadInput(); !c.clean || t.sendCanceled() {
+			return t.releaseUnsent(c)
 		}
-		t.converse(c, talk)
+		t.converse(c, conversation)
 		return false
 	}
 	var r reply
 	if large != nil {
-		r = c.exchange(func() error { return t.writeLarge(c, large, now) }, true, command.Tag(), limits{t.Deadline, t.WriteBy, t.calledOff})
+		r = c.exchange(func() error { return t.writeLarge(c, large, now) }, true, command.Tag(), limits{t.Deadline, t.WriteBy, t.sendCanceled})
 	} else {
-		r = c.roundTrip(query, command.Tag(), limits{t.Deadline, t.WriteBy, t.calledOff})
+		r = c.roundTrip(query, command.Tag(), limits{t.Deadline, t.WriteBy, t.sendCanceled})
 	}
 	if r.result == balance.NotSent {
-		return t.leave(c)
+		return t.releaseUnsent(c)
 	}
 	if r.stream != nil {
 		t.stream(r)
 		return false
 	}
-	repeated := t.repeated(c, &r, now)
-	made := t.b.observe(t.Server, &r, now, t.Keyed)
-	if repeated { // what became of the query is not known
-		r, c.clean = r.broken(balance.Garbled), false
+	repeated := t.isRepeatedAnswer(c, &r, now)
+	statedAt := t.b.observe(t.Server, &r, now, t.Keyed)
+	if repeated { // whether the query was executed is unknown
+		r, c.clean = r.asIncomplete(balance.Garbled), false
 	}
 	t.mu.Lock()
-	t.conn, t.awaits = nil, false
+	t.conn, t.awaitsHost = nil, false
 	if t.ended || t.canceled {
-		c.clean = false // closed under it, or its sending is over
+		c.clean = false // already closed, or its sending side is
 	}
 	t.mu.Unlock()
-	t.b.put(t.Server, c)
+	t.b.release(t.Server, c)
 	o := exchange.Outcome{Outcome: balance.Outcome{Result: r.result, Role: r.role, Position: r.position,
-		Report: r.report, StatedAt: made, Written: r.written}}
+		Report: r.report, StatedAt: statedAt, Written: r.written}}
 	if r.result == balance.OK {
 		o.Value = r.value
 	}
@@ -271,51 +276,55 @@
 	return false
 }
 
-// calledOff says that nothing of the attempt is to go out any more: it was withdrawn, or its client has left, as far as can be seen.
-func (t *attempt) calledOff() bool {
+// sendCanceled reports whether nothing more of the attempt may be sent: it was canceled or has ended, or its
+// client is known to have disconnected.
+func (t *attempt) sendCanceled() bool {
 	t.mu.Lock()
-	off := t.withdrawn || t.ended
+	canceled := t.mustNotStart || t.ended
 	t.mu.Unlock()
-	return off || t.ClientDisconnected != nil && t.ClientDisconnected()
+	return canceled || t.ClientDisconnected != nil && t.ClientDisconnected()
 }
 
-// leave gives up a connection on which nothing of the attempt has gone out. again: the attempt has not ended.
-func (t *attempt) leave(c *conn) (again bool) {
+// releaseUnsent releases a connection on which nothing of the attempt was sent. It returns true if the attempt has
+// not ended and may try another connection.
+func (t *attempt) releaseUnsent(c *conn) (retry bool) {
 	t.mu.Lock()
-	t.conn, t.begun, t.awaits, t.converses = nil, false, false, false
+	t.conn, t.started, t.awaitsHost, t.converses = nil, false, false, false
 	canceled, ended := t.canceled, t.ended
 	t.mu.Unlock()
 	c.clean = c.clean && !canceled && !ended
-	t.b.put(t.Server, c)
-	if canceled || !ended && t.calledOff() {
-		t.end(exchange.Outcome{Outcome: balance.Outcome{Result: balance.NotSent}}) // or as canceled
+	t.b.release(t.Server, c)
+	if canceled || !ended && t.sendCanceled() {
+		t.end(exchange.Outcome{Outcome: balance.Outcome{Result: balance.NotSent}}) // finish reports Canceled instead if the attempt was canceled
 		return false
 	}
 	return !ended
 }
 
-// due says whether the attempt may still begin: its time, its host's drain and the evidence that it was decided on allow it.
-func (t *attempt) due(now time.Duration) bool {
+// mayStart reports whether the attempt may still start: its time limits, its host's drain and the evidence that it
+// was routed on must allow it.
+func (t *attempt) mayStart(now time.Duration) bool {
 	switch {
 	case now >= t.Deadline, t.StartBy > 0 && now > t.StartBy:
 		return false
-	case t.Grounds.Expired(now, t.b.cfg.Clock.ForModule()), t.b.refuted(t.Server, t.Grounds):
+	case t.Grounds.Expired(now, t.b.cfg.Clock.ForModule()), t.b.groundsRefuted(t.Server, t.Grounds):
 		return false
 	}
-	return !t.b.over(t.Server, now)
+	return !t.b.sendDeadlinePassed(t.Server, now)
 }
 
-// refuted says that what a host told proves that its answer must not be served.
-func (t *attempt) refuted(r *reply, written time.Duration) bool {
+// demandViolated reports whether the host's statements in a reply show that the data does not meet the request's
+// demand, so that the answer must not be served.
+func (t *attempt) demandViolated(r *reply, written time.Duration) bool {
 	return t.Demand.Violated(r.role, r.position, written, t.b.cfg.Clock.ForModule())
 }
 
-// writeLarge writes a query that does not fit into memory.
+// writeLarge writes a query that is not held in memory as a whole.
 func (t *attempt) writeLarge(c *conn, query Large, now time.Duration) error {
 	if err := query.WriteQuery(c, t.Deadline-now); err != nil {
 		return err
 	}
-	if !t.await() {
+	if !t.awaitAnswer() {
 		return net.ErrClosed
 	}
 	return nil
--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend is the host side: it carries attempts and probes to database hosts over PostgreSQL's protocol and
-// tells the exchange how each ended.
+// Package backend is the gateway's host side. It sends attempts and probes to database hosts over the
+// PostgreSQL protocol and reports their outcomes to the exchange.
 package backend
 
 import (
@@ -22,69 +22,73 @@
 	"yokemast/internal/wire/pg"
 )
 
-// DefaultRest is how long a connection rests after an answer before it is used again. A host that closes it right then, or
-// sends an answer a second time just behind the first, does so by then: the next request on it would end as one that may
-// have run, or be served with what was made for another.
+// DefaultRest is the minimum time between an answer and the next use of its connection. A host that closes
+// the connection or repeats its answer does so directly after the answer, so within this time. If the
+// connection were used earlier, the next request could end as possibly executed, or be served with the answer
+// to the previous one.
 const DefaultRest = 30 * time.Millisecond
 
-// Reporter is told how attempts and probes ended.
+// Reporter receives the outcomes of attempts and probes.
 type Reporter interface {
 	Outcome(exchange.Outcome)
 	Probed(balance.ProbeResult)
-	// Learned takes what a host said of itself beside the outcomes, and when.
+	// Learned takes a statement of a host that comes apart from an outcome, with the time bounds of the
+	// statement and the load report.
 	Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report)
 }
 
-// Command is what a request asks a host to run.
+// Command is a request's command for a host.
 type Command interface {
-	// AppendQuery appends the query, which says how long the gateway will wait.
+	// AppendQuery appends the query, which states how long the gateway will wait for the answer.
 	AppendQuery(out []byte, wait time.Duration) []byte
-	// Tag is the command tag of the answer when it ran.
+	// Tag is the command tag of a successful answer.
 	Tag() string
 }
 
-// Large is a Command whose query does not fit into memory as it is written.
+// Large is a Command whose query may be too large to be held in memory. Large reports whether it is;
+// WriteQuery then writes it in pieces.
 type Large interface {
 	Large() bool
 	WriteQuery(w io.Writer, wait time.Duration) error
 }
 
-// Config is what a Backend needs to know.
+// Config configures a Backend.
 type Config struct {
 	Clock          exchange.Clock
 	Log            *zap.Logger
 	Counters       *counters.Set
-	ConnectTimeout time.Duration  // for a connection to come up, and for a probe's answer
-	ColdTime       time.Duration  // that a host is cold after its start
-	IdleTimeout    time.Duration  // a connection is closed after as much idling; below the hosts' own limit
-	Prepared       int            // statements that a connection keeps; 0: pooling.DefaultPrepared
-	Pools          pooling.Limits // MaxConns and IdleTimeout stand over what they say of total and idle
-	Wait           time.Duration  // that an attempt waits for a connection where all are in use; 0: it is not sent
+	ConnectTimeout time.Duration  // limit for opening a connection, and for a probe's answer
+	ColdTime       time.Duration  // length of a host's slow start
+	IdleTimeout    time.Duration  // idle time after which a connection is closed; must be below the hosts' own limit
+	Prepared       int            // prepared statements kept per connection; 0 means pooling.DefaultPrepared
+	Pools          pooling.Limits // its Total is limited to MaxConns and its Idle replaced by IdleTimeout
+	Wait           time.Duration  // longest wait of an attempt for a connection when all are in use; 0 means no wait
 	Seed           uint64
-	MaxConns       int // open at a time, to all hosts together
+	MaxConns       int // maximum number of open connections to all hosts together
 	User, Database string
-	// DialControl is called for each socket before it connects, as net.Dialer's Control; nil in service.
+	// DialControl is called for each socket before it connects, as net.Dialer's Control. It is nil outside
+	// tests.
 	DialControl func(network, address string, c syscall.RawConn) error
 }
 
 // Backend is safe for concurrent use.
 type Backend struct {
-	cfg   Config
-	to    Reporter
-	group *errgroup.Group
-	ctx   context.Context
+	cfg      Config
+	reporter Reporter
+	group    *errgroup.Group
+	ctx      context.Context
 
-	work chan *attempt // to a worker that has nothing to do
+	work chan *attempt // handed to an idle worker
 
-	connect atomic.Int64 // nanoseconds for a connection to come up: Config.ConnectTimeout, or what Retune said
+	connectNanos atomic.Int64 // connect timeout in nanoseconds: Config.ConnectTimeout, or the value of the last settings update
 
-	mu       sync.Mutex
-	hosts    map[string]*host
-	attempts map[key]*attempt
-	pools    *pooling.Pools
-	conns    map[int]*conn // that idle
-	last     int           // number of a connection
-	waiting  []*waiter     // for a connection, in their order
+	mu         sync.Mutex
+	hosts      map[string]*host
+	attempts   map[key]*attempt
+	pools      *pooling.Pools
+	conns      map[int]*conn // idle connections by their id
+	lastConnID int           // id of the newest connection
+	waiting    []*waiter     // for a connection, in order of arrival
 }
 
 type key struct {
@@ -92,34 +96,34 @@
 	number int
 }
 
-// waiter is one attempt that waits for a connection to a host.
+// waiter is an attempt that waits for a connection to a host.
 type waiter struct {
 	server string
-	free   chan struct{} // closed when it may look again
+	wake   chan struct{} // closed when the attempt may try again
 }
 
 type host struct {
-	address string
-	cold    time.Duration // until then
-	until   time.Duration // nothing new goes out to it later; 0: no such bound
-	words   balance.RoleStatements
+	address      string
+	coldUntil    time.Duration // end of the slow start; 0 if it is over
+	sendDeadline time.Duration // no request may be sent to the host later; 0 means no limit
+	statements   balance.RoleStatements
 }
 
-// New makes a backend whose goroutines belong to the group and end with the context.
+// New returns a Backend whose goroutines belong to the group and end with the context.
 func New(ctx context.Context, group *errgroup.Group, cfg Config, to Reporter) *Backend {
-	b := &Backend{cfg: cfg, to: to, group: group, ctx: ctx, hosts: map[string]*host{}, attempts: map[key]*attempt{},
+	b := &Backend{cfg: cfg, reporter: to, group: group, ctx: ctx, hosts: map[string]*host{}, attempts: map[key]*attempt{},
 		work: make(chan *attempt), conns: map[int]*conn{}}
 	limits := cfg.Pools
 	if limits.Idle = cfg.IdleTimeout; limits.Total <= 0 || limits.Total > cfg.MaxConns {
 		limits.Total = cfg.MaxConns
 	}
 	b.pools = pooling.NewPools(limits, cfg.Seed)
-	b.connect.Store(int64(cfg.ConnectTimeout))
+	b.connectNanos.Store(int64(cfg.ConnectTimeout))
 	group.Go(b.reap)
 	return b
 }
 
-// Members takes the addresses of hosts and lets go of connections that lead nowhere any more.
+// Members updates the hosts' addresses and closes idle connections to removed hosts and outdated addresses.
 func (b *Backend) Members(list []exchange.Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -129,55 +133,57 @@
 			h = &host{}
 			b.hosts[m.Server] = h
 		}
-		b.pools.SetClosed(m.Server, false) // it may have been forgotten before
+		b.pools.SetClosed(m.Server, false) // the host may have been removed earlier
 		if h.address != m.Address || m.State == balance.Removed {
 			b.closeLocked(b.pools.CloseIdle(m.Server))
 		}
 		h.address = m.Address
 		if b.cfg.ColdTime > 0 && m.Started > 0 {
-			h.cold = m.Started + b.cfg.ColdTime
-			b.pools.SetCold(m.Server, b.cfg.Clock.Now() < h.cold)
+			h.coldUntil = m.Started + b.cfg.ColdTime
+			b.pools.SetCold(m.Server, b.cfg.Clock.Now() < h.coldUntil)
 		}
 	}
 }
 
-// SetSendDeadline says that nothing new may go out to a host later than by: a connection that was asked for before it was told to drain
-// may come up long after. 0: it may again.
+// SetSendDeadline sets the time after which no request may be sent to a host; 0 removes the limit. It is
+// checked before each send, because a connection that was being opened before the drain notification may be
+// established long after it.
 func (b *Backend) SetSendDeadline(server string, by time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[server]; h != nil {
-		h.until = by
+		h.sendDeadline = by
 	}
 }
 
-// over says that nothing new may go out to a host any more.
-func (b *Backend) over(server string, now time.Duration) bool {
+// sendDeadlinePassed reports whether no request may be sent to a host any more.
+func (b *Backend) sendDeadlinePassed(server string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.hosts[server]
-	return h == nil || h.until > 0 && now > h.until
+	return h == nil || h.sendDeadline > 0 && now > h.sendDeadline
 }
 
-// Retune changes how long a connection may take to come up, how long it may idle, and how long a host that starts is cold.
+// Retune applies a settings update: the connect timeout, the idle timeout and the length of a host's slow
+// start.
 func (b *Backend) Retune(connect, idle, cold time.Duration) {
-	b.connect.Store(int64(connect))
+	b.connectNanos.Store(int64(connect))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cfg.ColdTime = cold
 	b.pools.SetIdle(idle)
 }
 
-func (b *Backend) connectTimeout() time.Duration { return time.Duration(b.connect.Load()) }
+func (b *Backend) connectTimeout() time.Duration { return time.Duration(b.connectNanos.Load()) }
 
-// Limit changes how many connections may be open at a time, to all hosts together.
+// Limit sets the maximum number of open connections to all hosts together.
 func (b *Backend) Limit(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closeLocked(b.pools.SetTotal(n))
 }
 
-// Forget lets go of a host that is gone for good.
+// Forget removes a host and closes its idle connections.
 func (b *Backend) Forget(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -187,7 +193,8 @@
 	}
 }
 
-// reap closes what has idled for too long.
+// reap closes connections that have been idle for too long, and ends slow starts. At shutdown it closes all
+// idle connections and cancels the attempts in flight.
 func (b *Backend) reap() error {
 	tick := time.NewTicker(max(b.cfg.IdleTimeout/20, 10*time.Millisecond))
 	defer tick.Stop()
@@ -198,13 +205,14 @@
 			for server := range b.hosts {
 				b.closeLocked(b.pools.CloseIdle(server))
 			}
-			var out []*attempt
+			var inFlight []*attempt
 			for _, t := range b.attempts {
-				out = append(out, t)
+				inFlight = append(inFlight, t)
 			}
 			b.mu.Unlock()
-			// An abandoned write is waited for as long as its client would have: the end of the gateway must not wait too.
-			for _, t := range out {
+			// An abandoned write would be waited for as long as its client would have waited. The shutdown of
+			// the gateway must not be delayed by that.
+			for _, t := range inFlight {
 				t.end(canceled)
 			}
 			return nil
@@ -214,8 +222,8 @@
 		b.mu.Lock()
 		b.closeLocked(b.pools.Tick(now))
 		for server, h := range b.hosts {
-			if h.cold > 0 && now >= h.cold {
-				h.cold = 0
+			if h.coldUntil > 0 && now >= h.coldUntil {
+				h.coldUntil = 0
 				b.pools.SetCold(server, false)
 			}
 		}
@@ -224,16 +232,16 @@
 }
 
 var (
-	errNoRoom  = errors.New("backend: every connection is in use")
-	errExpired = errors.New("backend: no time left")
-	errUnknown = errors.New("backend: unknown host")
+	errNoConnection = errors.New("backend: every connection is in use")
+	errExpired      = errors.New("backend: no time left")
+	errUnknown      = errors.New("backend: unknown host")
 )
 
-// connectResult tells what the lack of a connection means.
+// connectResult returns the result of an attempt that got no connection.
 func connectResult(err error) balance.Result {
 	var refused *pg.Error
 	switch {
-	case errors.Is(err, errNoRoom), errors.Is(err, errExpired), errors.Is(err, errUnknown):
+	case errors.Is(err, errNoConnection), errors.Is(err, errExpired), errors.Is(err, errUnknown):
 		return balance.NotSent
 	case errors.As(err, &refused) && refused.Code == pg.CodeTooMany:
 		return balance.QueueFull
--- a/internal/wire/backend/backend_test.go
+++ b/internal/wire/backend/backend_test.go
@@ -30,13 +30,13 @@
 
 func (outcomes) Tag() string { return "" }
 
-func TestAttemptsThatNeverStart(t *testing.T) {
+func TestAttemptNotStarted(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closed.Close()
-	mute, err := net.Listen("tcp", "127.0.0.1:0") // comes up and says nothing
+	mute, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,12 +49,12 @@
 		connect      time.Duration
 		want         balance.Result
 	}{
-		{"refused", "closed", 1, time.Minute, time.Minute, balance.NoConnection},
-		{"never comes up", "mute", 1, time.Minute, 20 * time.Millisecond, balance.NoConnection},
-		{"its own time runs out first", "mute", 1, 20 * time.Millisecond, time.Minute, balance.NotSent},
-		{"no time left", "mute", 1, -1, time.Minute, balance.NotSent},
-		{"no connection to be had", "mute", 0, time.Minute, time.Minute, balance.NotSent},
-		{"never listed", "other", 1, time.Minute, time.Minute, balance.NotSent},
+		{"connection refused", "closed", 1, time.Minute, time.Minute, balance.NoConnection},
+		{"no response to startup", "mute", 1, time.Minute, 20 * time.Millisecond, balance.NoConnection},
+		{"attempt deadline before connect timeout", "mute", 1, 20 * time.Millisecond, time.Minute, balance.NotSent},
+		{"deadline already passed", "mute", 1, -1, time.Minute, balance.NotSent},
+		{"connection limit reached", "mute", 0, time.Minute, time.Minute, balance.NotSent},
+		{"unknown host", "other", 1, time.Minute, time.Minute, balance.NotSent},
 	} {
 		ctx, stop := context.WithCancel(context.Background())
 		group, to := &errgroup.Group{}, make(outcomes, 2)
@@ -69,27 +69,28 @@
 		stop()
 		_ = group.Wait()
 		if len(b.attempts) != 0 || b.pools.Total() != 0 {
-			t.Errorf("%s: %d attempts and %d connections are left", c.name, len(b.attempts), b.pools.Total())
+			t.Errorf("%s: %d attempts and %d connections remain, want none", c.name, len(b.attempts), b.pools.Total())
 		}
 	}
 }
 
-// Calls that fail for a moment on this machine cost no attempt; ones that go on failing say nothing of the host.
-func TestCallsThatFailForAMoment(t *testing.T) {
-	address, _ := arrivals(t)
+// A dial that fails with a transient error of this machine is retried and costs no attempt. If the error
+// persists, the attempt counts as not sent, since it is no evidence against the host.
+func TestTransientDialErrors(t *testing.T) {
+	address, _ := startRecordingHost(t)
 	for _, c := range []struct {
 		name  string
 		fails int64
 		err   error
 		want  balance.Result
 	}{
-		{"no descriptor", 2, syscall.ENFILE, balance.OK},
-		{"no buffers", 2, syscall.ENOBUFS, balance.OK},
+		{"no file descriptor", 2, syscall.ENFILE, balance.OK},
+		{"no buffer space", 2, syscall.ENOBUFS, balance.OK},
 		{"no local address", 2, syscall.EADDRNOTAVAIL, balance.OK},
-		{"no network", 2, syscall.ENETUNREACH, balance.OK},
-		{"no network for long", 1 << 40, syscall.ENETUNREACH, balance.NotSent},
-		{"no way to the host", 1, syscall.EHOSTUNREACH, balance.NoConnection},
-		{"timed out by the kernel", 1, syscall.ETIMEDOUT, balance.NoConnection},
+		{"network unreachable", 2, syscall.ENETUNREACH, balance.OK},
+		{"network unreachable for long", 1 << 40, syscall.ENETUNREACH, balance.NotSent},
+		{"host unreachable", 1, syscall.EHOSTUNREACH, balance.NoConnection},
+		{"kernel timeout", 1, syscall.ETIMEDOUT, balance.NoConnection},
 	} {
 		var left atomic.Int64
 		left.Store(c.fails)
@@ -120,7 +121,7 @@
 func (p probes) Probed(e balance.ProbeResult) { p <- e }
 func (probes) Outcome(exchange.Outcome)       {}
 
-func TestProbeIsNotFailedByConnectionsThatBreak(t *testing.T) {
+func TestProbeRetriesBrokenConnections(t *testing.T) {
 	for resets, want := range map[int]balance.Result{0: balance.OK, probeTries - 1: balance.OK,
 		probeTries: balance.NoConnection} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,8 +161,8 @@
 	}
 }
 
-// arrivals is a host that notes when each query has come.
-func arrivals(t *testing.T) (address string, came chan time.Time) {
+// startRecordingHost starts a host that records when each query arrives.
+func startRecordingHost(t *testing.T) (address string, came chan time.Time) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -192,9 +193,10 @@
 	return l.Addr().String(), came
 }
 
-// The process may be held up for 0.15 s between any reading of its clock and what it does with it; the protocol allows 50 ms on
-// sockets. The list's answer was written by discovery as long before the exchange was given it.
-func TestDrainGraceCoversAHoldUp(t *testing.T) {
+// The process may stall for 0.15 s between any reading of its clock and the action based on it; the protocol
+// allows 50 ms for sockets. Discovery may have sent the list's answer as long before the list reaches the
+// exchange. No request may reach a draining host after its grace in spite of that.
+func TestDrainGraceCoversStall(t *testing.T) {
 	const holdUp, slack, grace = 150 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
 	stalls := stall.Start()
 	t.Cleanup(stalls.Stop)
@@ -202,7 +204,7 @@
 		for _, before := range []time.Duration{5, 25, 60, 140, 200, 290} { // ms before the end of the grace
 			t.Run(fmt.Sprintf("reading %d, %d ms before the end", reading, before), func(t *testing.T) {
 				t.Parallel()
-				address, came := arrivals(t)
+				address, came := startRecordingHost(t)
 				var armed atomic.Bool
 				var readings atomic.Int64
 				clock := exchange.NewClock()
@@ -234,7 +236,7 @@
 				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
 				member.State = balance.Draining
 				notified := time.Now()
-				time.Sleep(holdUp) // between the reading of the list and its handing over
+				time.Sleep(holdUp) // between receiving the list and passing it on
 				x.Members(exchange.List{Agent: "a", At: clock.Now(), Hosts: []exchange.Member{member}})
 				time.Sleep(time.Until(notified.Add(grace - before*time.Millisecond)))
 				armed.Store(true)
@@ -242,7 +244,7 @@
 				select {
 				case at := <-came:
 					if late := at.Sub(notified) - grace - slack; late > stalls.Lately() {
-						t.Errorf("a request came %s after the grace (the machine stalled for %s)", late+slack, stalls.Lately())
+						t.Errorf("a request arrived %s after the grace (the machine stalled for %s)", late+slack, stalls.Lately())
 					}
 				default:
 				}
--- a/internal/wire/backend/cancel_test.go
+++ b/internal/wire/backend/cancel_test.go
@@ -11,7 +11,7 @@
 	"yokemast/internal/wire/pg"
 )
 
-// inUse is how many connections carry a query or are being opened.
+// inUse returns the number of connections that carry a query or are being opened.
 func inUse(b *Backend) (n int) {
 	hosts, _, _ := b.Stats()
 	for _, h := range hosts {
@@ -20,9 +20,9 @@
 	return n
 }
 
-func TestACancelThatMeetsTheAnswerEndsAnAttemptOnce(t *testing.T) {
+func TestCancelRacingAnswerEndsAttemptOnce(t *testing.T) {
 	values := [][]byte{make([]byte, 10), make([]byte, pg.SmallValue+1000)}
-	r := newRig(t, func(c net.Conn, n int64) {
+	r := newFixture(t, func(c net.Conn, n int64) {
 		time.Sleep(time.Duration(n%7) * 20 * time.Microsecond)
 		_, _ = c.Write(append(role("leader"), pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: values[n%2]}, ""))...))
 	})
@@ -44,41 +44,42 @@
 			release(o)
 		case o.ID == id && o.Result == balance.Canceled:
 			canceled++
-		case o.ID == id && o.Result == balance.NotSent: // those before have not given their connections back yet
+		case o.ID == id && o.Result == balance.NotSent: // earlier attempts have not released their connections yet
 			unsent++
 		default:
 			t.Fatalf("attempt %s: %+v", id, o)
 		}
 	}
-	for end := time.Now().Add(soon); inUse(r.b) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); inUse(r.b) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	r.send("last", balance.Grounds{})
 	if o := wait(t, r.outcomes, "the last outcome"); o.ID != "last" || o.Result != balance.OK {
-		t.Errorf("an attempt after them: %+v", o)
+		t.Errorf("the attempt after the canceled ones: %+v", o)
 	} else {
 		release(o)
 	}
 	if len(r.outcomes) > 0 {
-		t.Errorf("told more: %+v", <-r.outcomes)
+		t.Errorf("unexpected outcome: %+v", <-r.outcomes)
 	}
 	t.Logf("%d served, %d canceled, %d not sent", served, canceled, unsent)
 }
 
-// A client may have left while the process was held up on its way to the write: nothing begins for it, and the connection serves others.
-func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
-	r := newRig(t, func(c net.Conn, _ int64) { _, _ = c.Write(row()) })
-	for name, command := range map[string]any{"statement": plain{outcomes(nil)}, "conversation": bulky{}} {
+// A client may disconnect while the process is stalled before the write. Nothing must be sent for it then,
+// and the connection must be kept for other requests.
+func TestNothingWrittenForDisconnectedClient(t *testing.T) {
+	r := newFixture(t, func(c net.Conn, _ int64) { _, _ = c.Write(row()) })
+	for name, command := range map[string]any{"statement": plainCommand{outcomes(nil)}, "conversation": bulkyCommand{}} {
 		now := r.clock.Now()
-		r.b.Send(exchange.Attempt{ID: name, Server: "s", Command: command, Sent: now, Deadline: now + soon, ClientDisconnected: func() bool { return true }})
+		r.b.Send(exchange.Attempt{ID: name, Server: "s", Command: command, Sent: now, Deadline: now + testTimeout, ClientDisconnected: func() bool { return true }})
 		if o := wait(t, r.outcomes, name); o.Result != balance.NotSent {
-			t.Errorf("%s: it ended with %v", name, o.Result)
+			t.Errorf("%s: result %v, want NotSent", name, o.Result)
 		}
 	}
 	now := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: "stays", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon, ClientDisconnected: func() bool { return false }})
+	r.b.Send(exchange.Attempt{ID: "stays", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + testTimeout, ClientDisconnected: func() bool { return false }})
 	if o := wait(t, r.outcomes, "the last outcome"); o.Result != balance.OK || r.queries.Load() != 1 {
-		t.Errorf("for a client that stays it ended with %v, after %d queries", o.Result, r.queries.Load())
+		t.Errorf("with a connected client: result %v after %d queries, want OK after 1", o.Result, r.queries.Load())
 	}
 	if hosts, _, _ := r.b.Stats(); hosts["s"].Open == 0 {
 		t.Error("no connection was kept")
--- a/internal/wire/backend/conn.go
+++ b/internal/wire/backend/conn.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	rowHead    = 6       // of a row of one column, before its value
-	maxWelcome = 8 << 10 // the longest message taken at the start of a session
+	readBuffer        = 4 << 10
+	rowHeadSize       = 6       // size of a row's header with one column, before its value
+	maxStartupMessage = 8 << 10 // largest message accepted at the start of a session
 )
 
-// conn is one connection to a host, with one query on it at a time.
+// conn is a connection to a host. It carries one query at a time.
 type conn struct {
 	*net.TCPConn
 	id           int
 	address      string
 	clock        exchange.Clock
 	incoming     *incoming
-	in           *bufio.Reader      // of incoming
-	writeLimited bool               // a deadline for writing was set: it has to be moved each time
-	key          pg.Key             // that a cancel names
-	link         *pooling.ConnState // what it has been set up with; nil: nothing
-	clean        bool               // nothing is out on it and nothing is left over
-	used         bool               // it has carried a query before: the answer to that may come once more
+	in           *bufio.Reader      // buffers incoming
+	writeLimited bool               // a write deadline is set and has to be moved for each query
+	key          pg.Key             // identifies the session in a cancel request
+	state        *pooling.ConnState // settings and prepared statements; nil until first used
+	clean        bool               // no query in flight and no unread input
+	used         bool               // it has carried a query, whose answer may arrive a second time
 	closing      sync.Once
-	follows      func() // is called as soon as the host has said that it is no primary; nil: nobody is
+	onReplica    func() // called as soon as the host has stated that it is not primary; may be nil
 }
 
 func newConn(n *net.TCPConn, address string, clock exchange.Clock) *conn {
@@ -45,7 +45,7 @@
 	return &conn{TCPConn: n, address: address, clock: clock, incoming: i, in: bufio.NewReaderSize(i, readBuffer)}
 }
 
-// close ends the sending first: that takes effect at once, also under a write that is going on.
+// close closes the sending side first: that takes effect at once, even while a write is in progress.
 func (c *conn) close() {
 	c.closing.Do(func() {
 		_ = c.CloseWrite()
@@ -53,27 +53,28 @@
 	})
 }
 
-// stopWaiting ends the sending, and every wait on the connection: a query's answer is read no further than it has arrived.
+// stopWaiting closes the sending side and ends every wait on the connection. Only input that has already
+// arrived can still be read.
 func (c *conn) stopWaiting() {
 	_ = c.CloseWrite()
 	_ = c.SetDeadline(time.Unix(1, 0))
 }
 
-func (c *conn) until(t time.Duration) error { return c.SetDeadline(c.deadline(t)) }
+func (c *conn) setDeadline(t time.Duration) error { return c.SetDeadline(c.deadline(t)) }
 
-// deadline is a time of the gateway's clock as connections take it.
+// deadline converts a time of the gateway's clock to one that net.Conn's deadlines take.
 func (c *conn) deadline(t time.Duration) time.Time { return time.Now().Add(t - c.clock.Now()) }
 
-// start opens the session.
+// start opens the session and waits until the host is ready for a query.
 func (c *conn) start(until time.Duration, user, database string) error {
-	if err := c.until(until); err != nil {
+	if err := c.setDeadline(until); err != nil {
 		return err
 	}
 	if _, err := c.Write(pg.AppendStartup(nil, user, database)); err != nil {
 		return err
 	}
 	for {
-		kind, body, err := pg.Read(c.in, maxWelcome)
+		kind, body, err := pg.Read(c.in, maxStartupMessage)
 		switch {
 		case err != nil:
 			return err
@@ -88,33 +89,35 @@
 	}
 }
 
-// alive says whether the host has neither closed an idle connection nor written to it.
+// alive reports whether the host has neither closed an idle connection nor sent anything on it.
 func (c *conn) alive() bool { return c.in.Buffered() == 0 && socket.Quiet(c) }
 
-// unspoken says that nothing has come on the connection that would pass for the answer to a query which is about to be written: the
-// process may have been held up since the connection was taken. On a new one nothing can come that is left of another.
-func (c *conn) unspoken() bool { return !c.used || c.alive() }
+// noUnreadInput reports whether no input is waiting that could be mistaken for the answer to the query about to be
+// written: the process may have stalled since the connection was acquired. A new connection cannot hold an
+// earlier query's answer.
+func (c *conn) noUnreadInput() bool { return !c.used || c.alive() }
 
-// reply is what a query came to. Its positions are by the fleet's clock.
+// reply is the result of a query. Its positions are by the fleet's clock.
 type reply struct {
 	result   balance.Result
 	value    pg.Value
 	role     balance.Role
 	position time.Duration
 	report   balance.Report
-	written  time.Duration // when the query had been written whole; 0: it was not
-	stream   *stream       // of a large value, of which the rest is still to come; nil: the reply is whole
+	written  time.Duration // when the query had been written completely; 0 if it was not
+	stream   *stream       // the rest of a large value that is still to be read; nil if the reply is complete
 }
 
-// errSpoilt says that what a host sent is no answer to what it was asked.
-var errSpoilt = errors.New("backend: the answer can't be read")
+// errMalformed is returned for input that is no valid answer to the query.
+var errMalformed = errors.New("backend: malformed answer")
 
-// longest is the longest body of a message that an answer may hold; 0: it may hold none of that type. What says that it
-// is longer would be read for as long as the attempt may take.
-func longest(kind byte) int {
+// maxBodySize returns the maximum body size of a message of the given type in an answer, or 0 if the type is not
+// allowed there. A message with a larger stated length is rejected at once, because reading it could take all
+// the attempt's time.
+func maxBodySize(kind byte) int {
 	switch kind {
 	case pg.DataRow:
-		return pg.MaxValue + rowHead // over SmallValue only as what is passed on as it comes
+		return pg.MaxValue + rowHeadSize // bodies above SmallValue are streamed
 	case pg.RowDescription, pg.CommandComplete:
 		return 512
 	case pg.ErrorResponse, pg.NoticeResponse, pg.ParameterStatus:
@@ -125,13 +128,13 @@
 	return 0
 }
 
-// head reads the head of a message of an answer.
-func (c *conn) head() (kind byte, length int, err error) {
+// readHead reads the header of a message of an answer and checks its type and size.
+func (c *conn) readHead() (kind byte, length int, err error) {
 	kind, length, err = pg.Head(c.in)
 	switch {
 	case err != nil:
-	case length > longest(kind) || longest(kind) == 0:
-		err = fmt.Errorf("%w: type %q, %d bytes", errSpoilt, kind, length)
+	case length > maxBodySize(kind) || maxBodySize(kind) == 0:
+		err = fmt.Errorf("%w: type %q, %d bytes", errMalformed, kind, length)
 	case kind == pg.DataRow:
 		err = pg.RowLength(c.in, length)
 	}
@@ -140,15 +143,16 @@
 
 // receive reads a message of an answer.
 func (c *conn) receive() (kind byte, body []byte, err error) {
-	kind, length, err := c.head()
+	kind, length, err := c.readHead()
 	if err == nil {
 		body, err = pg.Body(c.in, length, length)
 	}
 	return kind, body, err
 }
 
-// roundTrip writes a query and reads all that comes back for it; of a large value, all up to its first byte. Only one row, whole and in its place, is an answer: a
-// host may send noise, an answer twice or one with parts missing, and a client must never be served with that.
+// roundTrip writes a query and reads its answer; of a large value, only up to its first byte. Only exactly
+// one complete row in the expected order is accepted as an answer: a host may send noise, repeat an answer or
+// omit parts of it, and that must never be served to a client.
 func (c *conn) roundTrip(query []byte, tag string, l limits) (r reply) {
 	return c.exchange(func() error {
 		_, err := c.Write(query)
@@ -156,19 +160,19 @@
 	}, len(query) > readBuffer, tag, l)
 }
 
-// limits bound a query's way to a host and back.
+// limits holds the time limits of a query and its answer.
 type limits struct {
-	until     time.Duration // its answer is waited for
-	writeBy   time.Duration // its last byte may be written; 0: no other bound
-	calledOff func() bool   // says, right before the first byte, that it is not to be written; nil: it is
+	answerBy     time.Duration // limit for the complete answer
+	writeBy      time.Duration // limit for writing the last byte; 0 if there is only answerBy
+	sendCanceled func() bool   // called right before the first byte; true prevents the write; may be nil
 }
 
-// set puts them in force on a connection.
+// set applies the limits to a connection.
 func (l limits) set(c *conn, large bool) error {
-	// A small query goes into the empty buffer of an idle connection at once; only a large one can get stuck on its way.
+	// A small query fits into the empty send buffer of an idle connection; only a large one can block.
 	if large || c.writeLimited {
 		c.writeLimited = true
-		by := l.until
+		by := l.answerBy
 		if l.writeBy > 0 {
 			by = min(by, l.writeBy)
 		}
@@ -176,47 +180,48 @@
 			return err
 		}
 	}
-	return c.SetReadDeadline(c.deadline(l.until))
+	return c.SetReadDeadline(c.deadline(l.answerBy))
 }
 
-// exchange is roundTrip with what writes the query; large says that it may get stuck on its way. Of an answer that is read past its
-// time only the word that the host is no primary counts.
+// exchange is roundTrip with a function that writes the query; large states that the write may block. Of an
+// answer that is read after its deadline, only the statement that the host is not primary counts.
 func (c *conn) exchange(write func() error, large bool, tag string, l limits) reply {
 	c.clean = false
 	if l.set(c, large) != nil {
 		return reply{result: balance.NoConnection}
 	}
 	switch {
-	case !c.unspoken():
+	case !c.noUnreadInput():
 		return reply{result: balance.NotSent}
-	case l.calledOff != nil && l.calledOff():
+	case l.sendCanceled != nil && l.sendCanceled():
 		c.clean = true
 		return reply{result: balance.NotSent}
 	}
 	if err := write(); err != nil {
-		// Broken, or stuck, before the last byte: the host never starts what it has not got whole.
+		// The write failed or timed out before the last byte. A host does not execute a query that it has not
+		// received completely.
 		return reply{result: balance.NoConnection}
 	}
 	written := c.clock.Now()
-	c.incoming.drain = true
+	c.incoming.readLate = true
 	r := c.answer(tag)
-	c.incoming.drain = false
+	c.incoming.readLate = false
 	r.written = written
-	if c.incoming.late {
+	if c.incoming.pastDeadline {
 		c.clean = false
-		r = r.broken(balance.TimedOut)
+		r = r.asIncomplete(balance.TimedOut)
 	}
-	c.heed(&r) // also what a report says that came with no role beside it
+	c.reportReplica(&r) // also for a report that came without a role
 	return r
 }
 
 // answer reads the answer to a query that has been written.
 func (c *conn) answer(tag string) (r reply) {
 	var refusal *pg.Error
-	order := "" // of the messages that make up the answer
+	order := "" // types of the messages that form the answer
 	for {
-		kind, length, err := c.head()
-		if err == nil && kind == pg.DataRow && length > pg.SmallValue+rowHead && order == "T" {
+		kind, length, err := c.readHead()
+		if err == nil && kind == pg.DataRow && length > pg.SmallValue+rowHeadSize && order == "T" {
 			var size int
 			if size, err = pg.RowHead(c.in, length); err == nil {
 				r.result, r.stream = balance.OK, newStream(c, size, tag)
@@ -238,24 +243,25 @@
 			case pg.CommandComplete:
 				order += "C"
 				if string(body) != tag+"\x00" {
-					err = errSpoilt
+					err = errMalformed
 				}
 			case pg.ErrorResponse:
 				order += "E"
 				if refusal = pg.ReadError(body); len(refusal.Code) != 5 {
-					err = errSpoilt
+					err = errMalformed
 				}
 			case pg.ParameterStatus:
-				r.note(body)
-				c.heed(&r)
+				r.parseStatement(body)
+				c.reportReplica(&r)
 			case pg.ReadyForQuery:
 				c.clean = len(body) == 1 && body[0] == 'I' && c.in.Buffered() == 0
 			}
 			if err == nil && !strings.HasPrefix("TDC", order) && order != "E" {
-				err = errSpoilt
+				err = errMalformed
 			}
 		}
-		// A fatal error ends the session: no ReadyForQuery need follow, so waiting for it could take all the time.
+		// A fatal error ends the session: ReadyForQuery need not follow, and waiting for it could take all
+		// the attempt's time.
 		if err == nil && kind != pg.ReadyForQuery && (refusal == nil || !refusal.Fatal) {
 			continue
 		}
@@ -270,17 +276,18 @@
 		c.clean = false
 		switch {
 		case timedOut(err):
-			return r.broken(balance.TimedOut)
-		case err == nil, errors.Is(err, errSpoilt), errors.Is(err, pg.ErrFraming), errors.As(err, new(pg.TooLong)):
-			return r.broken(balance.Garbled)
+			return r.asIncomplete(balance.TimedOut)
+		case err == nil, errors.Is(err, errMalformed), errors.Is(err, pg.ErrFraming), errors.As(err, new(pg.TooLong)):
+			return r.asIncomplete(balance.Garbled)
 		}
-		return r.broken(balance.Reset)
+		return r.asIncomplete(balance.Reset)
 	}
 }
 
-// broken is a reply that did not come whole. Of what came with it only that the host is no primary is believed: that speaks
-// against it, and to take it for true costs no more than a look elsewhere.
-func (r *reply) broken(result balance.Result) reply {
+// asIncomplete returns the reply for an answer that was not received completely. Of its statements, only that the
+// host is not primary is kept: it counts against the host, and if it is wrong, it costs no more than trying
+// another host.
+func (r *reply) asIncomplete(result balance.Result) reply {
 	out := reply{result: result}
 	if r.role == balance.Replica || r.role == balance.Unknown && r.report.Role == balance.Replica {
 		out.role = balance.Replica
@@ -288,10 +295,11 @@
 	return out
 }
 
-// heed has what a host said against its being a primary known at once, whatever becomes of the rest of its answer.
-func (c *conn) heed(r *reply) {
-	if r.role == balance.Replica && c.follows != nil {
-		c.follows()
+// reportReplica calls onReplica if the reply states that the host is not primary, so that the statement takes effect
+// at once, even if the rest of the answer fails.
+func (c *conn) reportReplica(r *reply) {
+	if r.role == balance.Replica && c.onReplica != nil {
+		c.onReplica()
 	}
 }
 
@@ -305,8 +313,9 @@
 	return balance.Failed
 }
 
-// note takes what a host says of itself with an answer. What can't be read there says nothing; the answer stands.
-func (r *reply) note(body []byte) {
+// parseStatement parses a statement of the host that comes as a ParameterStatus with an answer. A value that cannot be
+// parsed is ignored and does not invalidate the answer.
+func (r *reply) parseStatement(body []byte) {
 	name, value, err := pg.Parameter(body)
 	if err != nil {
 		return
@@ -324,6 +333,6 @@
 			r.position = time.Duration(ms) * time.Millisecond
 		}
 	case "server_load":
-		r.report = report(value)
+		r.report = parseReport(value)
 	}
 }
--- a/internal/wire/backend/dial.go
+++ b/internal/wire/backend/dial.go
@@ -11,19 +11,20 @@
 	"yokemast/internal/wire/socket"
 )
 
-// retryWithin is how long a connection is tried again whose calls fail for a moment on this machine.
-const retryWithin = 50 * time.Millisecond
+// dialRetryWindow is how long a dial is retried that fails with a transient error of this machine.
+const dialRetryWindow = 50 * time.Millisecond
 
-// take gives a connection to the host: of those that have rested the one used last, or a new one, opened in the context
-// that opening gives.
-func (b *Backend) take(opening func() context.Context, server string, until time.Duration) (*conn, error) {
+// acquire returns a connection to the host: the most recently used of the idle ones whose minimum rest is over,
+// or a new one, opened in the context that dialContext returns.
+func (b *Backend) acquire(dialContext func() context.Context, server string, until time.Duration) (*conn, error) {
 	b.mu.Lock()
 	h := b.hosts[server]
 	if h == nil {
 		b.mu.Unlock()
 		return nil, errUnknown
 	}
-	// A host may have closed one meanwhile: what is written to it then would count as a reset that may have run.
+	// A host may have closed an idle connection. A query written to it would count as a reset, so as possibly
+	// executed.
 	choice, id, dead := b.pools.Take(b.cfg.Clock.Now(), server, func(id int) bool { return b.conns[id].alive() })
 	b.closeLocked(dead)
 	switch choice {
@@ -39,11 +40,11 @@
 	default:
 		b.mu.Unlock()
 		b.cfg.Counters.HostsFull.Add(1)
-		return nil, errNoRoom
+		return nil, errNoConnection
 	}
 	address := h.address
 	b.mu.Unlock()
-	c, err := b.dial(opening(), address, until)
+	c, err := b.dial(dialContext(), address, until)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
@@ -51,21 +52,21 @@
 		b.wakeLocked(server)
 		return nil, err
 	}
-	b.last++
-	c.id, c.follows = b.last, func() { b.followsNow(server) }
+	b.lastConnID++
+	c.id, c.onReplica = b.lastConnID, func() { b.recordReplica(server) }
 	b.pools.Opened(b.cfg.Clock.Now(), server, c.id)
 	return c, nil
 }
 
-// put keeps a connection for the next attempt, if nothing is left of the last one on it; it closes it otherwise.
-func (b *Backend) put(server string, c *conn) {
+// release returns a connection to the pool if it is clean, and closes it otherwise.
+func (b *Backend) release(server string, c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.hosts[server]
-	if c.link != nil {
-		b.cfg.Counters.PreparedHits.Add(int64(c.link.Hits))
-		b.cfg.Counters.PreparedMisses.Add(int64(c.link.Misses))
-		c.link.Hits, c.link.Misses = 0, 0
+	if c.state != nil {
+		b.cfg.Counters.PreparedHits.Add(int64(c.state.Hits))
+		b.cfg.Counters.PreparedMisses.Add(int64(c.state.Misses))
+		c.state.Hits, c.state.Misses = 0, 0
 	}
 	clean := c.clean && h != nil && h.address == c.address && b.ctx.Err() == nil
 	keep := b.pools.Put(b.cfg.Clock.Now(), server, c.id, clean)
@@ -79,15 +80,17 @@
 	b.wakeLocked(server)
 }
 
-// Stats says how the pools of all hosts stand, how many wait for a connection, and how many there were at most.
+// Stats returns the state of the pools by host, the number of attempts that wait for a connection, and the
+// peak number of connections.
 func (b *Backend) Stats() (hosts map[string]pooling.Stat, waiting, peak int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.pools.Stats(), len(b.waiting), b.pools.Peak()
 }
 
-// await waits for a connection to come free, for so long at most; false: none did.
-func (b *Backend) await(server string, within time.Duration) bool {
+// awaitConn waits until a connection may be available, at most for the given time. It returns false if the
+// attempt was not woken.
+func (b *Backend) awaitConn(server string, within time.Duration) bool {
 	if within <= 0 {
 		return false
 	}
@@ -98,7 +101,7 @@
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	select {
-	case <-w.free:
+	case <-w.wake:
 		return true
 	case <-timer.C:
 	case <-b.ctx.Done():
@@ -112,18 +115,18 @@
 	return true
 }
 
-// wakeLocked lets one that waits look again: the first for that host, else the first of all, for whom an idle connection of
-// another host can be closed.
+// wakeLocked wakes one waiter: the first one for that host, or else the first of all, for which an idle
+// connection to another host can be closed.
 func (b *Backend) wakeLocked(server string) {
 	if len(b.waiting) == 0 {
 		return
 	}
 	i := max(0, slices.IndexFunc(b.waiting, func(w *waiter) bool { return w.server == server }))
-	close(b.waiting[i].free)
+	close(b.waiting[i].wake)
 	b.waiting = slices.Delete(b.waiting, i, i+1)
 }
 
-// closeLocked closes connections that do not serve any more.
+// closeLocked closes connections that the pools have dropped.
 func (b *Backend) closeLocked(ids []int) {
 	for _, id := range ids {
 		b.conns[id].close()
@@ -133,11 +136,12 @@
 	}
 }
 
-// dial opens a connection and starts a session on it. One that does not come up in time has never been there.
+// dial opens a connection and starts a session on it. If that does not succeed in time, the connection is
+// closed.
 func (b *Backend) dial(ctx context.Context, address string, until time.Duration) (*conn, error) {
 	now := b.cfg.Clock.Now()
-	most := b.connectTimeout()
-	left := min(most, until-now)
+	timeout := b.connectTimeout()
+	left := min(timeout, until-now)
 	if left <= 0 {
 		return nil, errExpired
 	}
@@ -145,7 +149,7 @@
 	defer cancel()
 	b.cfg.Counters.HostsDialed.Add(1)
 	d := net.Dialer{Control: b.cfg.DialControl}
-	n, err := socket.Retry(ctx, retryWithin, func() (net.Conn, error) { return d.DialContext(ctx, "tcp", address) })
+	n, err := socket.Retry(ctx, dialRetryWindow, func() (net.Conn, error) { return d.DialContext(ctx, "tcp", address) })
 	if err == nil {
 		c := newConn(n.(*net.TCPConn), address, b.cfg.Clock)
 		stop := context.AfterFunc(ctx, c.close)
@@ -156,10 +160,10 @@
 		c.close()
 	}
 	if socket.Transient(err) {
-		return nil, errNoRoom // this machine's fault, not the host's
+		return nil, errNoConnection // a fault of this machine, not of the host
 	}
-	if b.cfg.Clock.Now() >= until && left < most {
-		return nil, errExpired // the attempt's time ran out first: that says nothing of the host
+	if b.cfg.Clock.Now() >= until && left < timeout {
+		return nil, errExpired // the attempt's deadline came before the connect timeout: no evidence against the host
 	}
 	if err == nil {
 		err = ctx.Err()
--- a/internal/wire/backend/evidence_test.go
+++ b/internal/wire/backend/evidence_test.go
@@ -20,37 +20,37 @@
 	"yokemast/internal/wire/pg"
 )
 
-const soon = 10 * time.Second // nothing here takes nearly as long
+const testTimeout = 10 * time.Second // upper limit for every wait, far longer than any takes
 
-// told is what a backend told of a host beside an outcome.
-type told struct {
-	heard balance.RemoteOutcome
-	made  balance.TimeBounds
+// learned is a statement that a backend reported apart from an outcome.
+type learned struct {
+	outcome  balance.RemoteOutcome
+	statedAt balance.TimeBounds
 }
 
-// recorder keeps what a backend tells.
+// recorder records what a backend reports.
 type recorder struct {
 	outcomes chan exchange.Outcome
-	told     chan told
+	learned  chan learned
 }
 
 func (r *recorder) Outcome(e exchange.Outcome) { r.outcomes <- e }
 func (*recorder) Probed(balance.ProbeResult)   {}
-func (r *recorder) Learned(h balance.RemoteOutcome, made balance.TimeBounds, _ balance.Report) {
-	r.told <- told{h, made}
+func (r *recorder) Learned(h balance.RemoteOutcome, statedAt balance.TimeBounds, _ balance.Report) {
+	r.learned <- learned{h, statedAt}
 }
 
-// rig is a backend before one host, which answers each query as a script says.
-type rig struct {
+// fixture is a backend with one host, which answers each query as a script does.
+type fixture struct {
 	*recorder
 	b       *Backend
 	clock   exchange.Clock
 	queries atomic.Int64
 }
 
-func newRig(t *testing.T, script func(c net.Conn, n int64)) *rig {
+func newFixture(t *testing.T, script func(c net.Conn, n int64)) *fixture {
 	t.Helper()
-	r := &rig{recorder: &recorder{make(chan exchange.Outcome, 10), make(chan told, 10)}, clock: exchange.NewClock()}
+	r := &fixture{recorder: &recorder{make(chan exchange.Outcome, 10), make(chan learned, 10)}, clock: exchange.NewClock()}
 	address := listen(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			if _, _, err := pg.Read(in, 1000); err != nil {
@@ -68,7 +68,7 @@
 	return r
 }
 
-// listen has a host that welcomes whoever connects, and then does what serve says.
+// listen starts a host that welcomes each connection and then runs serve on it.
 func listen(t *testing.T, serve func(c net.Conn, in *bufio.Reader)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,15 +94,15 @@
 	return l.Addr().String()
 }
 
-// serve has a host of a name do so.
-func (r *rig) serve(t *testing.T, server string, serve func(c net.Conn, in *bufio.Reader)) {
+// serve starts a host with the given name that runs serve on each connection.
+func (r *fixture) serve(t *testing.T, server string, serve func(c net.Conn, in *bufio.Reader)) {
 	t.Helper()
 	r.b.Members([]exchange.Member{{Member: balance.Member{Server: server}, Address: listen(t, serve)}})
 }
 
-func (r *rig) send(id string, g balance.Grounds) {
+func (r *fixture) send(id string, g balance.Grounds) {
 	now := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon, Grounds: g})
+	r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + testTimeout, Grounds: g})
 }
 
 func role(name string) []byte {
@@ -115,26 +115,26 @@
 	t.Helper()
 	select {
 	case x = <-c:
-	case <-time.After(soon):
-		t.Fatalf("%s: nothing came", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timeout while waiting for %s", what)
 	}
 	return x
 }
 
-// A host's word that it follows is told as it is read, whatever becomes of the rest of the answer; one that it leads counts only with a
-// whole answer.
-func TestAFollowersWordCountsWhateverBecomesOfItsAnswer(t *testing.T) {
-	for name, end := range map[string]func(r *rig, c net.Conn){
-		"the connection breaks":      func(_ *rig, c net.Conn) { c.Close() },
-		"the rest can't be read":     func(_ *rig, c net.Conn) { _, _ = c.Write([]byte("noise, noise")) },
-		"the attempt is canceled":    func(r *rig, _ net.Conn) { r.b.Cancel("a", 0) },
-		"half an answer, then reset": func(_ *rig, c net.Conn) { _, _ = c.Write(row()[:9]); _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
+// A host's statement that it is not primary is reported as soon as it is read, even if the rest of the answer
+// fails. A statement that it is primary counts only in a complete answer.
+func TestReplicaStatementCountsInBrokenAnswer(t *testing.T) {
+	for name, end := range map[string]func(r *fixture, c net.Conn){
+		"connection closed":          func(_ *fixture, c net.Conn) { c.Close() },
+		"malformed rest":             func(_ *fixture, c net.Conn) { _, _ = c.Write([]byte("noise, noise")) },
+		"attempt canceled":           func(r *fixture, _ net.Conn) { r.b.Cancel("a", 0) },
+		"partial answer, then reset": func(_ *fixture, c net.Conn) { _, _ = c.Write(row()[:9]); _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
 		for _, word := range []string{"follower", "leader"} {
 			t.Run(name+", "+word, func(t *testing.T) {
 				release := make(chan struct{})
-				var r *rig
-				r = newRig(t, func(c net.Conn, _ int64) {
+				var r *fixture
+				r = newFixture(t, func(c net.Conn, _ int64) {
 					_, _ = c.Write(role(word))
 					<-release
 					end(r, c)
@@ -142,27 +142,28 @@
 				r.send("a", balance.Grounds{})
 				if word == "follower" {
 					before := r.clock.Now()
-					if got := wait(t, r.told, "the word"); got.heard.Role != balance.Replica || got.made.NotAfter < before-soon || got.made.NotAfter > r.clock.Now() {
-						t.Errorf("told %+v", got)
+					if got := wait(t, r.learned, "the statement"); got.outcome.Role != balance.Replica || got.statedAt.NotAfter < before-testTimeout || got.statedAt.NotAfter > r.clock.Now() {
+						t.Errorf("reported %+v", got)
 					}
 				} else {
-					time.Sleep(20 * time.Millisecond) // the word has been read by then
+					time.Sleep(20 * time.Millisecond) // the statement has been read by then
 				}
 				close(release)
 				if o := wait(t, r.outcomes, "the outcome"); o.Role == balance.Primary || o.Result == balance.OK {
-					t.Errorf("ended with %+v", o.Outcome)
+					t.Errorf("ended with outcome %+v", o.Outcome)
 				}
-				if len(r.told) > 0 {
-					t.Errorf("told more: %+v", <-r.told)
+				if len(r.learned) > 0 {
+					t.Errorf("unexpected report: %+v", <-r.learned)
 				}
 			})
 		}
 	}
 }
 
-// An attempt that needs the primary does not go out any more once the host has said, since it was decided on, that it is none.
-func TestAnAttemptIsHeldAgainstALaterWord(t *testing.T) {
-	r := newRig(t, func(c net.Conn, n int64) {
+// An attempt that needs the primary must not be sent once the host has stated, after the attempt was routed,
+// that it is not primary.
+func TestAttemptNotSentAfterLaterReplicaStatement(t *testing.T) {
+	r := newFixture(t, func(c net.Conn, n int64) {
 		word := "follower"
 		if n == 1 {
 			word = "leader"
@@ -181,26 +182,26 @@
 		grounds balance.Grounds
 		want    balance.Result
 	}{
-		{"on an older word that it leads", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before}, balance.NotSent},
-		{"on the list's word", balance.Grounds{Kind: balance.PresumedPrimary}, balance.NotSent},
-		{"on a newer word that it leads", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: after}, balance.OK},
-		{"on its position", balance.Grounds{Kind: balance.ByPosition, Position: before}, balance.OK},
-		{"a write", balance.Grounds{Kind: balance.NotNeeded}, balance.OK},
+		{"older primary statement", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before}, balance.NotSent},
+		{"presumed primary by the list", balance.Grounds{Kind: balance.PresumedPrimary}, balance.NotSent},
+		{"newer primary statement", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: after}, balance.OK},
+		{"by position", balance.Grounds{Kind: balance.ByPosition, Position: before}, balance.OK},
+		{"no grounds needed", balance.Grounds{Kind: balance.NotNeeded}, balance.OK},
 	} {
 		asked := r.queries.Load()
 		r.send(c.name, c.grounds)
 		if o := wait(t, r.outcomes, c.name); o.Result != c.want {
-			t.Errorf("%s: ended with %v, want %v", c.name, o.Result, c.want)
+			t.Errorf("%s: result %v, want %v", c.name, o.Result, c.want)
 		}
 		if sent := r.queries.Load() > asked; sent != (c.want == balance.OK) {
-			t.Errorf("%s: sent %t", c.name, sent)
+			t.Errorf("%s: query sent: %t", c.name, sent)
 		}
 	}
 }
 
-// A probe's report that a host follows holds an attempt back as a word in an answer does.
-func TestAReportHoldsAnAttemptBack(t *testing.T) {
-	r := newRig(t, func(c net.Conn, n int64) {
+// A probe's report that a host is a replica prevents an attempt just as a statement in an answer does.
+func TestReplicaReportPreventsAttempt(t *testing.T) {
+	r := newFixture(t, func(c net.Conn, n int64) {
 		if n == 0 {
 			_, _ = c.Write(pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte("x0=1767225600.000,x1=0")}, "SHOW")))
 			return
@@ -209,27 +210,28 @@
 	})
 	before := r.clock.Now()
 	r.b.Probe("s")
-	if got := wait(t, r.told, "the report"); got.heard.Role != balance.Replica {
-		t.Errorf("told %+v", got)
+	if got := wait(t, r.learned, "the report"); got.outcome.Role != balance.Replica {
+		t.Errorf("reported %+v", got)
 	}
 	r.send("a", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before})
 	if o := wait(t, r.outcomes, "the outcome"); o.Result != balance.NotSent {
-		t.Errorf("on an older word that it leads it ends with %v", o.Result)
+		t.Errorf("on an older primary statement: result %v, want NotSent", o.Result)
 	}
 }
 
-// The report in an answer that breaks off counts as the host's word that it follows, unless a role stands beside it.
-func TestAReportInABrokenAnswerHoldsAnAttemptBack(t *testing.T) {
+// The report in an incomplete answer counts as the host's statement that it is not primary, unless a role
+// comes with it.
+func TestReplicaReportInBrokenAnswerPreventsAttempt(t *testing.T) {
 	report := pg.Append(nil, pg.ParameterStatus, []byte("server_load\x00x0=1767225600.000,x1=0\x00"))
 	for name, c := range map[string]struct {
 		notes []byte
 		want  balance.Result
 	}{
-		"alone":         {report, balance.NotSent},
-		"beside a role": {append(role("leader"), report...), balance.OK},
+		"alone":       {report, balance.NotSent},
+		"with a role": {append(role("leader"), report...), balance.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, func(conn net.Conn, n int64) {
+			r := newFixture(t, func(conn net.Conn, n int64) {
 				if n > 0 {
 					_, _ = conn.Write(append(role("leader"), row()...))
 					return
@@ -240,21 +242,22 @@
 			before := r.clock.Now()
 			r.send("first", balance.Grounds{})
 			if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.Reset {
-				t.Errorf("the first attempt ended with %v", o.Result)
+				t.Errorf("the first attempt: result %v, want Reset", o.Result)
 			}
 			r.send("second", balance.Grounds{Kind: balance.PrimaryStatement, PrimaryNotBefore: before})
 			if o := wait(t, r.outcomes, "the second outcome"); o.Result != c.want {
-				t.Errorf("the second attempt ended with %v, want %v", o.Result, c.want)
+				t.Errorf("the second attempt: result %v, want %v", o.Result, c.want)
 			}
 		})
 	}
 }
 
-// A large value is passed on as it comes. What its host says of itself counts once the value is whole.
-func TestALargeValuesHostIsBelievedOnceItIsWhole(t *testing.T) {
+// A large value is passed on while it is received. The statements of its host count once the value is
+// complete.
+func TestLargeValueStatementCountsOnceComplete(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		value := make([]byte, pg.SmallValue+1000)
-		r := newRig(t, func(c net.Conn, _ int64) {
+		r := newFixture(t, func(c net.Conn, _ int64) {
 			answer := append(role("leader"), pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: value}, ""))...)
 			if !whole {
 				answer = answer[:len(answer)-200]
@@ -267,7 +270,7 @@
 		r.send("a", balance.Grounds{})
 		o := wait(t, r.outcomes, "the outcome")
 		if o.Role != balance.Unknown || o.Result != balance.OK {
-			t.Fatalf("at its first bytes it ends with %+v", o.Outcome)
+			t.Fatalf("outcome at the value's first bytes: %+v", o.Outcome)
 		}
 		rest := o.Value.(pg.Value).Rest
 		buffer := make([]byte, 4096)
@@ -276,31 +279,31 @@
 		}
 		rest.Close()
 		if whole {
-			if got := wait(t, r.told, "the word"); got.heard.Role != balance.Primary {
-				t.Errorf("told %+v", got)
+			if got := wait(t, r.learned, "the statement"); got.outcome.Role != balance.Primary {
+				t.Errorf("reported %+v", got)
 			}
 			continue
 		}
 		time.Sleep(20 * time.Millisecond)
-		if len(r.told) > 0 {
-			t.Errorf("half a value tells %+v", <-r.told)
+		if len(r.learned) > 0 {
+			t.Errorf("report after an incomplete value: %+v", <-r.learned)
 		}
 	}
 }
 
-func TestALargeValueThatIsTooOldIsToldSoAtItsEnd(t *testing.T) {
+func TestLargeValueTooOldFailsAtEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		role string
 		age  time.Duration
 		want error
 	}{
-		"inside the bound": {"follower", 500 * time.Millisecond, io.EOF},
-		"too old":          {"follower", 2 * time.Second, pg.ErrTooOld},
-		"of a primary":     {"leader", 2 * time.Second, io.EOF},
+		"recent enough": {"follower", 500 * time.Millisecond, io.EOF},
+		"too old":       {"follower", 2 * time.Second, pg.ErrTooOld},
+		"of a primary":  {"leader", 2 * time.Second, io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r *rig
-			r = newRig(t, func(conn net.Conn, _ int64) {
+			var r *fixture
+			r = newFixture(t, func(conn net.Conn, _ int64) {
 				position := (r.clock.Now() - c.age).Milliseconds()
 				answer := pg.AppendRow(nil, pg.Value{Data: make([]byte, pg.SmallValue+1000)}, "")
 				answer = append(answer, role(c.role)...)
@@ -309,7 +312,7 @@
 			})
 			now := r.clock.Now()
 			r.clock.Inherit(now, fleetclock.Interval{})
-			r.b.Send(exchange.Attempt{ID: "a", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon,
+			r.b.Send(exchange.Attempt{ID: "a", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + testTimeout,
 				Demand: balance.Demand{MaxAge: time.Second}})
 			rest := wait(t, r.outcomes, "the outcome").Value.(pg.Value).Rest
 			defer rest.Close()
@@ -318,7 +321,7 @@
 				_, err = rest.Read(buffer)
 			}
 			if err != c.want {
-				t.Errorf("it ends with %v, want %v", err, c.want)
+				t.Errorf("the value ends with %v, want %v", err, c.want)
 			}
 		})
 	}
--- a/internal/wire/backend/incoming.go
+++ b/internal/wire/backend/incoming.go
@@ -8,30 +8,32 @@
 	"yokemast/internal/wire/socket"
 )
 
-// lateBytes bounds what is read of an answer once its time is over: a value that is held whole, and what a host says of itself.
-const lateBytes = pg.SmallValue + 16<<10
+// maxLateBytes is the maximum number of bytes read of an answer after its deadline: enough for a value that is
+// held in memory and for the host's statements.
+const maxLateBytes = pg.SmallValue + 16<<10
 
-// incoming reads what comes on a connection. A read deadline may pass while the process is held up, with bytes in the socket that
-// came before it. With drain such bytes are still given, without waiting for more; the sending is ended first.
+// incoming reads from a connection. A read deadline may pass while the process is stalled, although bytes
+// arrived in the socket before it. With readLate set, such bytes are still returned, without waiting for
+// more, after the sending side has been closed.
 type incoming struct {
-	conn  *net.TCPConn
-	drain bool
-	late  bool // the deadline has passed under a read with drain
-	left  int  // bytes that may still be read then
+	conn         *net.TCPConn
+	readLate     bool
+	pastDeadline bool // the deadline has passed during a read with readLate set
+	remaining    int  // bytes that may still be read after the deadline
 }
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (i *incoming) Read(p []byte) (int, error) {
-	if !i.late {
+	if !i.pastDeadline {
 		n, err := socket.Steady{Conn: i.conn}.Read(p)
-		if !i.drain || !timedOut(err) {
+		if !i.readLate || !timedOut(err) {
 			return n, err
 		}
-		i.late, i.left = true, lateBytes
+		i.pastDeadline, i.remaining = true, maxLateBytes
 		_ = i.conn.CloseWrite()
 	}
-	n := socket.ReadArrived(i.conn, p[:min(len(p), i.left)])
-	i.left -= n
+	n := socket.ReadArrived(i.conn, p[:min(len(p), i.remaining)])
+	i.remaining -= n
 	if n == 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -13,88 +13,95 @@
 )
 
 const (
-	// positionStep is what positions are rounded to.
+	// positionStep is the unit that positions are rounded to.
 	positionStep = time.Millisecond
-	// latestPosition bounds positions that make any sense, as Unix time.
-	latestPosition = (1 << 42) * time.Millisecond
+	// maxPosition is the maximum plausible position, as Unix time.
+	maxPosition = (1 << 42) * time.Millisecond
 )
 
-// observe learns from what a host told of itself in an answer to a query sent at a time, by this machine's clock. It says when the
-// host made it. The answer to a keyed write may be that of an earlier one, commit and all: it tells no present.
+// observe records the statements of a host in the answer to a query that was sent at the given time of this
+// machine's clock, and returns the time bounds of the statements. The answer to a keyed write may be the
+// stored answer to an earlier one, including its commit position, so it does not state the present.
 func (b *Backend) observe(server string, r *reply, sent time.Duration, keyed bool) balance.TimeBounds {
 	clock := b.cfg.Clock
 	received := clock.Now()
 	clock.Observe(r.observation(server, sent, received, keyed))
 	if r.role == balance.Unknown && r.report.Role == balance.Replica {
-		b.followsNow(server)
+		b.recordReplica(server)
 	}
-	made := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()} // what is dated below is no older than the epoch
+	statedAt := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()} // the times below are no older than the epoch
 	if r.role == balance.Primary {
-		b.leadsNow(server)
-		if earliest, ok := clock.Earliest(r.position); ok && !keyed { // a primary's position is the present; of a write, its commit, rounded up
-			made.NotBefore = max(sent, min(earliest-positionStep, received))
+		b.recordPrimary(server)
+		// A primary's position is its present time, or, for a write, its commit time rounded up.
+		if earliest, ok := clock.Earliest(r.position); ok && !keyed {
+			statedAt.NotBefore = max(sent, min(earliest-positionStep, received))
 		}
 	}
-	r.report = dated(clock, r.report)
-	return made
+	r.report = withNotBefore(clock, r.report)
+	return statedAt
 }
 
-// observation is what an answer tells of the fleet's clock.
+// observation returns what the answer proves about the fleet's clock.
 func (r *reply) observation(server string, sent, received time.Duration, keyed bool) fleetclock.Observation {
-	told := fleetclock.Observation{Host: server, Position: r.position, Sent: sent, Received: received}
+	observation := fleetclock.Observation{Host: server, Position: r.position, Sent: sent, Received: received}
 	if r.report.Valid {
-		told.Position = max(told.Position, r.report.Position)
+		observation.Position = max(observation.Position, r.report.Position)
 	}
-	if r.role == balance.Primary && r.result == balance.OK && !keyed { // of what it turned away its log may stand elsewhere
-		told.PrimaryPosition = r.position
+	if r.role == balance.Primary && r.result == balance.OK && !keyed { // the position of a rejected query may differ from the primary's present
+		observation.PrimaryPosition = r.position
 	}
-	return told
+	return observation
 }
 
-// repeatedAge is by how much the answer to an earlier query is older than the next one on its connection, which rests between them;
-// the rest of DefaultRest is for a host whose clock is read a little early.
-const repeatedAge = DefaultRest * 2 / 3
+// minRepeatedAge is the minimum age of an answer, relative to its query, to count as the repeated answer to an
+// earlier query: a connection rests for DefaultRest between two queries. The remaining third allows for a
+// host whose clock was read slightly early.
+const minRepeatedAge = DefaultRest * 2 / 3
 
-// repeated says that an answer proves to be that to an earlier query on its connection, come once more.
-func (t *attempt) repeated(c *conn, r *reply, sent time.Duration) bool {
+// isRepeatedAnswer reports whether an answer is proven to be the repeated answer to an earlier query on the same
+// connection.
+func (t *attempt) isRepeatedAnswer(c *conn, r *reply, sent time.Duration) bool {
 	clock := t.b.cfg.Clock
-	return c.used && clock.Bounds().Predates(r.observation(t.Server, sent, clock.Now(), t.Keyed), repeatedAge)
+	return c.used && clock.Bounds().Predates(r.observation(t.Server, sent, clock.Now(), t.Keyed), minRepeatedAge)
 }
 
-// leadsNow notes that a whole answer named a host the primary.
-func (b *Backend) leadsNow(server string) {
+// recordPrimary records that a host has stated in a complete answer that it is the primary.
+func (b *Backend) recordPrimary(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[server]; h != nil {
-		h.words.StatedPrimary()
+		h.statements.StatedPrimary()
 	}
 }
 
-// followsNow notes that a host says that it is no primary. What was decided on the word that it is does not go out any more. The
-// module is told at once where that is news; otherwise the outcome of the same answer is enough.
-func (b *Backend) followsNow(server string) {
+// recordReplica records that a host has stated that it is not primary. Attempts that were routed on the earlier
+// evidence that it is are then no longer sent. If the statement changes what is known, it is passed to the
+// decision module at once; otherwise the outcome of the same answer suffices.
+func (b *Backend) recordReplica(server string) {
 	now := b.cfg.Clock.Now()
 	b.mu.Lock()
 	h := b.hosts[server]
-	news := h != nil && h.words.StatedReplica(now)
+	changed := h != nil && h.statements.StatedReplica(now)
 	b.mu.Unlock()
-	if news {
-		b.to.Learned(balance.RemoteOutcome{Server: server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer},
+	if changed {
+		b.reporter.Learned(balance.RemoteOutcome{Server: server, Result: balance.OK, Role: balance.Replica, Source: balance.FromPartialAnswer},
 			balance.TimeBounds{NotAfter: now, Epoch: b.cfg.Clock.Epoch()}, balance.Report{})
 	}
 }
 
-// refuted says that the host has told, since an attempt was decided on, that it is not the primary that the attempt needs.
-func (b *Backend) refuted(server string, g balance.Grounds) bool {
+// groundsRefuted reports whether the host has stated, since the attempt was routed, that it is not the primary that
+// the attempt needs.
+func (b *Backend) groundsRefuted(server string, g balance.Grounds) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.hosts[server]
-	return h != nil && h.words.Refute(g)
+	return h != nil && h.statements.Refute(g)
 }
 
-// dated is a load report with the earliest time, by this machine's clock, at which it was made. Where that is not known the word that
-// its host is the primary says nothing; that it is none binds whenever it was made.
-func dated(clock exchange.Clock, r balance.Report) balance.Report {
+// withNotBefore returns a load report with the earliest time, by this machine's clock, at which it was made. If that
+// is unknown, a statement that the host is primary is dropped; a statement that it is not primary counts
+// whenever it was made.
+func withNotBefore(clock exchange.Clock, r balance.Report) balance.Report {
 	earliest, ok := clock.Earliest(r.Position)
 	if r.NotBefore = earliest; !ok && r.Role == balance.Primary {
 		r.Role = balance.Unknown
@@ -102,8 +109,9 @@
 	return r
 }
 
-// report reads a load report, with its position by the fleet's clock. One that can't be read in any part says nothing.
-func report(s string) balance.Report {
+// parseReport parses a load report, with its position by the fleet's clock. It returns an empty report if any part
+// cannot be parsed.
+func parseReport(s string) balance.Report {
 	values := map[string]float64{}
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(field, "=")
@@ -113,7 +121,7 @@
 		}
 		values[name] = v
 	}
-	if x0, x1 := values["x0"], values["x1"]; x0 <= 0 || x0 > latestPosition.Seconds() || x1 != 0 && x1 != 1 {
+	if x0, x1 := values["x0"], values["x1"]; x0 <= 0 || x0 > maxPosition.Seconds() || x1 != 0 && x1 != 1 {
 		return balance.Report{}
 	}
 	return settings.Report(values, 0)
--- a/internal/wire/backend/position_test.go
+++ b/internal/wire/backend/position_test.go
@@ -11,45 +11,45 @@
 	"yokemast/internal/memory/exchange"
 )
 
-// observer is a backend of which only what it learns of the clock counts.
-func observer() (*Backend, exchange.Clock) {
+// newObserver returns a backend that is only used to observe the fleet's clock.
+func newObserver() (*Backend, exchange.Clock) {
 	clock := exchange.NewClock()
 	return &Backend{cfg: Config{Clock: clock}, hosts: map[string]*host{}}, clock
 }
 
-func TestOnlyThePresentOfAPrimaryThatRanTheQueryBoundsTheClock(t *testing.T) {
+func TestOnlyExecutedPrimaryAnswerBoundsClock(t *testing.T) {
 	for name, c := range map[string]struct {
 		told  func(now time.Duration) reply
 		keyed bool
 		want  bool
 	}{
-		"a primary's answer": {func(now time.Duration) reply { return reply{role: balance.Primary, position: now} }, false, true},
-		"the answer of a keyed write, or of the one before": {func(now time.Duration) reply { return reply{role: balance.Primary, position: now} }, true, false},
-		"a replica's answer":     {func(now time.Duration) reply { return reply{role: balance.Replica, position: now} }, false, false},
-		"an answer with no role": {func(now time.Duration) reply { return reply{position: now} }, false, false},
-		"a primary that turns away": {func(now time.Duration) reply {
+		"a primary's answer":                            {func(now time.Duration) reply { return reply{role: balance.Primary, position: now} }, false, true},
+		"a keyed write's answer, possibly a stored one": {func(now time.Duration) reply { return reply{role: balance.Primary, position: now} }, true, false},
+		"a replica's answer":                            {func(now time.Duration) reply { return reply{role: balance.Replica, position: now} }, false, false},
+		"an answer with no role":                        {func(now time.Duration) reply { return reply{position: now} }, false, false},
+		"a primary with a full queue": {func(now time.Duration) reply {
 			return reply{result: balance.QueueFull, role: balance.Primary, position: now}
 		}, false, false},
 		"a primary that fails": {func(now time.Duration) reply {
 			return reply{result: balance.Failed, role: balance.Primary, position: now}
 		}, false, false},
 		"a primary's report": {func(now time.Duration) reply { return reply{report: reported(balance.Primary, now)} }, false, false},
-		"a report beside a replica's": {func(now time.Duration) reply {
+		"a primary's report in a replica's answer": {func(now time.Duration) reply {
 			return reply{role: balance.Replica, position: now, report: reported(balance.Primary, now)}
 		}, false, false},
-		"a role with no position beside": {func(now time.Duration) reply {
+		"a role without a position": {func(now time.Duration) reply {
 			return reply{role: balance.Primary, report: reported(balance.Primary, now)}
 		}, false, false},
 	} {
-		b, clock := observer()
+		b, clock := newObserver()
 		sent := clock.Now()
 		r := c.told(sent)
 		b.observe("s", &r, sent, c.keyed)
 		if got := clock.Bounds().HasMax; got != c.want {
-			t.Errorf("%s: bounded %t", name, got)
+			t.Errorf("%s: HasMax = %t", name, got)
 		}
 		if r.position != 0 && r.position != sent {
-			t.Errorf("%s: a position is converted", name)
+			t.Errorf("%s: the position was changed", name)
 		}
 	}
 }
@@ -58,21 +58,21 @@
 	return balance.Report{Valid: true, Role: role, Position: position}
 }
 
-func TestAPrimarysWordIsDatedByItsPositionOnceTheClockIsBounded(t *testing.T) {
-	b, clock := observer()
+func TestPrimaryStatementDatedByPosition(t *testing.T) {
+	b, clock := newObserver()
 	now := clock.Now()
-	r := reply{role: balance.Primary, position: now + time.Hour} // the machine's clock is an hour behind
+	r := reply{role: balance.Primary, position: now + time.Hour} // this machine's clock is an hour behind
 	if made := b.observe("s", &r, now, false); made.NotBefore != now {
-		t.Errorf("before, it is dated %s after its query", made.NotBefore-now)
+		t.Errorf("without bounds, the statement is dated %s after its query, want 0", made.NotBefore-now)
 	}
 	clock.Inherit(clock.Now(), fleetclock.Interval{Min: time.Hour, Max: time.Hour + 2*time.Millisecond})
 	r = reply{role: balance.Primary, position: clock.Now() + time.Hour}
 	if made := b.observe("s", &r, now-10*time.Second, false); made.NotBefore < now-20*time.Millisecond || made.NotBefore > clock.Now() {
-		t.Errorf("it is dated %s after", made.NotBefore-now)
+		t.Errorf("with bounds, the statement is dated %s after its query", made.NotBefore-now)
 	}
 	sent := clock.Now() - 10*time.Second
 	if made := b.observe("s", &r, sent, true); made.NotBefore != sent {
-		t.Errorf("the answer to a keyed write, which may be that of the one before, is dated %s after its query", made.NotBefore-sent)
+		t.Errorf("the answer to a keyed write, possibly a stored one, is dated %s after its query", made.NotBefore-sent)
 	}
 }
 
@@ -83,7 +83,7 @@
 		"x0=1e300,x1=0":             {},
 		"x0=+Inf":                   {},
 		"x0=-5,x1=1":                {},
-		"x0=0.000,x1=0":             {}, // none has been made yet
+		"x0=0.000,x1=0":             {}, // no report has been made yet
 		"x0=1767225600,x1=0.5":      {},
 		"x0=1767225600,x0=1":        {},
 		"x0=1767225600,x1":          {},
@@ -91,10 +91,10 @@
 		"x0=1767225600.123,x1=1":    reported(balance.Primary, 1767225600122*time.Millisecond),
 		"x0=1767225600.12,x1=0,y=3": reported(balance.Replica, 1767225600119*time.Millisecond),
 	} {
-		got := report(in)
-		got.NotBefore = 0 // see dated
+		got := parseReport(in)
+		got.NotBefore = 0 // set by withNotBefore
 		if want.Valid && want.Position-got.Position == time.Millisecond {
-			got.Position = want.Position // a binary fraction may lie one below: that never flatters
+			got.Position = want.Position // a binary fraction may round down by one; a report never looks newer for it
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("%q: %s", in, diff)
@@ -102,12 +102,13 @@
 	}
 }
 
-// A report is as old as its position makes it at the most. Where nothing bounds the clock it says only that its host is no primary.
-func TestAReportIsDatedByItsPosition(t *testing.T) {
+// A report is dated by its position. As long as the clock has no bounds, it counts only if it states that its
+// host is not primary.
+func TestReportDatedByPosition(t *testing.T) {
 	for _, role := range []balance.Role{balance.Primary, balance.Replica} {
 		clock := exchange.NewClock()
 		position := clock.Now() - 3*time.Second
-		got := dated(clock, reported(role, position))
+		got := withNotBefore(clock, reported(role, position))
 		want := reported(balance.Replica, position)
 		if role == balance.Primary {
 			want.Role = balance.Unknown
@@ -116,7 +117,7 @@
 			t.Errorf("unbounded: %s", diff)
 		}
 		clock.Inherit(clock.Now(), fleetclock.Interval{Min: -time.Millisecond, Max: 5 * time.Millisecond})
-		if got := dated(clock, reported(role, position)); got.Role != role || got.Position != position || got.NotBefore > position-5*time.Millisecond ||
+		if got := withNotBefore(clock, reported(role, position)); got.Role != role || got.Position != position || got.NotBefore > position-5*time.Millisecond ||
 			got.NotBefore < position-7*time.Millisecond {
 			t.Errorf("bounded: %+v", got)
 		}
--- a/internal/wire/backend/repeated_answer_test.go
+++ b/internal/wire/backend/repeated_answer_test.go
@@ -18,8 +18,8 @@
 	answer := func(value string) []byte {
 		return append(role("leader"), pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte(value)}, ""))...)
 	}
-	r := newRig(t, func(c net.Conn, n int64) {
-		if n == 1 { // the first answer once more, later than a connection rests
+	r := newFixture(t, func(c net.Conn, n int64) {
+		if n == 1 { // repeats the first answer after the connection's minimum rest
 			_, _ = c.Write(answer("first"))
 		}
 		_, _ = c.Write(answer([]string{"first", "second"}[n]))
@@ -28,7 +28,7 @@
 		r.send(id, balance.Grounds{})
 		o := wait(t, r.outcomes, id)
 		if o.Result != balance.OK {
-			continue // it may fail
+			continue // the request may fail
 		}
 		if got := string(o.Value.(pg.Value).Data); got != id {
 			t.Errorf("request %s is served with the answer of request %s", id, got)
@@ -36,15 +36,16 @@
 	}
 }
 
-// An answer that comes once more while the process is held up, on its way to write the next query, is there before that query.
-func TestWhatIsThereBeforeAQueryIsNoAnswerToIt(t *testing.T) {
+// A repeated answer that arrives while the process is stalled before writing the next query is in the buffer
+// before that query. It must not be taken for the query's answer.
+func TestInputBeforeQueryIsNotItsAnswer(t *testing.T) {
 	for reading := range int64(4) {
-		t.Run(fmt.Sprint("held up at reading ", reading+1), func(t *testing.T) {
+		t.Run(fmt.Sprint("stalled at clock reading ", reading+1), func(t *testing.T) {
 			answer := func(value string) []byte {
 				return append(role("leader"), pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte(value)}, ""))...)
 			}
 			hosts := make(chan net.Conn, 2)
-			r := newRig(t, func(c net.Conn, n int64) {
+			r := newFixture(t, func(c net.Conn, n int64) {
 				hosts <- c
 				_, _ = c.Write(answer([]string{"first", "second"}[n]))
 			})
@@ -77,33 +78,34 @@
 				t.Errorf("the second request ends with %+v", o)
 			}
 			if readings.Load() <= reading {
-				t.Error("the process was not held up")
+				t.Error("the process was not stalled")
 			}
 		})
 	}
 }
 
-// A primary sits at the present: an answer of its that is older than its query is that to an earlier one.
-func TestAPrimarysAnswerThatIsOlderThanItsQueryIsNotServed(t *testing.T) {
+// A primary's position is its present time. An answer from a primary that is older than its query is the
+// repeated answer to an earlier one.
+func TestPrimaryAnswerOlderThanQueryNotServed(t *testing.T) {
 	for name, c := range map[string]struct {
 		role         string
 		age          time.Duration // of the second answer's position
 		known, keyed bool
 		want         balance.Result
 	}{
-		"of its query":               {"leader", 0, true, false, balance.OK},
-		"of a host's moment before":  {"leader", 10 * time.Millisecond, true, false, balance.OK},
-		"of an earlier query":        {"leader", 2 * DefaultRest, true, false, balance.Garbled},
-		"of a replica that lags":     {"follower", 2 * DefaultRest, true, false, balance.OK},
-		"of an earlier keyed write":  {"leader", 2 * DefaultRest, true, true, balance.OK},
-		"while the clock is unknown": {"leader", 2 * DefaultRest, false, false, balance.OK},
+		"position of the query":              {"leader", 0, true, false, balance.OK},
+		"position slightly before the query": {"leader", 10 * time.Millisecond, true, false, balance.OK},
+		"position of an earlier query":       {"leader", 2 * DefaultRest, true, false, balance.Garbled},
+		"position of a lagging replica":      {"follower", 2 * DefaultRest, true, false, balance.OK},
+		"position of an earlier keyed write": {"leader", 2 * DefaultRest, true, true, balance.OK},
+		"clock without bounds":               {"leader", 2 * DefaultRest, false, false, balance.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r *rig
-			r = newRig(t, func(conn net.Conn, n int64) {
+			var r *fixture
+			r = newFixture(t, func(conn net.Conn, n int64) {
 				position := (r.clock.Now() - time.Duration(n)*c.age).Milliseconds()
 				name := c.role
-				if n == 0 && !c.known { // a first primary's answer would make it known
+				if n == 0 && !c.known { // a primary's first answer would set the bounds
 					name = "follower"
 				}
 				notes := pg.Append(role(name), pg.ParameterStatus, fmt.Appendf(nil, "replay_position\x00%d\x00", position))
@@ -114,13 +116,13 @@
 			}
 			for n, id := range []string{"first", "second"} {
 				now := r.clock.Now()
-				r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon, Keyed: c.keyed})
+				r.b.Send(exchange.Attempt{ID: id, Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + testTimeout, Keyed: c.keyed})
 				want := balance.OK
 				if n == 1 {
 					want = c.want
 				}
 				if o := wait(t, r.outcomes, id); o.Result != want {
-					t.Errorf("the %s request ends with %v, want %v", id, o.Result, want)
+					t.Errorf("the %s request: result %v, want %v", id, o.Result, want)
 				}
 				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
 			}
--- a/internal/wire/backend/replaced_clock_test.go
+++ b/internal/wire/backend/replaced_clock_test.go
@@ -10,8 +10,8 @@
 	"yokemast/internal/control/fleetclock"
 )
 
-func TestAnAttemptDecidedOnByAClockThatWasReplacedDoesNotGoOut(t *testing.T) {
-	r := newRig(t, func(c net.Conn, _ int64) { _, _ = c.Write(append(role("follower"), row()...)) })
+func TestAttemptNotSentAfterClockReplaced(t *testing.T) {
+	r := newFixture(t, func(c net.Conn, _ int64) { _, _ = c.Write(append(role("follower"), row()...)) })
 	r.clock.Inherit(r.clock.Now(), fleetclock.Interval{})
 	epoch := r.clock.Epoch()
 	r.b.cfg.DialControl = func(string, string, syscall.RawConn) error { // while the connection comes up
@@ -23,6 +23,6 @@
 	now := r.clock.Now()
 	r.send("a", balance.Grounds{Kind: balance.ByPosition, Position: now, SendBy: now + time.Minute, AgeOffset: r.clock.ForModule().AgeOffset})
 	if o := wait(t, r.outcomes, "the outcome"); o.Result != balance.NotSent {
-		t.Errorf("it ended with %v", o.Result)
+		t.Errorf("result %v, want NotSent", o.Result)
 	}
 }
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	// hostStall is how long a host may give nothing of a value that it has begun to give. A host that hangs may go on later,
-	// and what it still gives must not be cut off; a connection that has fallen silent for good must not stay for ever.
-	hostStall = 30 * time.Second
-	// takenWithin is how long a value may wait for its client side to begin with it: who was given up meanwhile never does.
-	takenWithin = 2 * time.Second
+	// maxHostStall is how long a host may send nothing in the middle of a value. A host that hangs may continue
+	// later, and its value must not be cut off; but a connection that stays silent must not be kept forever.
+	maxHostStall = 30 * time.Second
+	// claimTimeout is how long a value waits for its client side to start reading. A client side whose request
+	// was given up in the meantime never does.
+	claimTimeout = 2 * time.Second
 )
 
-// stream is a large value that is passed on as it comes. The client side reads it straight from the host's connection; what
-// ends its answer is read behind it and judged as with any other.
+// stream is a large value that is passed on while it is received. The client side reads it directly from the
+// host's connection. The end of the answer is read after the value and checked as with any other answer.
 type stream struct {
-	c    *conn
-	tag  string
-	size int
-	left int
+	c         *conn
+	tag       string
+	size      int
+	remaining int
 
-	begun chan struct{} // closed when the client side has begun
-	over  chan struct{} // closed when nothing more is read
-	once  sync.Once
-	end   sync.Once
-	r     reply // what the host said of itself behind the value; valid once over
-	whole bool
+	started   chan struct{} // closed when the client side has started reading
+	done      chan struct{} // closed when the client side reads no more
+	startOnce sync.Once
+	closeOnce sync.Once
+	r         reply // statements of the host after the value; valid once done is closed
+	complete  bool
 
-	tooOld func() bool // says of what r tells whether the value must not be served
+	tooOld func() bool // reports whether the statements in r show that the value must not be served
 }
 
 func newStream(c *conn, size int, tag string) *stream {
-	return &stream{c: c, tag: tag, size: size, left: size, begun: make(chan struct{}), over: make(chan struct{})}
+	return &stream{c: c, tag: tag, size: size, remaining: size, started: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Read is pg.Rest's.
+// Read implements pg.Rest.
 func (s *stream) Read(p []byte) (int, error) {
-	s.once.Do(func() { close(s.begun) })
-	if err := s.c.SetReadDeadline(time.Now().Add(hostStall)); err != nil {
+	s.startOnce.Do(func() { close(s.started) })
+	if err := s.c.SetReadDeadline(time.Now().Add(maxHostStall)); err != nil {
 		return 0, err
 	}
-	if s.left > 0 {
-		n, err := s.c.in.Read(p[:min(len(p), s.left)])
-		s.left -= n
+	if s.remaining > 0 {
+		n, err := s.c.in.Read(p[:min(len(p), s.remaining)])
+		s.remaining -= n
 		if n > 0 {
-			return n, nil // an error shows again at the next one
+			return n, nil // the next call returns the error
 		}
 		if err == nil || errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		return 0, err
 	}
-	if !s.whole {
-		if err := s.tail(); err != nil {
+	if !s.complete {
+		if err := s.readEnd(); err != nil {
 			return 0, err
 		}
-		s.whole = true
+		s.complete = true
 	}
 	if s.tooOld() {
 		return 0, pg.ErrTooOld
@@ -71,8 +72,8 @@
 	return 0, io.EOF
 }
 
-// tail reads what ends the answer: its tag, and ReadyForQuery.
-func (s *stream) tail() error {
+// readEnd reads the end of the answer: its command tag and ReadyForQuery.
+func (s *stream) readEnd() error {
 	complete := false
 	for {
 		kind, body, err := s.c.receive()
@@ -83,33 +84,35 @@
 		case kind == pg.CommandComplete && !complete && string(body) == s.tag+"\x00":
 			complete = true
 		case kind == pg.ParameterStatus:
-			s.r.note(body)
-			s.c.heed(&s.r)
+			s.r.parseStatement(body)
+			s.c.reportReplica(&s.r)
 		case kind == pg.NoticeResponse:
 		case kind == pg.ReadyForQuery && complete && len(body) == 1:
 			s.c.clean = body[0] == 'I' && s.c.in.Buffered() == 0
 			return nil
 		default:
-			return errSpoilt
+			return errMalformed
 		}
 	}
 }
 
-// Close is pg.Rest's.
+// Close implements pg.Rest.
 func (s *stream) Close() {
-	s.once.Do(func() { close(s.begun) })
-	s.end.Do(func() { close(s.over) })
+	s.startOnce.Do(func() { close(s.started) })
+	s.closeOnce.Do(func() { close(s.done) })
 }
 
-// stream carries a large value: the outcome is told at its first bytes, and the connection is given back behind it.
+// stream delivers a large value. The outcome is reported at its first bytes, and the connection is released
+// after its end.
 func (t *attempt) stream(r reply) {
 	s, b := r.stream, t.b
-	s.r = reply{result: balance.OK, role: r.role, position: r.position, report: r.report} // for the end: until then nothing that it tells is believed
-	s.tooOld = func() bool { return t.refuted(&s.r, r.written) }
+	// The host's statements count only once the value is complete; s.r collects them until then.
+	s.r = reply{result: balance.OK, role: r.role, position: r.position, report: r.report}
+	s.tooOld = func() bool { return t.demandViolated(&s.r, r.written) }
 	r.value.Size, r.value.Rest = s.size, s
 	o := exchange.Outcome{Outcome: balance.Outcome{Result: balance.OK}, Value: r.value}
-	if !t.finish(o, -1, true) { // given up meanwhile, and closed under it
-		b.put(t.Server, s.c)
+	if !t.finish(o, -1, true) { // the attempt has ended in the meantime, and its connection is closed
+		b.release(t.Server, s.c)
 		return
 	}
 	b.cfg.Counters.Streams.Add(1)
@@ -117,22 +120,22 @@
 	defer b.cfg.Counters.StreamsOpen.Add(-1)
 	stop := context.AfterFunc(b.ctx, s.c.close)
 	defer stop()
-	unclaimed := time.NewTimer(takenWithin)
+	unclaimed := time.NewTimer(claimTimeout)
 	defer unclaimed.Stop()
 	select {
-	case <-s.begun:
-		<-s.over
-	case <-s.over:
+	case <-s.started:
+		<-s.done
+	case <-s.done:
 	case <-unclaimed.C:
-		s.c.close() // a client side that begins after all reads an error
+		s.c.close() // a client side that starts reading later gets an error
 	}
-	if !s.whole {
+	if !s.complete {
 		b.cfg.Counters.StreamsCut.Add(1)
 		s.c.clean = false
 	}
-	b.put(t.Server, s.c)
-	if s.whole {
-		made := b.observe(t.Server, &s.r, t.Sent, t.Keyed)
-		b.to.Learned(balance.RemoteOutcome{Server: t.Server, Result: balance.OK, Role: s.r.role, Position: s.r.position}, made, s.r.report)
+	b.release(t.Server, s.c)
+	if s.complete {
+		statedAt := b.observe(t.Server, &s.r, t.Sent, t.Keyed)
+		b.reporter.Learned(balance.RemoteOutcome{Server: t.Server, Result: balance.OK, Role: s.r.role, Position: s.r.position}, statedAt, s.r.report)
 	}
 }
--- a/internal/wire/backend/write_by_test.go
+++ b/internal/wire/backend/write_by_test.go
@@ -13,34 +13,35 @@
 	"yokemast/internal/wire/pg"
 )
 
-// bulky is a command whose query fills the buffers of any socket.
-type bulky struct{ outcomes }
+// bulkyCommand is a command whose query exceeds the buffers of any socket.
+type bulkyCommand struct{ outcomes }
 
 var bulkyQuery = sync.OnceValue(func() []byte { return pg.AppendQuery(nil, string(make([]byte, 32<<20))) })
 
-func (bulky) AppendQuery([]byte, time.Duration) []byte { return bulkyQuery() }
+func (bulkyCommand) AppendQuery([]byte, time.Duration) []byte { return bulkyQuery() }
 
-func (bulky) Converse(h *Host) Ending {
+func (bulkyCommand) Converse(h *Host) Ending {
 	if h.Write(bulkyQuery()) != nil {
 		return Ending{Result: balance.Reset}
 	}
 	return Ending{Result: balance.OK}
 }
 
-// plain is a bulky command that is no conversation.
-type plain struct{ Command }
+// plainCommand is a bulky command that is not a conversation.
+type plainCommand struct{ Command }
 
-// A host begins with a query at its last byte. One that reads only after the end of a window must never get that byte.
-func TestTheLastByteOfAQueryIsNotWrittenAfterItsWindow(t *testing.T) {
+// A host executes a query once it has its last byte. A host that reads only after the end of a query's window
+// must never receive that byte.
+func TestLastQueryByteNotWrittenAfterWindow(t *testing.T) {
 	for name, c := range map[string]struct {
 		command any
 		want    balance.Result
 	}{
-		"statement":    {plain{bulky{}}, balance.NoConnection},
-		"conversation": {bulky{}, balance.Reset},
+		"statement":    {plainCommand{bulkyCommand{}}, balance.NoConnection},
+		"conversation": {bulkyCommand{}, balance.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil)
+			r := newFixture(t, nil)
 			begun, over, whole := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 			r.serve(t, "slow", func(_ net.Conn, in *bufio.Reader) {
 				_, _ = in.Peek(1)
@@ -53,30 +54,30 @@
 			bulkyQuery()
 			now := r.clock.Now()
 			window := now + 500*time.Millisecond
-			r.b.Send(exchange.Attempt{ID: "a", Server: "slow", Command: c.command, Sent: now, Deadline: now + soon, StartBy: window, WriteBy: window})
+			r.b.Send(exchange.Attempt{ID: "a", Server: "slow", Command: c.command, Sent: now, Deadline: now + testTimeout, StartBy: window, WriteBy: window})
 			wait(t, begun, "the beginning of the query")
 			time.AfterFunc(window-r.clock.Now()+50*time.Millisecond, func() { close(over) })
 			if wait(t, whole, "the end of the query") {
-				t.Error("a host that reads after the window gets the query whole")
+				t.Error("a host that reads after the window received the complete query")
 			}
 			if o := wait(t, r.outcomes, "the outcome"); o.Result != c.want {
-				t.Errorf("it ended with %v, want %v", o.Result, c.want)
+				t.Errorf("result %v, want %v", o.Result, c.want)
 			}
 		})
 	}
 }
 
-// long is a command whose query may get stuck, so that its write has a deadline.
-type long struct{ outcomes }
+// longCommand is a command whose query may block, so that its write has a deadline.
+type longCommand struct{ outcomes }
 
-func (long) AppendQuery(out []byte, _ time.Duration) []byte {
+func (longCommand) AppendQuery(out []byte, _ time.Duration) []byte {
 	return pg.AppendQuery(out, string(make([]byte, 2*readBuffer)))
 }
 
-// short is a conversation of one query.
-type short struct{}
+// shortConversation is a conversation of one query.
+type shortConversation struct{}
 
-func (short) Converse(h *Host) Ending {
+func (shortConversation) Converse(h *Host) Ending {
 	if h.Write(pg.AppendQuery(nil, "x")) != nil {
 		return Ending{Result: balance.Reset}
 	}
@@ -91,9 +92,10 @@
 	}
 }
 
-// The deadline of a long statement's write ends with the statement: a conversation on the same connection may come later.
-func TestAConversationIsNotBoundByTheStatementBefore(t *testing.T) {
-	r := newRig(t, nil)
+// The write deadline of a large statement must end with the statement. A later conversation on the same
+// connection must not run into it.
+func TestConversationNotBoundByEarlierWriteDeadline(t *testing.T) {
+	r := newFixture(t, nil)
 	r.serve(t, "one", func(n net.Conn, in *bufio.Reader) {
 		for {
 			if _, _, err := pg.Read(in, 1<<20); err != nil {
@@ -103,14 +105,14 @@
 		}
 	})
 	first := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: "first", Server: "one", Command: long{}, Sent: first, Deadline: first + 200*time.Millisecond})
+	r.b.Send(exchange.Attempt{ID: "first", Server: "one", Command: longCommand{}, Sent: first, Deadline: first + 200*time.Millisecond})
 	if o := wait(t, r.outcomes, "the first outcome"); o.Result != balance.OK {
-		t.Fatalf("the first attempt ended with %v", o.Result)
+		t.Fatalf("the first attempt: result %v, want OK", o.Result)
 	}
-	time.Sleep(first + 220*time.Millisecond - r.clock.Now()) // its deadline has passed
+	time.Sleep(first + 220*time.Millisecond - r.clock.Now()) // the first statement's write deadline has passed
 	now := r.clock.Now()
-	r.b.Send(exchange.Attempt{ID: "second", Server: "one", Command: short{}, Sent: now, Deadline: now + soon})
+	r.b.Send(exchange.Attempt{ID: "second", Server: "one", Command: shortConversation{}, Sent: now, Deadline: now + testTimeout})
 	if o := wait(t, r.outcomes, "the second outcome"); o.Result != balance.OK {
-		t.Errorf("the conversation ended with %v", o.Result)
+		t.Errorf("the conversation: result %v, want OK", o.Result)
 	}
 }
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -1,4 +1,5 @@
-// Package discovery reads the list of database hosts: whole at the start, then by a watch that goes on.
+// Package discovery reads the endpoint list of database hosts: a snapshot at the start, then snapshots and
+// deltas by a long-polling watch.
 package discovery
 
 import (
@@ -13,17 +14,18 @@
 	"yokemast/internal/memory/exchange"
 )
 
-// List is one answer of discovery.
+// List is one answer of discovery: a snapshot of the endpoint list if Complete, a delta otherwise.
 type List struct {
 	Revision int64
 	Complete bool
 	Members  []exchange.Member
 }
 
-var states = map[string]balance.State{"SERVING": balance.Active, "DRAINING": balance.Draining,
+var phases = map[string]balance.State{"SERVING": balance.Active, "DRAINING": balance.Draining,
 	"DELETED": balance.Removed}
 
-// ParseList reads a list. The error names what is at fault; such a list is not to be used in part.
+// ParseList parses an endpoint list. The error names the invalid field; an invalid list must not be used in
+// part.
 func ParseList(b []byte) (List, error) {
 	if !gjson.ValidBytes(b) {
 		return List{}, errors.New("list: not JSON")
@@ -35,14 +37,14 @@
 	case !root.IsObject():
 		return out, errors.New("list: not an object")
 	case revision.Type != gjson.Number || out.Revision < 0:
-		return out, errors.New("list: revision is no whole number")
+		return out, errors.New("list: revision is not a whole number")
 	case !complete.IsBool():
-		return out, errors.New("list: complete is neither true nor false")
+		return out, errors.New("list: complete is not a boolean")
 	case !entries.IsArray() && entries.Type != gjson.Null:
-		return out, errors.New("list: members is no list")
+		return out, errors.New("list: members is not an array")
 	}
 	for i, e := range entries.Array() {
-		m, err := member(e)
+		m, err := parseMember(e)
 		if err != nil {
 			return out, fmt.Errorf("list: members.%d.%w", i, err)
 		}
@@ -51,8 +53,8 @@
 	return out, nil
 }
 
-func member(e gjson.Result) (exchange.Member, error) {
-	state, known := states[e.Get("phase").Str]
+func parseMember(e gjson.Result) (exchange.Member, error) {
+	state, known := phases[e.Get("phase").Str]
 	id, address := e.Get("id"), e.Get("host_port").Str
 	cell, size, start, role := e.Get("cell"), e.Get("size"), e.Get("up_since_ms"), e.Get("role")
 	m := exchange.Member{Address: address, Member: balance.Member{Server: id.Str, Group: int(cell.Int()), State: state,
@@ -64,15 +66,15 @@
 	case id.Type != gjson.String || id.Str == "":
 		return m, errors.New("id: missing")
 	case !known:
-		return m, fmt.Errorf("phase: unknown word %s", e.Get("phase").Raw)
+		return m, fmt.Errorf("phase: unknown value %s", e.Get("phase").Raw)
 	case err != nil && state != balance.Removed:
 		return m, fmt.Errorf("host_port: %w", err)
 	case cell.Type != gjson.Number && cell.Type != gjson.Null:
-		return m, errors.New("cell: no number")
+		return m, errors.New("cell: not a number")
 	case size.Type != gjson.Number && size.Type != gjson.Null:
-		return m, errors.New("size: no number")
+		return m, errors.New("size: not a number")
 	case start.Type != gjson.Number && start.Type != gjson.Null || start.Int() < 0 || start.Int() > 1<<42:
-		return m, errors.New("up_since_ms: no Unix time")
+		return m, errors.New("up_since_ms: not a Unix time in milliseconds")
 	}
 	return m, nil
 }
--- a/internal/wire/discovery/notified_test.go
+++ b/internal/wire/discovery/notified_test.go
@@ -17,155 +17,160 @@
 
 const ms = time.Millisecond
 
-// played is a session whose calls are answered by hand. It keeps when lists count as notified.
-type played struct {
+// scriptedSession is a session whose calls are answered by the test. It records when each list counts as notified.
+type scriptedSession struct {
 	*session
-	began    time.Duration
+	start    time.Duration
 	notified []time.Duration
-	// revisions are what the watcher said of its lists while one was handed over.
+	// revisions holds the watcher's revision at the time when each list was passed on.
 	revisions []int64
-	agents    []string // that told each
+	agents    []string // agent of each list
 }
 
-func play(revision int64) *played {
-	p := &played{}
+func newScriptedSession(revision int64) *scriptedSession {
+	p := &scriptedSession{}
 	w := NewWatcher("a", 1)
 	w.Log, w.Counters, w.Clock, w.Answered = zap.NewNop(), &counters.Set{}, exchange.NewClock(), func() {}
 	w.Members = func(l exchange.List) {
 		p.notified, p.revisions = append(p.notified, l.At), append(p.revisions, w.Revision())
 		p.agents = append(p.agents, l.Agent)
 	}
-	p.began = w.Clock.Now()
-	w.Begun = p.began - 400*ms
+	p.start = w.Clock.Now()
+	w.Begun = p.start - 400*ms
 	p.session = &session{Watcher: w, ctx: context.Background(), cancels: map[int]context.CancelFunc{}, decisions: listwatch.New("a", revision, 1)}
 	return p
 }
 
-// begin begins the calls that are due so long after the session began.
-func (p *played) begin(after time.Duration) (calls []listwatch.Call) {
-	calls, _, _ = p.decisions.Step(p.began + after)
-	p.missed = p.missed || p.decisions.Broken()
+// stepCalls returns the calls that are due at the given time after the session's start.
+func (p *scriptedSession) stepCalls(after time.Duration) (calls []listwatch.Call) {
+	calls, _, _ = p.decisions.Step(p.start + after)
+	p.missedAnswer = p.missedAnswer || p.decisions.Broken()
 	for _, c := range calls {
 		p.cancels[c.ID] = func() {}
 	}
 	return calls
 }
 
-func (p *played) answer(c listwatch.Call, after time.Duration, revision int64) {
-	p.ended(result{call: c, at: p.began + after, list: List{Revision: revision, Complete: true}})
+func (p *scriptedSession) answer(c listwatch.Call, after time.Duration, revision int64) {
+	p.handleResult(result{call: c, arrivedAt: p.start + after, list: List{Revision: revision, Complete: true}})
 }
 
-func (p *played) last() time.Duration { return p.notified[len(p.notified)-1] - p.began }
+func (p *scriptedSession) last() time.Duration { return p.notified[len(p.notified)-1] - p.start }
 
-func TestADrainInTheFirstAnswerCountsFromTheProcesssFirstMoment(t *testing.T) {
-	p := play(41)
-	call := p.begin(0)[0]
+func TestFirstListNotifiedAtProcessStart(t *testing.T) {
+	p := newScriptedSession(41)
+	call := p.stepCalls(0)[0]
 	p.answer(call, 300*ms, 42)
 	if got := p.last(); got != -400*ms {
-		t.Errorf("the first list counts as notified %s after the process's first moment", got+400*ms)
+		t.Errorf("the first list counts as notified %s after the process's start", got+400*ms)
 	}
-	p.answer(p.begin(time.Second)[0], 2*time.Second, 43)
+	p.answer(p.stepCalls(time.Second)[0], 2*time.Second, 43)
 	if got := p.last(); got != 2*time.Second {
-		t.Errorf("news that a watch brings counts as notified %s before it arrived", 2*time.Second-got)
+		t.Errorf("a list pushed to a watch counts as notified %s before it arrived", 2*time.Second-got)
 	}
 }
 
-// What comes while the gateway has no watch open, or before a watch has reached the agent, is answered at once.
-func TestADrainThatIsAnsweredPromptlyCountsFromTheLastAnswer(t *testing.T) {
+// A list that reaches the agent while the gateway has no watch open is answered at once when the next watch
+// reaches the agent. It must count as notified at the last answer.
+func TestPromptAnswerNotifiedAtLastAnswer(t *testing.T) {
 	for name, c := range map[string]struct{ latency, pause, took, want time.Duration }{
-		"a watch without a pause":          {0, 0, 5 * ms, 0},
-		"after a pause":                    {0, 150 * ms, 5 * ms, 0},
-		"after a pause, with two hold-ups": {0, 150 * ms, 300 * ms, 0},
-		"pushed to a watch":                {0, 150 * ms, 301 * ms, 451 * ms},
-		"of a slow agent":                  {200 * ms, 150 * ms, 500 * ms, 0},
-		"pushed to a watch of a slow one":  {200 * ms, 150 * ms, 501 * ms, 651 * ms},
+		"a watch without a pause":           {0, 0, 5 * ms, 0},
+		"after a pause":                     {0, 150 * ms, 5 * ms, 0},
+		"after a pause, with two stalls":    {0, 150 * ms, 300 * ms, 0},
+		"pushed to a watch":                 {0, 150 * ms, 301 * ms, 451 * ms},
+		"answered at once by a slow agent":  {200 * ms, 150 * ms, 500 * ms, 0},
+		"pushed to a watch by a slow agent": {200 * ms, 150 * ms, 501 * ms, 651 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p, after := play(41), time.Duration(0)
+				p, after := newScriptedSession(41), time.Duration(0)
 				pass := func(d time.Duration) time.Duration {
 					time.Sleep(d)
 					after += d
 					return after
 				}
-				first := p.begin(0)[0]
+				first := p.stepCalls(0)[0]
 				p.answer(first, pass(c.latency), 42)
-				watch := p.begin(pass(c.pause))[0]
+				watch := p.stepCalls(pass(c.pause))[0]
 				p.answer(watch, pass(c.took), 43)
 				if got := p.last() - c.latency; got != c.want {
-					t.Errorf("it counts as notified %s after the last answer, want %s", got, c.want)
+					t.Errorf("the list counts as notified %s after the last answer, want %s", got, c.want)
 				}
 			})
 		})
 	}
 }
 
-// Who reads the revision and then what is known of the hosts, as a handover does, must find what the list of that revision told.
-func TestTheRevisionIsToldBehindItsList(t *testing.T) {
-	p := play(41)
-	p.answer(p.begin(0)[0], 0, 42)
-	p.answer(p.begin(time.Second)[0], time.Second, 43)
+// A hot restart reads the revision and then what is known of the hosts. That must include the statements of
+// the list of that revision.
+func TestRevisionUpdatedAfterList(t *testing.T) {
+	p := newScriptedSession(41)
+	p.answer(p.stepCalls(0)[0], 0, 42)
+	p.answer(p.stepCalls(time.Second)[0], time.Second, 43)
 	if diff := cmp.Diff([]int64{listwatch.NoRevision, 42}, p.revisions); diff != "" || p.Revision() != 43 {
-		t.Errorf("while a list is handed over: %s, after it: %d", diff, p.Revision())
+		t.Errorf("revisions while lists are passed on (-want +got): %s; after the last: %d", diff, p.Revision())
 	}
 }
 
-// Two lists of a lower revision are those of an agent that counts anew, or older ones: they must not end what it told before.
-func TestAnAgentThatCountsAnewIsAnother(t *testing.T) {
-	p := play(41)
-	p.answer(p.begin(0)[0], 0, 42)
+// Two lists of a lower revision come from an agent that has reset its revisions, or are older lists. They
+// must not supersede the drain notifications that the agent sent before.
+func TestAgentRenamedAfterRevisionReset(t *testing.T) {
+	p := newScriptedSession(41)
+	p.answer(p.stepCalls(0)[0], 0, 42)
 	for i, revision := range []int64{7, 7, 8} {
-		p.answer(p.begin(time.Duration(i+1) * time.Second)[0], time.Duration(i+1)*time.Second, revision)
+		p.answer(p.stepCalls(time.Duration(i+1) * time.Second)[0], time.Duration(i+1)*time.Second, revision)
 	}
 	if diff := cmp.Diff([]string{"a", "a#1", "a#1"}, p.agents); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestTheListOfAnotherAgentCountsFromItsArrival(t *testing.T) {
-	p := play(41)
-	p.answer(p.begin(0)[0], 0, 42)
-	p.begin(0)
-	p.decisions.SetAddress(p.began+500*ms, "b")
-	p.answer(p.begin(500 * ms)[0], 510*ms, 7)
+func TestListOfOtherAgentNotifiedAtArrival(t *testing.T) {
+	p := newScriptedSession(41)
+	p.answer(p.stepCalls(0)[0], 0, 42)
+	p.stepCalls(0)
+	p.decisions.SetAddress(p.start+500*ms, "b")
+	p.answer(p.stepCalls(500 * ms)[0], 510*ms, 7)
 	if got := p.last(); got != 510*ms {
-		t.Errorf("it counts as notified %s after the last answer of the agent before", got)
+		t.Errorf("the list counts as notified %s after the start, want its arrival at 510ms", got)
 	}
 }
 
-func TestADrainAfterACallThatBroughtNoListCountsFromTheLastAnswer(t *testing.T) {
-	for name, trouble := range map[string]func(p *played, watch listwatch.Call){
-		"failed":   func(p *played, watch listwatch.Call) { p.ended(result{call: watch, err: errors.New("reset")}) },
-		"busy":     func(p *played, watch listwatch.Call) { p.ended(result{call: watch, err: errBusy}) },
-		"not used": func(p *played, watch listwatch.Call) { p.answer(watch, 400*ms, 7) },
-		"silent":   func(*played, listwatch.Call) {},
+func TestListAfterFailedCallNotifiedAtLastAnswer(t *testing.T) {
+	for name, trouble := range map[string]func(p *scriptedSession, watch listwatch.Call){
+		"failed": func(p *scriptedSession, watch listwatch.Call) {
+			p.handleResult(result{call: watch, err: errors.New("reset")})
+		},
+		"busy":     func(p *scriptedSession, watch listwatch.Call) { p.handleResult(result{call: watch, err: errBusy}) },
+		"not used": func(p *scriptedSession, watch listwatch.Call) { p.answer(watch, 400*ms, 7) },
+		"silent":   func(*scriptedSession, listwatch.Call) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := play(41)
-			p.answer(p.begin(0)[0], 300*ms, 42)
-			trouble(p, p.begin(350 * ms)[0])
-			next := p.begin(5 * time.Second)
+			p := newScriptedSession(41)
+			p.answer(p.stepCalls(0)[0], 300*ms, 42)
+			trouble(p, p.stepCalls(350 * ms)[0])
+			next := p.stepCalls(5 * time.Second)
 			if len(next) != 1 {
-				t.Fatalf("%d calls begin", len(next))
+				t.Fatalf("%d calls started, want 1", len(next))
 			}
 			p.answer(next[0], 5100*ms, 43)
 			if got := p.last(); got != 300*ms {
 				t.Errorf("the list counts as notified %s after the last answer", got-300*ms)
 			}
-			p.answer(p.begin(5200 * ms)[0], 6*time.Second, 44)
+			p.answer(p.stepCalls(5200 * ms)[0], 6*time.Second, 44)
 			if got := p.last(); got != 6*time.Second {
-				t.Errorf("the news after it counts as notified %s before it arrived", 6*time.Second-got)
+				t.Errorf("the next list counts as notified %s before it arrived", 6*time.Second-got)
 			}
 		})
 	}
 }
 
-func TestAListAfterALongOutageIsNotOlderThanHostsAreRemembered(t *testing.T) {
-	p := play(41)
-	p.answer(p.begin(0)[0], 0, 42)
-	p.ended(result{call: p.begin(time.Second)[0], err: errors.New("reset")})
-	p.answer(p.begin(time.Hour)[0], time.Hour, 43)
-	if got := time.Hour - p.last(); got != longestAgo {
-		t.Errorf("it counts as notified %s before it arrived, want %s", got, longestAgo)
+func TestNotifiedAgeBoundedAfterOutage(t *testing.T) {
+	p := newScriptedSession(41)
+	p.answer(p.stepCalls(0)[0], 0, 42)
+	p.handleResult(result{call: p.stepCalls(time.Second)[0], err: errors.New("reset")})
+	p.answer(p.stepCalls(time.Hour)[0], time.Hour, 43)
+	if got := time.Hour - p.last(); got != maxNotifiedAge {
+		t.Errorf("the list counts as notified %s before it arrived, want %s", got, maxNotifiedAge)
 	}
 }
--- a/internal/wire/discovery/watch.go
+++ b/internal/wire/discovery/watch.go
@@ -22,101 +22,104 @@
 )
 
 const (
-	// connectWithin is how long a connection to the agent, which is on this machine, may take to come up: one that is asked
-	// for while the agent is away must not take up the whole call's time.
-	connectWithin = 500 * time.Millisecond
-	maxList       = 8 << 20
-	// longestAgo is how long before its arrival a list counts as notified at most. By then any drain's grace is over, and a host that is gone
-	// is still remembered while attempts may be on their way to it.
-	longestAgo = 30 * time.Second
-	// promptly is how long the answer to a watch may take at most, beside what answers took lately, that was there when the watch was opened:
-	// the process may be held up behind the reading of its clock at the beginning, and before the one at the end.
-	promptly = 2 * draining.MaxSendDelay
+	// connectTimeout is the timeout for a connection to the agent, which runs on this machine. A connection
+	// attempt made while the agent is down must not take up the time of the whole call.
+	connectTimeout = 500 * time.Millisecond
+	maxListBytes   = 8 << 20
+	// maxNotifiedAge is the maximum time between a drain notification and the arrival of its list. After it, the
+	// grace of any drain is over, and a removed host is still known while attempts may be on their way to it.
+	maxNotifiedAge = 30 * time.Second
+	// maxPromptAnswer is the maximum time, in addition to the recent latency of answers, for the answer to a watch
+	// to count as one that the agent already had when the watch was opened. The process may stall after
+	// reading its clock at the start of the call, and before reading it at the end.
+	maxPromptAnswer = 2 * draining.MaxSendDelay
 )
 
-// errBusy says that discovery has too many calls.
+// errBusy is returned when discovery rejects a call because it has too many.
 var errBusy = errors.New("discovery is busy")
 
-// Watcher follows the list: it carries out the calls that listwatch decides on.
+// Watcher watches the endpoint list. It carries out the calls that package listwatch decides on.
 type Watcher struct {
 	Log      *zap.Logger
 	Counters *counters.Set
 	Clock    exchange.Clock
-	Begun    time.Duration // the process's first moment, by Clock
+	Begun    time.Duration // when the process was started, by Clock
 	Members  func(exchange.List)
-	Answered func() // called once, when the agent has answered for the first time
+	Answered func() // called once, at the agent's first answer
 
-	seed     uint64
-	revision atomic.Int64  // of the last answer
-	heardAt  atomic.Int64  // nanoseconds by Clock; 0: never
-	wake     chan struct{} // the address has changed
+	seed           uint64
+	revision       atomic.Int64  // revision of the last answer
+	lastAnswerAt   atomic.Int64  // when the last answer arrived, in nanoseconds by Clock; 0 means never
+	addressChanged chan struct{} // signals a change of the address
 
 	mu      sync.Mutex
-	address string // of the agent
+	address string // address of the agent
 }
 
-// NewWatcher makes a watcher of the agent at an address; the seed draws when it asks again after it was turned away.
+// NewWatcher returns a watcher of the agent at an address. The seed determines the random delays before it
+// calls again after a rejected call.
 func NewWatcher(address string, seed uint64) *Watcher {
-	w := &Watcher{address: address, seed: seed, wake: make(chan struct{}, 1)}
+	w := &Watcher{address: address, seed: seed, addressChanged: make(chan struct{}, 1)}
 	w.revision.Store(listwatch.NoRevision)
 	return w
 }
 
-// Revision is that of the last answer whose list was handed over; below 0: there was none from the present agent.
+// Revision is the revision of the last list that was passed on, or negative if none came from the present
+// agent.
 func (w *Watcher) Revision() int64 { return w.revision.Load() }
 
-// HeardAgo is how long ago discovery was last heard; not ok: it never was.
+// HeardAgo returns the time since discovery's last answer. It returns false if there was none.
 func (w *Watcher) HeardAgo() (ago time.Duration, ok bool) {
-	at := w.heardAt.Load()
+	at := w.lastAnswerAt.Load()
 	return w.Clock.Now() - time.Duration(at), at > 0
 }
 
-// Move goes on at another address; the present one changes nothing.
+// Move changes the agent's address. It has no effect if the address is the present one.
 func (w *Watcher) Move(address string) {
 	w.mu.Lock()
 	w.address = address
 	w.mu.Unlock()
 	select {
-	case w.wake <- struct{}{}:
+	case w.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Address is that of the agent that is asked.
+// Address is the address of the present agent.
 func (w *Watcher) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.address
 }
 
-// result is how a call ended.
+// result is the result of a call to the agent.
 type result struct {
-	call listwatch.Call
-	at   time.Duration // when its answer arrived
-	list List
-	err  error
+	call      listwatch.Call
+	arrivedAt time.Duration // when the header of its answer arrived
+	list      List
+	err       error
 }
 
-// session is one Run of a watcher. All but the calls' own goroutines belongs to Run.
+// session is the state of one call of Watcher.Run. Only the goroutines of the calls run outside it.
 type session struct {
 	*Watcher
-	ctx       context.Context
-	transport *http.Transport
-	decisions *listwatch.Watch
-	results   chan result
-	cancels   map[int]context.CancelFunc
-	calls     sync.WaitGroup
-	answered  bool
-	missed    bool   // a call has brought no list that was used since the last that did, or has fallen silent
-	heardFrom string // the agent whose list was used last
-	failed    int64  // calls since the last answer
+	ctx          context.Context
+	transport    *http.Transport
+	decisions    *listwatch.Watch
+	results      chan result
+	cancels      map[int]context.CancelFunc
+	calls        sync.WaitGroup
+	answered     bool
+	missedAnswer bool   // since the last used list, a call has failed, brought an unused list or been silent for too long
+	lastAgent    string // agent of the last used list
+	failedCalls  int64  // failed calls since the last answer
 }
 
-// Run watches from the revision on until the context ends.
+// Run watches the endpoint list from the given revision on until the context ends.
 func (w *Watcher) Run(ctx context.Context, revision int64) error {
 	s := &session{Watcher: w, ctx: ctx, results: make(chan result), cancels: map[int]context.CancelFunc{},
 		decisions: listwatch.New(w.Address(), revision, w.seed),
-		transport: &http.Transport{DialContext: (&net.Dialer{Timeout: connectWithin}).DialContext, MaxIdleConns: 1, DisableCompression: true}}
+		transport: &http.Transport{DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext, MaxIdleConns: 1, DisableCompression: true}}
 	defer s.transport.CloseIdleConnections()
 	defer s.calls.Wait()
 	timer := time.NewTimer(0)
@@ -127,20 +130,20 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-w.wake:
+		case <-w.addressChanged:
 			s.decisions.SetAddress(w.Clock.Now(), w.Address())
 			w.revision.Store(s.decisions.Revision())
 		case r := <-s.results:
-			s.ended(r)
+			s.handleResult(r)
 		}
 	}
 }
 
-// step begins and drops calls, and says how long nothing is to be done unless something happens.
+// step starts and cancels calls, and returns the time until the next step if nothing else happens.
 func (s *session) step() time.Duration {
 	now := s.Clock.Now()
 	begin, drop, next := s.decisions.Step(now)
-	s.missed = s.missed || s.decisions.Broken()
+	s.missedAnswer = s.missedAnswer || s.decisions.Broken()
 	for _, id := range drop {
 		if cancel := s.cancels[id]; cancel != nil {
 			cancel()
@@ -148,13 +151,13 @@
 		}
 	}
 	for _, c := range begin {
-		s.begin(c)
+		s.startCall(c)
 	}
 	return next - now
 }
 
-// begin starts a call, which hands over its result unless it is dropped before.
-func (s *session) begin(c listwatch.Call) {
+// startCall starts a call. Its result is passed on unless the call is canceled before.
+func (s *session) startCall(c listwatch.Call) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.cancels[c.ID] = cancel
 	s.calls.Go(func() {
@@ -166,35 +169,35 @@
 	})
 }
 
-// ended takes the result of a call.
-func (s *session) ended(r result) {
+// handleResult handles the result of a call.
+func (s *session) handleResult(r result) {
 	cancel := s.cancels[r.call.ID]
 	if cancel == nil {
-		return // dropped meanwhile
+		return // canceled in the meantime
 	}
 	cancel()
 	delete(s.cancels, r.call.ID)
 	now := s.Clock.Now()
 	if r.err != nil {
-		s.fail(now, r)
+		s.handleFailure(now, r)
 		return
 	}
 	if !s.decisions.Answered(now, r.call.ID, r.list.Revision) {
-		s.missed = true
-		s.Log.Info("list not used", zap.String("agent", r.call.Address), zap.Int64("revision", r.list.Revision), zap.Int64("known", s.decisions.Revision()))
+		s.missedAnswer = true
+		s.Log.Info("endpoint list ignored", zap.String("agent", r.call.Address), zap.Int64("revision", r.list.Revision), zap.Int64("known", s.decisions.Revision()))
 		return
 	}
-	if s.failed > 0 {
-		s.Log.Info("discovery answers again", zap.Int64("failed", s.failed))
-		s.failed = 0
+	if s.failedCalls > 0 {
+		s.Log.Info("discovery answers again", zap.Int64("failed", s.failedCalls))
+		s.failedCalls = 0
 	}
 	notified := s.notifiedAt(r)
-	s.missed, s.heardFrom = false, r.call.Address
+	s.missedAnswer, s.lastAgent = false, r.call.Address
 	s.Counters.Lists.Add(1)
-	s.heardAt.Store(int64(r.at))
+	s.lastAnswerAt.Store(int64(r.arrivedAt))
 	if r.list.Complete || len(r.list.Members) > 0 {
-		s.Log.Info("hosts listed", zap.Bool("whole", r.list.Complete), zap.Int64("revision", r.list.Revision), zap.Int("entries", len(r.list.Members)),
-			zap.String("agent", r.call.Address), zap.Duration("handled_after", now-r.at), zap.Duration("notified_before", r.at-notified))
+		s.Log.Info("hosts listed", zap.Bool("snapshot", r.list.Complete), zap.Int64("revision", r.list.Revision), zap.Int("entries", len(r.list.Members)),
+			zap.String("agent", r.call.Address), zap.Duration("handled_after", now-r.arrivedAt), zap.Duration("notified_before", r.arrivedAt-notified))
 		s.Members(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Snapshot: r.list.Complete, Hosts: r.list.Members})
 	}
 	s.revision.Store(s.decisions.Revision())
@@ -204,8 +207,8 @@
 	}
 }
 
-// agent names who told the list of a call. One that counts anew goes by another name from then on: what it tells may be older than what it
-// told before.
+// agent returns the name of the agent that sent the list of a call. An agent that has reset its revisions
+// gets a new name, because its statements may be older than its earlier ones.
 func (s *session) agent(c listwatch.Call) string {
 	if n := s.decisions.RevisionResets(); n > 0 {
 		return fmt.Sprintf("%s#%d", c.Address, n)
@@ -213,35 +216,37 @@
 	return c.Address
 }
 
-// notifiedAt is when the gateway counts as notified of what a list tells. The agent may have had it since before, and what the agent has
-// counts as told: from the process's first moment for the first list, and from the last answer on where a call has brought none since, or
-// where the agent may have had it before the watch was opened.
+// notifiedAt returns the time at which the gateway counts as notified of the statements in a list. The agent
+// may have had the list for some time, and what the agent has counts as notified. The time is that of the
+// process's start for the first list. It is that of the last answer if a call has brought no list since then,
+// or if the agent may have had the list before the watch was opened. Otherwise it is the arrival of the list.
 func (s *session) notifiedAt(r result) time.Duration {
-	since := r.at
+	notifiedAt := r.arrivedAt
 	switch {
 	case !s.answered:
-		since = s.Begun
-	case s.missed, r.call.Address == s.heardFrom && r.at-r.call.Began <= promptly+s.decisions.Latency():
-		since = time.Duration(s.heardAt.Load())
+		notifiedAt = s.Begun
+	case s.missedAnswer, r.call.Address == s.lastAgent && r.arrivedAt-r.call.Began <= maxPromptAnswer+s.decisions.Latency():
+		notifiedAt = time.Duration(s.lastAnswerAt.Load())
 	}
-	return max(since, r.at-longestAgo)
+	return max(notifiedAt, r.arrivedAt-maxNotifiedAge)
 }
 
-// fail takes a call that brought no list.
-func (s *session) fail(now time.Duration, r result) {
-	s.missed = true
+// handleFailure handles a call that brought no list.
+func (s *session) handleFailure(now time.Duration, r result) {
+	s.missedAnswer = true
 	s.Counters.ListErrors.Add(1)
-	why := listwatch.Broken
+	reason := listwatch.Broken
 	if errors.Is(r.err, errBusy) {
-		why = listwatch.Rejected
+		reason = listwatch.Rejected
 	}
-	s.decisions.Failed(now, r.call.ID, why)
-	if s.failed++; s.failed == 1 { // once for each time that it is out, not ten times a second
+	s.decisions.Failed(now, r.call.ID, reason)
+	if s.failedCalls++; s.failedCalls == 1 { // logged once per outage, not ten times a second
 		s.Log.Warn("discovery failed", zap.Error(r.err), zap.Int("call", r.call.ID), zap.Duration("wait", r.call.Wait))
 	}
 }
 
-// call makes a call. Its answer counts from when its head had come: the rest may be long.
+// call calls the agent. The answer counts as arrived when its header has arrived, because the body may take
+// long.
 func (s *session) call(ctx context.Context, c listwatch.Call) (r result) {
 	r.call = c
 	u := url.URL{Scheme: "http", Host: c.Address, Path: "/v1/endpoints"}
@@ -255,13 +260,13 @@
 		return r
 	}
 	resp, err := s.transport.RoundTrip(req)
-	r.at = s.Clock.Now()
+	r.arrivedAt = s.Clock.Now()
 	if err != nil {
 		r.err = err
 		return r
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	switch {
 	case err != nil:
 		r.err = err
--- a/internal/wire/discovery/watch_test.go
+++ b/internal/wire/discovery/watch_test.go
@@ -17,15 +17,15 @@
 	"yokemast/internal/memory/exchange"
 )
 
-// shallow listens on loopback with room for hardly a connection that waits to be accepted: of those that come then, none is
-// answered, as when a machine is away.
-func shallow(t *testing.T) net.Listener {
+// listenNoBacklog listens on loopback with a backlog of 0. Once a connection waits to be accepted, further ones are
+// not answered, as if the machine were down.
+func listenNoBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "shallow")
+	f := os.NewFile(uintptr(fd), "listener")
 	defer f.Close()
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	return l
 }
 
-// answerOne accepts a connection and answers its one call with a list, or with nothing.
+// answerOne accepts a connection and answers its one call with an empty list of the given revision.
 func answerOne(t *testing.T, l net.Listener, revision int) {
 	t.Helper()
 	c, err := l.Accept()
@@ -51,15 +51,16 @@
 	}
 	defer c.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
-		return // given up meanwhile
+		return // the call was canceled
 	}
 	list := `{"revision":` + strconv.Itoa(revision) + `,"complete":true,"members":[]}`
 	_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: " + strconv.Itoa(len(list)) + "\r\n\r\n" + list))
 }
 
-// A connection that is not answered must not take up the time of the whole call: the agent may be back the next moment.
-func TestAConnectionThatDoesNotComeUp(t *testing.T) {
-	l := shallow(t)
+// A connection attempt that gets no response must not take up the time of the whole call, because the agent
+// may be back at any moment.
+func TestConnectTimeout(t *testing.T) {
+	l := listenNoBacklog(t)
 	w := NewWatcher(l.Addr().String(), 1)
 	got := make(chan bool, 100)
 	w.Log, w.Counters, w.Answered = zap.NewNop(), &counters.Set{}, func() {}
@@ -70,8 +71,8 @@
 	go func() { defer close(done); _ = w.Run(ctx, 0) }()
 	defer func() { stop(); <-done }()
 	answerOne(t, l, 1)
-	<-got // from here on a call waits for 3 s for news
-	// All room for connections is taken: a further one is not answered.
+	<-got // from now on a call waits 3 s for a change
+	// Fill the backlog, so that a further connection gets no response.
 	for {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
 		if err != nil {
@@ -82,13 +83,13 @@
 	failed := func(n int64) time.Time {
 		for end := time.Now().Add(20 * time.Second); w.Counters.ListErrors.Get() < n; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("it does not ask again")
+				t.Fatal("the watcher makes no further calls")
 			}
 		}
 		return time.Now()
 	}
-	first := failed(1) // of the call that still got a connection
+	first := failed(1) // the call that still got a connection
 	if took := failed(3).Sub(first); took > 3*time.Second {
-		t.Errorf("two calls that got none took %s", took)
+		t.Errorf("two calls without a connection took %s", took)
 	}
 }
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object that every instance is given, on the simulator's wire as in the
-// gateway's configuration. It is the only decoder of that object; it decides nothing.
+// Package settings decodes the settings object that every gateway instance is given, on the simulator's wire
+// and in the gateway's configuration alike. It is the only decoder of that object and makes no decisions.
 package settings
 
 import (
@@ -14,29 +14,30 @@
 	"yokemast/balance"
 )
 
-// Settings is the object, as far as this project reads it.
+// Settings holds the part of the settings object that this project uses.
 type Settings struct {
-	Balance balance.Settings // the module's part
-	Zero    time.Duration    // the simulator's clock time that positions are counted from
-	// ConnIdle and ConnectTimeout bound connections to database hosts; 0 where the settings name none.
+	Balance balance.Settings // settings of the decision module
+	Zero    time.Duration    // the simulator's clock time at position 0
+	// ConnIdle and ConnectTimeout are the idle timeout and the connect timeout of connections to database
+	// hosts, or 0 if not set.
 	ConnIdle, ConnectTimeout time.Duration
-	ReportColumns            []string // the values a load report holds; none where there are no reports
-	Peers                    bool     // gateways may send each other datagrams
-	Ordinal                  int      // of this gateway, from 0
+	ReportColumns            []string // names of the values in a load report; empty if there are no reports
+	Peers                    bool     // gateways may send gossip messages to each other
+	Ordinal                  int      // number of this gateway, from 0
 }
 
 var (
-	needs = map[string]balance.Need{"loose": balance.AnyData, "recent": balance.Bounded,
+	needNames = map[string]balance.Need{"loose": balance.AnyData, "recent": balance.Bounded,
 		"own_writes": balance.Session, "latest": balance.Latest, "update": balance.Write}
-	effects = map[string]balance.Effect{"retryable": balance.Safe, "dedup": balance.Keyed,
+	effectNames = map[string]balance.Effect{"retryable": balance.Safe, "dedup": balance.Keyed,
 		"fragile": balance.Unsafe}
-	scopes = map[string]balance.Scope{"": balance.ScopeAll, "all": balance.ScopeAll,
+	scopeNames = map[string]balance.Scope{"": balance.ScopeAll, "all": balance.ScopeAll,
 		"zone": balance.ScopeZone, "cell": balance.ScopeGroup}
-	checks = map[string]balance.Checks{"": balance.ChecksNone, "silent": balance.ChecksNone,
+	checkNames = map[string]balance.Checks{"": balance.ChecksNone, "silent": balance.ChecksNone,
 		"reject": balance.ChecksRefuse, "hold": balance.ChecksWait}
 )
 
-// Decode reads the object. The error names the field that is at fault.
+// Decode decodes the settings object. The error names the invalid field.
 func Decode(object []byte) (Settings, error) {
 	if !gjson.ValidBytes(object) {
 		return Settings{}, errors.New("settings: not JSON")
@@ -47,24 +48,24 @@
 	}
 	top := d.root
 	out := Settings{
-		Zero:  d.span(top, "domain.zero"),
-		Peers: d.truth(top, "limits.peers"), Ordinal: d.whole(top, "ordinal"),
-		ConnIdle: d.span(top, "limits.connIdle"), ConnectTimeout: d.span(top, "limits.connectTimeout"),
+		Zero:  d.duration(top, "domain.zero"),
+		Peers: d.boolean(top, "limits.peers"), Ordinal: d.integer(top, "ordinal"),
+		ConnIdle: d.duration(top, "limits.connIdle"), ConnectTimeout: d.duration(top, "limits.connectTimeout"),
 		Balance: balance.Settings{
-			Routers: d.whole(top, "balancers"), Tick: d.span(top, "step"),
+			Routers: d.integer(top, "balancers"), Tick: d.duration(top, "step"),
 			OverShareWorth:  d.number(top, "overShareWorth"),
-			Checks:          word(d, top, "domain.behind", checks),
+			Checks:          enum(d, top, "domain.behind", checkNames),
 			TokensCarried:   d.text(top, "domain.tokens") == "client",
 			SubscribeToList: d.text(top, "membershipMode") == "ask",
-			Probes:          d.truth(top, "limits.probes"), Cancel: d.truth(top, "limits.mayCancel"),
-			RetryAfter:      d.truth(top, "limits.retryAfter"),
-			MaxRetryAfter:   d.span(top, "limits.maxRetryAfter"),
-			MaxAttempts:     d.whole(top, "limits.maxAttempts"),
-			DrainGrace:      d.span(top, "contract.stopSendingWithin"),
+			Probes:          d.boolean(top, "limits.probes"), Cancel: d.boolean(top, "limits.mayCancel"),
+			RetryAfter:      d.boolean(top, "limits.retryAfter"),
+			MaxRetryAfter:   d.duration(top, "limits.maxRetryAfter"),
+			MaxAttempts:     d.integer(top, "limits.maxAttempts"),
+			DrainGrace:      d.duration(top, "contract.stopSendingWithin"),
 			OverloadFactor:  d.number(top, "contract.overloadFactor"),
 			ColdShare:       d.number(top, "contract.coldFrom"),
-			ColdTime:        d.span(top, "contract.cold"),
-			DroppedStayOpen: d.truth(top, "contract.droppedStayOpen"),
+			ColdTime:        d.duration(top, "contract.cold"),
+			DroppedStayOpen: d.boolean(top, "contract.droppedStayOpen"),
 		},
 	}
 	if report := top.Get("report"); d.text(report, "how") != "silent" {
@@ -79,14 +80,14 @@
 		return out, d.err
 	}
 	for i, p := range profiles {
-		d.at = fmt.Sprintf("profiles.%d.", i)
+		d.prefix = fmt.Sprintf("profiles.%d.", i)
 		c := balance.Class{Name: d.text(p, "name"),
-			Effect: word(d, p, "effect", effects), Scope: word(d, p, "group", scopes),
-			KeyTTL: d.span(p, "keyTtl"), LatencyTarget: d.span(p, "onTime"), Deadline: d.span(p, "giveUp"),
+			Effect: enum(d, p, "effect", effectNames), Scope: enum(d, p, "group", scopeNames),
+			KeyTTL: d.duration(p, "keyTtl"), LatencyTarget: d.duration(p, "onTime"), Deadline: d.duration(p, "giveUp"),
 			Worth: d.number(p, "credit"), LateWorth: d.number(p, "lateWorth")}
 		var known bool
-		if c.Need, known = needs[need[i].String()]; !known {
-			d.fail(fmt.Sprintf("domain.consistency.%d", i), "unknown word "+need[i].Raw)
+		if c.Need, known = needNames[need[i].String()]; !known {
+			d.fail(fmt.Sprintf("domain.consistency.%d", i), "unknown value "+need[i].Raw)
 		}
 		if c.Need == balance.Bounded {
 			c.Bound = time.Duration(oldest[i].Int())
@@ -94,36 +95,37 @@
 		out.Balance.Classes = append(out.Balance.Classes, c)
 	}
 	for i, t := range d.list(top, "tenants", -1) {
-		d.at = fmt.Sprintf("tenants.%d.", i)
+		d.prefix = fmt.Sprintf("tenants.%d.", i)
 		out.Balance.Tenants = append(out.Balance.Tenants,
 			balance.Tenant{Name: d.text(t, "name"), PerSec: d.number(t, "quotaPerS")})
 	}
 	return out, d.err
 }
 
-// Report makes a load report of its named values; zero is the clock time that its position counts from.
+// Report returns the load report with the given named values; zero is the clock time at position 0.
 func Report(values map[string]float64, zero time.Duration) balance.Report {
 	x0, ok := values["x0"]
 	if !ok {
 		return balance.Report{}
 	}
-	// Reports state thousandths of a second; a whole one is taken off so that rounding never flatters.
+	// Reports state positions in thousandths of a second. One whole thousandth is subtracted, so that
+	// rounding never makes a position look newer than it is.
 	ms := math.Floor(x0*1000+1e-6) - 1
 	out := balance.Report{Valid: true, Position: zero + time.Duration(ms)*time.Millisecond}
 	out.NotBefore = out.Position
-	if leads, told := values["x1"]; told && leads == 1 {
+	if primary, stated := values["x1"]; stated && primary == 1 {
 		out.Role = balance.Primary
-	} else if told {
+	} else if stated {
 		out.Role = balance.Replica
 	}
 	return out
 }
 
-// decoder keeps the first error; at is the path of the object that is being read.
+// decoder keeps the first error. Its prefix is the path of the object that is being decoded.
 type decoder struct {
-	root gjson.Result
-	at   string
-	err  error
+	root   gjson.Result
+	prefix string
+	err    error
 }
 
 func (d *decoder) fail(path, what string) {
@@ -132,11 +134,12 @@
 	}
 }
 
-// get returns a value of one of the types; an absent one or null is the zero Result, another is an error.
+// get returns the value at a path if it has one of the types. It returns the zero Result if the value is
+// absent or null, and records an error if it has another type.
 func (d *decoder) get(o gjson.Result, path string, types ...gjson.Type) gjson.Result {
 	v := o.Get(path)
 	if v.Type != gjson.Null && !slices.Contains(types, v.Type) {
-		d.fail(d.at+path, "does not take "+v.Raw)
+		d.fail(d.prefix+path, "invalid value "+v.Raw)
 		return gjson.Result{}
 	}
 	return v
@@ -146,38 +149,39 @@
 	return d.get(o, path, gjson.Number).Num
 }
 func (d *decoder) text(o gjson.Result, path string) string { return d.get(o, path, gjson.String).Str }
-func (d *decoder) truth(o gjson.Result, path string) bool {
+func (d *decoder) boolean(o gjson.Result, path string) bool {
 	return d.get(o, path, gjson.True, gjson.False).Bool()
 }
 
-// span reads nanoseconds.
-func (d *decoder) span(o gjson.Result, path string) time.Duration {
+// duration returns a duration given in nanoseconds.
+func (d *decoder) duration(o gjson.Result, path string) time.Duration {
 	return time.Duration(d.get(o, path, gjson.Number).Int())
 }
 
-func (d *decoder) whole(o gjson.Result, path string) int {
+func (d *decoder) integer(o gjson.Result, path string) int {
 	return int(d.get(o, path, gjson.Number).Int())
 }
 
-// list reads an array; one that does not have the wanted length is an error.
+// list returns the elements of an array. It records an error if want is not negative and the length is not
+// want.
 func (d *decoder) list(o gjson.Result, path string, want int) []gjson.Result {
 	v := o.Get(path)
 	if v.Exists() && v.Type != gjson.Null && !v.IsArray() {
-		d.fail(d.at+path, "not a list")
+		d.fail(d.prefix+path, "not an array")
 		return nil
 	}
 	out := v.Array()
 	if want >= 0 && len(out) != want {
-		d.fail(d.at+path, "not one entry for each of profiles")
+		d.fail(d.prefix+path, "must have one entry per profile")
 	}
 	return out
 }
 
-func word[T any](d *decoder, o gjson.Result, path string, words map[string]T) T {
+func enum[T any](d *decoder, o gjson.Result, path string, values map[string]T) T {
 	s := d.text(o, path)
-	v, ok := words[s]
+	v, ok := values[s]
 	if !ok {
-		d.fail(d.at+path, fmt.Sprintf("unknown word %q", s))
+		d.fail(d.prefix+path, fmt.Sprintf("unknown value %q", s))
 	}
 	return v
 }
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestDecodeNamesTheFieldAtFault(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	for field, object := range map[string]string{
 		"settings:":                         `{`,
 		"settings.step:":                    `{"step":"soon"}`,
@@ -47,7 +47,7 @@
 		"settings.contract.overloadFactor:": `{"contract":{"overloadFactor":"4"}}`,
 	} {
 		if _, err := Decode([]byte(object)); err == nil || !strings.HasPrefix(err.Error(), field) {
-			t.Errorf("%s: error %v, want one of field %s", object, err, field)
+			t.Errorf("%s: error %v, want prefix %q", object, err, field)
 		}
 	}
 }
--- a/internal/wire/settings/shape.go
+++ b/internal/wire/settings/shape.go
@@ -7,56 +7,57 @@
 	"github.com/tidwall/gjson"
 )
 
-// Shape is what a file that was once taken holds: names and types, without values. A file that is to take its place is
-// held against it, as one from which a key was lost can still be read, with that key's zero in place of its value.
+// Shape holds the keys and types of a document that was accepted, without its values. A new document is
+// checked against it, because one that has lost a key can still be decoded, with the key's zero value.
 type Shape struct {
-	kind   gjson.Type
-	array  bool
-	object bool
-	keys   map[string]*Shape // of an object
-	each   *Shape            // what all elements of an array have; nil: an empty one, or nothing
+	kind    gjson.Type
+	array   bool
+	object  bool
+	keys    map[string]*Shape // keys of an object
+	element *Shape            // shape common to all elements of an array; nil if it is empty or they have none in common
 }
 
-// ShapeOf gives the shape of a document. Keys named in free, at the top, may be lost.
-func ShapeOf(v gjson.Result, free ...string) *Shape {
+// ShapeOf returns the shape of a document. The top-level keys named in optional may be missing in documents
+// that are checked against it.
+func ShapeOf(v gjson.Result, optional ...string) *Shape {
 	s := &Shape{kind: v.Type, array: v.IsArray(), object: v.IsObject()}
 	switch {
 	case s.object:
 		s.keys = map[string]*Shape{}
 		v.ForEach(func(k, v gjson.Result) bool {
-			if !slices.Contains(free, k.Str) && !slices.Contains(mayLack, k.Str) {
+			if !slices.Contains(optional, k.Str) && !slices.Contains(optionalKeys, k.Str) {
 				s.keys[k.Str] = ShapeOf(v)
 			}
 			return true
 		})
 	case s.array:
 		for i, e := range v.Array() {
-			if of := ShapeOf(e); i == 0 {
-				s.each = of
+			if shape := ShapeOf(e); i == 0 {
+				s.element = shape
 			} else {
-				s.each = s.each.common(of)
+				s.element = s.element.intersect(shape)
 			}
 		}
 	}
 	return s
 }
 
-// mayLack are keys that the protocol lets a file lack.
-var mayLack = []string{"aimStretch", "droppedStayOpen", "tenants"}
+// optionalKeys lists the keys that the protocol allows to be missing.
+var optionalKeys = []string{"aimStretch", "droppedStayOpen", "tenants"}
 
-// common is the shape that two have in common.
-func (s *Shape) common(o *Shape) *Shape {
+// intersect returns the shape that two shapes have in common, or nil if they are of different types.
+func (s *Shape) intersect(o *Shape) *Shape {
 	if s == nil || o == nil || s.kind != o.kind || s.array != o.array || s.object != o.object {
 		return nil
 	}
 	out := &Shape{kind: s.kind, array: s.array, object: s.object}
 	if s.array {
-		out.each = s.each.common(o.each)
+		out.element = s.element.intersect(o.element)
 	}
 	if s.object {
 		out.keys = map[string]*Shape{}
 		for k, v := range s.keys {
-			if both := v.common(o.keys[k]); both != nil {
+			if both := v.intersect(o.keys[k]); both != nil {
 				out.keys[k] = both
 			}
 		}
@@ -64,11 +65,12 @@
 	return out
 }
 
-// Fits says what a document lacks of the shape, by its path; nil: nothing.
-func (s *Shape) Fits(v gjson.Result) error { return s.fits(v, "") }
+// Fits returns an error with the path of the first part of the shape that a document lacks or has with
+// another type, or nil if there is none.
+func (s *Shape) Fits(v gjson.Result) error { return s.check(v, "") }
 
-func (s *Shape) fits(v gjson.Result, path string) error {
-	at := func(key string) string {
+func (s *Shape) check(v gjson.Result, path string) error {
+	pathOf := func(key string) string {
 		if path == "" {
 			return key
 		}
@@ -79,20 +81,20 @@
 		return nil
 	case !v.Exists():
 		return fmt.Errorf("%s: missing", path)
-	case s.object && !v.IsObject(), s.array && !v.IsArray(), !s.alike(v.Type):
-		return fmt.Errorf("%s: not of its type: %.40s", path, v.Raw)
+	case s.object && !v.IsObject(), s.array && !v.IsArray(), !s.sameType(v.Type):
+		return fmt.Errorf("%s: wrong type: %.40s", path, v.Raw)
 	}
 	if s.object {
 		got := v.Map()
-		for k, of := range s.keys {
-			if err := of.fits(got[k], at(k)); err != nil {
+		for k, shape := range s.keys {
+			if err := shape.check(got[k], pathOf(k)); err != nil {
 				return err
 			}
 		}
 	}
-	if s.array && s.each != nil {
+	if s.array && s.element != nil {
 		for i, e := range v.Array() {
-			if err := s.each.fits(e, at(fmt.Sprint(i))); err != nil {
+			if err := s.element.check(e, pathOf(fmt.Sprint(i))); err != nil {
 				return err
 			}
 		}
@@ -100,13 +102,14 @@
 	return nil
 }
 
-// alike takes true and false for one type.
-func (s *Shape) alike(t gjson.Type) bool {
-	truth := func(t gjson.Type) bool { return t == gjson.True || t == gjson.False }
-	return s.kind == t || truth(s.kind) && truth(t)
+// sameType reports whether a value of type t fits the shape. True and false are one type.
+func (s *Shape) sameType(t gjson.Type) bool {
+	isBool := func(t gjson.Type) bool { return t == gjson.True || t == gjson.False }
+	return s.kind == t || isBool(s.kind) && isBool(t)
 }
 
-// Positive says which deadline or number of attempts is no positive number; nil: none.
+// Positive returns an error that names the first deadline, latency target or number of attempts that is not a
+// positive number, or nil if all are.
 func Positive(object gjson.Result) error {
 	positive := func(v gjson.Result, path string) error {
 		if v.Type != gjson.Number || !(v.Num > 0) {
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -1,4 +1,4 @@
-// Package sim translates between the operators' line protocol and package balance. It decides nothing.
+// Package sim translates between the simulator's line protocol and package balance. It makes no decisions.
 package sim
 
 import (
@@ -12,10 +12,10 @@
 	"yokemast/internal/wire/settings"
 )
 
-func word[T any](field, w string, m map[string]T) (T, error) {
-	v, ok := m[w]
+func enum[T any](field, name string, values map[string]T) (T, error) {
+	v, ok := values[name]
 	if !ok {
-		return v, fmt.Errorf("%s: unknown word %q", field, w)
+		return v, fmt.Errorf("%s: unknown value %q", field, name)
 	}
 	return v, nil
 }
@@ -28,7 +28,7 @@
 		"Canceled": balance.Canceled, "Ignored": balance.NotSent, "Miss": balance.Misdirected}
 )
 
-// Entry is one line of a TABLE.
+// Entry is one line of a TABLE message.
 type Entry struct {
 	Host     string   `json:"host"`
 	Leader   float64  `json:"leader"`
@@ -38,9 +38,9 @@
 	BootTime int64    `json:"bootTime"`
 }
 
-// Member turns a list entry into the module's.
+// Member converts the entry to a member of package balance.
 func (e Entry) Member() (balance.Member, error) {
-	st, err := word("status", e.Status, states)
+	st, err := enum("status", e.Status, states)
 	m := balance.Member{Server: e.Host, Group: e.Shard, State: st, Primary: e.Leader == 1,
 		Weight: 1, Started: time.Duration(e.BootTime)}
 	if e.Heft != nil {
@@ -49,7 +49,7 @@
 	return m, err
 }
 
-// Event holds the fields of every message that comes in; each message uses some.
+// Event holds the fields of all incoming messages; each message uses some of them.
 type Event struct {
 	Who       int                `json:"who"`
 	Salt      uint64             `json:"salt"`
@@ -77,7 +77,7 @@
 	Metrics   map[string]float64 `json:"metrics"`
 }
 
-// Line splits one incoming line into its name and fields.
+// Line decodes an incoming line into the message's name and fields.
 func Line(b []byte) (string, *Event, error) {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	var m map[string]json.RawMessage
@@ -85,7 +85,7 @@
 		return "", nil, err
 	}
 	if len(m) != 1 {
-		return "", nil, fmt.Errorf("a message with %d names", len(m))
+		return "", nil, fmt.Errorf("message has %d names, want 1", len(m))
 	}
 	for name, raw := range m {
 		e := new(Event)
@@ -94,10 +94,11 @@
 		}
 		return name, e, nil
 	}
-	return "", nil, errors.New("empty message")
+	return "", nil, errors.New("message has no name")
 }
 
-// Balance turns an incoming message into an event; nil where the module has no use for it.
+// Balance converts an incoming message to an event of package balance, or nil if the package does not use the
+// message.
 func (e *Event) Balance(name string, zero time.Duration) (balance.Event, error) {
 	switch name {
 	case "ORDER":
@@ -111,7 +112,7 @@
 	case "ABANDONED":
 		return balance.RequestCanceled{ID: e.RequestID}, nil
 	case "CLOSED_ATTEMPT":
-		res, err := word("how", e.How, results)
+		res, err := enum("how", e.How, results)
 		o := balance.Outcome{ID: e.RequestID, Attempt: e.Try, Server: e.Host, Result: res,
 			Took: time.Duration(e.Spent), Final: e.Finished, Report: settings.Report(e.Metrics, zero)}
 		switch e.Mark & 3 {
@@ -125,7 +126,7 @@
 		}
 		return o, err
 	case "PING_RESULT":
-		res, err := word("how", e.How, results)
+		res, err := enum("how", e.How, results)
 		return balance.ProbeResult{Server: e.Host, Result: res, Took: time.Duration(e.Spent),
 			Report: settings.Report(e.Metrics, zero)}, err
 	case "MAIL", "UNDER_WAY":
@@ -136,7 +137,7 @@
 
 type m = map[string]any
 
-// Action appends the line for one action of an instance.
+// Action appends the line for one action of the instance numbered who.
 func Action(out []byte, who int, a balance.Action) ([]byte, error) {
 	name, f := "", m{"who": who}
 	switch a := a.(type) {
@@ -166,7 +167,7 @@
 	return Plain(out, name, f)
 }
 
-// Plain appends one line of the given name and fields.
+// Plain appends one line with the message's name and fields.
 func Plain(out []byte, name string, fields map[string]any) ([]byte, error) {
 	b, err := json.Marshal(m{name: fields})
 	return append(append(out, b...), '\n'), err
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -8,7 +8,7 @@
 	"yokemast/balance"
 )
 
-func TestEventsIn(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	const zero = 5 * time.Second
 	for _, c := range []struct {
 		name, line string
@@ -30,7 +30,7 @@
 		{"probe", `{"PING_RESULT":{"who":1,"host":"h:1","how":"TimedOut","spent":8}}`,
 			balance.ProbeResult{Server: "h:1", Result: balance.TimedOut, Took: 8}},
 		{"timer", `{"TIMER":{"who":1,"ctx":77}}`, balance.Timer{Tag: 77}},
-		{"gone", `{"ABANDONED":{"who":1,"requestId":"0a"}}`, balance.RequestCanceled{ID: "0a"}},
+		{"canceled", `{"ABANDONED":{"who":1,"requestId":"0a"}}`, balance.RequestCanceled{ID: "0a"}},
 	} {
 		name, e, err := Line([]byte(c.line))
 		if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestActionsOut(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	for want, a := range map[string]balance.Action{
 		`{"ISSUE":{"cap":5,"host":"h:1","requestId":"0a","who":2}}`: balance.Send{ID: "0a", Server: "h:1", Timeout: 5},
 		`{"ISSUE":{"host":"h:1","requestId":"0a","who":2}}`:         balance.Send{ID: "0a", Server: "h:1"},
@@ -60,17 +60,17 @@
 		}
 	}
 	if _, err := Action(nil, 2, 17); err == nil {
-		t.Error("an unknown action was taken")
+		t.Error("an unknown action was accepted")
 	}
 }
 
-func TestBadLines(t *testing.T) {
+func TestInvalidLines(t *testing.T) {
 	for _, l := range []string{``, `{`, `{"A":{},"B":{}}`, `{}`, `{"TIMER":{"ctx":"x"}}`} {
 		if _, _, err := Line([]byte(l)); err == nil {
-			t.Errorf("%q was taken", l)
+			t.Errorf("line %q was accepted", l)
 		}
 	}
 	if _, err := (&Event{How: "Exploded"}).Balance("CLOSED_ATTEMPT", 0); err == nil {
-		t.Error("an unknown completion code was taken")
+		t.Error("an unknown completion code was accepted")
 	}
 }
