--- a/internal/wire/backend/attempt.go
+++ b/internal/wire/backend/attempt.go
@@ -104,13 +104,16 @@
 	started    bool               // its first byte may have been sent
 	ended      bool
 
-	awaitsHost   bool // its goroutine waits only for the host and ends the attempt itself
-	converses    bool // its goroutine may also wait for the client; it releases the connection itself
-	canceled     bool // set while awaitsHost: the goroutine ends it as canceled once it has read the input that has arrived
+	awaitsHost bool // its goroutine waits only for the host and ends the attempt itself
+	converses  bool // its goroutine may also wait for the client; it releases the connection itself
+	// canceled is set while awaitsHost is: the goroutine ends the attempt as canceled once it has read what
+	// has arrived.
+	canceled     bool
 	mustNotStart bool
 }
 
-// dialContext returns the context in which the attempt opens a connection. It is canceled when the attempt ends.
+// dialContext returns the context in which the attempt opens a connection. It is canceled when the attempt
+// ends.
 func (t *attempt) dialContext() context.Context {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,8 +144,8 @@
 	return true
 }
 
-// awaitAnswer makes the attempt's goroutine responsible for ending it when it is canceled. It returns false if the
-// attempt has ended.
+// awaitAnswer makes the attempt's goroutine responsible for ending the attempt when it is canceled. It
+// returns false if the attempt has ended.
 func (t *attempt) awaitAnswer() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,7 +168,8 @@
 	}
 	switch {
 	case t.conn == nil, keepConn:
-	case t.converses && o.Result == balance.Canceled: // the input that has arrived may state that the host is no primary
+	// Input that has arrived may hold the statement that the host is not primary.
+	case t.converses && o.Result == balance.Canceled:
 		t.conn.stopWaiting()
 	default:
 		t.conn.close()
@@ -198,7 +202,7 @@
 func (t *attempt) tryConn() (retry bool) {
 	result := func(r balance.Result) { t.end(exchange.Outcome{Outcome: balance.Outcome{Result: r}}) }
 	c, err := t.b.acquire(t.dialContext, t.Server, t.Deadline)
-	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoConnection); c, err = t.b.acquire(t.dialContext, t.Server, t.Deadline) {
+	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoFreeConn); c, err = t.b.acquire(t.dialContext, t.Server, t.Deadline) {
 		until := min(end, t.Deadline)
 		if t.StartBy > 0 {
 			until = min(until, t.StartBy)
@@ -285,8 +289,8 @@
 	return canceled || t.ClientDisconnected != nil && t.ClientDisconnected()
 }
 
-// releaseUnsent releases a connection on which nothing of the attempt was sent. It returns true if the attempt has
-// not ended and may try another connection.
+// releaseUnsent releases a connection on which nothing of the attempt was sent. It returns true if the
+// attempt has not ended and may try another connection.
 func (t *attempt) releaseUnsent(c *conn) (retry bool) {
 	t.mu.Lock()
 	t.conn, t.started, t.awaitsHost, t.converses = nil, false, false, false
@@ -295,14 +299,15 @@
 	c.clean = c.clean && !canceled && !ended
 	t.b.release(t.Server, c)
 	if canceled || !ended && t.sendCanceled() {
-		t.end(exchange.Outcome{Outcome: balance.Outcome{Result: balance.NotSent}}) // finish reports Canceled instead if the attempt was canceled
+		// If the attempt was canceled, finish reports Canceled instead.
+		t.end(exchange.Outcome{Outcome: balance.Outcome{Result: balance.NotSent}})
 		return false
 	}
 	return !ended
 }
 
-// mayStart reports whether the attempt may still start: its time limits, its host's drain and the evidence that it
-// was routed on must allow it.
+// mayStart reports whether the attempt may still start: its time limits, its host's drain and the evidence
+// that it was routed on must allow it.
 func (t *attempt) mayStart(now time.Duration) bool {
 	switch {
 	case now >= t.Deadline, t.StartBy > 0 && now > t.StartBy:
@@ -313,8 +318,8 @@
 	return !t.b.sendDeadlinePassed(t.Server, now)
 }
 
-// demandViolated reports whether the host's statements in a reply show that the data does not meet the request's
-// demand, so that the answer must not be served.
+// demandViolated reports whether the host's statements in a reply show that the data does not meet the
+// request's demand, so that the answer must not be served.
 func (t *attempt) demandViolated(r *reply, written time.Duration) bool {
 	return t.Demand.Violated(r.role, r.position, written, t.b.cfg.Clock.ForModule())
 }
--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -66,8 +66,7 @@
 	Seed           uint64
 	MaxConns       int // maximum number of open connections to all hosts together
 	User, Database string
-	// DialControl is called for each socket before it connects, as net.Dialer's Control. It is nil outside
-	// tests.
+	// DialControl is called for each socket before it connects, like net.Dialer.Control. Only tests set it.
 	DialControl func(network, address string, c syscall.RawConn) error
 }
 
@@ -88,7 +87,7 @@
 	pools      *pooling.Pools
 	conns      map[int]*conn // idle connections by their id
 	lastConnID int           // id of the newest connection
-	waiting    []*waiter     // for a connection, in order of arrival
+	waiting    []*waiter     // attempts that wait for a connection, in order of arrival
 }
 
 type key struct {
@@ -110,8 +109,8 @@
 }
 
 // New returns a Backend whose goroutines belong to the group and end with the context.
-func New(ctx context.Context, group *errgroup.Group, cfg Config, to Reporter) *Backend {
-	b := &Backend{cfg: cfg, reporter: to, group: group, ctx: ctx, hosts: map[string]*host{}, attempts: map[key]*attempt{},
+func New(ctx context.Context, group *errgroup.Group, cfg Config, reporter Reporter) *Backend {
+	b := &Backend{cfg: cfg, reporter: reporter, group: group, ctx: ctx, hosts: map[string]*host{}, attempts: map[key]*attempt{},
 		work: make(chan *attempt), conns: map[int]*conn{}}
 	limits := cfg.Pools
 	if limits.Idle = cfg.IdleTimeout; limits.Total <= 0 || limits.Total > cfg.MaxConns {
@@ -148,15 +147,16 @@
 // SetSendDeadline sets the time after which no request may be sent to a host; 0 removes the limit. It is
 // checked before each send, because a connection that was being opened before the drain notification may be
 // established long after it.
-func (b *Backend) SetSendDeadline(server string, by time.Duration) {
+func (b *Backend) SetSendDeadline(server string, deadline time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[server]; h != nil {
-		h.sendDeadline = by
+		h.sendDeadline = deadline
 	}
 }
 
-// sendDeadlinePassed reports whether no request may be sent to a host any more.
+// sendDeadlinePassed reports whether no request may be sent to a host any more, as its send deadline has
+// passed or it is unknown.
 func (b *Backend) sendDeadlinePassed(server string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -232,16 +232,18 @@
 }
 
 var (
-	errNoConnection = errors.New("backend: every connection is in use")
-	errExpired      = errors.New("backend: no time left")
-	errUnknown      = errors.New("backend: unknown host")
+	errNoFreeConn = errors.New("backend: no free connection")
+	errExpired    = errors.New("backend: deadline passed before a connection was open")
+	errUnknown    = errors.New("backend: unknown host")
 )
 
-// connectResult returns the result of an attempt that got no connection.
+// connectResult returns the result of an attempt that got no connection. Only an error of the host counts
+// against it; a lack of connections or time, or a transient error of this machine, means that the attempt was
+// not sent.
 func connectResult(err error) balance.Result {
 	var refused *pg.Error
 	switch {
-	case errors.Is(err, errNoConnection), errors.Is(err, errExpired), errors.Is(err, errUnknown):
+	case errors.Is(err, errNoFreeConn), errors.Is(err, errExpired), errors.Is(err, errUnknown):
 		return balance.NotSent
 	case errors.As(err, &refused) && refused.Code == pg.CodeTooMany:
 		return balance.QueueFull
--- a/internal/wire/backend/backend_test.go
+++ b/internal/wire/backend/backend_test.go
@@ -36,11 +36,11 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	mute, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer silent.Close()
 	clock := exchange.NewClock()
 	for _, c := range []struct {
 		name, server string
@@ -61,7 +61,7 @@
 		b := New(ctx, group, Config{Clock: clock, Log: zap.NewNop(), Counters: &counters.Set{}, MaxConns: c.conns,
 			ConnectTimeout: c.connect, IdleTimeout: time.Minute}, to)
 		b.Members([]exchange.Member{{Member: balance.Member{Server: "closed"}, Address: closed.Addr().String()},
-			{Member: balance.Member{Server: "mute"}, Address: mute.Addr().String()}})
+			{Member: balance.Member{Server: "mute"}, Address: silent.Addr().String()}})
 		b.Send(exchange.Attempt{ID: "a", Server: c.server, Command: to, Sent: clock.Now(), Deadline: clock.Now() + c.until})
 		if got := <-to; got.Result != c.want {
 			t.Errorf("%s: result %v, want %v", c.name, got.Result, c.want)
@@ -162,13 +162,13 @@
 }
 
 // startRecordingHost starts a host that records when each query arrives.
-func startRecordingHost(t *testing.T) (address string, came chan time.Time) {
+func startRecordingHost(t *testing.T) (address string, arrivals chan time.Time) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	came = make(chan time.Time, 100)
+	arrivals = make(chan time.Time, 100)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -184,33 +184,33 @@
 					if _, _, err := pg.Read(in, 1000); err != nil {
 						return
 					}
-					came <- time.Now()
+					arrivals <- time.Now()
 					_, _ = c.Write(pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte("v")}, "")))
 				}
 			}()
 		}
 	}()
-	return l.Addr().String(), came
+	return l.Addr().String(), arrivals
 }
 
 // The process may stall for 0.15 s between any reading of its clock and the action based on it; the protocol
 // allows 50 ms for sockets. Discovery may have sent the list's answer as long before the list reaches the
 // exchange. No request may reach a draining host after its grace in spite of that.
 func TestDrainGraceCoversStall(t *testing.T) {
-	const holdUp, slack, grace = 150 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
+	const stallTime, slack, grace = 150 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
 	stalls := stall.Start()
 	t.Cleanup(stalls.Stop)
 	for reading := range 10 {
 		for _, before := range []time.Duration{5, 25, 60, 140, 200, 290} { // ms before the end of the grace
 			t.Run(fmt.Sprintf("reading %d, %d ms before the end", reading, before), func(t *testing.T) {
 				t.Parallel()
-				address, came := startRecordingHost(t)
+				address, arrivals := startRecordingHost(t)
 				var armed atomic.Bool
 				var readings atomic.Int64
 				clock := exchange.NewClock()
-				held := clock.WithReadHook(func() {
+				stalledClock := clock.WithReadHook(func() {
 					if armed.Load() && readings.Add(1) == int64(reading)+1 {
-						time.Sleep(holdUp)
+						time.Sleep(stallTime)
 					}
 				})
 				ctx, stop := context.WithCancel(context.Background())
@@ -220,29 +220,29 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				b := New(ctx, group, Config{Clock: held, Log: zap.NewNop(), Counters: counts, MaxConns: 10, ConnectTimeout: time.Minute,
+				b := New(ctx, group, Config{Clock: stalledClock, Log: zap.NewNop(), Counters: counts, MaxConns: 10, ConnectTimeout: time.Minute,
 					IdleTimeout: time.Hour}, x)
 				group.Go(func() error { return x.Run(ctx, b) })
 				defer func() { stop(); _ = group.Wait() }()
 				member := exchange.Member{Address: address, Member: balance.Member{Server: "s", Group: 1, Primary: true, Weight: 1}}
 				x.Members(exchange.List{Agent: "a", At: clock.Now(), Snapshot: true, Hosts: []exchange.Member{member}})
-				ask := func(id string, wait time.Duration) chan exchange.Answer {
+				submit := func(id string, wait time.Duration) chan exchange.Answer {
 					answer := make(chan exchange.Answer, 1)
 					x.Submit(&exchange.Request{ID: id, Class: "order", Group: 1, Write: true, Arrived: clock.Now(), Wait: wait, Command: outcomes(nil), Answer: answer})
 					return answer
 				}
-				<-ask("first", time.Minute)
-				<-came
+				<-submit("first", time.Minute)
+				<-arrivals
 				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
 				member.State = balance.Draining
 				notified := time.Now()
-				time.Sleep(holdUp) // between receiving the list and passing it on
+				time.Sleep(stallTime) // between receiving the list and passing it on
 				x.Members(exchange.List{Agent: "a", At: clock.Now(), Hosts: []exchange.Member{member}})
 				time.Sleep(time.Until(notified.Add(grace - before*time.Millisecond)))
 				armed.Store(true)
-				<-ask("second", 2*time.Second)
+				<-submit("second", 2*time.Second)
 				select {
-				case at := <-came:
+				case at := <-arrivals:
 					if late := at.Sub(notified) - grace - slack; late > stalls.Lately() {
 						t.Errorf("a request arrived %s after the grace (the machine stalled for %s)", late+slack, stalls.Lately())
 					}
--- a/internal/wire/backend/checkout.go
+++ b/internal/wire/backend/checkout.go
@@ -131,18 +131,18 @@
 func (h *Host) ForgetPosition() { h.reply.position = 0 }
 
 // Limit sets a timeout for all reads from the host from now on.
-func (h *Host) Limit(within time.Duration) { _ = h.conn.SetReadDeadline(time.Now().Add(within)) }
+func (h *Host) Limit(timeout time.Duration) { _ = h.conn.SetReadDeadline(time.Now().Add(timeout)) }
 
 // Quiet reports whether no input is buffered beyond what was read.
 func (h *Host) Quiet() bool { return h.conn.in.Buffered() == 0 }
 
 // Cancel sends a cancel request for the statement that runs on this connection, and waits until the host has
 // handled it, so that it cannot hit a later statement.
-func (h *Host) Cancel(ctx context.Context, within time.Duration) error {
+func (h *Host) Cancel(ctx context.Context, timeout time.Duration) error {
 	if h.conn.key == (pg.Key{}) {
 		return errors.New("the host sent no cancel key")
 	}
-	ctx, stop := context.WithTimeout(ctx, within)
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	var d net.Dialer
 	n, err := d.DialContext(ctx, "tcp", h.conn.address)
@@ -150,7 +150,7 @@
 		return err
 	}
 	defer n.Close()
-	_ = n.SetDeadline(time.Now().Add(within))
+	_ = n.SetDeadline(time.Now().Add(timeout))
 	if _, err := n.Write(pg.AppendCancel(nil, h.conn.key)); err != nil {
 		return err
 	}
--- a/internal/wire/backend/conn.go
+++ b/internal/wire/backend/conn.go
@@ -66,8 +66,8 @@
 func (c *conn) deadline(t time.Duration) time.Time { return time.Now().Add(t - c.clock.Now()) }
 
 // start opens the session and waits until the host is ready for a query.
-func (c *conn) start(until time.Duration, user, database string) error {
-	if err := c.setDeadline(until); err != nil {
+func (c *conn) start(deadline time.Duration, user, database string) error {
+	if err := c.setDeadline(deadline); err != nil {
 		return err
 	}
 	if _, err := c.Write(pg.AppendStartup(nil, user, database)); err != nil {
@@ -92,9 +92,9 @@
 // alive reports whether the host has neither closed an idle connection nor sent anything on it.
 func (c *conn) alive() bool { return c.in.Buffered() == 0 && socket.Quiet(c) }
 
-// noUnreadInput reports whether no input is waiting that could be mistaken for the answer to the query about to be
-// written: the process may have stalled since the connection was acquired. A new connection cannot hold an
-// earlier query's answer.
+// noUnreadInput reports whether no input is waiting that could be mistaken for the answer to the query about
+// to be written: the process may have stalled since the connection was acquired. A new connection cannot hold
+// an earlier query's answer.
 func (c *conn) noUnreadInput() bool { return !c.used || c.alive() }
 
 // reply is the result of a query. Its positions are by the fleet's clock.
@@ -111,9 +111,9 @@
 // errMalformed is returned for input that is no valid answer to the query.
 var errMalformed = errors.New("backend: malformed answer")
 
-// maxBodySize returns the maximum body size of a message of the given type in an answer, or 0 if the type is not
-// allowed there. A message with a larger stated length is rejected at once, because reading it could take all
-// the attempt's time.
+// maxBodySize returns the maximum body size of a message of the given type in an answer, or 0 if the type is
+// not allowed there. A message with a larger stated length is rejected at once, because reading it could take
+// all the attempt's time.
 func maxBodySize(kind byte) int {
 	switch kind {
 	case pg.DataRow:
@@ -172,11 +172,11 @@
 	// A small query fits into the empty send buffer of an idle connection; only a large one can block.
 	if large || c.writeLimited {
 		c.writeLimited = true
-		by := l.answerBy
+		writeBy := l.answerBy
 		if l.writeBy > 0 {
-			by = min(by, l.writeBy)
+			writeBy = min(writeBy, l.writeBy)
 		}
-		if err := c.SetWriteDeadline(c.deadline(by)); err != nil {
+		if err := c.SetWriteDeadline(c.deadline(writeBy)); err != nil {
 			return err
 		}
 	}
@@ -218,10 +218,10 @@
 // answer reads the answer to a query that has been written.
 func (c *conn) answer(tag string) (r reply) {
 	var refusal *pg.Error
-	order := "" // types of the messages that form the answer
+	sequence := "" // types of the messages that form the answer
 	for {
 		kind, length, err := c.readHead()
-		if err == nil && kind == pg.DataRow && length > pg.SmallValue+rowHeadSize && order == "T" {
+		if err == nil && kind == pg.DataRow && length > pg.SmallValue+rowHeadSize && sequence == "T" {
 			var size int
 			if size, err = pg.RowHead(c.in, length); err == nil {
 				r.result, r.stream = balance.OK, newStream(c, size, tag)
@@ -235,18 +235,18 @@
 		if err == nil {
 			switch kind {
 			case pg.RowDescription:
-				order += "T"
+				sequence += "T"
 				r.value.Format, err = pg.RowFormat(body)
 			case pg.DataRow:
-				order += "D"
+				sequence += "D"
 				r.value.Data, err = pg.RowData(body)
 			case pg.CommandComplete:
-				order += "C"
+				sequence += "C"
 				if string(body) != tag+"\x00" {
 					err = errMalformed
 				}
 			case pg.ErrorResponse:
-				order += "E"
+				sequence += "E"
 				if refusal = pg.ReadError(body); len(refusal.Code) != 5 {
 					err = errMalformed
 				}
@@ -256,7 +256,7 @@
 			case pg.ReadyForQuery:
 				c.clean = len(body) == 1 && body[0] == 'I' && c.in.Buffered() == 0
 			}
-			if err == nil && !strings.HasPrefix("TDC", order) && order != "E" {
+			if err == nil && !strings.HasPrefix("TDC", sequence) && sequence != "E" {
 				err = errMalformed
 			}
 		}
@@ -269,7 +269,7 @@
 		case err == nil && refusal != nil:
 			r.result = resultOf(refusal.Code)
 			return r
-		case err == nil && order == "TDC" && len(body) == 1:
+		case err == nil && sequence == "TDC" && len(body) == 1:
 			r.result = balance.OK
 			return r
 		}
@@ -284,9 +284,9 @@
 	}
 }
 
-// asIncomplete returns the reply for an answer that was not received completely. Of its statements, only that the
-// host is not primary is kept: it counts against the host, and if it is wrong, it costs no more than trying
-// another host.
+// asIncomplete returns the reply for an answer that was not received completely. Of its statements, only that
+// the host is not primary is kept: it counts against the host, and if it is wrong, it costs no more than
+// trying another host.
 func (r *reply) asIncomplete(result balance.Result) reply {
 	out := reply{result: result}
 	if r.role == balance.Replica || r.role == balance.Unknown && r.report.Role == balance.Replica {
@@ -295,8 +295,8 @@
 	return out
 }
 
-// reportReplica calls onReplica if the reply states that the host is not primary, so that the statement takes effect
-// at once, even if the rest of the answer fails.
+// reportReplica calls onReplica if the reply states that the host is not primary, so that the statement takes
+// effect at once, even if the rest of the answer fails.
 func (c *conn) reportReplica(r *reply) {
 	if r.role == balance.Replica && c.onReplica != nil {
 		c.onReplica()
@@ -313,8 +313,8 @@
 	return balance.Failed
 }
 
-// parseStatement parses a statement of the host that comes as a ParameterStatus with an answer. A value that cannot be
-// parsed is ignored and does not invalidate the answer.
+// parseStatement parses a statement of the host that comes as a ParameterStatus with an answer. A value that
+// cannot be parsed is ignored and does not invalidate the answer.
 func (r *reply) parseStatement(body []byte) {
 	name, value, err := pg.Parameter(body)
 	if err != nil {
--- a/internal/wire/backend/dial.go
+++ b/internal/wire/backend/dial.go
@@ -14,9 +14,9 @@
 // dialRetryWindow is how long a dial is retried that fails with a transient error of this machine.
 const dialRetryWindow = 50 * time.Millisecond
 
-// acquire returns a connection to the host: the most recently used of the idle ones whose minimum rest is over,
-// or a new one, opened in the context that dialContext returns.
-func (b *Backend) acquire(dialContext func() context.Context, server string, until time.Duration) (*conn, error) {
+// acquire returns a connection to the host: the most recently used of the idle ones whose minimum rest is
+// over, or a new one, opened in the context that dialContext returns.
+func (b *Backend) acquire(dialContext func() context.Context, server string, deadline time.Duration) (*conn, error) {
 	b.mu.Lock()
 	h := b.hosts[server]
 	if h == nil {
@@ -25,8 +25,8 @@
 	}
 	// A host may have closed an idle connection. A query written to it would count as a reset, so as possibly
 	// executed.
-	choice, id, dead := b.pools.Take(b.cfg.Clock.Now(), server, func(id int) bool { return b.conns[id].alive() })
-	b.closeLocked(dead)
+	choice, id, closed := b.pools.Take(b.cfg.Clock.Now(), server, func(id int) bool { return b.conns[id].alive() })
+	b.closeLocked(closed)
 	switch choice {
 	case pooling.Reuse:
 		c := b.conns[id]
@@ -40,11 +40,11 @@
 	default:
 		b.mu.Unlock()
 		b.cfg.Counters.HostsFull.Add(1)
-		return nil, errNoConnection
+		return nil, errNoFreeConn
 	}
 	address := h.address
 	b.mu.Unlock()
-	c, err := b.dial(dialContext(), address, until)
+	c, err := b.dial(dialContext(), address, deadline)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
@@ -90,15 +90,15 @@
 
 // awaitConn waits until a connection may be available, at most for the given time. It returns false if the
 // attempt was not woken.
-func (b *Backend) awaitConn(server string, within time.Duration) bool {
-	if within <= 0 {
+func (b *Backend) awaitConn(server string, timeout time.Duration) bool {
+	if timeout <= 0 {
 		return false
 	}
 	w := &waiter{server, make(chan struct{})}
 	b.mu.Lock()
 	b.waiting = append(b.waiting, w)
 	b.mu.Unlock()
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-w.wake:
@@ -138,14 +138,14 @@
 
 // dial opens a connection and starts a session on it. If that does not succeed in time, the connection is
 // closed.
-func (b *Backend) dial(ctx context.Context, address string, until time.Duration) (*conn, error) {
+func (b *Backend) dial(ctx context.Context, address string, deadline time.Duration) (*conn, error) {
 	now := b.cfg.Clock.Now()
 	timeout := b.connectTimeout()
-	left := min(timeout, until-now)
-	if left <= 0 {
+	remaining := min(timeout, deadline-now)
+	if remaining <= 0 {
 		return nil, errExpired
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	b.cfg.Counters.HostsDialed.Add(1)
 	d := net.Dialer{Control: b.cfg.DialControl}
@@ -153,16 +153,16 @@
 	if err == nil {
 		c := newConn(n.(*net.TCPConn), address, b.cfg.Clock)
 		stop := context.AfterFunc(ctx, c.close)
-		if err = c.start(now+left, b.cfg.User, b.cfg.Database); err == nil && stop() {
+		if err = c.start(now+remaining, b.cfg.User, b.cfg.Database); err == nil && stop() {
 			b.cfg.Counters.HostsOpen.Add(1)
 			return c, nil
 		}
 		c.close()
 	}
 	if socket.Transient(err) {
-		return nil, errNoConnection // a fault of this machine, not of the host
+		return nil, errNoFreeConn // a fault of this machine, not of the host
 	}
-	if b.cfg.Clock.Now() >= until && left < timeout {
+	if b.cfg.Clock.Now() >= deadline && remaining < timeout {
 		return nil, errExpired // the attempt's deadline came before the connect timeout: no evidence against the host
 	}
 	if err == nil {
--- a/internal/wire/backend/evidence_test.go
+++ b/internal/wire/backend/evidence_test.go
@@ -130,17 +130,17 @@
 		"attempt canceled":           func(r *fixture, _ net.Conn) { r.b.Cancel("a", 0) },
 		"partial answer, then reset": func(_ *fixture, c net.Conn) { _, _ = c.Write(row()[:9]); _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
-		for _, word := range []string{"follower", "leader"} {
-			t.Run(name+", "+word, func(t *testing.T) {
+		for _, roleName := range []string{"follower", "leader"} {
+			t.Run(name+", "+roleName, func(t *testing.T) {
 				release := make(chan struct{})
 				var r *fixture
 				r = newFixture(t, func(c net.Conn, _ int64) {
-					_, _ = c.Write(role(word))
+					_, _ = c.Write(role(roleName))
 					<-release
 					end(r, c)
 				})
 				r.send("a", balance.Grounds{})
-				if word == "follower" {
+				if roleName == "follower" {
 					before := r.clock.Now()
 					if got := wait(t, r.learned, "the statement"); got.outcome.Role != balance.Replica || got.statedAt.NotAfter < before-testTimeout || got.statedAt.NotAfter > r.clock.Now() {
 						t.Errorf("reported %+v", got)
@@ -164,11 +164,11 @@
 // that it is not primary.
 func TestAttemptNotSentAfterLaterReplicaStatement(t *testing.T) {
 	r := newFixture(t, func(c net.Conn, n int64) {
-		word := "follower"
+		roleName := "follower"
 		if n == 1 {
-			word = "leader"
+			roleName = "leader"
 		}
-		_, _ = c.Write(append(role(word), row()...))
+		_, _ = c.Write(append(role(roleName), row()...))
 	})
 	before := r.clock.Now()
 	r.send("first", balance.Grounds{})
@@ -224,8 +224,8 @@
 func TestReplicaReportInBrokenAnswerPreventsAttempt(t *testing.T) {
 	report := pg.Append(nil, pg.ParameterStatus, []byte("server_load\x00x0=1767225600.000,x1=0\x00"))
 	for name, c := range map[string]struct {
-		notes []byte
-		want  balance.Result
+		statements []byte
+		want       balance.Result
 	}{
 		"alone":       {report, balance.NotSent},
 		"with a role": {append(role("leader"), report...), balance.OK},
@@ -236,7 +236,7 @@
 					_, _ = conn.Write(append(role("leader"), row()...))
 					return
 				}
-				_, _ = conn.Write(c.notes)
+				_, _ = conn.Write(c.statements)
 				conn.Close()
 			})
 			before := r.clock.Now()
@@ -255,15 +255,15 @@
 // A large value is passed on while it is received. The statements of its host count once the value is
 // complete.
 func TestLargeValueStatementCountsOnceComplete(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, complete := range []bool{true, false} {
 		value := make([]byte, pg.SmallValue+1000)
 		r := newFixture(t, func(c net.Conn, _ int64) {
 			answer := append(role("leader"), pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: value}, ""))...)
-			if !whole {
+			if !complete {
 				answer = answer[:len(answer)-200]
 			}
 			_, _ = c.Write(answer)
-			if !whole {
+			if !complete {
 				c.Close()
 			}
 		})
@@ -278,7 +278,7 @@
 			_, err = rest.Read(buffer)
 		}
 		rest.Close()
-		if whole {
+		if complete {
 			if got := wait(t, r.learned, "the statement"); got.outcome.Role != balance.Primary {
 				t.Errorf("reported %+v", got)
 			}
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -29,7 +29,8 @@
 	if r.role == balance.Unknown && r.report.Role == balance.Replica {
 		b.recordReplica(server)
 	}
-	statedAt := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()} // the times below are no older than the epoch
+	// All the times below belong to this epoch or a later one.
+	statedAt := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()}
 	if r.role == balance.Primary {
 		b.recordPrimary(server)
 		// A primary's position is its present time, or, for a write, its commit time rounded up.
@@ -47,19 +48,20 @@
 	if r.report.Valid {
 		observation.Position = max(observation.Position, r.report.Position)
 	}
-	if r.role == balance.Primary && r.result == balance.OK && !keyed { // the position of a rejected query may differ from the primary's present
+	// The position that comes with a rejected query may differ from the primary's present time.
+	if r.role == balance.Primary && r.result == balance.OK && !keyed {
 		observation.PrimaryPosition = r.position
 	}
 	return observation
 }
 
-// minRepeatedAge is the minimum age of an answer, relative to its query, to count as the repeated answer to an
-// earlier query: a connection rests for DefaultRest between two queries. The remaining third allows for a
-// host whose clock was read slightly early.
+// minRepeatedAge is the minimum age of an answer relative to its query from which it counts as the repeated
+// answer to an earlier query. Two queries on a connection are at least the minimum rest apart; the remaining
+// third allows for a host whose clock was read slightly early.
 const minRepeatedAge = DefaultRest * 2 / 3
 
-// isRepeatedAnswer reports whether an answer is proven to be the repeated answer to an earlier query on the same
-// connection.
+// isRepeatedAnswer reports whether an answer is proven to be the repeated answer to an earlier query on the
+// same connection.
 func (t *attempt) isRepeatedAnswer(c *conn, r *reply, sent time.Duration) bool {
 	clock := t.b.cfg.Clock
 	return c.used && clock.Bounds().Predates(r.observation(t.Server, sent, clock.Now(), t.Keyed), minRepeatedAge)
@@ -74,9 +76,9 @@
 	}
 }
 
-// recordReplica records that a host has stated that it is not primary. Attempts that were routed on the earlier
-// evidence that it is are then no longer sent. If the statement changes what is known, it is passed to the
-// decision module at once; otherwise the outcome of the same answer suffices.
+// recordReplica records that a host has stated that it is not primary. Attempts that were routed on the
+// earlier evidence that it is primary are then no longer sent. If the statement changes what is known, it is
+// passed to the decision module at once; otherwise the outcome of the same answer suffices.
 func (b *Backend) recordReplica(server string) {
 	now := b.cfg.Clock.Now()
 	b.mu.Lock()
@@ -89,8 +91,8 @@
 	}
 }
 
-// groundsRefuted reports whether the host has stated, since the attempt was routed, that it is not the primary that
-// the attempt needs.
+// groundsRefuted reports whether the host has stated, since the attempt was routed, that it is not the
+// primary that the attempt needs.
 func (b *Backend) groundsRefuted(server string, g balance.Grounds) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,9 +100,9 @@
 	return h != nil && h.statements.Refute(g)
 }
 
-// withNotBefore returns a load report with the earliest time, by this machine's clock, at which it was made. If that
-// is unknown, a statement that the host is primary is dropped; a statement that it is not primary counts
-// whenever it was made.
+// withNotBefore returns a load report with the earliest time, by this machine's clock, at which it was made.
+// If that is unknown, a statement that the host is primary is dropped; a statement that it is not primary
+// counts whenever it was made.
 func withNotBefore(clock exchange.Clock, r balance.Report) balance.Report {
 	earliest, ok := clock.Earliest(r.Position)
 	if r.NotBefore = earliest; !ok && r.Role == balance.Primary {
@@ -109,8 +111,8 @@
 	return r
 }
 
-// parseReport parses a load report, with its position by the fleet's clock. It returns an empty report if any part
-// cannot be parsed.
+// parseReport parses a load report, with its position by the fleet's clock. It returns an empty report if any
+// part cannot be parsed.
 func parseReport(s string) balance.Report {
 	values := map[string]float64{}
 	for field := range strings.SplitSeq(s, ",") {
--- a/internal/wire/backend/position_test.go
+++ b/internal/wire/backend/position_test.go
@@ -19,9 +19,9 @@
 
 func TestOnlyExecutedPrimaryAnswerBoundsClock(t *testing.T) {
 	for name, c := range map[string]struct {
-		told  func(now time.Duration) reply
-		keyed bool
-		want  bool
+		answer func(now time.Duration) reply
+		keyed  bool
+		want   bool
 	}{
 		"a primary's answer":                            {func(now time.Duration) reply { return reply{role: balance.Primary, position: now} }, false, true},
 		"a keyed write's answer, possibly a stored one": {func(now time.Duration) reply { return reply{role: balance.Primary, position: now} }, true, false},
@@ -33,17 +33,17 @@
 		"a primary that fails": {func(now time.Duration) reply {
 			return reply{result: balance.Failed, role: balance.Primary, position: now}
 		}, false, false},
-		"a primary's report": {func(now time.Duration) reply { return reply{report: reported(balance.Primary, now)} }, false, false},
+		"a primary's report": {func(now time.Duration) reply { return reply{report: roleReport(balance.Primary, now)} }, false, false},
 		"a primary's report in a replica's answer": {func(now time.Duration) reply {
-			return reply{role: balance.Replica, position: now, report: reported(balance.Primary, now)}
+			return reply{role: balance.Replica, position: now, report: roleReport(balance.Primary, now)}
 		}, false, false},
 		"a role without a position": {func(now time.Duration) reply {
-			return reply{role: balance.Primary, report: reported(balance.Primary, now)}
+			return reply{role: balance.Primary, report: roleReport(balance.Primary, now)}
 		}, false, false},
 	} {
 		b, clock := newObserver()
 		sent := clock.Now()
-		r := c.told(sent)
+		r := c.answer(sent)
 		b.observe("s", &r, sent, c.keyed)
 		if got := clock.Bounds().HasMax; got != c.want {
 			t.Errorf("%s: HasMax = %t", name, got)
@@ -54,7 +54,7 @@
 	}
 }
 
-func reported(role balance.Role, position time.Duration) balance.Report {
+func roleReport(role balance.Role, position time.Duration) balance.Report {
 	return balance.Report{Valid: true, Role: role, Position: position}
 }
 
@@ -62,17 +62,17 @@
 	b, clock := newObserver()
 	now := clock.Now()
 	r := reply{role: balance.Primary, position: now + time.Hour} // this machine's clock is an hour behind
-	if made := b.observe("s", &r, now, false); made.NotBefore != now {
-		t.Errorf("without bounds, the statement is dated %s after its query, want 0", made.NotBefore-now)
+	if statedAt := b.observe("s", &r, now, false); statedAt.NotBefore != now {
+		t.Errorf("without bounds, the statement is dated %s after its query, want 0", statedAt.NotBefore-now)
 	}
 	clock.Inherit(clock.Now(), fleetclock.Interval{Min: time.Hour, Max: time.Hour + 2*time.Millisecond})
 	r = reply{role: balance.Primary, position: clock.Now() + time.Hour}
-	if made := b.observe("s", &r, now-10*time.Second, false); made.NotBefore < now-20*time.Millisecond || made.NotBefore > clock.Now() {
-		t.Errorf("with bounds, the statement is dated %s after its query", made.NotBefore-now)
+	if statedAt := b.observe("s", &r, now-10*time.Second, false); statedAt.NotBefore < now-20*time.Millisecond || statedAt.NotBefore > clock.Now() {
+		t.Errorf("with bounds, the statement is dated %s after its query", statedAt.NotBefore-now)
 	}
 	sent := clock.Now() - 10*time.Second
-	if made := b.observe("s", &r, sent, true); made.NotBefore != sent {
-		t.Errorf("the answer to a keyed write, possibly a stored one, is dated %s after its query", made.NotBefore-sent)
+	if statedAt := b.observe("s", &r, sent, true); statedAt.NotBefore != sent {
+		t.Errorf("the answer to a keyed write, possibly a stored one, is dated %s after its query", statedAt.NotBefore-sent)
 	}
 }
 
@@ -88,8 +88,8 @@
 		"x0=1767225600,x0=1":        {},
 		"x0=1767225600,x1":          {},
 		"inflight=7,util=0.61":      {},
-		"x0=1767225600.123,x1=1":    reported(balance.Primary, 1767225600122*time.Millisecond),
-		"x0=1767225600.12,x1=0,y=3": reported(balance.Replica, 1767225600119*time.Millisecond),
+		"x0=1767225600.123,x1=1":    roleReport(balance.Primary, 1767225600122*time.Millisecond),
+		"x0=1767225600.12,x1=0,y=3": roleReport(balance.Replica, 1767225600119*time.Millisecond),
 	} {
 		got := parseReport(in)
 		got.NotBefore = 0 // set by withNotBefore
@@ -108,8 +108,8 @@
 	for _, role := range []balance.Role{balance.Primary, balance.Replica} {
 		clock := exchange.NewClock()
 		position := clock.Now() - 3*time.Second
-		got := withNotBefore(clock, reported(role, position))
-		want := reported(balance.Replica, position)
+		got := withNotBefore(clock, roleReport(role, position))
+		want := roleReport(balance.Replica, position)
 		if role == balance.Primary {
 			want.Role = balance.Unknown
 		}
@@ -117,7 +117,7 @@
 			t.Errorf("unbounded: %s", diff)
 		}
 		clock.Inherit(clock.Now(), fleetclock.Interval{Min: -time.Millisecond, Max: 5 * time.Millisecond})
-		if got := withNotBefore(clock, reported(role, position)); got.Role != role || got.Position != position || got.NotBefore > position-5*time.Millisecond ||
+		if got := withNotBefore(clock, roleReport(role, position)); got.Role != role || got.Position != position || got.NotBefore > position-5*time.Millisecond ||
 			got.NotBefore < position-7*time.Millisecond {
 			t.Errorf("bounded: %+v", got)
 		}
--- a/internal/wire/backend/repeated_answer_test.go
+++ b/internal/wire/backend/repeated_answer_test.go
@@ -52,26 +52,26 @@
 			r.send("first", balance.Grounds{})
 			wait(t, r.outcomes, "the first outcome")
 			host := wait(t, hosts, "the first query")
-			var kept *conn
-			for kept == nil {
+			var idleConn *conn
+			for idleConn == nil {
 				r.b.mu.Lock()
 				for _, c := range r.b.conns {
-					kept = c
+					idleConn = c
 				}
 				r.b.mu.Unlock()
 			}
 			time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
 			var readings atomic.Int64
-			held := r.clock.WithReadHook(func() {
+			stalledClock := r.clock.WithReadHook(func() {
 				if readings.Add(1) != reading+1 {
 					return
 				}
 				_, _ = host.Write(answer("first"))
-				for socket.Quiet(kept) {
+				for socket.Quiet(idleConn) {
 					time.Sleep(time.Millisecond)
 				}
 			})
-			r.b.cfg.Clock, kept.clock = held, held
+			r.b.cfg.Clock, idleConn.clock = stalledClock, stalledClock
 			r.send("second", balance.Grounds{})
 			o := wait(t, r.outcomes, "the second outcome")
 			if o.Result != balance.OK || string(o.Value.(pg.Value).Data) != "second" {
@@ -108,8 +108,8 @@
 				if n == 0 && !c.known { // a primary's first answer would set the bounds
 					name = "follower"
 				}
-				notes := pg.Append(role(name), pg.ParameterStatus, fmt.Appendf(nil, "replay_position\x00%d\x00", position))
-				_, _ = conn.Write(append(notes, row()...))
+				statements := pg.Append(role(name), pg.ParameterStatus, fmt.Appendf(nil, "replay_position\x00%d\x00", position))
+				_, _ = conn.Write(append(statements, row()...))
 			})
 			if c.known {
 				r.clock.Inherit(r.clock.Now(), fleetclock.Interval{})
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// maxHostStall is how long a host may send nothing in the middle of a value. A host that hangs may continue
-	// later, and its value must not be cut off; but a connection that stays silent must not be kept forever.
+	// maxHostStall is how long a host may send nothing in the middle of a value. A host that hangs may
+	// continue later, and its value must not be cut off; but a connection that stays silent must not be kept
+	// forever.
 	maxHostStall = 30 * time.Second
 	// claimTimeout is how long a value waits for its client side to start reading. A client side whose request
 	// was given up in the meantime never does.
--- a/internal/wire/backend/unread_statement_test.go
+++ b/internal/wire/backend/unread_statement_test.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// stalledConversation is a conversation that stalls after its answer has arrived until the conversation is over.
+// stalledConversation is a conversation that stalls after its answer has arrived until the conversation is
+// over.
 type stalledConversation struct {
 	querySent, resume, read chan struct{}
 	pastDeadline            bool // the input was read after the deadline
--- a/internal/wire/backend/write_by_test.go
+++ b/internal/wire/backend/write_by_test.go
@@ -42,22 +42,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, nil)
-			begun, over, whole := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
+			started, windowPassed, complete := make(chan struct{}), make(chan struct{}), make(chan bool, 1)
 			r.serve(t, "slow", func(_ net.Conn, in *bufio.Reader) {
 				_, _ = in.Peek(1)
-				close(begun)
-				<-over
+				close(started)
+				<-windowPassed
 				_, length, _ := pg.Head(in)
 				_, err := io.CopyN(io.Discard, in, int64(length))
-				whole <- length > 0 && err == nil
+				complete <- length > 0 && err == nil
 			})
 			bulkyQuery()
 			now := r.clock.Now()
 			window := now + 500*time.Millisecond
 			r.b.Send(exchange.Attempt{ID: "a", Server: "slow", Command: c.command, Sent: now, Deadline: now + testTimeout, StartBy: window, WriteBy: window})
-			wait(t, begun, "the beginning of the query")
-			time.AfterFunc(window-r.clock.Now()+50*time.Millisecond, func() { close(over) })
-			if wait(t, whole, "the end of the query") {
+			wait(t, started, "the beginning of the query")
+			time.AfterFunc(window-r.clock.Now()+50*time.Millisecond, func() { close(windowPassed) })
+			if wait(t, complete, "the end of the query") {
 				t.Error("a host that reads after the window received the complete query")
 			}
 			if o := wait(t, r.outcomes, "the outcome"); o.Result != c.want {
--- a/internal/wire/discovery/notified_test.go
+++ b/internal/wire/discovery/notified_test.go
@@ -17,7 +17,8 @@
 
 const ms = time.Millisecond
 
-// scriptedSession is a session whose calls are answered by the test. It records when each list counts as notified.
+// scriptedSession is a session whose calls are answered by the test. It records when each list counts as
+// notified.
 type scriptedSession struct {
 	*session
 	start    time.Duration
@@ -84,15 +85,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p, after := newScriptedSession(41), time.Duration(0)
-				pass := func(d time.Duration) time.Duration {
+				advance := func(d time.Duration) time.Duration {
 					time.Sleep(d)
 					after += d
 					return after
 				}
 				first := p.stepCalls(0)[0]
-				p.answer(first, pass(c.latency), 42)
-				watch := p.stepCalls(pass(c.pause))[0]
-				p.answer(watch, pass(c.took), 43)
+				p.answer(first, advance(c.latency), 42)
+				watch := p.stepCalls(advance(c.pause))[0]
+				p.answer(watch, advance(c.took), 43)
 				if got := p.last() - c.latency; got != c.want {
 					t.Errorf("the list counts as notified %s after the last answer, want %s", got, c.want)
 				}
@@ -137,7 +138,7 @@
 }
 
 func TestListAfterFailedCallNotifiedAtLastAnswer(t *testing.T) {
-	for name, trouble := range map[string]func(p *scriptedSession, watch listwatch.Call){
+	for name, failure := range map[string]func(p *scriptedSession, watch listwatch.Call){
 		"failed": func(p *scriptedSession, watch listwatch.Call) {
 			p.handleResult(result{call: watch, err: errors.New("reset")})
 		},
@@ -148,7 +149,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newScriptedSession(41)
 			p.answer(p.stepCalls(0)[0], 300*ms, 42)
-			trouble(p, p.stepCalls(350 * ms)[0])
+			failure(p, p.stepCalls(350 * ms)[0])
 			next := p.stepCalls(5 * time.Second)
 			if len(next) != 1 {
 				t.Fatalf("%d calls started, want 1", len(next))
--- a/internal/wire/discovery/watch.go
+++ b/internal/wire/discovery/watch.go
@@ -26,12 +26,13 @@
 	// attempt made while the agent is down must not take up the time of the whole call.
 	connectTimeout = 500 * time.Millisecond
 	maxListBytes   = 8 << 20
-	// maxNotifiedAge is the maximum time between a drain notification and the arrival of its list. After it, the
-	// grace of any drain is over, and a removed host is still known while attempts may be on their way to it.
+	// maxNotifiedAge is the maximum time between a drain notification and the arrival of its list. After it,
+	// the grace of any drain is over, and a removed host is still known while attempts may be on their way to
+	// it.
 	maxNotifiedAge = 30 * time.Second
-	// maxPromptAnswer is the maximum time, in addition to the recent latency of answers, for the answer to a watch
-	// to count as one that the agent already had when the watch was opened. The process may stall after
-	// reading its clock at the start of the call, and before reading it at the end.
+	// maxPromptAnswer is the maximum time, in addition to the recent latency of answers, for the answer to a
+	// watch to count as one that the agent already had when the watch was opened. The process may stall after
+	// reading its clock at the start of the call, and again before reading it at the end.
 	maxPromptAnswer = 2 * draining.MaxSendDelay
 )
 
@@ -110,7 +111,7 @@
 	cancels      map[int]context.CancelFunc
 	calls        sync.WaitGroup
 	answered     bool
-	missedAnswer bool   // since the last used list, a call has failed, brought an unused list or been silent for too long
+	missedAnswer bool   // a call since the last used list has failed, timed out or brought an unused list
 	lastAgent    string // agent of the last used list
 	failedCalls  int64  // failed calls since the last answer
 }
@@ -217,9 +218,10 @@
 }
 
 // notifiedAt returns the time at which the gateway counts as notified of the statements in a list. The agent
-// may have had the list for some time, and what the agent has counts as notified. The time is that of the
-// process's start for the first list. It is that of the last answer if a call has brought no list since then,
-// or if the agent may have had the list before the watch was opened. Otherwise it is the arrival of the list.
+// may have had the list for some time, and what the agent has counts as notified. For the first list the time
+// is the process's start. It is the last answer if a call has brought no list since then, or if the agent may
+// have had the list before the watch was opened. Otherwise it is the arrival of the list. It is never more
+// than maxNotifiedAge before the arrival.
 func (s *session) notifiedAt(r result) time.Duration {
 	notifiedAt := r.arrivedAt
 	switch {
--- a/internal/wire/discovery/watch_test.go
+++ b/internal/wire/discovery/watch_test.go
@@ -17,8 +17,8 @@
 	"yokemast/internal/memory/exchange"
 )
 
-// listenNoBacklog listens on loopback with a backlog of 0. Once a connection waits to be accepted, further ones are
-// not answered, as if the machine were down.
+// listenNoBacklog listens on loopback with a backlog of 0. Once a connection waits to be accepted, further
+// ones are not answered, as if the machine were down.
 func listenNoBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -80,7 +80,7 @@
 		}
 		defer c.Close()
 	}
-	failed := func(n int64) time.Time {
+	awaitFailures := func(n int64) time.Time {
 		for end := time.Now().Add(20 * time.Second); w.Counters.ListErrors.Get() < n; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the watcher makes no further calls")
@@ -88,8 +88,8 @@
 		}
 		return time.Now()
 	}
-	first := failed(1) // the call that still got a connection
-	if took := failed(3).Sub(first); took > 3*time.Second {
+	first := awaitFailures(1) // the call that still got a connection
+	if took := awaitFailures(3).Sub(first); took > 3*time.Second {
 		t.Errorf("two calls without a connection took %s", took)
 	}
 }
