--- a/internal/wire/backend/attempt.go
+++ b/internal/wire/backend/attempt.go
@@ -202,7 +202,7 @@
 func (t *attempt) tryConn() (retry bool) {
 	result := func(r balance.Result) { t.end(exchange.Outcome{Outcome: balance.Outcome{Result: r}}) }
 	c, err := t.b.acquire(t.dialContext, t.Server, t.Deadline)
-	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoFreeConn); c, err = t.b.acquire(t.dialContext, t.Server, t.Deadline) {
+	for end := t.Sent + t.b.cfg.MaxWait; errors.Is(err, errNoFreeConn); c, err = t.b.acquire(t.dialContext, t.Server, t.Deadline) {
 		until := min(end, t.Deadline)
 		if t.StartBy > 0 {
 			until = min(until, t.StartBy)
--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -22,11 +22,11 @@
 	"yokemast/internal/wire/pg"
 )
 
-// DefaultRest is the minimum time between an answer and the next use of its connection. A host that closes
+// DefaultMinRest is the minimum time between an answer and the next use of its connection. A host that closes
 // the connection or repeats its answer does so directly after the answer, so within this time. If the
 // connection were used earlier, the next request could end as possibly executed, or be served with the answer
 // to the previous one.
-const DefaultRest = 30 * time.Millisecond
+const DefaultMinRest = 30 * time.Millisecond
 
 // Reporter receives the outcomes of attempts and probes.
 type Reporter interface {
@@ -60,9 +60,9 @@
 	ConnectTimeout time.Duration  // limit for opening a connection, and for a probe's answer
 	ColdTime       time.Duration  // length of a host's slow start
 	IdleTimeout    time.Duration  // idle time after which a connection is closed; must be below the hosts' own limit
-	Prepared       int            // prepared statements kept per connection; 0 means pooling.DefaultPrepared
+	MaxPrepared    int            // prepared statements kept per connection; 0 means pooling.DefaultPrepared
 	Pools          pooling.Limits // its Total is limited to MaxConns and its Idle replaced by IdleTimeout
-	Wait           time.Duration  // longest wait of an attempt for a connection when all are in use; 0 means no wait
+	MaxWait        time.Duration  // longest wait of an attempt for a connection when all are in use; 0 means no wait
 	Seed           uint64
 	MaxConns       int // maximum number of open connections to all hosts together
 	User, Database string
@@ -164,9 +164,9 @@
 	return h == nil || h.sendDeadline > 0 && now > h.sendDeadline
 }
 
-// Retune applies a settings update: the connect timeout, the idle timeout and the length of a host's slow
+// UpdateSettings applies a settings update: the connect timeout, the idle timeout and the length of a host's slow
 // start.
-func (b *Backend) Retune(connect, idle, cold time.Duration) {
+func (b *Backend) UpdateSettings(connect, idle, cold time.Duration) {
 	b.connectNanos.Store(int64(connect))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,8 +176,8 @@
 
 func (b *Backend) connectTimeout() time.Duration { return time.Duration(b.connectNanos.Load()) }
 
-// Limit sets the maximum number of open connections to all hosts together.
-func (b *Backend) Limit(n int) {
+// SetMaxConns sets the maximum number of open connections to all hosts together.
+func (b *Backend) SetMaxConns(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closeLocked(b.pools.SetTotal(n))
--- a/internal/wire/backend/backend_test.go
+++ b/internal/wire/backend/backend_test.go
@@ -141,7 +141,7 @@
 					c.Close()
 					continue
 				}
-				_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+				_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 				_, _, _ = pg.Read(in, 1000)
 				_, _ = c.Write(pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte("x0=1,x1=0")}, "SHOW")))
 			}
@@ -179,7 +179,7 @@
 				defer c.Close()
 				in := bufio.NewReader(c)
 				_, _, _ = pg.ReadStartup(in)
-				_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+				_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 				for {
 					if _, _, err := pg.Read(in, 1000); err != nil {
 						return
@@ -233,7 +233,7 @@
 				}
 				<-submit("first", time.Minute)
 				<-arrivals
-				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
+				time.Sleep(DefaultMinRest + 10*time.Millisecond) // the connection may be used again
 				member.State = balance.Draining
 				notified := time.Now()
 				time.Sleep(stallTime) // between receiving the list and passing it on
@@ -243,8 +243,8 @@
 				<-submit("second", 2*time.Second)
 				select {
 				case at := <-arrivals:
-					if late := at.Sub(notified) - grace - slack; late > stalls.Lately() {
-						t.Errorf("a request arrived %s after the grace (the machine stalled for %s)", late+slack, stalls.Lately())
+					if late := at.Sub(notified) - grace - slack; late > stalls.Recent() {
+						t.Errorf("a request arrived %s after the grace (the machine stalled for %s)", late+slack, stalls.Recent())
 					}
 				default:
 				}
--- a/internal/wire/backend/checkout.go
+++ b/internal/wire/backend/checkout.go
@@ -21,11 +21,11 @@
 	// Converse exchanges messages with a host until the conversation has ended or the connection has failed,
 	// and returns the result. It is called a second time, with another host, only if the first result allows
 	// a retry.
-	Converse(h *Host) Ending
+	Converse(h *Host) ConversationResult
 }
 
-// Ending is the result of a conversation.
-type Ending struct {
+// ConversationResult is the result of a conversation.
+type ConversationResult struct {
 	Result balance.Result
 	Clean  bool          // the connection can be reused: no query in flight, no open transaction
 	Busy   time.Duration // time that the host took, without waiting for the client
@@ -42,10 +42,10 @@
 	written  atomic.Int64  // when that batch had been written, in nanoseconds; 0 if it was not
 }
 
-// Link returns the settings and prepared statements of the connection.
-func (h *Host) Link() *pooling.ConnState {
+// ConnState returns the settings and prepared statements of the connection.
+func (h *Host) ConnState() *pooling.ConnState {
 	if h.conn.state == nil {
-		h.conn.state = pooling.NewConnState(h.attempt.b.cfg.Prepared)
+		h.conn.state = pooling.NewConnState(h.attempt.b.cfg.MaxPrepared)
 	}
 	return h.conn.state
 }
@@ -62,15 +62,15 @@
 	return err
 }
 
-// Begin must be called before a new batch is written.
-func (h *Host) Begin() {
+// BeginBatch must be called before a new batch is written.
+func (h *Host) BeginBatch() {
 	h.position = 0
 	h.written.Store(0)
 }
 
-// Untold reports whether the request has a demand on its data and the host has not yet stated a position that
+// DemandUnmet reports whether the request has a demand on its data and the host has not yet stated a position that
 // meets it.
-func (h *Host) Untold() bool {
+func (h *Host) DemandUnmet() bool {
 	return h.attempt.Demand != (balance.Demand{}) && (h.position == 0 || h.TooOld())
 }
 
@@ -81,16 +81,16 @@
 	return h.attempt.demandViolated(&reply{role: h.reply.role, position: h.position}, written)
 }
 
-// Late reports whether input was read after the conversation's deadline. Only the host's statements count in
+// PastDeadline reports whether input was read after the conversation's deadline. Only the host's statements count in
 // such input.
-func (h *Host) Late() bool { return h.conn.incoming.pastDeadline }
+func (h *Host) PastDeadline() bool { return h.conn.incoming.pastDeadline }
 
 // Head reads the header of the next message. The host's statements must be passed to HandleStatement and not
 // to the client.
-func (h *Host) Head() (kind byte, length int, err error) { return pg.Head(h.conn.in) }
+func (h *Host) Head() (kind byte, length int, err error) { return pg.ReadHead(h.conn.in) }
 
 // Body reads the body of a message whose header was read, up to limit bytes.
-func (h *Host) Body(length, limit int) ([]byte, error) { return pg.Body(h.conn.in, length, limit) }
+func (h *Host) Body(length, limit int) ([]byte, error) { return pg.ReadBody(h.conn.in, length, limit) }
 
 // Copy copies the body of a message without holding it in memory as a whole.
 func (h *Host) Copy(to io.Writer, length int) error {
@@ -98,9 +98,9 @@
 	return err
 }
 
-// Note takes a ParameterStatus of the host. It reports whether that was a statement of the host, which must
+// HandleStatement takes a ParameterStatus of the host. It reports whether that was a statement of the host, which must
 // not be passed to the client.
-func (h *Host) Note(body []byte) bool {
+func (h *Host) HandleStatement(body []byte) bool {
 	name, _, err := pg.Parameter(body)
 	if err != nil {
 		return false
@@ -130,11 +130,13 @@
 // ForgetPosition resets the stated position, so that Position returns only later ones.
 func (h *Host) ForgetPosition() { h.reply.position = 0 }
 
-// Limit sets a timeout for all reads from the host from now on.
-func (h *Host) Limit(timeout time.Duration) { _ = h.conn.SetReadDeadline(time.Now().Add(timeout)) }
+// SetReadTimeout sets a timeout for all reads from the host from now on.
+func (h *Host) SetReadTimeout(timeout time.Duration) {
+	_ = h.conn.SetReadDeadline(time.Now().Add(timeout))
+}
 
-// Quiet reports whether no input is buffered beyond what was read.
-func (h *Host) Quiet() bool { return h.conn.in.Buffered() == 0 }
+// InputEmpty reports whether no input is buffered beyond what was read.
+func (h *Host) InputEmpty() bool { return h.conn.in.Buffered() == 0 }
 
 // Cancel sends a cancel request for the statement that runs on this connection, and waits until the host has
 // handled it, so that it cannot hit a later statement.
@@ -179,7 +181,7 @@
 	c.incoming.readLate = false
 	t.mu.Lock()
 	t.conn = nil
-	c.clean = end.Clean && !t.ended && !h.Late() && c.in.Buffered() == 0
+	c.clean = end.Clean && !t.ended && !h.PastDeadline() && c.in.Buffered() == 0
 	t.mu.Unlock()
 	t.b.release(t.Server, c)
 	h.reply.result = end.Result
--- a/internal/wire/backend/conn.go
+++ b/internal/wire/backend/conn.go
@@ -90,7 +90,7 @@
 }
 
 // alive reports whether the host has neither closed an idle connection nor sent anything on it.
-func (c *conn) alive() bool { return c.in.Buffered() == 0 && socket.Quiet(c) }
+func (c *conn) alive() bool { return c.in.Buffered() == 0 && socket.NothingReceived(c) }
 
 // noUnreadInput reports whether no input is waiting that could be mistaken for the answer to the query about
 // to be written: the process may have stalled since the connection was acquired. A new connection cannot hold
@@ -130,7 +130,7 @@
 
 // readHead reads the header of a message of an answer and checks its type and size.
 func (c *conn) readHead() (kind byte, length int, err error) {
-	kind, length, err = pg.Head(c.in)
+	kind, length, err = pg.ReadHead(c.in)
 	switch {
 	case err != nil:
 	case length > maxBodySize(kind) || maxBodySize(kind) == 0:
@@ -145,7 +145,7 @@
 func (c *conn) receive() (kind byte, body []byte, err error) {
 	kind, length, err := c.readHead()
 	if err == nil {
-		body, err = pg.Body(c.in, length, length)
+		body, err = pg.ReadBody(c.in, length, length)
 	}
 	return kind, body, err
 }
@@ -230,7 +230,7 @@
 		}
 		var body []byte
 		if err == nil {
-			body, err = pg.Body(c.in, length, length)
+			body, err = pg.ReadBody(c.in, length, length)
 		}
 		if err == nil {
 			switch kind {
@@ -277,7 +277,7 @@
 		switch {
 		case timedOut(err):
 			return r.asIncomplete(balance.TimedOut)
-		case err == nil, errors.Is(err, errMalformed), errors.Is(err, pg.ErrFraming), errors.As(err, new(pg.TooLong)):
+		case err == nil, errors.Is(err, errMalformed), errors.Is(err, pg.ErrFraming), errors.As(err, new(pg.TooLongError)):
 			return r.asIncomplete(balance.Garbled)
 		}
 		return r.asIncomplete(balance.Reset)
--- a/internal/wire/backend/incoming.go
+++ b/internal/wire/backend/incoming.go
@@ -25,7 +25,7 @@
 // Read implements io.Reader.
 func (i *incoming) Read(p []byte) (int, error) {
 	if !i.pastDeadline {
-		n, err := socket.Steady{Conn: i.conn}.Read(p)
+		n, err := socket.RetryConn{Conn: i.conn}.Read(p)
 		if !i.readLate || !timedOut(err) {
 			return n, err
 		}
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -58,7 +58,7 @@
 // minRepeatedAge is the minimum age of an answer relative to its query from which it counts as the repeated
 // answer to an earlier query. Two queries on a connection are at least the minimum rest apart; the remaining
 // third allows for a host whose clock was read slightly early.
-const minRepeatedAge = DefaultRest * 2 / 3
+const minRepeatedAge = DefaultMinRest * 2 / 3
 
 // isRepeatedAnswer reports whether an answer is proven to be the repeated answer to an earlier query on the
 // same connection.
--- a/internal/wire/backend/repeated_answer_test.go
+++ b/internal/wire/backend/repeated_answer_test.go
@@ -60,14 +60,14 @@
 				}
 				r.b.mu.Unlock()
 			}
-			time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
+			time.Sleep(DefaultMinRest + 10*time.Millisecond) // the connection may be used again
 			var readings atomic.Int64
 			stalledClock := r.clock.WithReadHook(func() {
 				if readings.Add(1) != reading+1 {
 					return
 				}
 				_, _ = host.Write(answer("first"))
-				for socket.Quiet(idleConn) {
+				for socket.NothingReceived(idleConn) {
 					time.Sleep(time.Millisecond)
 				}
 			})
@@ -95,10 +95,10 @@
 	}{
 		"position of the query":              {"leader", 0, true, false, balance.OK},
 		"position slightly before the query": {"leader", 10 * time.Millisecond, true, false, balance.OK},
-		"position of an earlier query":       {"leader", 2 * DefaultRest, true, false, balance.Garbled},
-		"position of a lagging replica":      {"follower", 2 * DefaultRest, true, false, balance.OK},
-		"position of an earlier keyed write": {"leader", 2 * DefaultRest, true, true, balance.OK},
-		"clock without bounds":               {"leader", 2 * DefaultRest, false, false, balance.OK},
+		"position of an earlier query":       {"leader", 2 * DefaultMinRest, true, false, balance.Garbled},
+		"position of a lagging replica":      {"follower", 2 * DefaultMinRest, true, false, balance.OK},
+		"position of an earlier keyed write": {"leader", 2 * DefaultMinRest, true, true, balance.OK},
+		"clock without bounds":               {"leader", 2 * DefaultMinRest, false, false, balance.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r *fixture
@@ -124,7 +124,7 @@
 				if o := wait(t, r.outcomes, id); o.Result != want {
 					t.Errorf("the %s request: result %v, want %v", id, o.Result, want)
 				}
-				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
+				time.Sleep(DefaultMinRest + 10*time.Millisecond) // the connection may be used again
 			}
 		})
 	}
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -110,7 +110,7 @@
 	// The host's statements count only once the value is complete; s.r collects them until then.
 	s.r = reply{result: balance.OK, role: r.role, position: r.position, report: r.report}
 	s.tooOld = func() bool { return t.demandViolated(&s.r, r.written) }
-	r.value.Size, r.value.Rest = s.size, s
+	r.value.Size, r.value.Stream = s.size, s
 	o := exchange.Outcome{Outcome: balance.Outcome{Result: balance.OK}, Value: r.value}
 	if !t.finish(o, -1, true) { // the attempt has ended in the meantime, and its connection is closed
 		b.release(t.Server, s.c)
--- a/internal/wire/backend/unread_statement_test.go
+++ b/internal/wire/backend/unread_statement_test.go
@@ -78,7 +78,7 @@
 	_ = host.SetDeadline(time.Now().Add(testTimeout))
 	go func() { _, _ = host.Write(make([]byte, 64<<20)) }()
 	i := &incoming{conn: n.(*net.TCPConn), readLate: true}
-	for socket.Quiet(i.conn) {
+	for socket.NothingReceived(i.conn) {
 		time.Sleep(time.Millisecond)
 	}
 	_ = i.conn.SetReadDeadline(time.Now().Add(-time.Second))
@@ -123,7 +123,7 @@
 	later := r.clock.Now() // the first statement does not refute what is decided from here on
 	first := r.b.attempts[key{"first", 0}].conn
 	close(rest)
-	for socket.Quiet(first) {
+	for socket.NothingReceived(first) {
 		time.Sleep(time.Millisecond)
 	}
 	r.b.Cancel("first", 0)
@@ -150,7 +150,7 @@
 	pastDeadline            bool // the input was read after the deadline
 }
 
-func (k *stalledConversation) Converse(h *Host) Ending {
+func (k *stalledConversation) Converse(h *Host) ConversationResult {
 	defer close(k.read)
 	_ = h.Write(pg.AppendQuery(nil, "x"))
 	close(k.querySent)
@@ -158,11 +158,11 @@
 	for {
 		kind, length, err := h.Head()
 		if err != nil {
-			return Ending{Result: balance.Reset}
+			return ConversationResult{Result: balance.Reset}
 		}
 		body, _ := h.Body(length, length)
-		if k.pastDeadline = h.Late(); kind == pg.ParameterStatus {
-			h.Note(body)
+		if k.pastDeadline = h.PastDeadline(); kind == pg.ParameterStatus {
+			h.HandleStatement(body)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 			r.b.Send(exchange.Attempt{ID: "first", Server: "s", Sent: before, Deadline: before + 100*time.Millisecond, Command: k})
 			wait(t, k.querySent, "the query")
 			first := r.b.attempts[key{"first", 0}].conn
-			for socket.Quiet(first) {
+			for socket.NothingReceived(first) {
 				time.Sleep(time.Millisecond)
 			}
 			c.end(r, first)
--- a/internal/wire/backend/write_by_test.go
+++ b/internal/wire/backend/write_by_test.go
@@ -20,11 +20,11 @@
 
 func (bulkyCommand) AppendQuery([]byte, time.Duration) []byte { return bulkyQuery() }
 
-func (bulkyCommand) Converse(h *Host) Ending {
+func (bulkyCommand) Converse(h *Host) ConversationResult {
 	if h.Write(bulkyQuery()) != nil {
-		return Ending{Result: balance.Reset}
+		return ConversationResult{Result: balance.Reset}
 	}
-	return Ending{Result: balance.OK}
+	return ConversationResult{Result: balance.OK}
 }
 
 // plainCommand is a bulky command that is not a conversation.
@@ -47,7 +47,7 @@
 				_, _ = in.Peek(1)
 				close(started)
 				<-windowPassed
-				_, length, _ := pg.Head(in)
+				_, length, _ := pg.ReadHead(in)
 				_, err := io.CopyN(io.Discard, in, int64(length))
 				complete <- length > 0 && err == nil
 			})
@@ -77,17 +77,17 @@
 // shortConversation is a conversation of one query.
 type shortConversation struct{}
 
-func (shortConversation) Converse(h *Host) Ending {
+func (shortConversation) Converse(h *Host) ConversationResult {
 	if h.Write(pg.AppendQuery(nil, "x")) != nil {
-		return Ending{Result: balance.Reset}
+		return ConversationResult{Result: balance.Reset}
 	}
 	for {
 		kind, length, err := h.Head()
 		if err != nil {
-			return Ending{Result: balance.Reset}
+			return ConversationResult{Result: balance.Reset}
 		}
 		if _, _ = h.Body(length, length); kind == pg.ReadyForQuery {
-			return Ending{Result: balance.OK, Clean: true}
+			return ConversationResult{Result: balance.OK, Clean: true}
 		}
 	}
 }
--- a/internal/wire/discovery/watch.go
+++ b/internal/wire/discovery/watch.go
@@ -41,12 +41,12 @@
 
 // Watcher watches the endpoint list. It carries out the calls that package listwatch decides on.
 type Watcher struct {
-	Log      *zap.Logger
-	Counters *counters.Set
-	Clock    exchange.Clock
-	Begun    time.Duration // when the process was started, by Clock
-	Members  func(exchange.List)
-	Answered func() // called once, at the agent's first answer
+	Log           *zap.Logger
+	Counters      *counters.Set
+	Clock         exchange.Clock
+	ProcessStart  time.Duration // when the process was started, by Clock
+	OnList        func(exchange.List)
+	OnFirstAnswer func() // called once, at the agent's first answer
 
 	seed           uint64
 	revision       atomic.Int64  // revision of the last answer
@@ -69,14 +69,14 @@
 // agent.
 func (w *Watcher) Revision() int64 { return w.revision.Load() }
 
-// HeardAgo returns the time since discovery's last answer. It returns false if there was none.
-func (w *Watcher) HeardAgo() (ago time.Duration, ok bool) {
+// SinceLastAnswer returns the time since discovery's last answer. It returns false if there was none.
+func (w *Watcher) SinceLastAnswer() (ago time.Duration, ok bool) {
 	at := w.lastAnswerAt.Load()
 	return w.Clock.Now() - time.Duration(at), at > 0
 }
 
-// Move changes the agent's address. It has no effect if the address is the present one.
-func (w *Watcher) Move(address string) {
+// SetAddress changes the agent's address. It has no effect if the address is the present one.
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	w.address = address
 	w.mu.Unlock()
@@ -199,12 +199,12 @@
 	if r.list.Complete || len(r.list.Members) > 0 {
 		s.Log.Info("hosts listed", zap.Bool("snapshot", r.list.Complete), zap.Int64("revision", r.list.Revision), zap.Int("entries", len(r.list.Members)),
 			zap.String("agent", r.call.Address), zap.Duration("handled_after", now-r.arrivedAt), zap.Duration("notified_before", r.arrivedAt-notified))
-		s.Members(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Snapshot: r.list.Complete, Hosts: r.list.Members})
+		s.OnList(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Snapshot: r.list.Complete, Hosts: r.list.Members})
 	}
 	s.revision.Store(s.decisions.Revision())
 	if !s.answered {
 		s.answered = true
-		s.Watcher.Answered()
+		s.Watcher.OnFirstAnswer()
 	}
 }
 
@@ -226,7 +226,7 @@
 	notifiedAt := r.arrivedAt
 	switch {
 	case !s.answered:
-		notifiedAt = s.Begun
+		notifiedAt = s.ProcessStart
 	case s.missedAnswer, r.call.Address == s.lastAgent && r.arrivedAt-r.call.Began <= maxPromptAnswer+s.decisions.Latency():
 		notifiedAt = time.Duration(s.lastAnswerAt.Load())
 	}
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -16,8 +16,8 @@
 
 // Settings holds the part of the settings object that this project uses.
 type Settings struct {
-	Balance balance.Settings // settings of the decision module
-	Zero    time.Duration    // the simulator's clock time at position 0
+	Balance        balance.Settings // settings of the decision module
+	PositionOrigin time.Duration    // the simulator's clock time at position 0
 	// ConnIdle and ConnectTimeout are the idle timeout and the connect timeout of connections to database
 	// hosts, or 0 if not set.
 	ConnIdle, ConnectTimeout time.Duration
@@ -48,8 +48,8 @@
 	}
 	top := d.root
 	out := Settings{
-		Zero:  d.duration(top, "domain.zero"),
-		Peers: d.boolean(top, "limits.peers"), Ordinal: d.integer(top, "ordinal"),
+		PositionOrigin: d.duration(top, "domain.zero"),
+		Peers:          d.boolean(top, "limits.peers"), Ordinal: d.integer(top, "ordinal"),
 		ConnIdle: d.duration(top, "limits.connIdle"), ConnectTimeout: d.duration(top, "limits.connectTimeout"),
 		Balance: balance.Settings{
 			Routers: d.integer(top, "balancers"), Tick: d.duration(top, "step"),
--- a/internal/wire/settings/shape.go
+++ b/internal/wire/settings/shape.go
@@ -65,9 +65,9 @@
 	return out
 }
 
-// Fits returns an error with the path of the first part of the shape that a document lacks or has with
+// Check returns an error with the path of the first part of the shape that a document lacks or has with
 // another type, or nil if there is none.
-func (s *Shape) Fits(v gjson.Result) error { return s.check(v, "") }
+func (s *Shape) Check(v gjson.Result) error { return s.check(v, "") }
 
 func (s *Shape) check(v gjson.Result, path string) error {
 	pathOf := func(key string) string {
@@ -108,9 +108,9 @@
 	return s.kind == t || isBool(s.kind) && isBool(t)
 }
 
-// Positive returns an error that names the first deadline, latency target or number of attempts that is not a
+// CheckPositive returns an error that names the first deadline, latency target or number of attempts that is not a
 // positive number, or nil if all are.
-func Positive(object gjson.Result) error {
+func CheckPositive(object gjson.Result) error {
 	positive := func(v gjson.Result, path string) error {
 		if v.Type != gjson.Number || !(v.Num > 0) {
 			return fmt.Errorf("settings.%s: not a positive number: %.40s", path, v.Raw)
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -77,8 +77,8 @@
 	Metrics   map[string]float64 `json:"metrics"`
 }
 
-// Line decodes an incoming line into the message's name and fields.
-func Line(b []byte) (string, *Event, error) {
+// ParseLine decodes an incoming line into the message's name and fields.
+func ParseLine(b []byte) (string, *Event, error) {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	var m map[string]json.RawMessage
 	if err := dec.Decode(&m); err != nil {
@@ -137,8 +137,8 @@
 
 type m = map[string]any
 
-// Action appends the line for one action of the instance numbered who.
-func Action(out []byte, who int, a balance.Action) ([]byte, error) {
+// AppendAction appends the line for one action of the instance numbered who.
+func AppendAction(out []byte, who int, a balance.Action) ([]byte, error) {
 	name, f := "", m{"who": who}
 	switch a := a.(type) {
 	case balance.Send:
@@ -164,11 +164,11 @@
 	default:
 		return out, fmt.Errorf("unknown action %T", a)
 	}
-	return Plain(out, name, f)
+	return AppendMessage(out, name, f)
 }
 
-// Plain appends one line with the message's name and fields.
-func Plain(out []byte, name string, fields map[string]any) ([]byte, error) {
+// AppendMessage appends one line with the message's name and fields.
+func AppendMessage(out []byte, name string, fields map[string]any) ([]byte, error) {
 	b, err := json.Marshal(m{name: fields})
 	return append(append(out, b...), '\n'), err
 }
