--- a/internal/wire/frontend/ahead.go
+++ b/internal/wire/frontend/ahead.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// aheadFree is how many commands of a session may wait for their turn at no cost, and aheadMost how many may at all.
-	// What is beyond aheadFree counts against the bytes of statements, aheadCost and its text each: the reader goes on
-	// whatever waits, since only who reads notices that a client has left, and what it reads has to fit into memory.
+	// aheadFree is how many commands of a session may be queued at no cost, aheadMost the maximum. Each
+	// command beyond aheadFree counts against the byte budget of statements, with aheadCost plus its text.
+	// The reader must go on whatever is queued, as only reading detects that the client has disconnected, and
+	// all that it reads has to fit into memory.
 	aheadFree = 8
 	aheadMost = 1024
 	aheadCost = 512
 )
 
-// ahead holds the commands of a session that wait for their turn. Its reader puts, another goroutine takes.
+// ahead is the queue of a session's commands. The reader puts commands, another goroutine takes them.
 type ahead struct {
 	mu    sync.Mutex
 	list  []command
 	ended bool
-	some  chan struct{} // says, while there is something to take, that there may be
+	some  chan struct{} // signals that a command may be available, or that the queue has ended
 }
 
 func newAhead() *ahead { return &ahead{some: make(chan struct{}, 1)} }
@@ -39,7 +40,7 @@
 	a.signal()
 }
 
-// end says that no more commands come.
+// end marks that no more commands follow.
 func (a *ahead) end() {
 	a.mu.Lock()
 	a.ended = true
@@ -47,7 +48,7 @@
 	a.signal()
 }
 
-// take gives the next command; neither is true while there is none yet, over when none will come.
+// take returns the next command. If none is queued, ok is false and over reports whether the queue has ended.
 func (a *ahead) take() (cmd command, ok, over bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,8 +63,8 @@
 	return cmd, true, false
 }
 
-// queue hands a command on to be answered. A session that has too many waiting is told so in its turn, and what it sends
-// behind that is not taken.
+// queue adds a command to the queue. If too many commands are queued, an error takes its place and all later
+// commands of the session are dropped.
 func (c *session) queue(cmd command) {
 	if c.overrun {
 		c.release(cmd)
@@ -78,7 +79,7 @@
 		cost := aheadCost + cmd.size
 		if c.overrun = waiting > aheadMost || !c.s.bytes.take(cost); c.overrun {
 			c.s.cfg.Counters.ClientsOverrun.Add(1)
-			c.s.note("cut off: too many commands wait for their turn", c)
+			c.s.note("closed: too many queued commands", c)
 			c.release(cmd)
 			cmd = command{err: pg.Refusal("too many commands at once", c.s.retryAfter())}
 			cmd.err.Fatal = true
--- a/internal/wire/frontend/commands.go
+++ b/internal/wire/frontend/commands.go
@@ -9,21 +9,21 @@
 	"yokemast/internal/wire/relay"
 )
 
-// command is one thing to answer.
+// command is one unit of input that needs an answer.
 type command struct {
-	statement *pg.Statement // run it
+	statement *pg.Statement // statement to execute
 	arrived   time.Duration
-	size      int             // of its statement
-	held      int             // bytes of the budget that it holds
-	holding   *budget.Holding // of the memory of large statements; nil: none
-	empty     bool            // the empty query
-	err       *pg.Error       // an answer that is known already
-	sync      bool            // only ReadyForQuery
-	batch     *relay.Batch    // of a general session
-	ready     bool            // ReadyForQuery follows the error at once
+	size      int             // length of the statement's text in bytes
+	held      int             // bytes held of the statement budget
+	holding   *budget.Holding // memory held for a large statement; nil: none
+	empty     bool            // an empty query
+	err       *pg.Error       // error to answer with, without execution
+	sync      bool            // answered by ReadyForQuery alone
+	batch     *relay.Batch    // messages of a general SQL session
+	ready     bool            // ReadyForQuery follows err
 }
 
-// next reads one message and queues what there is to answer.
+// next reads one message and queues the commands that answer it.
 func (c *session) next() error {
 	kind, length, err := pg.Head(c.in)
 	if err != nil {
@@ -55,15 +55,16 @@
 		return c.skip(length, command{err: bad(pg.CodeNotSupported, "function calls are not supported")},
 			command{sync: true})
 	case pg.Flush, pg.CopyData, pg.CopyDone, pg.CopyFail:
-		return c.skip(length) // as PostgreSQL does outside a copy
+		return c.skip(length) // ignored outside COPY, as PostgreSQL does
 	case pg.Password:
 		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "no password was asked for")},
 			command{sync: true})
 	}
-	return pg.ErrFraming // a type that no client sends: at once, as what it calls its length may never come
+	return pg.ErrFraming // unknown type: fail at once, as the announced length may never arrive
 }
 
-// skip reads past a body. The first of the answers is given before that, as the body may take long or never come.
+// skip discards a message body. The first answer is queued before that, as the body may take long or never
+// arrive.
 func (c *session) skip(length int, answers ...command) error {
 	if len(answers) > 0 {
 		c.queue(answers[0])
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// query reads the body of a query.
+// query reads the body of a Query message.
 func (c *session) query(length int, bad func(code, message string) *pg.Error) error {
 	var cmd command
 	switch {
--- a/internal/wire/frontend/frontend.go
+++ b/internal/wire/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend is the client side: it listens, speaks PostgreSQL's protocol to clients, hands their requests to
-// the exchange and writes the answers.
+// Package frontend implements the client side of the gateway: it accepts connections, speaks the PostgreSQL
+// protocol with clients, submits their requests to the exchange and writes the answers.
 package frontend
 
 import (
@@ -26,56 +26,59 @@
 )
 
 const (
-	// startWithin is how long a client may take to say what it wants, and then to begin its first command.
+	// startWithin limits the startup of a client, and then the time until its first command begins.
 	startWithin = 2 * time.Second
-	// messageWithin is how long a message that has begun may bring nothing more; headWithin is how long its head may take to
-	// come, and a body longestWithin and a second more for each leastRate bytes. A client may spend 2 s on a head.
+	// messageWithin limits the time without progress within a message. headWithin limits the time for the
+	// head of a message, longestWithin plus one second for each leastRate bytes the time for its body.
+	// Clients may legitimately take 2 s for a head.
 	messageWithin = 2500 * time.Millisecond
 	headWithin    = 5 * time.Second
 	longestWithin = 10 * time.Second
 	leastRate     = 32 << 10
-	writeTimeout  = 5 * time.Second // for a client to take an answer
-	// overflow is how many connections over the limit may be closing: told that there is no room, made to
-	// give way, or cut off for what they sent.
+	writeTimeout  = 5 * time.Second // for a client to receive an answer
+	// overflow limits the connections above the connection limit that are being closed: rejected, evicted, or
+	// closed for invalid input.
 	overflow  = 24
-	lingerFor = 500 * time.Millisecond // for a client to read why it is cut off
-	// takeWithin is how long a client may take for its last answer, from when that was written: as long as clients wait for one.
+	lingerFor = 500 * time.Millisecond // for a client to read the error that precedes the close
+	// takeWithin limits the time for a client to receive its last answer, from when it was written. It equals
+	// the time for which clients wait for an answer.
 	takeWithin = 3 * time.Second
-	// unsentPause is between two looks whether a client has taken all that was written.
+	// unsentPause is the interval of polling whether a client has received everything that was written.
 	unsentPause = 2 * time.Millisecond
-	// mayClose is how long a connection may have nothing open before it can be closed; soonClose is the same while the
-	// clients' share of the descriptors is nearly full: until one of theirs is closed, others can't even come to ask.
+	// mayClose is how long a connection must be idle before it can be closed. soonClose replaces it while the
+	// clients' share of the descriptors is nearly exhausted: until a client closes one of its connections,
+	// others cannot connect at all.
 	mayClose    = 2 * time.Second
 	soonClose   = 250 * time.Millisecond
-	nearly      = 0.75                   // of the clients' share, or of the places: from there on it is nearly full
-	silentFor   = 100 * time.Millisecond // a client that says nothing for longer gives way to one that may
-	largeBody   = 2 << 10                // bodies over this count against MaxBytes
-	acceptPause = 5 * time.Millisecond   // after a call that failed
-	// acceptFailures in a row are the most for which a listener's deadline is put off.
+	nearly      = 0.75                   // fraction of the clients' share, or of MaxConns, from which on connections count as scarce
+	silentFor   = 100 * time.Millisecond // without a first command; then the client may be evicted
+	largeBody   = 2 << 10                // larger bodies count against MaxBytes
+	acceptPause = 5 * time.Millisecond   // after a failed accept
+	// acceptFailures limits the failures in a row for which the deadline of a listener is extended.
 	acceptFailures = 50
-	sweepPause     = 100 * time.Millisecond // between two looks at who has nothing open
+	sweepPause     = 100 * time.Millisecond // between searches for idle connections
 )
 
-// Exchange takes requests.
+// Exchange executes requests.
 type Exchange interface {
 	Submit(*exchange.Request)
 	CancelRequest(*exchange.Request)
 }
 
-// Config is what a Server needs to know.
+// Config configures a Server.
 type Config struct {
 	Clock      exchange.Clock
 	Log        *zap.Logger
 	Counters   *counters.Set
-	MaxConns   int                               // clients at a time
-	KeepIdle   int                               // of them that may stay for long with nothing open
-	Share      int                               // connections that clients with requests can hold among them; 0: no such limit
-	Pool       func(user, database string) *Pool // of general sessions; nil, or nil of it: only the platform's statements are taken
-	MaxBytes   int64                             // of statements held at a time that are taken whole
-	MaxLarge   int64                             // of larger ones, that are taken in pieces
-	RetryAfter time.Duration                     // when a client that found no room may try again; 0: no advice
-	Yes        func() bool                       // once ready: whether the empty query is answered with yes; must not wait
-	Emptied    func()                            // the last connection has ended, and none is accepted; may be nil
+	MaxConns   int                               // maximum number of clients
+	KeepIdle   int                               // number of clients up to which idle connections stay open
+	Share      int                               // maximum number of connections of clients that have sent a command; 0: no limit
+	Pool       func(user, database string) *Pool // pool of a general SQL session; if nil, or if it returns nil, only the platform's statements are served
+	MaxBytes   int64                             // total size of the statements that are buffered whole
+	MaxLarge   int64                             // total size of larger statements, which are read in chunks
+	RetryAfter time.Duration                     // sent to clients refused for lack of capacity; 0: none
+	Yes        func() bool                       // answer to a readiness probe (the empty query) after Ready; must not block
+	Emptied    func()                            // called when the last connection has ended and none is being accepted; may be nil
 }
 
 // Server serves clients.
@@ -86,23 +89,23 @@
 	bytes *allowance
 	large *memory
 
-	retry atomic.Int64 // nanoseconds: Config.RetryAfter, or what Retune said
+	retry atomic.Int64 // retryAfter in nanoseconds, as set by Config.RetryAfter and settings updates
 
 	group     errgroup.Group // of sessions
-	accepting atomic.Int32   // calls of Accept
-	leaves    atomic.Bool    // what waits at a listener's deadline is another process's
+	accepting atomic.Int32   // running calls of Accept
+	leaves    atomic.Bool    // connections queued at a listener past its deadline belong to another process
 
 	mu       sync.Mutex
-	pass     Pass // nil: connections are ended, not passed on
+	pass     Pass // nil: connections are closed, not handed over
 	sessions map[*session]struct{}
-	closing  int                 // of them, closing
-	keys     map[pg.Key]*session // of general sessions: what a cancel request names
+	closing  int                 // number of sessions that are closing
+	keys     map[pg.Key]*session // general SQL sessions by the key that a cancel request carries
 	draining bool
-	ending   chan struct{} // closed when no new clients are to be expected
+	ending   chan struct{} // closed when idle connections are no longer evicted
 	endOnce  sync.Once
 }
 
-// New makes a server.
+// New returns a server that submits requests to x.
 func New(cfg Config, x Exchange) *Server {
 	s := &Server{cfg: cfg, x: x, ready: make(chan struct{}), ending: make(chan struct{}), bytes: &allowance{left: cfg.MaxBytes},
 		large:    newMemory(cfg.MaxLarge, cfg.Counters),
@@ -111,18 +114,19 @@
 	return s
 }
 
-// Retune changes when a client that found no room may try again; 0: no advice.
+// Retune sets the retryAfter of clients that are refused for lack of capacity; 0 means none is sent.
 func (s *Server) Retune(retryAfter time.Duration) { s.retry.Store(int64(retryAfter)) }
 
 func (s *Server) retryAfter() time.Duration { return time.Duration(s.retry.Load()) }
 
-// Resize changes how many bytes of large statements are held at a time.
+// Resize sets how many bytes of large statements are held at a time.
 func (s *Server) Resize(large int64) { s.large.resize(large) }
 
-// Ready lets the empty query be answered: the front takes the gateway in when it is.
+// Ready enables answers to the empty query, which the load balancer uses as its readiness probe. It must be
+// called once.
 func (s *Server) Ready() { close(s.ready) }
 
-// Run looks after the sessions until the context ends, which ends them, and waits for their end.
+// Run evicts idle sessions until the context ends, which also ends all sessions, and waits for them.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.group.Wait()
 	s.sweep(ctx)
@@ -130,12 +134,13 @@
 	return nil
 }
 
-// Leave says whether connections that wait at a listener when its deadline passes are left there, for another process that listens at
-// the same address. They are accepted otherwise.
+// Leave sets whether connections that are queued at a listener when its deadline passes are left to another
+// process that listens on the same address. Otherwise they are accepted.
 func (s *Server) Leave(leaves bool) { s.leaves.Store(leaves) }
 
-// Accept accepts clients until the listener is closed, or until its deadline has passed and, without Leave, nothing waits there: then
-// it may be accepted from again. The context's end ends the sessions, and the accepting of what waits past the deadline.
+// Accept accepts clients until the listener is closed, or until its deadline has passed and, unless set by
+// Leave, no connection is queued there. It may then be called again. The end of the context ends the
+// sessions, and the accepting past the deadline.
 func (s *Server) Accept(ctx context.Context, l net.Listener) {
 	s.accepting.Add(1)
 	defer func() {
@@ -150,10 +155,10 @@
 			failures++
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded) && failures == 0 && s.takes(ctx, l) && extend(l):
-			continue // the process may have been held up since before the deadline
+			continue // the process may have been stalled since before the deadline
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 			return
-		case err != nil: // no descriptor left, or the client went before it was accepted
+		case err != nil: // no descriptor left, or the client disconnected before the accept
 			failures++
 			s.cfg.Counters.AcceptErrors.Add(1)
 			s.cfg.Log.Warn("accept failed", zap.Error(err))
@@ -164,7 +169,7 @@
 		s.cfg.Counters.Clients.Add(1)
 		c := s.session(n)
 		room, held := s.add(c)
-		if !held { // nothing that clients do may keep others from being accepted
+		if !held { // bounds the connections being closed, so that accepting goes on
 			s.cfg.Counters.ClientsDropped.Add(1)
 			s.note("dropped: too many connections are closing", c)
 			n.Close()
@@ -180,20 +185,22 @@
 	}
 }
 
-// takes says whether connections wait at a listener that are this process's to accept.
+// takes reports whether connections are queued at a listener and this process is to accept them.
 func (s *Server) takes(ctx context.Context, l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
 	return ok && ctx.Err() == nil && !s.leaves.Load() && socket.Waiting(c)
 }
 
-// extend gives a listener a moment more: what waits in its queue could not be accepted by its deadline.
+// extend moves the deadline of a listener by a few milliseconds, as queued connections could not be accepted
+// before it.
 func extend(l net.Listener) bool {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
 	return ok && d.SetDeadline(time.Now().Add(2*acceptPause)) == nil
 }
 
-// Adopt goes on with a connection on which another process has done the startup, and on which nothing is open. It has idled
-// for so long there: who has idled long enough gives way here as there, or a server at its limit rejects others.
+// Adopt continues an idle connection whose startup was done by another process. idle is how long the
+// connection was idle there; it counts for eviction here, as otherwise a server at its connection limit would
+// reject new clients.
 func (s *Server) Adopt(ctx context.Context, n *net.TCPConn, user string, idle time.Duration) {
 	s.cfg.Counters.ClientsAdopted.Add(1)
 	c := s.session(n)
@@ -224,7 +231,8 @@
 	})
 }
 
-// Held is how many connections there are, with those that may just be accepted, and how many of them wait for an answer.
+// Held returns the number of connections, including those that may just be accepted, and how many of them
+// wait for an answer.
 func (s *Server) Held() (all, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +253,7 @@
 	}
 }
 
-// guard keeps a panic in one connection from ending the process.
+// guard recovers a panic, so that a fault in one connection does not end the process.
 func (s *Server) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -256,7 +264,8 @@
 	f()
 }
 
-// add takes a session in; held says whether it may stay for a moment, room whether it may be served.
+// add registers a session. held reports whether it may exist at all, room whether it may be served; a session
+// with held but not room is rejected with an error.
 func (s *Server) add(c *session) (room, held bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,9 +284,9 @@
 	return room, true
 }
 
-// sweep ends sessions that have had nothing open for long, where they are many. Clients may have no more than a part of
-// the descriptors among them: those that ask once and hold their connection keep others from ever getting one, long
-// before this side is full.
+// sweep evicts idle sessions while there are many sessions. Clients share a limited number of descriptors:
+// those that send one request and keep their connection would prevent others from connecting long before this
+// server reaches its connection limit.
 func (s *Server) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepPause)
 	defer tick.Stop()
@@ -295,15 +304,16 @@
 	}
 }
 
-// idler is a session with nothing open, and since when.
+// idler is a session with no open requests, and since when.
 type idler struct {
 	c     *session
 	since time.Duration
 }
 
-// idlers gives the sessions that may be ended: the silent, which have said nothing yet, and the idle, which have asked
-// and have nothing open, each with the one at it for longest first. pressed says that clients' connections are so many
-// that newcomers may find no place.
+// idlers returns the sessions that may be evicted: silent sessions, which have not sent a command yet, and
+// idle sessions, which have sent commands and have none open. Each list starts with the session that has been
+// in its state for longest. pressed reports that so many connections are open that new clients may be unable
+// to connect.
 func (s *Server) idlers() (silent, idle []idler, pressed bool) {
 	now, held, asked := s.cfg.Clock.Now(), 0, 0
 	for c := range s.sessions {
@@ -336,7 +346,7 @@
 	return silent, idle, pressed
 }
 
-// evictSurplus ends sessions that have had nothing open for long, down to those that may stay.
+// evictSurplus evicts idle sessions down to KeepIdle sessions.
 func (s *Server) evictSurplus() {
 	_, idle, pressed := s.idlers()
 	spared := len(s.sessions) - s.closing - s.cfg.KeepIdle
@@ -351,9 +361,10 @@
 	}
 }
 
-// evictIdle ends the session that can best be spared in a server at its connection limit: of clients that have said nothing yet the one silent
-// for longest, as those who mean it write at once, else the one that has had nothing open for longest. Clients that ask
-// once and hold their connection, or connect and say nothing, would otherwise keep all others out.
+// evictIdle evicts one session of a server at its connection limit. It prefers the session that has been
+// silent for longest, as well-behaved clients send a command at once, then the one that has been idle for
+// longest. Otherwise clients that send one request and keep their connection, or connect and send nothing,
+// would lock out all others. It returns false if no session can be evicted.
 func (s *Server) evictIdle() bool {
 	silent, idle, _ := s.idlers()
 	list := append(silent, idle...)
@@ -365,12 +376,12 @@
 	return true
 }
 
-// taken says that a client has taken its last answer, or has had its time for that.
+// taken reports whether a client has received its last answer, or the time for that has passed.
 func (s *Server) taken(i idler) bool {
 	return s.cfg.Clock.Now()-i.since >= takeWithin || socket.Unsent(i.c.conn) == 0
 }
 
-// note logs why a client's connection ends that the client did not end.
+// note logs why the gateway ends a client's connection.
 func (s *Server) note(why string, c *session) {
 	s.cfg.Log.Info("connection ended", zap.String("why", why), zap.Stringer("client", c.conn.RemoteAddr()),
 		zap.Duration("age", s.cfg.Clock.Now()-c.accepted), zap.Int64("clients", s.cfg.Counters.ClientsOpen.Get()))
@@ -378,13 +389,14 @@
 
 func (s *Server) evict(c *session) {
 	s.cfg.Counters.ClientsEvicted.Add(1)
-	s.note("gives way: it had nothing open", c)
+	s.note("evicted: idle", c)
 	c.closing = true
 	s.closing++
 	c.drain(s.pass != nil)
 }
 
-// beginClosing says that a session is closing and counts no longer; false: too many are.
+// beginClosing marks a session as closing, so that it no longer counts against MaxConns. It returns false if
+// too many sessions are closing.
 func (s *Server) beginClosing(c *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -413,14 +425,14 @@
 	s.cfg.Counters.ClientsOpen.Add(-1)
 }
 
-// Ending lets clients keep their connections from now on, idle or not: they would get no new ones.
+// Ending stops the eviction of idle connections: their clients could not open new ones.
 func (s *Server) Ending() { s.endOnce.Do(func() { close(s.ending) }) }
 
-// Pass gives a connection on which nothing is open, and nothing has been for so long, to another process.
+// Pass hands a connection with no open requests over to another process. idle is how long it has been idle.
 type Pass func(conn *net.TCPConn, user string, idle time.Duration) error
 
-// Drain ends every session as soon as it is between requests, and those that come, until Resume. With pass, connections are
-// passed on in place of being ended.
+// Drain ends every session once it is between requests, and does so for new sessions too, until Resume is
+// called. If pass is not nil, connections are handed over instead of closed.
 func (s *Server) Drain(pass Pass) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -434,7 +446,7 @@
 	}
 }
 
-// Resume lets sessions stay again. Those that have been ended by Drain already are gone.
+// Resume ends a drain. Sessions that Drain has ended already stay ended.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -446,7 +458,7 @@
 	}
 }
 
-// allowance bounds the bytes of large statements, so that they always fit into memory.
+// allowance bounds the total size of buffered statements, so that they always fit into memory.
 type allowance struct {
 	mu   sync.Mutex
 	left int64
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -19,50 +19,52 @@
 	"yokemast/internal/wire/relay"
 )
 
-// Pool is how the sessions of a user or database are served that may ask general SQL.
+// Pool configures the general SQL sessions of a user or database.
 type Pool struct {
 	Name             string
 	Mode             pooling.Mode
 	Group            int
-	Read, Own, Write string        // classes: of reads, of reads after a write of the session's own, of all that may write
-	Transaction      time.Duration // that a transaction may take from its first statement
-	Idle             time.Duration // that one may be open with nothing asked
-	MaxBatch         int           // bytes of a pipeline that are held before its end
-	MaxMessage       int           // bytes of a Bind, which is passed on in pieces
-	Most             int           // sessions that hold a host connection at a time; 0: any number
+	Read, Own, Write string        // classes of reads, of reads after a write of the same session, and of everything that may write
+	Transaction      time.Duration // maximum duration of a transaction, from its first statement
+	Idle             time.Duration // maximum idle time within a transaction
+	MaxBatch         int           // maximum size of a buffered pipeline in bytes
+	MaxMessage       int           // maximum size in bytes of a Bind that is streamed
+	Most             int           // maximum number of sessions that hold a host connection; 0: no limit
 	Stats            *PoolStats
 }
 
-// PoolStats counts what sessions of a pool do.
+// PoolStats counts the activity of a pool's sessions.
 type PoolStats struct {
 	Sessions, Leased, Batches, Transactions atomic.Int64
 	Pins                                    [8]atomic.Int64 // by the bits of pooling.Pin
 	Lost, Cancels                           atomic.Int64
 }
 
-// overPool is when a client may come again whose pool holds as many host connections as it may.
+// overPool is the retryAfter of a request refused because its pool holds the maximum number of host
+// connections.
 const overPool = 50 * time.Millisecond
 
-// sessionLease bounds how long a session that keeps its connection may do so.
+// sessionLease limits how long a session may keep its host connection.
 const sessionLease = 24 * time.Hour
 
-// general is what a session has that may ask general SQL. The reader gathers batches, the other goroutine has them run.
+// general is the state of a general SQL session. The reader collects batches, the other goroutine executes
+// them.
 type general struct {
 	c     *session
 	pool  *Pool
 	state *pooling.Session
 	key   pg.Key
 
-	batch *relay.Batch // being gathered
-	bytes int
-	held  int // of the budget
+	batch *relay.Batch // batch being collected
+	bytes int          // size of batch
+	held  int          // bytes held of the statement budget
 
-	lease   *relay.Lease // that is kept between batches
+	lease   *relay.Lease // checked-out connection that is kept between batches; nil: none
 	request *exchange.Request
 	answers chan exchange.Answer
-	skip    bool          // up to the next Sync
-	wrote   time.Duration // position of the session's last write, by the fleet's clock
-	free    time.Duration // when its last batch ended: no client says how long it waits, so the next one's time starts there
+	skip    bool          // after an error, messages up to the next Sync are skipped
+	wrote   time.Duration // position of the session's last write by the fleet's clock; negative: unknown, 0: none
+	free    time.Duration // end of the last batch without checkout; the next one cannot arrive before it, as clients state no wait
 	running atomic.Pointer[relay.Lease]
 }
 
@@ -75,14 +77,14 @@
 	return g
 }
 
-// register lets cancel requests find the session.
+// register makes the session known to cancel requests.
 func (s *Server) register(c *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys[c.general.key] = c
 }
 
-var errClient = errors.New("the client takes no answer")
+var errClient = errors.New("frontend: write to the client failed")
 
 func (g *general) write(b []byte) error {
 	if !g.c.write(b) {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// cancel cancels what the session of that key is running, if it is.
+// cancel cancels the command that the session of the given key executes, if any.
 func (s *Server) cancel(key pg.Key) {
 	s.mu.Lock()
 	c := s.keys[key]
@@ -101,11 +103,11 @@
 	}
 	if l := c.general.running.Load(); l != nil {
 		c.general.pool.Stats.Cancels.Add(1)
-		_ = l.Cancel(context.Background()) // it is bounded in time; that nothing was there to cancel is no fault
+		_ = l.Cancel(context.Background()) // bounded in time; it is no error if nothing was running
 	}
 }
 
-// next reads one message into the batch and queues the batch at its end.
+// next reads one message into the batch, and queues the batch at its end.
 func (g *general) next(kind byte, length int, bad func(code, message string) *pg.Error) error {
 	c := g.c
 	refuse := func(e *pg.Error) error {
@@ -123,7 +125,7 @@
 	case pg.Function:
 		return refuse(bad(pg.CodeNotSupported, "function calls are not supported"))
 	case pg.CopyData, pg.CopyDone, pg.CopyFail:
-		return c.skip(length) // as PostgreSQL does outside a copy
+		return c.skip(length) // ignored outside COPY, as PostgreSQL does
 	case pg.Password:
 		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "no password was asked for")}, command{sync: true})
 	case pg.Query, pg.Parse, pg.Bind, pg.Describe, pg.Execute, pg.Close, pg.Flush, pg.Sync:
@@ -167,13 +169,13 @@
 	return nil
 }
 
-// streamFrom is the length of a Bind from which on it is passed on in pieces, and piece the size of these.
+// streamFrom is the length in bytes from which on a Bind is streamed, piece the size of a chunk.
 const (
 	streamFrom = 64 << 10
 	piece      = 32 << 10
 )
 
-// stream hands a long Bind over as it comes: the batch so far goes ahead with it.
+// stream forwards a long Bind in chunks as it arrives. The batch collected so far is queued with it.
 func (g *general) stream(length int, bad func(code, message string) *pg.Error) error {
 	c := g.c
 	head, err := c.in.Peek(min(length, c.in.Size()))
@@ -205,7 +207,7 @@
 	defer rest.End()
 	wanted, buffers := true, [2][]byte{make([]byte, piece), make([]byte, piece)}
 	for left, i := length-names, 0; left > 0; i = 1 - i {
-		c.readBy(messageWithin) // each piece in time: the whole may take longer
+		c.readBy(messageWithin) // a deadline for each chunk, as the whole message may take longer
 		b := buffers[i][:min(left, piece)]
 		if _, err := io.ReadFull(c.in, b); err != nil {
 			return err
@@ -214,12 +216,12 @@
 		wanted = wanted && rest.Put(b)
 	}
 	c.mu.Lock()
-	c.timed = true // between clears the deadline
+	c.timed = true // makes between clear the deadline
 	c.mu.Unlock()
 	return nil
 }
 
-// commands says what a batch does, as far as can be seen.
+// commands returns the commands of a batch, as far as its text is known, and the text of the last statement.
 func (g *general) commands(b *relay.Batch) (out []pooling.Command, text string) {
 	for _, m := range b.Messages {
 		switch m.Kind {
@@ -234,7 +236,7 @@
 		case pg.Bind:
 			body := m.Body
 			if m.Rest != nil {
-				body = append(bytes.Clone(body), make([]byte, 6)...) // only its names are here
+				body = append(bytes.Clone(body), make([]byte, 6)...) // m.Body holds the names only
 			}
 			if _, name, _, err := pg.ReadBind(body); err == nil {
 				if st := g.state.Prepared(name); st != nil {
@@ -247,7 +249,7 @@
 	return out, text
 }
 
-// comment reads names and values from the last comment of a text.
+// comment parses the name=value pairs in the last comment of a statement.
 func comment(text string) map[string]string {
 	out := map[string]string{}
 	start, end := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
@@ -264,12 +266,12 @@
 
 var leases atomic.Int64
 
-// answer has a batch run and its answer written; false ends the session.
+// answer executes a batch and writes its answer. It returns false if the session ends.
 func (g *general) answer(ctx context.Context, cmd command) bool {
 	c, b := g.c, cmd.batch
 	g.pool.Stats.Batches.Add(1)
 	if g.skip {
-		// What follows an error is skipped up to the Sync, as a host would.
+		// Messages after an error are skipped up to the Sync, as PostgreSQL does.
 		b.Discard()
 		if g.skip = b.Messages[len(b.Messages)-1].Kind != pg.Sync; g.skip {
 			return true
@@ -300,7 +302,7 @@
 		return c.write(pg.AppendReady(pg.Append(nil, pg.EmptyQueryResponse)))
 	case len(b.Messages) == 1 && last == pg.Query && len(b.Commands) == 1 && b.Commands[0].Kind == pooling.Deallocate &&
 		g.state.Prepared(b.Commands[0].Name) != nil:
-		// The host knows it by another name, if it does.
+		// The host may have the statement under another name, so the gateway answers itself.
 		g.state.Close(b.Commands[0].Name)
 		return c.write(pg.AppendReadyAs(pg.Append(nil, pg.CommandComplete, []byte("DEALLOCATE\x00")), g.state.Status))
 	case begins && g.pool.Mode == pooling.ByStatement:
@@ -331,7 +333,7 @@
 	if g.wrote > 0 {
 		r.After = g.wrote
 	} else if g.wrote < 0 {
-		r.After = c.s.cfg.Clock.MaxFleetTime() // it wrote, and the host did not say when
+		r.After = c.s.cfg.Clock.MaxFleetTime() // it wrote, and the host did not state the position
 	}
 	pins := false
 	for _, x := range b.Commands {
@@ -369,7 +371,7 @@
 	return g.wait(ctx, b, true)
 }
 
-// hold takes a lease, or lets it go: a session that holds one is at work.
+// hold sets the checked-out connection, or clears it for nil. A session that has one counts as busy.
 func (g *general) hold(l *relay.Lease) {
 	if (g.lease == nil) == (l == nil) {
 		g.lease = l
@@ -387,7 +389,7 @@
 	g.lease = l
 }
 
-// wait waits for the end of a batch.
+// wait waits for the end of a batch. first is set for the batch that requests the connection.
 func (g *general) wait(ctx context.Context, b *relay.Batch, first bool) bool {
 	c, l := g.c, g.lease
 	g.running.Store(l)
@@ -397,7 +399,7 @@
 		return g.done(d)
 	case a := <-g.answers:
 		select {
-		case d := <-l.Done(): // both are there
+		case d := <-l.Done(): // both channels were ready
 			return g.done(d)
 		default:
 		}
@@ -408,7 +410,7 @@
 			g.state.ConnectionLost()
 			return g.fatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
 		}
-		if a.Kind == exchange.Served { // its Done comes before
+		if a.Kind == exchange.Served { // the relay's Done precedes it, so the session cannot go on
 			return false
 		}
 		return g.say(b, errorOf(a))
@@ -429,7 +431,8 @@
 	return a.Reason
 }
 
-// done takes the end of a batch, or of a lease between two.
+// done handles the end of a batch, or of a checkout between two batches. It returns false if the session
+// ends.
 func (g *general) done(d relay.Done) bool {
 	if d.Wrote != 0 {
 		g.wrote = d.Wrote
@@ -449,7 +452,7 @@
 	return true
 }
 
-// fatal tells the client why its session ends.
+// fatal sends the error that ends the session. It returns false.
 func (g *general) fatal(e *pg.Error) bool {
 	if g.c.write(pg.AppendError(nil, e)) {
 		g.c.linger()
@@ -457,7 +460,7 @@
 	return false
 }
 
-// say answers a batch with an error of the gateway's own.
+// say answers a batch with an error of the gateway.
 func (g *general) say(b *relay.Batch, e *pg.Error) bool {
 	out := pg.AppendError(nil, e)
 	if g.skip = !b.Ends; b.Ends {
@@ -466,7 +469,7 @@
 	return g.c.write(out)
 }
 
-// end ends the session's lease, if it holds one: an open transaction is rolled back.
+// end closes the session's checkout, if any, which rolls back an open transaction.
 func (g *general) end() {
 	if g.lease != nil {
 		g.lease.Mute()
@@ -476,7 +479,8 @@
 	g.pool.Stats.Sessions.Add(-1)
 }
 
-// nextCommand gives the next command. A lease that ends while the client says nothing ends the session.
+// nextCommand returns the next command, and false if the session ends. A checkout that ends while no command
+// arrives ends the session.
 func (c *session) nextCommand() (command, bool) {
 	for {
 		if cmd, ok, over := c.ahead.take(); ok || over {
--- a/internal/wire/frontend/large.go
+++ b/internal/wire/frontend/large.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// memoryWithin is how long the pieces of a large statement may wait for memory in all. What waits in the kernel meanwhile
-	// is taken, and its client's time runs.
+	// memoryWithin limits the total time for which the chunks of a large statement wait for memory. Meanwhile
+	// the kernel goes on buffering input, and the client's deadline runs.
 	memoryWithin = 300 * time.Millisecond
-	// clientStall is how long a client may take nothing of a large value that it is given.
+	// clientStall limits the time without progress while a client receives a large value.
 	clientStall = 20 * time.Second
 )
 
 var errNoMemory = errors.New("frontend: no memory for the statement")
 
-// memory is what large statements share.
+// memory is the memory budget shared by large statements.
 type memory struct {
 	counts *counters.Set
 	mu     sync.Mutex
 	budget *budget.Budget
-	freed  chan struct{} // closed when there may be more
+	freed  chan struct{} // closed and replaced when memory may have become available
 }
 
 func newMemory(total int64, counts *counters.Set) *memory {
@@ -42,7 +42,8 @@
 	return m.budget.Open(need)
 }
 
-// take gives a holding n bytes more, which may need so much at most, by a time; it waits for others to end.
+// take reserves n more bytes for a holding that needs at most the given maximum in all. It waits until the
+// given time for other holdings to be closed, then returns errNoMemory.
 func (m *memory) take(h *budget.Holding, n int, most int64, by time.Time) error {
 	for {
 		m.mu.Lock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// whole says that a holding needs no more.
+// whole marks that a holding needs no more memory.
 func (m *memory) whole(h *budget.Holding) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,7 +72,7 @@
 	m.wake()
 }
 
-// close gives all back; nil, or one that was closed before, changes nothing.
+// close releases all memory of a holding. It does nothing for nil or a closed holding.
 func (m *memory) close(h *budget.Holding) {
 	if h == nil {
 		return
@@ -95,7 +96,7 @@
 	m.wake()
 }
 
-// large reads the body of a query that is too long to be held as it comes.
+// large reads the body of a query that is too long to be buffered as text.
 func (c *session) large(length int, bad func(code, message string) *pg.Error) error {
 	c.s.cfg.Counters.Large.Add(1)
 	usual, most := pg.LargeNeed(length)
@@ -108,7 +109,7 @@
 		start := time.Now()
 		err := c.s.large.take(h, n, most, start.Add(memoryWithin-waited))
 		waited += time.Since(start)
-		c.pace(length) // it was not the client that waited
+		c.pace(length) // the wait for memory was not the client's fault
 		return err
 	}}
 	st, wrong, left, err := l.Statement(length)
@@ -133,19 +134,20 @@
 	return nil
 }
 
-// noMemory refuses a large statement and reads past what is left of it.
+// noMemory refuses a large statement for lack of memory and discards the rest of its body.
 func (c *session) noMemory(length, left int) error {
 	c.s.cfg.Counters.LargeRefused.Add(1)
-	c.s.cfg.Log.Info("statement refused", zap.String("why", "no memory"), zap.Int("bytes", length), zap.Int("unread", left),
+	c.s.cfg.Log.Info("statement refused", zap.String("reason", "no memory"), zap.Int("bytes", length), zap.Int("unread", left),
 		zap.Int64("held", c.s.cfg.Counters.LargeHeld.Get()))
 	return c.skip(left, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())}, command{sync: true})
 }
 
-// pieces are buffers for values on their way.
+// pieces holds buffers for large values in transit.
 var pieces = sync.Pool{New: func() any { return new([pg.Piece]byte) }}
 
-// pour writes an answer whose value is still coming: each piece before the next is read. One that turns out too old ends in an
-// error. false: the client can tell that it is not whole.
+// pour writes an answer whose value is still being received, each chunk before the next is read. If the value
+// proves too old, the answer ends in an error. It returns false if the connection must be closed, so that the
+// client sees that the value is incomplete.
 func (c *session) pour(v pg.Value, tag string) bool {
 	defer v.Rest.Close()
 	if !c.write(pg.AppendRowHead(nil, v)) {
@@ -159,20 +161,20 @@
 		if n > 0 {
 			_ = c.conn.SetWriteDeadline(time.Now().Add(clientStall))
 			if _, err := (socket.Steady{Conn: c.conn}).Write(piece[:n]); err != nil {
-				c.s.cfg.Log.Info("value cut", zap.String("why", "its client takes no more"), zap.Int("given", given), zap.Int("of", v.Size), zap.Error(err))
+				c.s.cfg.Log.Info("value truncated", zap.String("reason", "write to the client failed"), zap.Int("written", given), zap.Int("size", v.Size), zap.Error(err))
 				return false
 			}
 			given += n
 			continue
 		}
 		c.writeBy = time.Time{}
-		if errors.Is(err, pg.ErrTooOld) { // an error in place of the end makes it a request that failed
-			c.s.cfg.Log.Info("value not served", zap.String("why", "it is too old"), zap.Int("of", v.Size))
+		if errors.Is(err, pg.ErrTooOld) { // an error in place of the end makes the request fail
+			c.s.cfg.Log.Info("value not served", zap.String("reason", "too old"), zap.Int("size", v.Size))
 			e := &pg.Error{Code: pg.CodeFailed, Message: "the value is older than its class allows"}
 			return c.write(pg.AppendReady(pg.AppendError(nil, e)))
 		}
 		if !errors.Is(err, io.EOF) {
-			c.s.cfg.Log.Info("value cut", zap.String("why", "its host gives no more"), zap.Int("given", given), zap.Int("of", v.Size), zap.Error(err))
+			c.s.cfg.Log.Info("value truncated", zap.String("reason", "read from the host failed"), zap.Int("written", given), zap.Int("size", v.Size), zap.Error(err))
 			return false
 		}
 		return c.write(pg.AppendReady(pg.AppendComplete(nil, tag)))
--- a/internal/wire/frontend/reading.go
+++ b/internal/wire/frontend/reading.go
@@ -10,10 +10,10 @@
 	"yokemast/internal/wire/socket"
 )
 
-// drain stops the reading between two requests; what has come before that is still answered, and while it is, the reader goes
-// on: who does not read does not notice that the client has left. A message that has begun to come is taken whole: cut off in
-// its middle, a request would be lost that its client has written. Where connections are passed on a startup is done first:
-// who goes on takes sessions only.
+// drain stops the reading between two requests. Requests received before are still answered, and meanwhile
+// the reader goes on, as only reading detects that the client has disconnected. A message that has begun to
+// arrive is read to its end: closing in its middle would lose a request that the client has sent. If
+// connections are handed over, the startup is completed first, as the other process takes over sessions only.
 func (c *session) drain(passing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +23,7 @@
 	}
 }
 
-// resume takes a drain back, if the session has not ended by it yet.
+// resume cancels a drain if the session has not ended yet.
 func (c *session) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,20 +38,21 @@
 	}
 }
 
-// readBy sets the deadline for reading.
+// readBy sets the read deadline relative to now.
 func (c *session) readBy(within time.Duration) { _ = c.conn.SetReadDeadline(time.Now().Add(within)) }
 
-// begin says that a message has begun to come. A client that is stuck in its middle must not hold its place for good.
+// begin records that a message has begun to arrive and sets its deadline. A client that stalls within a
+// message must not hold its connection forever.
 func (c *session) begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.midway, c.said = true, true
-	if !pg.Whole(c.in) { // what is here already needs no time
+	if !pg.Whole(c.in) { // a buffered message needs no deadline
 		c.paceLocked(headWithin)
 	}
 }
 
-// pace says that the head of a message is here, and how much follows it.
+// pace sets the deadline of a message body of the given length after its head was read.
 func (c *session) pace(length int) {
 	if c.in.Buffered() >= length {
 		return
@@ -66,7 +67,8 @@
 	c.readBy(min(messageWithin, within))
 }
 
-// paced is a client's connection as it is read: what comes of a message that has begun gives its client time for more.
+// paced is a client's connection as read by the session. Each read within a message extends the read deadline
+// by messageWithin.
 type paced struct{ c *session }
 
 func (p paced) Read(b []byte) (int, error) {
@@ -77,7 +79,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.started { // a startup that has begun is at work
+	if !c.started { // the startup has begun
 		c.midway = true
 	}
 	if c.midway && c.timed {
@@ -88,7 +90,7 @@
 	return n, err
 }
 
-// between says that no message has begun to come.
+// between records that no message has begun and sets the read deadline accordingly.
 func (c *session) between() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,11 +107,11 @@
 	}
 }
 
-// pause says what a read between messages that came to its deadline means: over, that the session ends here; begun, that a
-// message has come. A request that came at the same moment is taken: its client has written it.
+// pause handles a read deadline that passed between messages. over reports that the session ends here, begun
+// that a message has arrived. A request that arrived at the same moment is read, as its client has sent it.
 func (c *session) pause() (over, begun bool) {
 	c.s.mu.Lock()
-	passed := c.s.pass != nil && c.general == nil // who goes on reads what has come
+	passed := c.s.pass != nil && c.general == nil // the other process reads what has arrived
 	c.s.mu.Unlock()
 	c.mu.Lock()
 	draining, said := c.draining && c.unanswered == 0, c.said
@@ -123,10 +125,11 @@
 	case !quiet:
 		return false, true
 	}
-	return !said, false // a drain that was taken back ends nobody; a client that never said anything has had its time
+	return !said, false // after a canceled drain the session goes on; a client without a first command has timed out
 }
 
-// read reads commands until the client leaves, framing is lost or a drain finds the session between messages.
+// read reads commands until the client disconnects, framing is lost or a drain finds the session between
+// messages.
 func (c *session) read() {
 	for {
 		if _, err := c.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
@@ -158,10 +161,10 @@
 			continue
 		case errors.Is(err, pg.ErrFraming):
 			c.s.cfg.Counters.BadMessages.Add(1)
-			c.s.note("cut off: what it sends can't be followed", c)
+			c.s.note("closed: message framing lost", c)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.s.cfg.Counters.ClientsSlow.Add(1)
-			c.s.note("cut off: its message did not come whole in time", c)
+			c.s.note("closed: message not received in time", c)
 			err = errors.New("the message did not come whole in time")
 		default:
 			close(c.closed)
@@ -172,7 +175,7 @@
 	}
 }
 
-// discard reads on, for the client's leaving alone.
+// discard reads and drops input until the client disconnects.
 func (c *session) discard() {
 	_ = c.conn.SetReadDeadline(time.Time{})
 	_, _ = io.Copy(io.Discard, c.conn)
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -15,34 +15,34 @@
 	"yokemast/internal/wire/socket"
 )
 
-// session is one client's connection. One goroutine reads commands, so that a client that leaves is noticed; another
-// answers them in order.
+// session is the connection of one client. One goroutine reads commands, so that a disconnect is noticed at
+// any time; another answers them in order.
 type session struct {
-	mu         sync.Mutex // guards those below, with the deadline for reading that follows from them
+	mu         sync.Mutex // guards the fields down to idleSince, and the read deadline, which depends on them
 	draining   bool
 	started    bool          // the startup is done
-	said       bool          // the startup is done and a command has begun to come
-	midway     bool          // a message has begun to come
-	timed      bool          // a deadline for reading is set
-	cutAt      time.Time     // of a message that has begun: when it is cut off, whatever still comes
-	open       int           // commands without an answer, and what a general session holds
+	said       bool          // a command has begun to arrive after the startup
+	midway     bool          // a message has begun to arrive
+	timed      bool          // a read deadline is set
+	cutAt      time.Time     // deadline of the message that has begun, whatever progress it makes
+	open       int           // commands without an answer, plus one if a host connection is checked out
 	unanswered int           // commands without an answer
-	idleSince  time.Duration // since when nothing is open
+	idleSince  time.Duration // when the last command was answered
 
-	adopted  bool // another process has done its startup
-	atRest   bool // the reader ended between two messages, at a drain: what comes next is for whoever goes on
+	adopted  bool // another process did the startup
+	atRest   bool // the reader ended between two messages at a drain; input that follows is left to the process that takes over
 	closing  bool // guarded by the server's mutex
 	s        *Server
 	conn     *net.TCPConn
 	in       *bufio.Reader
 	user     string
-	general  *general // nil: only the platform's statements are taken
+	general  *general // state of a general SQL session; nil: only the platform's statements are served
 	accepted time.Duration
-	ahead    *ahead        // commands that wait for their turn
-	overrun  bool          // belongs to the reader: too many of them do
-	closed   chan struct{} // the client has left
-	writeBy  time.Time     // the deadline for writing that is set
-	skipping bool          // an extended query was turned down: all up to Sync is skipped
+	ahead    *ahead        // commands that wait to be answered
+	overrun  bool          // too many commands are queued; used by the reader only
+	closed   chan struct{} // closed when the client has disconnected
+	writeBy  time.Time     // current write deadline
+	skipping bool          // after a refused extended query, messages up to Sync are skipped
 }
 
 func (c *session) serve(ctx context.Context) {
@@ -54,7 +54,7 @@
 	c.mu.Lock()
 	c.started = true
 	c.mu.Unlock()
-	c.between() // the startup's deadline may have been set after a drain's
+	c.between() // the startup's deadline may have been set after that of a drain
 	go c.s.guard(func() {
 		defer c.ahead.end()
 		c.read()
@@ -76,7 +76,7 @@
 		c.part()
 	}
 	c.conn.Close()
-	for over := false; !over; { // lets the reader end
+	for over := false; !over; { // waits for the reader to end
 		var cmd command
 		var ok bool
 		if cmd, ok, over = c.ahead.take(); ok {
@@ -90,7 +90,7 @@
 	}
 }
 
-// left says that the client has gone.
+// left reports whether the reader has noticed that the client disconnected.
 func (c *session) left() bool {
 	select {
 	case <-c.closed:
@@ -100,10 +100,11 @@
 	}
 }
 
-// gone says that the client has left, also where its reader has not come to that yet.
+// gone reports whether the client has disconnected, even if the reader has not noticed yet.
 func (c *session) gone() bool { return c.left() || socket.Ended(c.conn) }
 
-// handOver passes the connection on if another process goes on with those that are at rest. Here it is closed in any case.
+// handOver hands the connection over to another process, if connections are handed over and this one stopped
+// between two messages. It returns whether it did. The caller closes the connection here in any case.
 func (c *session) handOver() bool {
 	c.s.mu.Lock()
 	pass := c.s.pass
@@ -115,19 +116,19 @@
 	idle := c.s.cfg.Clock.Now() - c.idleSince
 	c.mu.Unlock()
 	if err := pass(c.conn, c.user, idle); err != nil {
-		c.s.cfg.Log.Warn("a connection could not be passed on", zap.Error(err))
+		c.s.cfg.Log.Warn("connection handover failed", zap.Error(err))
 		return false
 	}
 	c.s.cfg.Counters.ClientsPassed.Add(1)
 	return true
 }
 
-// release gives back what a command held.
+// release returns the memory held by a command.
 func (c *session) release(cmd command) {
 	c.s.bytes.give(cmd.held)
 	c.s.large.close(cmd.holding)
 	if cmd.batch != nil {
-		cmd.batch.Discard() // its reader may wait for someone to take a piece
+		cmd.batch.Discard() // the reader may be blocked in a stream until a chunk is taken
 	}
 }
 
@@ -138,25 +139,27 @@
 	c.unanswered--
 	c.idleSince = c.s.cfg.Clock.Now()
 	if c.draining && c.unanswered == 0 && !c.midway {
-		c.readBy(0) // now it is between two requests
+		c.readBy(0) // the session is between two requests now
 	}
 }
 
-// waits says that the client waits for an answer.
+// waits reports whether the client waits for an answer.
 func (c *session) waits() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unanswered > 0
 }
 
-// spare says since when the session has had nothing open, and whether it has said anything yet; not ok: it is at work.
+// spare returns since when the session has had no open requests and whether it has received a command yet. ok
+// is false while the session is busy.
 func (c *session) spare() (since time.Duration, said, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleSince, c.said, c.open == 0 && !c.midway && socket.Quiet(c.conn)
 }
 
-// linger ends the sending and reads on for a moment: a close with something unread would take away what was said last.
+// linger ends the sending and reads on for a short time: closing a socket with unread input resets the
+// connection, and the client would lose what was sent last.
 func (c *session) linger() {
 	if c.s.beginClosing(c) && c.conn.CloseWrite() == nil {
 		c.readBy(lingerFor)
@@ -164,10 +167,10 @@
 	}
 }
 
-// part ends a connection between two requests. Bytes that come to a closed connection, or lie unread in one that is being
-// closed, reset it, and what the client has not taken of its last answer goes with that. So the sending ends first, and the
-// connection is closed once the client has taken all. Nothing is read meanwhile: a request that crosses the end shows to its
-// client as one that nobody took.
+// part closes a connection between two requests. Input that arrives at a closed socket, or is unread at the
+// close, resets the connection, and the part of the last answer that the client has not received is lost. So
+// the sending ends first, and the connection is closed once the client has received everything. Nothing is
+// read meanwhile: a request that crosses the close appears to its client as not accepted.
 func (c *session) part() {
 	if socket.Unsent(c.conn) == 0 || c.conn.CloseWrite() != nil {
 		return
@@ -182,7 +185,7 @@
 }
 
 func (c *session) write(b []byte) bool {
-	// Set anew only when half of it is gone: an answer has between half of the time and all of it.
+	// The deadline is renewed only once half of it has passed, so an answer gets between half of writeTimeout and all of it.
 	if now := time.Now(); c.writeBy.Sub(now) < writeTimeout/2 {
 		c.writeBy = now.Add(writeTimeout)
 		_ = c.conn.SetWriteDeadline(c.writeBy)
@@ -191,7 +194,7 @@
 	return err == nil
 }
 
-// answer writes the answer to one command; false ends the session.
+// answer writes the answer to one command. It returns false if the session ends.
 func (c *session) answer(ctx context.Context, cmd command) bool {
 	switch {
 	case cmd.err != nil && cmd.err.Fatal:
@@ -227,14 +230,14 @@
 	}
 	answer := make(chan exchange.Answer, 1)
 	st := cmd.statement
-	// Its client's wait runs from when it was sent, also while others of this connection are answered before it.
+	// The client's wait runs from the arrival, also while earlier commands of this connection are answered.
 	r := &exchange.Request{ID: st.ID, User: c.user, Tenant: st.Tenant, Class: st.Class, Session: st.Key, Group: st.Group, Write: st.Write,
 		Retry: st.Retry, Arrived: cmd.arrived, Wait: st.Wait, After: st.After, ClientDisconnected: c.gone,
 		Command: st, Answer: answer}
 	c.s.x.Submit(r)
 	select {
 	case a := <-answer:
-		// A large statement is not needed any more, however slowly its client takes the answer.
+		// The memory of a large statement is released before the write, as the client may be slow to receive.
 		c.s.large.close(cmd.holding)
 		if v, ok := a.Value.(pg.Value); ok && v.Rest != nil {
 			return c.pour(v, st.Tag())
@@ -254,7 +257,7 @@
 	return pg.AppendError(out, errorOf(a))
 }
 
-// errorOf is an answer that is none, as an error.
+// errorOf converts an answer other than Served to an error.
 func errorOf(a exchange.Answer) *pg.Error {
 	switch a.Kind {
 	case exchange.Refused:
--- a/internal/wire/frontend/startup.go
+++ b/internal/wire/frontend/startup.go
@@ -7,13 +7,14 @@
 	"yokemast/internal/wire/pg"
 )
 
-// start goes through the startup; what a client sends behind its startup message stays in the buffer.
+// start performs the startup. Bytes that the client sends after its startup message stay in the buffer. It
+// returns false if the session ends.
 func (c *session) start(within time.Duration) bool {
 	c.mu.Lock()
 	_ = c.conn.SetDeadline(time.Now().Add(within))
 	c.cutAt, c.timed = time.Now().Add(max(within, headWithin)), true
 	c.mu.Unlock()
-	for range 4 { // at most one request for each kind of encryption comes first
+	for range 4 { // at most one request for each kind of encryption precedes the startup message
 		kind, parameters, err := pg.ReadStartup(c.in)
 		var refused *pg.Error
 		switch {
@@ -54,7 +55,7 @@
 	return false
 }
 
-// reject tells a client that there is no room.
+// reject tells the client that the connection limit is reached.
 func (c *session) reject() {
 	if !c.start(lingerFor) {
 		return
--- a/internal/wire/pg/errors.go
+++ b/internal/wire/pg/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Codes of errors (SQLSTATE) that the project sends or tells apart.
+// SQLSTATE codes that the gateway sends or distinguishes.
 const (
 	CodeProtocolViolation = "08P01"
 	CodeNotSupported      = "0A000"
@@ -20,15 +20,16 @@
 	CodeTooFarBehind      = "72000"
 )
 
-// Error is an ErrorResponse. Detail holds, in a refusal, the milliseconds after which to come again.
+// Error is an ErrorResponse. In a refusal, Detail holds the retryAfter in milliseconds.
 type Error struct {
 	Code, Message, Detail string
-	Fatal                 bool // the connection ends with it
+	Fatal                 bool // the connection ends after the error
 }
 
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-// Refusal is the error that says that nothing ran and when to come again; 0 gives no advice.
+// Refusal returns an error for a statement that was not executed and may be retried after the given time; 0
+// states none.
 func Refusal(message string, after time.Duration) *Error {
 	e := &Error{Code: CodeTooMany, Message: message}
 	if after > 0 {
@@ -37,7 +38,7 @@
 	return e
 }
 
-// AppendError appends the ErrorResponse.
+// AppendError appends an ErrorResponse.
 func AppendError(out []byte, e *Error) []byte {
 	severity := "ERROR"
 	if e.Fatal {
@@ -50,7 +51,7 @@
 	return Append(out, ErrorResponse, []byte(body), []byte{0})
 }
 
-// ReadError reads the body of an ErrorResponse.
+// ReadError parses the body of an ErrorResponse.
 func ReadError(body []byte) *Error {
 	e := &Error{}
 	for _, f := range splitZero(body) {
--- a/internal/wire/pg/extended.go
+++ b/internal/wire/pg/extended.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Types of messages of the extended protocol, as sent by a server.
+// Types of backend messages of the extended query protocol and of COPY.
 const (
 	ParseComplete        = '1'
 	BindComplete         = '2'
@@ -20,13 +20,13 @@
 	CopyBothResponse     = 'W'
 )
 
-// ParseMessage is the body of a Parse.
+// ParseMessage is the body of a Parse message.
 type ParseMessage struct {
 	Name, Text string
 	Types      []uint32
 }
 
-// ReadParse reads a Parse.
+// ReadParse parses the body of a Parse message.
 func ReadParse(body []byte) (m ParseMessage, err error) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	text, rest, ok2 := bytes.Cut(rest, []byte{0})
@@ -40,7 +40,7 @@
 	return m, nil
 }
 
-// AppendParse appends a Parse.
+// AppendParse appends a Parse message.
 func AppendParse(out []byte, m ParseMessage) []byte {
 	types := binary.BigEndian.AppendUint16(nil, uint16(len(m.Types)))
 	for _, t := range m.Types {
@@ -49,7 +49,7 @@
 	return Append(out, Parse, cstring(m.Name), cstring(m.Text), types)
 }
 
-// ReadBind reads the names in a Bind; rest is what follows them.
+// ReadBind parses the names in the body of a Bind message; rest is the remainder of the body.
 func ReadBind(body []byte) (portal, statement string, rest []byte, err error) {
 	p, rest, ok := bytes.Cut(body, []byte{0})
 	s, rest, ok2 := bytes.Cut(rest, []byte{0})
@@ -59,12 +59,12 @@
 	return string(p), string(s), rest, nil
 }
 
-// AppendBind appends a Bind of which only the names are known.
+// AppendBind appends a Bind message of the given names and remainder.
 func AppendBind(out []byte, portal, statement string, rest []byte) []byte {
 	return Append(out, Bind, cstring(portal), cstring(statement), rest)
 }
 
-// ReadTarget reads what a Describe or Close is meant for: S, a statement, or P, a portal.
+// ReadTarget parses the target of a Describe or Close message: S for a statement, P for a portal.
 func ReadTarget(body []byte) (kind byte, name string, err error) {
 	if len(body) < 2 || body[0] != 'S' && body[0] != 'P' || bytes.IndexByte(body[1:], 0) != len(body)-2 {
 		return 0, "", fmt.Errorf("%w: neither a statement nor a portal", ErrFraming)
@@ -72,12 +72,12 @@
 	return body[0], string(body[1 : len(body)-1]), nil
 }
 
-// AppendTarget appends a Describe or Close.
+// AppendTarget appends a Describe or Close message.
 func AppendTarget(out []byte, message, kind byte, name string) []byte {
 	return Append(out, message, []byte{kind}, cstring(name))
 }
 
-// ReadExecute reads the portal of an Execute.
+// ReadExecute parses the portal in the body of an Execute message.
 func ReadExecute(body []byte) (portal string, err error) {
 	if i := bytes.IndexByte(body, 0); i >= 0 && i == len(body)-5 {
 		return string(body[:i]), nil
@@ -85,13 +85,13 @@
 	return "", fmt.Errorf("%w: an Execute that can't be read", ErrFraming)
 }
 
-// ReadTag reads a CommandComplete.
+// ReadTag returns the command tag in the body of a CommandComplete message.
 func ReadTag(body []byte) string { return string(bytes.TrimSuffix(body, []byte{0})) }
 
-// Key is what a cancel names: a process and its secret.
+// Key identifies the session that a cancel request is for: process ID and secret key of BackendKeyData.
 type Key struct{ Process, Secret uint32 }
 
-// ReadKey reads a BackendKeyData.
+// ReadKey parses the body of a BackendKeyData message.
 func ReadKey(body []byte) (k Key, ok bool) {
 	if len(body) != 8 {
 		return k, false
@@ -99,22 +99,23 @@
 	return Key{binary.BigEndian.Uint32(body), binary.BigEndian.Uint32(body[4:])}, true
 }
 
-// AppendKey appends a BackendKeyData.
+// AppendKey appends a BackendKeyData message.
 func AppendKey(out []byte, k Key) []byte {
 	return Append(out, BackendKeyData, binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, k.Process), k.Secret))
 }
 
-// AppendCancel appends a CancelRequest, which is sent in place of a startup message.
+// AppendCancel appends a CancelRequest, which a client sends in place of a startup message.
 func AppendCancel(out []byte, k Key) []byte {
 	out = binary.BigEndian.AppendUint32(out, 16)
 	out = binary.BigEndian.AppendUint32(out, codeCancel)
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(out, k.Process), k.Secret)
 }
 
-// AppendReadyAs appends ReadyForQuery with a transaction's status: I, T or E.
+// AppendReadyAs appends ReadyForQuery with a transaction status: I (idle), T (in a transaction) or E (failed
+// transaction).
 func AppendReadyAs(out []byte, status byte) []byte { return Append(out, ReadyForQuery, []byte{status}) }
 
-// AppendWelcomeAs is AppendWelcome with parameters and a key of the session's own.
+// AppendWelcomeAs appends the response to a startup message with the given parameters and cancel key.
 func AppendWelcomeAs(out []byte, s Startup, parameters [][2]string, k Key) []byte {
 	if s == StartOlder {
 		out = Append(out, NegotiateVersion, []byte{0, 3, 0, 0, 0, 0, 0, 0})
@@ -126,7 +127,7 @@
 	return AppendReady(AppendKey(out, k))
 }
 
-// DefaultParameters are those that a server tells at the start of a session.
+// DefaultParameters returns the parameters that a server reports at the start of a session.
 func DefaultParameters() [][2]string {
 	return [][2]string{{"server_version", serverVersion}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"}}
--- a/internal/wire/pg/large.go
+++ b/internal/wire/pg/large.go
@@ -9,53 +9,55 @@
 	"time"
 )
 
-// A large statement is an INSERT whose value does not fit into a message of MaxMessage. Its value is held as bytes, in
-// pieces, not as the digits that it came in, and is written as those digits again.
+// A large statement is an INSERT whose value does not fit into a message of MaxMessage. Its hex digits are decoded, held as
+// chunks of bytes, and written as the same digits again.
 
 const (
-	// MaxValue is the size of the largest value, in bytes.
+	// MaxValue is the maximum size of a value in bytes.
 	MaxValue = 4 << 20
-	// MaxLarge bounds the body of a message with a large statement: the value in hex and the statement round it.
+	// MaxLarge is the maximum length of a message body with a large statement: the value in hex and the
+	// statement around it.
 	MaxLarge = 2*MaxValue + 8<<10
-	// Piece is how much of a large message is read, held and written at a time, in bytes.
+	// Piece is the size in bytes of the chunks in which a large message is read, held and written.
 	Piece = 32 << 10
-	// largeHead is how much of a large statement may stand before its value, and largeTail after it.
+	// largeHead limits the text of a large statement before its value, largeTail the text after it.
 	largeHead = len(insertHead) + 2*maxKeyLength + 16
 	largeTail = 4 << 10
 )
 
-// LargeNeed is how much memory a large message needs, for its length: where its digits are of one case, and at most.
+// LargeNeed returns the memory in bytes that a large message of the given length needs if its digits are of
+// one case, and at most.
 func LargeNeed(length int) (usual, most int64) {
 	const round = 2*Piece + int64(largeHead+largeTail)
 	return int64(length)/2 + round, int64(length) + round
 }
 
-// packed is a value held.
+// packed is a large value in memory.
 type packed struct {
 	parts  [][]byte
 	digits int
-	kinds  byte // of its digits
-	raw    bool // they were of both cases: the parts hold digits, not bytes
-	odd    byte // the first digit of a byte whose second has not come yet; 0: none
+	kinds  byte // kinds of its digits, combined
+	raw    bool // the digits have mixed case, so parts holds digits instead of bytes
+	odd    byte // first digit of an incomplete byte; 0: none
 }
 
-// LargeReader reads a large statement as it comes.
+// LargeReader reads a large statement while it arrives.
 type LargeReader struct {
-	// Take asks for the memory of a piece before it is held. Its error ends the reading.
+	// Take reserves memory for n bytes before they are held. If it fails, the reading ends with its error.
 	Take func(n int) error
-	// Read reads what has come, at least one byte, as an io.Reader does.
+	// Read reads at least one byte, like an io.Reader.
 	Read func(p []byte) (int, error)
 
-	text   []byte // what stands round the value
-	at     int    // where the value stands in it; 0: not found yet
+	text   []byte // text around the value
+	at     int    // offset of the value in text; 0: not found yet
 	tail   bool   // the value has ended
 	value  packed
-	first  byte // of a byte whose second digit has not come: its upper half
-	broken *Error
+	first  byte   // upper half of an incomplete byte
+	broken *Error // why the statement is refused; nil: no fault found yet
 }
 
-// Statement reads a body of that length to its end. An *Error says that it is no statement that is taken: its body has been
-// read all the same. Any other error leaves the rest unread; how much that is, left tells.
+// Statement reads a body of the given length. A statement that is refused is returned as bad, after its body
+// has been read to the end. On any other error, left is the number of bytes that remain unread.
 func (l *LargeReader) Statement(length int) (s *Statement, bad *Error, left int, err error) {
 	if err := l.Take(Piece); err != nil {
 		return nil, nil, length, err
@@ -63,7 +65,7 @@
 	buffer := make([]byte, Piece)
 	for left = length; left > 0; {
 		whole := buffer[:min(left, len(buffer))]
-		for n := 0; n < len(whole); { // a piece is held whole: of small ones there would be too many
+		for n := 0; n < len(whole); { // chunks are filled before they are held, as small ones would be too many
 			got, err := l.Read(whole[n:])
 			n += got
 			left -= got
@@ -94,7 +96,7 @@
 	return s, nil, 0, nil
 }
 
-// add takes the next bytes.
+// add processes the next bytes of the body.
 func (l *LargeReader) add(b []byte) error {
 	if l.at == 0 {
 		before := len(l.text)
@@ -142,7 +144,8 @@
 	return nil
 }
 
-// valueStart says where the digits of an INSERT's value begin; 0: not yet, and never if whole.
+// valueStart returns the offset of the first digit of an INSERT's value, or 0 if it is not found. In that
+// case whole reports that more text cannot change that.
 func valueStart(text []byte) (at int, whole bool) {
 	n := min(len(text), len(insertHead))
 	if !bytes.Equal(text[:n], []byte(insertHead)[:n]) {
@@ -162,7 +165,7 @@
 	return 0, len(rest) >= len(sign)
 }
 
-// Kinds of digits: of either case, of lower and of upper case.
+// Kinds of hex digits: decimal digits, lower-case and upper-case letters.
 const anyCase, lowerCase, upperCase = 1, 2, 4
 
 var digitKind = func() (out [256]byte) {
@@ -179,7 +182,7 @@
 	return out
 }()
 
-// hold keeps digits of those kinds.
+// hold stores digits of the given kinds.
 func (l *LargeReader) hold(digits []byte, kinds byte) error {
 	v := &l.value
 	if len(digits) == 0 {
@@ -217,13 +220,14 @@
 	}
 	out, err := hex.AppendDecode(out, digits)
 	if err != nil {
-		return err // digitKind has let none pass that is no digit
+		return err // not reached: digitKind passes hex digits only
 	}
 	v.parts = append(v.parts, out)
 	return nil
 }
 
-// unpack goes over to holding digits: of both cases, they can't be made again from the bytes.
+// unpack replaces the bytes held so far by their digits, as digits of mixed case cannot be restored from
+// bytes.
 func (l *LargeReader) unpack() error {
 	v := &l.value
 	for i, p := range v.parts {
@@ -249,7 +253,7 @@
 	return c - 'a' + 10
 }
 
-// digitsOf appends the digits of a part.
+// digitsOf appends the hex digits of a part.
 func (v *packed) digitsOf(out, part []byte) []byte {
 	if v.raw {
 		return append(out, part...)
@@ -266,10 +270,10 @@
 	return out
 }
 
-// Large says that the statement holds a large value: it is written by WriteQuery alone.
+// Large reports whether the statement has a large value. Only WriteQuery can write such a statement.
 func (s *Statement) Large() bool { return s.value != nil }
 
-// WriteQuery writes a large statement as a query, piece by piece, unchanged but for d.
+// WriteQuery writes a large statement as a Query message in chunks, unchanged except for d.
 func (s *Statement) WriteQuery(w io.Writer, wait time.Duration) error {
 	d := s.Text[s.d0:s.d1]
 	if s.d1 > 0 {
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -1,5 +1,5 @@
-// Package pg speaks version 3 of PostgreSQL's wire protocol as far as simple queries need it, for both ends of a
-// connection: framing, startup, the statements and their comment, and errors.
+// Package pg implements version 3 of the PostgreSQL wire protocol for both ends of a connection: framing,
+// startup, errors, simple and extended queries, and the statements of the platform with their comment.
 package pg
 
 import (
@@ -12,7 +12,8 @@
 	"slices"
 )
 
-// Types of messages, as sent by a client and by a server. Some letters mean different things to the two.
+// Types of frontend messages, then of backend messages. Some letters are used by both with different
+// meanings.
 const (
 	Query     = 'Q'
 	Terminate = 'X'
@@ -42,26 +43,28 @@
 	NoticeResponse     = 'N'
 )
 
-// SmallValue is the size of the largest value that is held whole, in bytes; a larger one is passed on as it comes.
+// SmallValue is the size in bytes of the largest value that is buffered whole; a larger one is streamed.
 const SmallValue = 64 << 10
 
-// MaxMessage bounds the body of a message that is taken whole: a small value in hex and the statement round it.
+// MaxMessage is the maximum length of a message body that is buffered whole: a small value in hex and the
+// statement around it.
 const MaxMessage = 2*SmallValue + 8<<10
 
-// maxSkipped bounds a message whose body is read only to be dropped; a longer one means that framing is lost.
+// maxSkipped limits the length of any message. Bodies up to it can be skipped; a larger length means that
+// framing is lost.
 const maxSkipped = 64 << 20
 
-// ErrFraming says that the stream can't be followed any further.
+// ErrFraming reports that message boundaries are lost, so the stream cannot be read any further.
 var ErrFraming = errors.New("pg: framing lost")
 
-// TooLong says that a message is over the limit; its body has not been read.
+// TooLong reports a message above the limit. Its body has not been read.
 type TooLong struct{ Length int }
 
 func (e TooLong) Error() string { return fmt.Sprintf("pg: message of %d bytes", e.Length) }
 
-// Head reads a message's type and the length of its body.
+// Head reads the type of a message and the length of its body.
 func Head(r *bufio.Reader) (kind byte, length int, err error) {
-	head, err := r.Peek(5) // in the reader's own memory: an array here would be allocated for each message
+	head, err := r.Peek(5) // in the reader's buffer, as an array here would be allocated for each message
 	if err != nil {
 		if err == io.EOF && len(head) > 0 {
 			err = io.ErrUnexpectedEOF
@@ -77,7 +80,7 @@
 	return kind, int(n), nil
 }
 
-// Whole says whether the next message is in the reader's memory to its end, so that reading it waits for nothing.
+// Whole reports whether the next message is completely buffered, so that reading it does not block.
 func Whole(r *bufio.Reader) bool {
 	have := r.Buffered()
 	if have < 5 {
@@ -87,7 +90,8 @@
 	return err == nil && int64(binary.BigEndian.Uint32(head[1:])) <= int64(have-1)
 }
 
-// Body reads the body that Head announced; one that is longer than most is left unread.
+// Body reads the body announced by the head. A body above the limit is left unread, and the error is a
+// TooLong.
 func Body(r *bufio.Reader, length, most int) ([]byte, error) {
 	if length > most {
 		return nil, TooLong{length}
@@ -97,13 +101,13 @@
 	return body, err
 }
 
-// Skip reads past the body that Head announced.
+// Skip discards the body announced by the head.
 func Skip(r *bufio.Reader, length int) error {
 	_, err := io.CopyN(io.Discard, r, int64(length))
 	return err
 }
 
-// Read reads one message whole.
+// Read reads a complete message.
 func Read(r *bufio.Reader, most int) (kind byte, body []byte, err error) {
 	kind, length, err := Head(r)
 	if err == nil {
@@ -112,13 +116,13 @@
 	return kind, body, err
 }
 
-// Append appends a message whose body is the parts.
+// Append appends a message whose body consists of the given parts.
 func Append(out []byte, kind byte, parts ...[]byte) []byte {
 	n := 4
 	for _, p := range parts {
 		n += len(p)
 	}
-	out = slices.Grow(out, n+1) // no copies of large values on the way
+	out = slices.Grow(out, n+1) // a large value must not be copied repeatedly
 	out = binary.BigEndian.AppendUint32(append(out, kind), uint32(n))
 	for _, p := range parts {
 		out = append(out, p...)
@@ -126,7 +130,7 @@
 	return out
 }
 
-// AppendLong appends a message's head and the beginning of its body, of which rest more bytes follow.
+// AppendLong appends the head of a message and the given parts of its body, of which rest more bytes follow.
 func AppendLong(out []byte, kind byte, rest int, parts ...[]byte) []byte {
 	n := 4 + rest
 	for _, p := range parts {
@@ -141,10 +145,10 @@
 
 func cstring(s string) []byte { return append([]byte(s), 0) }
 
-// AppendQuery appends a simple query of a statement that has no comment to fill in.
+// AppendQuery appends a Query message with the given text.
 func AppendQuery(out []byte, statement string) []byte { return Append(out, Query, cstring(statement)) }
 
-// AppendReady appends ReadyForQuery, outside a transaction.
+// AppendReady appends ReadyForQuery with the status I, outside a transaction.
 func AppendReady(out []byte) []byte { return Append(out, ReadyForQuery, []byte{'I'}) }
 
 func appendDescription(out []byte, v Value) []byte {
@@ -153,16 +157,16 @@
 	return Append(out, RowDescription, description)
 }
 
-// AppendRowHead appends the beginning of an answer whose value follows, and then AppendComplete.
+// AppendRowHead appends the beginning of an answer. The value is to follow, and then AppendComplete.
 func AppendRowHead(out []byte, v Value) []byte {
 	row := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(v.Size))
 	return AppendLong(appendDescription(out, v), DataRow, v.Size, row)
 }
 
-// AppendComplete appends the end of an answer.
+// AppendComplete appends CommandComplete with the given tag.
 func AppendComplete(out []byte, tag string) []byte { return Append(out, CommandComplete, cstring(tag)) }
 
-// AppendRow appends the answer to a statement that served one value.
+// AppendRow appends the answer to a statement with one value.
 func AppendRow(out []byte, v Value, tag string) []byte {
 	out = appendDescription(out, v)
 	row := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(v.Data)))
@@ -173,28 +177,29 @@
 	return AppendComplete(out, tag)
 }
 
-// Value is what a statement served: the bytes as a database host gave them and the format it gave them in.
+// Value is the result of a statement in the format that the host sent.
 type Value struct {
-	Data   []byte // nil: null, or one that Rest gives
+	Data   []byte // nil: NULL, or the value is in Rest
 	Format int16  // 0 text, 1 binary
-	Size   int    // with Rest: bytes in all
-	Rest   Rest   // nil: Data is all
+	Size   int    // size in bytes of the value in Rest
+	Rest   Rest   // a large value; nil: Data is the value
 }
 
-// ErrTooOld says that a value, which is whole, proves to be older than its request allows.
+// ErrTooOld reports that a value was received completely but proves to be older than its request allows.
 var ErrTooOld = errors.New("pg: the value is older than its request allows")
 
-// Rest is a large value that is still coming. Whoever is given one closes it.
+// Rest is a large value that is still being received. Its receiver must close it.
 type Rest interface {
-	// Read gives what has come, at least one byte. io.EOF says that the value is whole and that its answer has ended as it
-	// should; ErrTooOld, the same, but it must not be served; any other error, that it never will be.
+	// Read reads at least one byte. It returns io.EOF once the value is complete and its answer has ended
+	// correctly, and ErrTooOld if the value is complete too, but must not be served. After any other error
+	// the value will never be complete.
 	Read(p []byte) (int, error)
 	Close()
 }
 
-// RowFormat reads the format of the one column that a RowDescription names.
+// RowFormat returns the format of the only column in the body of a RowDescription.
 func RowFormat(body []byte) (int16, error) {
-	const fixed = 2 + 1 + 18 // the count, the end of the name, what follows it
+	const fixed = 2 + 1 + 18 // column count, terminator of the name, fixed fields of the column
 	if len(body) < fixed || binary.BigEndian.Uint16(body) != 1 || bytes.IndexByte(body[2:], 0) != len(body)-fixed {
 		return 0, fmt.Errorf("%w: not a row of one column", ErrFraming)
 	}
@@ -205,10 +210,10 @@
 	return format, nil
 }
 
-// rowHead is what comes before the value in a DataRow of one column.
+// rowHead is the number of bytes before the value in a DataRow of one column.
 const rowHead = 6
 
-// RowLength checks what a DataRow with a body of that length starts with, before its value is waited for.
+// RowLength checks the beginning of a DataRow with a body of the given length, before its value is read.
 func RowLength(r *bufio.Reader, length int) error {
 	if length < rowHead {
 		return fmt.Errorf("%w: a row of %d bytes", ErrFraming, length)
@@ -220,7 +225,8 @@
 	return rowLength(head, length)
 }
 
-// RowHead reads what RowLength has checked of a DataRow's body of that length: the size of its value, 0 for null.
+// RowHead checks and skips the beginning of a DataRow with a body of the given length. It returns the size of
+// the value, 0 for NULL.
 func RowHead(r *bufio.Reader, length int) (size int, err error) {
 	if err := RowLength(r, length); err != nil {
 		return 0, err
@@ -237,7 +243,7 @@
 	return nil
 }
 
-// RowData reads the one column of a DataRow; nil is null.
+// RowData returns the value in the body of a DataRow of one column, nil for NULL.
 func RowData(body []byte) ([]byte, error) {
 	if len(body) < rowHead {
 		return nil, fmt.Errorf("%w: a row of %d bytes", ErrFraming, len(body))
@@ -251,7 +257,7 @@
 	return body[rowHead:], nil
 }
 
-// Parameter reads a ParameterStatus.
+// Parameter parses the body of a ParameterStatus.
 func Parameter(body []byte) (name, value string, err error) {
 	fields := splitZero(body)
 	if len(fields) != 2 {
@@ -260,7 +266,7 @@
 	return fields[0], fields[1], nil
 }
 
-// splitZero splits strings that each end in a zero byte.
+// splitZero splits a sequence of zero-terminated strings.
 func splitZero(b []byte) (out []string) {
 	start := 0
 	for i, c := range b {
--- a/internal/wire/pg/startup.go
+++ b/internal/wire/pg/startup.go
@@ -12,25 +12,26 @@
 	codeCancel    = 1234<<16 | 5678
 	codeSSL       = 1234<<16 | 5679
 	codeGSS       = 1234<<16 | 5680
-	maxStartup    = 10000 // as PostgreSQL has it
+	maxStartup    = 10000 // PostgreSQL's limit
 	serverVersion = "15.0 (yokemast)"
 )
 
-// Startup is what a client's first message asks for.
+// Startup is the kind of a client's first message.
 type Startup int
 
 const (
-	StartSession Startup = iota // a session, in a version that is spoken here
-	StartOlder                  // a session in a later minor version: negotiate down
-	StartEncrypt                // SSL or GSS encryption: answer 'N', then read the next one
-	StartCancel                 // a cancel request: there is nothing to answer
+	StartSession Startup = iota // a session of version 3.0
+	StartOlder                  // a session of a later minor version, which is negotiated down to 3.0
+	StartEncrypt                // a request for SSL or GSS encryption; the answer is 'N', then another first message follows
+	StartCancel                 // a cancel request, which has no answer
 )
 
-// Parameters are what a startup message names, as user and database.
+// Parameters are the parameters of a startup message, such as user and database.
 type Parameters map[string]string
 
-// ReadStartup reads a client's first message; parameters come with a session only. An *Error is to be sent before the
-// connection ends.
+// ReadStartup reads the first message of a client. It returns the parameters of a session, or the key of a
+// cancel request under "process" and "secret". An error of type *Error is to be sent to the client before the
+// connection is closed.
 func ReadStartup(r *bufio.Reader) (Startup, Parameters, error) {
 	var head [8]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -63,7 +64,7 @@
 	return StartSession, parameters(body), nil
 }
 
-// CancelKey is the key that a cancel request names.
+// CancelKey returns the key of a cancel request.
 func (p Parameters) CancelKey() (k Key, ok bool) {
 	process, secret := p["process"], p["secret"]
 	if len(process) != 4 || len(secret) != 4 {
@@ -72,7 +73,7 @@
 	return Key{binary.BigEndian.Uint32([]byte(process)), binary.BigEndian.Uint32([]byte(secret))}, true
 }
 
-// parameters reads names and values in turn; of a name that comes twice the last counts, as with PostgreSQL.
+// parameters parses alternating names and values. As in PostgreSQL, the last value of a repeated name counts.
 func parameters(body []byte) Parameters {
 	out := Parameters{}
 	for fields := splitZero(body); len(fields) >= 2 && fields[0] != ""; fields = fields[2:] {
@@ -88,7 +89,7 @@
 	return append(binary.BigEndian.AppendUint32(out, version3), body...)
 }
 
-// AppendWelcome appends all that a server says at the start of a session, ReadyForQuery included.
+// AppendWelcome appends a server's response to a startup message, up to and including ReadyForQuery.
 func AppendWelcome(out []byte, s Startup) []byte {
 	if s == StartOlder {
 		out = Append(out, NegotiateVersion, []byte{0, 3, 0, 0, 0, 0, 0, 0})
--- a/internal/wire/pg/statement.go
+++ b/internal/wire/pg/statement.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Statement is one of the two statements that are taken, with what its comment says.
+// Statement is one of the two kinds of statements that are served, with the values in its comment.
 type Statement struct {
-	Text   []byte // as the client wrote it
+	Text   []byte // as sent by the client, but without a large value
 	Write  bool
-	Key    string // the quoted name
+	Key    string // the quoted name, unescaped
 	ID     string
 	Class  string
-	Wait   time.Duration // the client's, 0 where it names none
+	Wait   time.Duration // remaining wait of the client; 0: not stated
 	Group  int
-	After  time.Duration // the Unix time that a read must see, 0 where it names none
+	After  time.Duration // position that a read must see, as Unix time; 0: not stated
 	Retry  bool
-	Tenant string // "" where it names none
-	d0, d1 int    // where Text holds the value of d
+	Tenant string // "": not stated
+	d0, d1 int    // start and end of the value of d in Text; 0: the comment has no d
 
-	value   *packed // a large one, which Text lacks; nil: Text is all
-	valueAt int     // where it stands in Text
+	value   *packed // large value that Text lacks; nil: none
+	valueAt int     // offset of the value in Text
 }
 
 const (
@@ -36,8 +36,8 @@
 
 func syntax(what string) *Error { return &Error{Code: CodeSyntax, Message: what} }
 
-// ParseStatement reads a statement and its comment. A statement of any other form is an error: a database host
-// would answer it as if the gateway had made it up.
+// ParseStatement parses a statement and its comment. A statement of any other form is an error: a host would
+// answer it as a fault of the gateway.
 func ParseStatement(text []byte) (*Statement, *Error) {
 	s, rest, ok := &Statement{Text: text}, text, false
 	if rest, ok = bytes.CutPrefix(text, []byte(selectHead)); ok {
@@ -74,7 +74,7 @@
 	return s, s.comment(string(comment), len(text)-len(" */")-len(comment))
 }
 
-// comment reads the names and values; at is where the comment starts in the text.
+// comment parses the names and values of the comment, which starts at offset at of the text.
 func (s *Statement) comment(comment string, at int) *Error {
 	seen := map[string]bool{}
 	for field := range strings.SplitSeq(comment, ",") {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// AppendQuery appends the statement as a query, unchanged but for d, which says how long its sender will wait.
+// AppendQuery appends the statement as a Query message, unchanged except for d, the sender's remaining wait.
 func (s *Statement) AppendQuery(out []byte, wait time.Duration) []byte {
 	if s.d1 == 0 {
 		return Append(out, Query, s.Text, []byte{0})
@@ -133,7 +133,7 @@
 	return Append(out, Query, s.Text[:s.d0], d, s.Text[s.d1:], []byte{0})
 }
 
-// Tag is the command tag that an answer carries.
+// Tag returns the command tag of the statement's answer.
 func (s *Statement) Tag() string {
 	if s.Write {
 		return "INSERT 0 1"
@@ -141,7 +141,8 @@
 	return "SELECT 1"
 }
 
-// quoted reads a string constant, in which a doubled quote stands for one.
+// quoted parses a string constant, in which a doubled quote stands for a single one, and returns the rest of
+// the input.
 func quoted(b []byte) (string, []byte, bool) {
 	if len(b) == 0 || b[0] != '\'' {
 		return "", b, false
--- a/internal/wire/socket/socket.go
+++ b/internal/wire/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at connections below the protocols spoken on them.
+// Package socket inspects and configures sockets below the protocols spoken on them.
 package socket
 
 import (
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// peeks is how often a connection is looked at while the call fails for a moment.
+// peeks limits the repetitions of a system call that fails with a transient error.
 const peeks = 5
 
-// peek looks at what the other end of a connection has written that is still unread, at one byte of it, and does not wait: 0 without an
-// error means that it has ended its sending, syscall.EAGAIN that there is nothing.
+// peek looks at the next unread byte of a connection without blocking. It returns 0 and no error at the end
+// of the stream, and syscall.EAGAIN if nothing is unread.
 func peek(c syscall.Conn) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -22,7 +22,7 @@
 		for range peeks {
 			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			if err == syscall.EAGAIN || !Transient(err) {
-				return // else the call failed for a moment, which says nothing of the connection
+				return // any other transient error says nothing about the connection
 			}
 		}
 	})
@@ -32,21 +32,21 @@
 	return n, err
 }
 
-// Quiet says whether the other end of a connection has neither closed it nor written anything that is still unread.
-// It does not wait.
+// Quiet reports whether the peer of a connection has neither closed it nor sent anything that is still
+// unread. It does not block.
 func Quiet(c syscall.Conn) bool {
 	_, err := peek(c)
 	return err == syscall.EAGAIN
 }
 
-// Ended says whether the other end of a connection has ended its sending, or reset it, and nothing unread lies before that. It does not
-// wait.
+// Ended reports whether the peer has ended or reset the connection and no unread data precedes that. It does
+// not block.
 func Ended(c syscall.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n == 0 || err != nil && !Transient(err)
 }
 
-// Waiting says whether a connection waits to be accepted at a listener. It does not wait, whatever the deadline.
+// Waiting reports whether a connection is queued at a listener. It does not block, whatever the deadline.
 func Waiting(l syscall.Conn) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -65,8 +65,8 @@
 	return err == nil && waiting
 }
 
-// ReadArrived reads what has arrived on a connection, without waiting and whatever its deadline. It gives 0 where nothing has, or the
-// connection has ended.
+// ReadArrived reads what has arrived on a connection, without blocking and whatever the deadline. It returns
+// 0 if nothing has, or if the connection has ended.
 func ReadArrived(c syscall.Conn, p []byte) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -83,7 +83,7 @@
 	return max(n, 0)
 }
 
-// Unsent is how many bytes that were written the other end has not acknowledged yet; 0 where that is not known.
+// Unsent returns the number of bytes written that the peer has not acknowledged yet, or 0 if unknown.
 func Unsent(c syscall.Conn) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -96,7 +96,8 @@
 	return n
 }
 
-// Share lets several processes of one user listen at the same address. It is the Control of a net.ListenConfig.
+// Share sets SO_REUSEPORT, so that several processes of one user can listen on the same address. It is to be
+// used as the Control function of a net.ListenConfig.
 func Share(_, _ string, c syscall.RawConn) error {
 	var bad error
 	if err := c.Control(func(fd uintptr) { bad = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); err != nil {
--- a/internal/wire/socket/transient.go
+++ b/internal/wire/socket/transient.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// firstRetry and lastRetry are the pauses between attempts at a call that failed for a moment.
+	// firstRetry is the first pause between retries of a call that failed with a transient error. The pause
+	// doubles up to lastRetry.
 	firstRetry = 2 * time.Millisecond
 	lastRetry  = 50 * time.Millisecond
 )
 
-// steadyCalls is how often a read or a write is tried.
+// steadyCalls limits the calls for one read or write.
 const steadyCalls = 10
 
-// transient are errors of system calls that tell of this machine's own state, and may be gone the next moment.
+// transient are errors of system calls that depend on the local machine and may not recur.
 var transient = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR}
 
-// Transient says that an error is of this machine's own state, not of the other end's, and may be gone the next moment.
+// Transient reports whether an error is due to the local machine, not to the peer, and may not recur.
 func Transient(err error) bool {
 	for _, t := range transient {
 		if errors.Is(err, t) {
@@ -31,7 +32,8 @@
 	return false
 }
 
-// Retry calls f until it succeeds, fails with an error that is not transient, or the time is over; then the last error counts.
+// Retry calls f until it succeeds, fails with an error that is not transient, or the time is over. It returns
+// the last result.
 func Retry[T any](ctx context.Context, within time.Duration, f func() (T, error)) (T, error) {
 	end := time.Now().Add(within)
 	for pause := firstRetry; ; pause = min(2*pause, lastRetry) {
@@ -47,11 +49,11 @@
 	}
 }
 
-// listenWithin is how long opening an address may take while calls fail for a moment: a process that starts just then must not
-// end, and is to be ready soon after.
+// listenWithin limits the retries to listen on an address: a process must not fail at its start because of a
+// transient error, and has to be ready soon after.
 const listenWithin = 5 * time.Second
 
-// Listen opens an address for connections.
+// Listen listens for TCP connections on an address.
 func Listen(ctx context.Context, config *net.ListenConfig, address string) (*net.TCPListener, error) {
 	l, err := Retry(ctx, listenWithin, func() (net.Listener, error) { return config.Listen(ctx, "tcp", address) })
 	if err != nil {
@@ -60,7 +62,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// ListenPacket opens an address for datagrams over IPv4.
+// ListenPacket listens for UDP datagrams over IPv4 on an address.
 func ListenPacket(ctx context.Context, config *net.ListenConfig, address string) (*net.UDPConn, error) {
 	c, err := Retry(ctx, listenWithin, func() (net.PacketConn, error) { return config.ListenPacket(ctx, "udp4", address) })
 	if err != nil {
@@ -69,10 +71,11 @@
 	return c.(*net.UDPConn), nil
 }
 
-// Steady is a connection whose reads and writes go on where a call fails for a moment with nothing wrong on the connection.
+// Steady is a connection whose reads and writes are retried after a transient error, which is not a fault of
+// the connection.
 type Steady struct{ net.Conn }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (s Steady) Read(b []byte) (int, error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Read(b)
@@ -83,7 +86,7 @@
 	}
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (s Steady) Write(b []byte) (written int, err error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Write(b[written:])
