--- a/internal/wire/frontend/accept_end_test.go
+++ b/internal/wire/frontend/accept_deadline_test.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-func TestAStallAtTheEndOfAcceptingLosesNoConnection(t *testing.T) {
+// A process that stalls past the deadline of its listener still accepts the connections queued there.
+func TestAcceptAfterStallPastDeadline(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, ctx, n := waiting(t, l)
-	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Millisecond)) // as the process does at its end
-	time.Sleep(40 * time.Millisecond)                                           // it is held up
+	s, ctx, n := startWithQueuedClient(t, l)
+	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Millisecond)) // as the process does at its shutdown
+	time.Sleep(40 * time.Millisecond)                                           // the process stalls
 	go func() {
 		s.Accept(ctx, l)
 		l.Close()
 	}()
 	if _, err := n.Read(make([]byte, 1)); err != nil {
-		t.Errorf("a connection that this machine had accepted, with a request on it: %v", err)
+		t.Errorf("queued connection with a request: %v", err)
 	}
 }
 
-// refilled is a listener at which a further connection waits after each that is accepted.
-type refilled struct {
+// refillingListener is a listener at which another connection is queued after each accept.
+type refillingListener struct {
 	*net.TCPListener
 	t        *testing.T
 	accepted func()
 }
 
-func (r *refilled) dial() {
+func (r *refillingListener) dial() {
 	n, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		r.t.Error(err)
@@ -40,7 +41,7 @@
 	r.t.Cleanup(func() { n.Close() })
 }
 
-func (r *refilled) Accept() (net.Conn, error) {
+func (r *refillingListener) Accept() (net.Conn, error) {
 	n, err := r.TCPListener.Accept()
 	if err == nil {
 		r.dial()
@@ -49,19 +50,21 @@
 	return n, err
 }
 
-func TestAcceptingPastTheDeadlineEndsWithTheContextOrWhereOthersAcceptWhatWaits(t *testing.T) {
-	for _, leaves := range []bool{false, true} {
+// Past the deadline of its listener, Accept ends with the context, or at once if queued connections are left
+// to another process.
+func TestAcceptPastDeadlineEnds(t *testing.T) {
+	for _, leave := range []bool{false, true} {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer tcp.Close()
-		s := newAcceptor(&fake{})
-		s.Leave(leaves)
+		s := newAcceptor(&fakeExchange{})
+		s.Leave(leave)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		accepted := 0
-		l := &refilled{TCPListener: tcp.(*net.TCPListener), t: t}
+		l := &refillingListener{TCPListener: tcp.(*net.TCPListener), t: t}
 		l.accepted = func() {
 			if accepted++; accepted == 20 {
 				stop()
@@ -73,11 +76,11 @@
 		go func() { defer close(done); s.Accept(ctx, l) }()
 		select {
 		case <-done:
-		case <-time.After(patience):
-			t.Fatal("it goes on accepting")
+		case <-time.After(testTimeout):
+			t.Fatal("Accept does not return")
 		}
-		if leaves && accepted != 0 || !leaves && accepted < 20 {
-			t.Errorf("leaves %t: %d accepted", leaves, accepted)
+		if leave && accepted != 0 || !leave && accepted < 20 {
+			t.Errorf("leave queued %t: %d accepted", leave, accepted)
 		}
 		l.Close()
 		stop()
--- a/internal/wire/frontend/commands.go
+++ b/internal/wire/frontend/commands.go
@@ -11,105 +11,105 @@
 
 // command is one unit of input that needs an answer.
 type command struct {
-	statement *pg.Statement // statement to execute
-	arrived   time.Duration
-	size      int             // length of the statement's text in bytes
-	held      int             // bytes held of the statement budget
-	holding   *budget.Holding // memory held for a large statement; nil: none
-	empty     bool            // an empty query
-	err       *pg.Error       // error to answer with, without execution
-	sync      bool            // answered by ReadyForQuery alone
-	batch     *relay.Batch    // messages of a general SQL session
-	ready     bool            // ReadyForQuery follows err
+	statement    *pg.Statement // statement to execute
+	arrived      time.Duration
+	size         int             // length of the statement's text in bytes
+	held         int             // bytes held of the statement budget
+	largeHolding *budget.Holding // memory held for a large statement; nil: none
+	empty        bool            // an empty query
+	err          *pg.Error       // error to answer with, without execution
+	readyOnly    bool            // answered by ReadyForQuery alone
+	batch        *relay.Batch    // messages of a general SQL session
+	readyFollows bool            // ReadyForQuery follows err
 }
 
-// next reads one message and queues the commands that answer it.
-func (c *session) next() error {
+// readMessage reads one message and queues the commands that answer it.
+func (c *session) readMessage() error {
 	kind, length, err := pg.Head(c.in)
 	if err != nil {
 		return err
 	}
-	c.pace(length)
-	bad := func(code, message string) *pg.Error {
+	c.setBodyDeadline(length)
+	badMessage := func(code, message string) *pg.Error {
 		c.s.cfg.Counters.BadMessages.Add(1)
 		return &pg.Error{Code: code, Message: message}
 	}
 	if c.general != nil {
-		return c.general.next(kind, length, bad)
+		return c.general.readMessage(kind, length, badMessage)
 	}
 	switch kind {
 	case pg.Query:
-		return c.query(length, bad)
+		return c.readQuery(length, badMessage)
 	case pg.Terminate:
 		return io.EOF
 	case pg.Sync:
 		c.skipping = false
-		return c.skip(length, command{sync: true})
+		return c.skipBody(length, command{readyOnly: true})
 	case pg.Parse, pg.Bind, pg.Describe, pg.Execute, pg.Close:
 		if c.skipping {
-			return c.skip(length)
+			return c.skipBody(length)
 		}
 		c.skipping = true
-		return c.skip(length, command{err: bad(pg.CodeNotSupported, "the extended query protocol is not supported")})
+		return c.skipBody(length, command{err: badMessage(pg.CodeNotSupported, "the extended query protocol is not supported")})
 	case pg.Function:
-		return c.skip(length, command{err: bad(pg.CodeNotSupported, "function calls are not supported")},
-			command{sync: true})
+		return c.skipBody(length, command{err: badMessage(pg.CodeNotSupported, "function calls are not supported")},
+			command{readyOnly: true})
 	case pg.Flush, pg.CopyData, pg.CopyDone, pg.CopyFail:
-		return c.skip(length) // ignored outside COPY, as PostgreSQL does
+		return c.skipBody(length) // ignored outside COPY, as PostgreSQL does
 	case pg.Password:
-		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "no password was asked for")},
-			command{sync: true})
+		return c.skipBody(length, command{err: badMessage(pg.CodeProtocolViolation, "no password was asked for")},
+			command{readyOnly: true})
 	}
 	return pg.ErrFraming // unknown type: fail at once, as the announced length may never arrive
 }
 
-// skip discards a message body. The first answer is queued before that, as the body may take long or never
+// skipBody discards a message body. The first answer is queued before that, as the body may take long or never
 // arrive.
-func (c *session) skip(length int, answers ...command) error {
+func (c *session) skipBody(length int, answers ...command) error {
 	if len(answers) > 0 {
-		c.queue(answers[0])
+		c.enqueue(answers[0])
 		answers = answers[1:]
 	}
 	if err := pg.Skip(c.in, length); err != nil {
 		return err
 	}
 	for _, a := range answers {
-		c.queue(a)
+		c.enqueue(a)
 	}
 	return nil
 }
 
-// query reads the body of a Query message.
-func (c *session) query(length int, bad func(code, message string) *pg.Error) error {
+// readQuery reads the body of a Query message.
+func (c *session) readQuery(length int, badMessage func(code, message string) *pg.Error) error {
 	var cmd command
 	switch {
 	case c.skipping:
-		return c.skip(length)
+		return c.skipBody(length)
 	case length > pg.MaxMessage && length <= pg.MaxLarge:
-		return c.large(length, bad)
+		return c.readLargeQuery(length, badMessage)
 	case length > pg.MaxLarge:
-		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "message too long")}, command{sync: true})
-	case length > largeBody && !c.s.bytes.take(length):
-		return c.skip(length, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())},
-			command{sync: true})
-	case length > largeBody:
+		return c.skipBody(length, command{err: badMessage(pg.CodeProtocolViolation, "message too long")}, command{readyOnly: true})
+	case length > minCountedBody && !c.s.statementBudget.acquire(length):
+		return c.skipBody(length, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())},
+			command{readyOnly: true})
+	case length > minCountedBody:
 		cmd.held = length
 	}
 	body, err := pg.Body(c.in, length, length)
 	if err != nil {
-		c.s.bytes.give(cmd.held)
+		c.s.statementBudget.release(cmd.held)
 		return err
 	}
-	cmd.arrived, cmd.ready, cmd.size = c.s.cfg.Clock.Now(), true, length
+	cmd.arrived, cmd.readyFollows, cmd.size = c.s.cfg.Clock.Now(), true, length
 	if len(body) == 0 || body[len(body)-1] != 0 {
-		cmd.err = bad(pg.CodeProtocolViolation, "the query does not end in a zero byte")
+		cmd.err = badMessage(pg.CodeProtocolViolation, "the query does not end in a zero byte")
 	} else if body = body[:len(body)-1]; blank(body) {
 		cmd.empty = true
 	} else if cmd.statement, cmd.err = pg.ParseStatement(body); cmd.err != nil {
 		c.s.cfg.Counters.BadStatements.Add(1)
 		cmd.statement = nil
 	}
-	c.queue(cmd)
+	c.enqueue(cmd)
 	return nil
 }
 
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -21,10 +21,12 @@
 
 // Pool configures the general SQL sessions of a user or database.
 type Pool struct {
-	Name             string
-	Mode             pooling.Mode
-	Group            int
-	Read, Own, Write string        // classes of reads, of reads after a write of the same session, and of everything that may write
+	Name  string
+	Mode  pooling.Mode
+	Group int
+	// Read, Own and Write are the classes of reads, of reads after a write of the same session, and of
+	// everything that may write.
+	Read, Own, Write string
 	Transaction      time.Duration // maximum duration of a transaction, from its first statement
 	Idle             time.Duration // maximum idle time within a transaction
 	MaxBatch         int           // maximum size of a buffered pipeline in bytes
@@ -40,38 +42,40 @@
 	Lost, Cancels                           atomic.Int64
 }
 
-// overPool is the retryAfter of a request refused because its pool holds the maximum number of host
+// poolLimitRetryAfter is the retryAfter of a request refused because its pool holds the maximum number of host
 // connections.
-const overPool = 50 * time.Millisecond
+const poolLimitRetryAfter = 50 * time.Millisecond
 
-// sessionLease limits how long a session may keep its host connection.
-const sessionLease = 24 * time.Hour
+// maxSessionCheckout limits how long a session may keep its host connection.
+const maxSessionCheckout = 24 * time.Hour
 
-// general is the state of a general SQL session. The reader collects batches, the other goroutine executes
+// generalSession is the state of a general SQL session. The reader collects batches, the other goroutine executes
 // them.
-type general struct {
+type generalSession struct {
 	c     *session
 	pool  *Pool
 	state *pooling.Session
 	key   pg.Key
 
-	batch *relay.Batch // batch being collected
-	bytes int          // size of batch
-	held  int          // bytes held of the statement budget
+	batch      *relay.Batch // batch being collected
+	batchBytes int          // size of batch
+	heldBytes  int          // bytes held of the statement budget
 
-	lease   *relay.Lease // checked-out connection that is kept between batches; nil: none
-	request *exchange.Request
-	answers chan exchange.Answer
-	skip    bool          // after an error, messages up to the next Sync are skipped
-	wrote   time.Duration // position of the session's last write by the fleet's clock; negative: unknown, 0: none
-	free    time.Duration // end of the last batch without checkout; the next one cannot arrive before it, as clients state no wait
-	running atomic.Pointer[relay.Lease]
+	checkout  *relay.Lease // checked-out connection that is kept between batches; nil: none
+	request   *exchange.Request
+	answers   chan exchange.Answer
+	skipping  bool          // after an error, messages up to the next Sync are skipped
+	lastWrite time.Duration // position of the session's last write by the fleet's clock; negative: unknown, 0: none
+	// freeSince is the end of the last batch after which no connection was kept. Clients of general SQL state
+	// no wait, so the time of the next batch starts there at the earliest.
+	freeSince time.Duration
+	running   atomic.Pointer[relay.Lease]
 }
 
-func newGeneral(c *session, p *Pool, parameters pg.Parameters) *general {
+func newGeneralSession(c *session, p *Pool, parameters pg.Parameters) *generalSession {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
-	g := &general{c: c, pool: p, state: pooling.NewSession(parameters),
+	g := &generalSession{c: c, pool: p, state: pooling.NewSession(parameters),
 		key: pg.Key{Process: binary.BigEndian.Uint32(b[:]), Secret: binary.BigEndian.Uint32(b[4:])}}
 	p.Stats.Sessions.Add(1)
 	return g
@@ -84,11 +88,11 @@
 	s.keys[c.general.key] = c
 }
 
-var errClient = errors.New("frontend: write to the client failed")
+var errClientWrite = errors.New("frontend: write to the client failed")
 
-func (g *general) write(b []byte) error {
+func (g *generalSession) write(b []byte) error {
 	if !g.c.write(b) {
-		return errClient
+		return errClientWrite
 	}
 	return nil
 }
@@ -107,27 +111,27 @@
 	}
 }
 
-// next reads one message into the batch, and queues the batch at its end.
-func (g *general) next(kind byte, length int, bad func(code, message string) *pg.Error) error {
+// readMessage reads one message into the batch, and queues the batch at its end.
+func (g *generalSession) readMessage(kind byte, length int, badMessage func(code, message string) *pg.Error) error {
 	c := g.c
 	refuse := func(e *pg.Error) error {
-		c.s.bytes.give(g.held)
-		g.batch, g.bytes, g.held = nil, 0, 0
+		c.s.statementBudget.release(g.heldBytes)
+		g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
 		c.skipping = kind != pg.Query
 		if kind == pg.Query || kind == pg.Function {
-			return c.skip(length, command{err: e}, command{sync: true})
+			return c.skipBody(length, command{err: e}, command{readyOnly: true})
 		}
-		return c.skip(length, command{err: e})
+		return c.skipBody(length, command{err: e})
 	}
 	switch kind {
 	case pg.Terminate:
 		return io.EOF
 	case pg.Function:
-		return refuse(bad(pg.CodeNotSupported, "function calls are not supported"))
+		return refuse(badMessage(pg.CodeNotSupported, "function calls are not supported"))
 	case pg.CopyData, pg.CopyDone, pg.CopyFail:
-		return c.skip(length) // ignored outside COPY, as PostgreSQL does
+		return c.skipBody(length) // ignored outside COPY, as PostgreSQL does
 	case pg.Password:
-		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "no password was asked for")}, command{sync: true})
+		return c.skipBody(length, command{err: badMessage(pg.CodeProtocolViolation, "no password was asked for")}, command{readyOnly: true})
 	case pg.Query, pg.Parse, pg.Bind, pg.Describe, pg.Execute, pg.Close, pg.Flush, pg.Sync:
 	default:
 		return pg.ErrFraming
@@ -135,21 +139,21 @@
 	if c.skipping {
 		if kind == pg.Sync {
 			c.skipping = false
-			return c.skip(length, command{sync: true})
+			return c.skipBody(length, command{readyOnly: true})
 		}
-		return c.skip(length)
+		return c.skipBody(length)
 	}
-	if kind == pg.Bind && length > streamFrom && length <= g.pool.MaxMessage {
-		return g.stream(length, bad)
+	if kind == pg.Bind && length > minStreamedBind && length <= g.pool.MaxMessage {
+		return g.streamBind(length, badMessage)
 	}
-	if g.bytes+length > g.pool.MaxBatch {
-		return refuse(bad("54000", "the message or the pipeline is too long"))
+	if g.batchBytes+length > g.pool.MaxBatch {
+		return refuse(badMessage("54000", "the message or the pipeline is too long"))
 	}
-	if length > largeBody {
-		if !c.s.bytes.take(length) {
+	if length > minCountedBody {
+		if !c.s.statementBudget.acquire(length) {
 			return refuse(pg.Refusal("no memory for the statement", c.s.retryAfter()))
 		}
-		g.held += length
+		g.heldBytes += length
 	}
 	body, err := pg.Body(c.in, length, length)
 	if err != nil {
@@ -159,70 +163,70 @@
 		g.batch = &relay.Batch{}
 	}
 	g.batch.Messages = append(g.batch.Messages, relay.Message{Kind: kind, Body: body})
-	g.bytes += length + 5
+	g.batchBytes += length + 5
 	if kind == pg.Query || kind == pg.Sync || kind == pg.Flush {
 		g.batch.Ends = kind != pg.Flush
-		cmd := command{batch: g.batch, held: g.held, arrived: c.s.cfg.Clock.Now()}
-		g.batch, g.bytes, g.held = nil, 0, 0
-		c.queue(cmd)
+		cmd := command{batch: g.batch, held: g.heldBytes, arrived: c.s.cfg.Clock.Now()}
+		g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
+		c.enqueue(cmd)
 	}
 	return nil
 }
 
-// streamFrom is the length in bytes from which on a Bind is streamed, piece the size of a chunk.
+// minStreamedBind is the length in bytes above which a Bind is streamed, in chunks of chunkSize bytes.
 const (
-	streamFrom = 64 << 10
-	piece      = 32 << 10
+	minStreamedBind = 64 << 10
+	chunkSize       = 32 << 10
 )
 
-// stream forwards a long Bind in chunks as it arrives. The batch collected so far is queued with it.
-func (g *general) stream(length int, bad func(code, message string) *pg.Error) error {
+// streamBind forwards a long Bind in chunks as it arrives. The batch collected so far is queued with it.
+func (g *generalSession) streamBind(length int, badMessage func(code, message string) *pg.Error) error {
 	c := g.c
 	head, err := c.in.Peek(min(length, c.in.Size()))
 	if err != nil {
 		return err
 	}
-	names := bytes.IndexByte(head, 0) + 1
-	if n := bytes.IndexByte(head[names:], 0) + 1; names > 0 && n > 0 {
-		names += n
+	namesLen := bytes.IndexByte(head, 0) + 1
+	if n := bytes.IndexByte(head[namesLen:], 0) + 1; namesLen > 0 && n > 0 {
+		namesLen += n
 	} else {
 		c.skipping = true
-		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "the names in a Bind are too long")})
+		return c.skipBody(length, command{err: badMessage(pg.CodeProtocolViolation, "the names in a Bind are too long")})
 	}
-	if !c.s.bytes.take(2 * piece) {
+	if !c.s.statementBudget.acquire(2 * chunkSize) {
 		c.skipping = true
-		return c.skip(length, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())})
+		return c.skipBody(length, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())})
 	}
-	defer c.s.bytes.give(2 * piece)
-	rest := relay.NewStream(length - names)
-	m := relay.Message{Kind: pg.Bind, Body: bytes.Clone(head[:names]), Rest: rest}
-	_, _ = c.in.Discard(names)
+	defer c.s.statementBudget.release(2 * chunkSize)
+	rest := relay.NewStream(length - namesLen)
+	m := relay.Message{Kind: pg.Bind, Body: bytes.Clone(head[:namesLen]), Rest: rest}
+	_, _ = c.in.Discard(namesLen)
 	if g.batch == nil {
 		g.batch = &relay.Batch{}
 	}
 	g.batch.Messages, g.batch.Part = append(g.batch.Messages, m), true
-	cmd := command{batch: g.batch, held: g.held, arrived: c.s.cfg.Clock.Now()}
-	g.batch, g.bytes, g.held = nil, 0, 0
-	c.queue(cmd)
+	cmd := command{batch: g.batch, held: g.heldBytes, arrived: c.s.cfg.Clock.Now()}
+	g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
+	c.enqueue(cmd)
 	defer rest.End()
-	wanted, buffers := true, [2][]byte{make([]byte, piece), make([]byte, piece)}
-	for left, i := length-names, 0; left > 0; i = 1 - i {
-		c.readBy(messageWithin) // a deadline for each chunk, as the whole message may take longer
-		b := buffers[i][:min(left, piece)]
+	accepted, buffers := true, [2][]byte{make([]byte, chunkSize), make([]byte, chunkSize)}
+	for remaining, i := length-namesLen, 0; remaining > 0; i = 1 - i {
+		c.setReadTimeout(progressTimeout) // a deadline for each chunk, as the whole message may take longer
+		b := buffers[i][:min(remaining, chunkSize)]
 		if _, err := io.ReadFull(c.in, b); err != nil {
 			return err
 		}
-		left -= len(b)
-		wanted = wanted && rest.Put(b)
+		remaining -= len(b)
+		accepted = accepted && rest.Put(b)
 	}
 	c.mu.Lock()
-	c.timed = true // makes between clear the deadline
+	c.hasDeadline = true // makes messageDone clear the deadline
 	c.mu.Unlock()
 	return nil
 }
 
-// commands returns the commands of a batch, as far as its text is known, and the text of the last statement.
-func (g *general) commands(b *relay.Batch) (out []pooling.Command, text string) {
+// scanCommands returns the commands of a batch, as far as its text is known, and the text of the last statement.
+func (g *generalSession) scanCommands(b *relay.Batch) (out []pooling.Command, text string) {
 	for _, m := range b.Messages {
 		switch m.Kind {
 		case pg.Query:
@@ -249,8 +253,8 @@
 	return out, text
 }
 
-// comment parses the name=value pairs in the last comment of a statement.
-func comment(text string) map[string]string {
+// parseComment parses the name=value pairs in the last comment of a statement.
+func parseComment(text string) map[string]string {
 	out := map[string]string{}
 	start, end := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
 	if start < 0 || end < start {
@@ -264,37 +268,37 @@
 	return out
 }
 
-var leases atomic.Int64
+var requestIDs atomic.Int64
 
 // answer executes a batch and writes its answer. It returns false if the session ends.
-func (g *general) answer(ctx context.Context, cmd command) bool {
+func (g *generalSession) answer(ctx context.Context, cmd command) bool {
 	c, b := g.c, cmd.batch
 	g.pool.Stats.Batches.Add(1)
-	if g.skip {
+	if g.skipping {
 		// Messages after an error are skipped up to the Sync, as PostgreSQL does.
 		b.Discard()
-		if g.skip = b.Messages[len(b.Messages)-1].Kind != pg.Sync; g.skip {
+		if g.skipping = b.Messages[len(b.Messages)-1].Kind != pg.Sync; g.skipping {
 			return true
 		}
 		return c.write(pg.AppendReadyAs(nil, g.state.Status))
 	}
 	defer b.Discard()
 	var text string
-	b.Commands, text = g.commands(b)
+	b.Commands, text = g.scanCommands(b)
 	for _, x := range b.Commands {
 		if x.Kind == pooling.Copy {
-			return g.say(b, &pg.Error{Code: pg.CodeNotSupported, Message: "COPY is not carried"})
+			return g.writeError(b, &pg.Error{Code: pg.CodeNotSupported, Message: "COPY is not carried"})
 		}
 	}
 	last := b.Messages[len(b.Messages)-1].Kind
 	begins, readOnly := b.Begins()
 	switch {
-	case len(b.Messages) == 1 && last == pg.Sync && g.lease == nil:
+	case len(b.Messages) == 1 && last == pg.Sync && g.checkout == nil:
 		return c.write(pg.AppendReady(nil))
-	case len(b.Messages) == 1 && last == pg.Query && len(b.Commands) == 1 && b.Commands[0].Kind == pooling.Empty && g.lease == nil:
+	case len(b.Messages) == 1 && last == pg.Query && len(b.Commands) == 1 && b.Commands[0].Kind == pooling.Empty && g.checkout == nil:
 		select {
 		case <-c.s.ready:
-		case <-c.closed:
+		case <-c.disconnected:
 			return false
 		case <-ctx.Done():
 			return false
@@ -306,33 +310,33 @@
 		g.state.Close(b.Commands[0].Name)
 		return c.write(pg.AppendReadyAs(pg.Append(nil, pg.CommandComplete, []byte("DEALLOCATE\x00")), g.state.Status))
 	case begins && g.pool.Mode == pooling.ByStatement:
-		return g.say(b, &pg.Error{Code: pg.CodeNotSupported, Message: "this pool carries no transactions"})
+		return g.writeError(b, &pg.Error{Code: pg.CodeNotSupported, Message: "this pool carries no transactions"})
 	}
-	if g.lease != nil {
-		g.lease.Next(b)
-		return g.wait(ctx, b, false)
+	if g.checkout != nil {
+		g.checkout.Next(b)
+		return g.awaitBatch(ctx, b, false)
 	}
-	said := comment(text)
+	hints := parseComment(text)
 	write := b.Writes() || begins && !readOnly
 	class := g.pool.Read
 	switch {
 	case write:
 		class = g.pool.Write
-	case g.wrote != 0:
+	case g.lastWrite != 0:
 		class = g.pool.Own
 	}
-	if said["c"] != "" && !write {
-		class = said["c"]
+	if hints["c"] != "" && !write {
+		class = hints["c"]
 	}
 	group := g.pool.Group
-	if n, err := strconv.Atoi(said["cluster"]); err == nil {
+	if n, err := strconv.Atoi(hints["cluster"]); err == nil {
 		group = n
 	}
-	r := &exchange.Request{ID: fmt.Sprintf("general-%d", leases.Add(1)), User: c.user, Tenant: said["tenant"], Class: class, Session: c.user,
-		Group: group, Write: write, Arrived: max(cmd.arrived, g.free)}
-	if g.wrote > 0 {
-		r.After = g.wrote
-	} else if g.wrote < 0 {
+	r := &exchange.Request{ID: fmt.Sprintf("general-%d", requestIDs.Add(1)), User: c.user, Tenant: hints["tenant"], Class: class, Session: c.user,
+		Group: group, Write: write, Arrived: max(cmd.arrived, g.freeSince)}
+	if g.lastWrite > 0 {
+		r.After = g.lastWrite
+	} else if g.lastWrite < 0 {
 		r.After = c.s.cfg.Clock.MaxFleetTime() // it wrote, and the host did not state the position
 	}
 	pins := false
@@ -342,21 +346,21 @@
 	if pins || begins || g.pool.Mode == pooling.BySession || !b.Ends {
 		r.Checkout = g.pool.Transaction
 		if pins || g.pool.Mode == pooling.BySession {
-			r.Checkout = sessionLease
+			r.Checkout = maxSessionCheckout
 		}
 	}
 	if m := int64(g.pool.Most); m > 0 && g.pool.Stats.Leased.Load() >= m {
-		r.QuotaRetryAfter = overPool
+		r.QuotaRetryAfter = poolLimitRetryAfter
 	}
 	if begins {
 		g.pool.Stats.Transactions.Add(1)
 	}
-	l := relay.New(g.state, g.pool.Mode, g.write, b)
-	l.Idle = g.pool.Idle
-	if !write && r.Checkout == 0 && g.wrote > 0 {
-		l.MustSee = g.wrote
+	checkout := relay.New(g.state, g.pool.Mode, g.write, b)
+	checkout.Idle = g.pool.Idle
+	if !write && r.Checkout == 0 && g.lastWrite > 0 {
+		checkout.MustSee = g.lastWrite
 	}
-	l.Pinned = func(p pooling.Pin) {
+	checkout.Pinned = func(p pooling.Pin) {
 		for i := range g.pool.Stats.Pins {
 			if p&(1<<i) != 0 {
 				g.pool.Stats.Pins[i].Add(1)
@@ -364,21 +368,21 @@
 		}
 	}
 	g.answers = make(chan exchange.Answer, 1)
-	r.Command, r.Answer, r.ClientDisconnected = l, g.answers, c.gone
+	r.Command, r.Answer, r.ClientDisconnected = checkout, g.answers, c.clientDisconnected
 	g.request = r
-	g.hold(l)
+	g.setCheckout(checkout)
 	c.s.x.Submit(r)
-	return g.wait(ctx, b, true)
+	return g.awaitBatch(ctx, b, true)
 }
 
-// hold sets the checked-out connection, or clears it for nil. A session that has one counts as busy.
-func (g *general) hold(l *relay.Lease) {
-	if (g.lease == nil) == (l == nil) {
-		g.lease = l
+// setCheckout sets the checked-out connection, or clears it for nil. A session that has one counts as busy.
+func (g *generalSession) setCheckout(checkout *relay.Lease) {
+	if (g.checkout == nil) == (checkout == nil) {
+		g.checkout = checkout
 		return
 	}
 	g.c.mu.Lock()
-	if l != nil {
+	if checkout != nil {
 		g.c.open++
 		g.pool.Stats.Leased.Add(1)
 	} else {
@@ -386,38 +390,38 @@
 		g.pool.Stats.Leased.Add(-1)
 	}
 	g.c.mu.Unlock()
-	g.lease = l
+	g.checkout = checkout
 }
 
-// wait waits for the end of a batch. first is set for the batch that requests the connection.
-func (g *general) wait(ctx context.Context, b *relay.Batch, first bool) bool {
-	c, l := g.c, g.lease
-	g.running.Store(l)
+// awaitBatch waits for the end of a batch. first is set for the batch that requests the connection.
+func (g *generalSession) awaitBatch(ctx context.Context, b *relay.Batch, first bool) bool {
+	c, checkout := g.c, g.checkout
+	g.running.Store(checkout)
 	defer g.running.Store(nil)
 	select {
-	case d := <-l.Done():
-		return g.done(d)
+	case d := <-checkout.Done():
+		return g.batchDone(d)
 	case a := <-g.answers:
 		select {
-		case d := <-l.Done(): // both channels were ready
-			return g.done(d)
+		case d := <-checkout.Done(): // both channels were ready
+			return g.batchDone(d)
 		default:
 		}
-		l.Mute()
-		l.Close()
-		g.hold(nil)
+		checkout.Mute()
+		checkout.Close()
+		g.setCheckout(nil)
 		if !first {
 			g.state.ConnectionLost()
-			return g.fatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
+			return g.writeFatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
 		}
 		if a.Kind == exchange.Served { // the relay's Done precedes it, so the session cannot go on
 			return false
 		}
-		return g.say(b, errorOf(a))
-	case <-c.closed:
+		return g.writeError(b, errorOf(a))
+	case <-c.disconnected:
 		c.s.x.CancelRequest(g.request)
-		l.Mute()
-		l.Close()
+		checkout.Mute()
+		checkout.Close()
 		return false
 	case <-ctx.Done():
 		return false
@@ -431,50 +435,50 @@
 	return a.Reason
 }
 
-// done handles the end of a batch, or of a checkout between two batches. It returns false if the session
+// batchDone handles the end of a batch, or of a checkout between two batches. It returns false if the session
 // ends.
-func (g *general) done(d relay.Done) bool {
+func (g *generalSession) batchDone(d relay.Done) bool {
 	if d.Wrote != 0 {
-		g.wrote = d.Wrote
+		g.lastWrite = d.Wrote
 	}
 	switch {
 	case d.Err != nil:
-		g.lease.Mute()
+		g.checkout.Mute()
 		g.c.s.x.CancelRequest(g.request)
-		g.hold(nil)
+		g.setCheckout(nil)
 		g.pool.Stats.Lost.Add(1)
 		g.state.ConnectionLost()
-		return g.fatal(relay.ErrorOf(d.Err))
+		return g.writeFatal(relay.ErrorOf(d.Err))
 	case !d.Keep:
-		g.hold(nil)
-		g.free = g.c.s.cfg.Clock.Now()
+		g.setCheckout(nil)
+		g.freeSince = g.c.s.cfg.Clock.Now()
 	}
 	return true
 }
 
-// fatal sends the error that ends the session. It returns false.
-func (g *general) fatal(e *pg.Error) bool {
+// writeFatal sends the error that ends the session. It returns false.
+func (g *generalSession) writeFatal(e *pg.Error) bool {
 	if g.c.write(pg.AppendError(nil, e)) {
 		g.c.linger()
 	}
 	return false
 }
 
-// say answers a batch with an error of the gateway.
-func (g *general) say(b *relay.Batch, e *pg.Error) bool {
+// writeError answers a batch with an error of the gateway.
+func (g *generalSession) writeError(b *relay.Batch, e *pg.Error) bool {
 	out := pg.AppendError(nil, e)
-	if g.skip = !b.Ends; b.Ends {
+	if g.skipping = !b.Ends; b.Ends {
 		out = pg.AppendReadyAs(out, g.state.Status)
 	}
 	return g.c.write(out)
 }
 
 // end closes the session's checkout, if any, which rolls back an open transaction.
-func (g *general) end() {
-	if g.lease != nil {
-		g.lease.Mute()
-		g.lease.Close()
-		g.hold(nil)
+func (g *generalSession) end() {
+	if g.checkout != nil {
+		g.checkout.Mute()
+		g.checkout.Close()
+		g.setCheckout(nil)
 	}
 	g.pool.Stats.Sessions.Add(-1)
 }
@@ -483,20 +487,20 @@
 // arrives ends the session.
 func (c *session) nextCommand() (command, bool) {
 	for {
-		if cmd, ok, over := c.ahead.take(); ok || over {
+		if cmd, ok, ended := c.pending.take(); ok || ended {
 			return cmd, ok
 		}
-		if c.general == nil || c.general.lease == nil {
-			<-c.ahead.some
+		if c.general == nil || c.general.checkout == nil {
+			<-c.pending.available
 			continue
 		}
 		select {
-		case <-c.ahead.some:
-		case d := <-c.general.lease.Done():
-			return command{}, c.general.done(d)
+		case <-c.pending.available:
+		case d := <-c.general.checkout.Done():
+			return command{}, c.general.batchDone(d)
 		case a := <-c.general.answers:
-			c.general.hold(nil)
-			c.general.fatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
+			c.general.setCheckout(nil)
+			c.general.writeFatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
 			return command{}, false
 		}
 	}
--- /dev/null
+++ b/internal/wire/frontend/queue.go
@@ -0,0 +1,92 @@
+package frontend
+
+import (
+	"sync"
+
+	"yokemast/internal/wire/pg"
+)
+
+const (
+	// freeQueued is how many commands of a session may be queued at no cost, maxQueued the maximum. Each
+	// command beyond freeQueued counts against the byte budget of statements, with queuedCost plus its text.
+	// The reader must go on whatever is queued, as only reading detects that the client has disconnected, and
+	// all that it reads has to fit into memory.
+	freeQueued = 8
+	maxQueued  = 1024
+	queuedCost = 512
+)
+
+// commandQueue is the queue of a session's commands. The reader puts commands, another goroutine takes them.
+type commandQueue struct {
+	mu        sync.Mutex
+	list      []command
+	ended     bool
+	available chan struct{} // signals that a command may be available, or that the queue has ended
+}
+
+func newCommandQueue() *commandQueue { return &commandQueue{available: make(chan struct{}, 1)} }
+
+func (a *commandQueue) signal() {
+	select {
+	case a.available <- struct{}{}:
+	default:
+	}
+}
+
+func (a *commandQueue) put(cmd command) {
+	a.mu.Lock()
+	a.list = append(a.list, cmd)
+	a.mu.Unlock()
+	a.signal()
+}
+
+// end marks that no more commands follow.
+func (a *commandQueue) end() {
+	a.mu.Lock()
+	a.ended = true
+	a.mu.Unlock()
+	a.signal()
+}
+
+// take returns the next command. If none is queued, ok is false and ended reports whether the queue has
+// ended.
+func (a *commandQueue) take() (cmd command, ok, ended bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if len(a.list) == 0 {
+		return command{}, false, a.ended
+	}
+	cmd = a.list[0]
+	a.list[0] = command{}
+	if a.list = a.list[1:]; len(a.list) == 0 {
+		a.list = nil
+	}
+	return cmd, true, false
+}
+
+// enqueue adds a command to the queue. If too many commands are queued, an error takes its place and all later
+// commands of the session are dropped.
+func (c *session) enqueue(cmd command) {
+	if c.overrun {
+		c.release(cmd)
+		return
+	}
+	c.mu.Lock()
+	c.open++
+	c.unanswered++
+	waiting := c.unanswered
+	c.mu.Unlock()
+	if waiting > freeQueued {
+		cost := queuedCost + cmd.size
+		if c.overrun = waiting > maxQueued || !c.s.statementBudget.acquire(cost); c.overrun {
+			c.s.cfg.Counters.ClientsOverrun.Add(1)
+			c.s.logEnd("closed: too many queued commands", c)
+			c.release(cmd)
+			cmd = command{err: pg.Refusal("too many commands at once", c.s.retryAfter())}
+			cmd.err.Fatal = true
+		} else {
+			cmd.held += cost
+		}
+	}
+	c.pending.put(cmd)
+}
--- a/internal/wire/frontend/reading.go
+++ b/internal/wire/frontend/reading.go
@@ -14,12 +14,12 @@
 // the reader goes on, as only reading detects that the client has disconnected. A message that has begun to
 // arrive is read to its end: closing in its middle would lose a request that the client has sent. If
 // connections are handed over, the startup is completed first, as the other process takes over sessions only.
-func (c *session) drain(passing bool) {
+func (c *session) drain(handingOver bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = true
-	if !c.midway && (c.started || !passing) {
-		c.readBy(0)
+	if !c.inMessage && (c.startupDone || !handingOver) {
+		c.setReadTimeout(0)
 	}
 }
 
@@ -27,51 +27,53 @@
 func (c *session) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.draining = false; c.midway {
+	if c.draining = false; c.inMessage {
 		return
 	}
 	_ = c.conn.SetReadDeadline(time.Time{})
-	c.timed = false
-	if !c.said {
-		c.readBy(startWithin)
-		c.timed = true
+	c.hasDeadline = false
+	if !c.commandSeen {
+		c.setReadTimeout(startupTimeout)
+		c.hasDeadline = true
 	}
 }
 
-// readBy sets the read deadline relative to now.
-func (c *session) readBy(within time.Duration) { _ = c.conn.SetReadDeadline(time.Now().Add(within)) }
+// setReadTimeout sets the read deadline relative to now.
+func (c *session) setReadTimeout(timeout time.Duration) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
+}
 
-// begin records that a message has begun to arrive and sets its deadline. A client that stalls within a
+// messageBegun records that a message has begun to arrive and sets its deadline. A client that stalls within a
 // message must not hold its connection forever.
-func (c *session) begin() {
+func (c *session) messageBegun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.midway, c.said = true, true
-	if !pg.Whole(c.in) { // a buffered message needs no deadline
-		c.paceLocked(headWithin)
+	c.inMessage, c.commandSeen = true, true
+	if !pg.MessageBuffered(c.in) { // a buffered message needs no deadline
+		c.setMessageDeadline(headTimeout)
 	}
 }
 
-// pace sets the deadline of a message body of the given length after its head was read.
-func (c *session) pace(length int) {
+// setBodyDeadline sets the deadline of a message body of the given length after its head was read.
+func (c *session) setBodyDeadline(length int) {
 	if c.in.Buffered() >= length {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.paceLocked(longestWithin + time.Duration(length/leastRate)*time.Second)
+	c.setMessageDeadline(bodyTimeout + time.Duration(length/minBodyRate)*time.Second)
 }
 
-func (c *session) paceLocked(within time.Duration) {
-	c.cutAt, c.timed = time.Now().Add(within), true
-	c.readBy(min(messageWithin, within))
+func (c *session) setMessageDeadline(timeout time.Duration) {
+	c.messageDeadline, c.hasDeadline = time.Now().Add(timeout), true
+	c.setReadTimeout(min(progressTimeout, timeout))
 }
 
-// paced is a client's connection as read by the session. Each read within a message extends the read deadline
-// by messageWithin.
-type paced struct{ c *session }
+// progressConn is a client's connection as read by the session. Each read within a message extends the read
+// deadline by progressTimeout, up to the deadline of the message.
+type progressConn struct{ c *session }
 
-func (p paced) Read(b []byte) (int, error) {
+func (p progressConn) Read(b []byte) (int, error) {
 	c := p.c
 	n, err := socket.Steady{Conn: c.conn}.Read(b)
 	if n == 0 {
@@ -79,53 +81,55 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.started { // the startup has begun
-		c.midway = true
+	if !c.startupDone { // the startup has begun
+		c.inMessage = true
 	}
-	if c.midway && c.timed {
-		if left := time.Until(c.cutAt); left > 0 {
-			c.readBy(min(messageWithin, left))
+	if c.inMessage && c.hasDeadline {
+		if remaining := time.Until(c.messageDeadline); remaining > 0 {
+			c.setReadTimeout(min(progressTimeout, remaining))
 		}
 	}
 	return n, err
 }
 
-// between records that no message has begun and sets the read deadline accordingly.
-func (c *session) between() {
+// messageDone records that no message has begun and sets the read deadline accordingly.
+func (c *session) messageDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.midway = false
+	c.inMessage = false
 	switch {
 	case c.draining && c.unanswered == 0:
-		c.readBy(0)
-	case !c.said:
-		c.readBy(startWithin)
-		c.timed = true
-	case c.timed || c.draining:
+		c.setReadTimeout(0)
+	case !c.commandSeen:
+		c.setReadTimeout(startupTimeout)
+		c.hasDeadline = true
+	case c.hasDeadline || c.draining:
 		_ = c.conn.SetReadDeadline(time.Time{})
-		c.timed = false
+		c.hasDeadline = false
 	}
 }
 
-// pause handles a read deadline that passed between messages. over reports that the session ends here, begun
-// that a message has arrived. A request that arrived at the same moment is read, as its client has sent it.
-func (c *session) pause() (over, begun bool) {
+// deadlinePassed handles a read deadline that passed between messages. done reports that the session ends
+// here, begun that a message has arrived. A request that arrived at the same moment is read, as its client
+// has sent it.
+func (c *session) deadlinePassed() (done, begun bool) {
 	c.s.mu.Lock()
-	passed := c.s.pass != nil && c.general == nil // the other process reads what has arrived
+	handedOver := c.s.handOver != nil && c.general == nil // the other process reads what has arrived
 	c.s.mu.Unlock()
 	c.mu.Lock()
-	draining, said := c.draining && c.unanswered == 0, c.said
+	draining, commandSeen := c.draining && c.unanswered == 0, c.commandSeen
 	c.mu.Unlock()
-	none := c.in.Buffered() == 0
-	quiet := none && socket.Quiet(c.conn)
-	c.atRest = draining && none && (passed || quiet)
+	noneBuffered := c.in.Buffered() == 0
+	quiet := noneBuffered && socket.Quiet(c.conn)
+	c.stoppedIdle = draining && noneBuffered && (handedOver || quiet)
 	switch {
-	case c.atRest:
+	case c.stoppedIdle:
 		return true, false
 	case !quiet:
 		return false, true
 	}
-	return !said, false // after a canceled drain the session goes on; a client without a first command has timed out
+	// After a canceled drain the session goes on; a client without a first command has timed out.
+	return !commandSeen, false
 }
 
 // read reads commands until the client disconnects, framing is lost or a drain finds the session between
@@ -133,51 +137,51 @@
 func (c *session) read() {
 	for {
 		if _, err := c.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-			over, begun := c.pause()
+			done, begun := c.deadlinePassed()
 			switch {
-			case over:
-				if !c.atRest {
-					c.s.note("ended: it began no command in time", c)
+			case done:
+				if !c.stoppedIdle {
+					c.s.logEnd("ended: it began no command in time", c)
 				}
 				return
 			case begun:
-				c.begin()
+				c.messageBegun()
 			default:
-				c.between()
+				c.messageDone()
 			}
 			continue
 		} else if err != nil {
-			close(c.closed)
+			close(c.disconnected)
 			return
 		}
-		c.begin()
-		err := c.next()
+		c.messageBegun()
+		err := c.readMessage()
 		switch {
 		case err == nil && c.overrun:
-			c.discard()
+			c.discardInput()
 			return
 		case err == nil:
-			c.between()
+			c.messageDone()
 			continue
 		case errors.Is(err, pg.ErrFraming):
 			c.s.cfg.Counters.BadMessages.Add(1)
-			c.s.note("closed: message framing lost", c)
+			c.s.logEnd("closed: message framing lost", c)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.s.cfg.Counters.ClientsSlow.Add(1)
-			c.s.note("closed: message not received in time", c)
+			c.s.logEnd("closed: message not received in time", c)
 			err = errors.New("the message did not come whole in time")
 		default:
-			close(c.closed)
+			close(c.disconnected)
 			return
 		}
-		c.queue(command{err: &pg.Error{Code: pg.CodeProtocolViolation, Message: err.Error(), Fatal: true}})
+		c.enqueue(command{err: &pg.Error{Code: pg.CodeProtocolViolation, Message: err.Error(), Fatal: true}})
 		return
 	}
 }
 
-// discard reads and drops input until the client disconnects.
-func (c *session) discard() {
+// discardInput reads and drops input until the client disconnects.
+func (c *session) discardInput() {
 	_ = c.conn.SetReadDeadline(time.Time{})
 	_, _ = io.Copy(io.Discard, c.conn)
-	close(c.closed)
+	close(c.disconnected)
 }
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -18,98 +18,102 @@
 // session is the connection of one client. One goroutine reads commands, so that a disconnect is noticed at
 // any time; another answers them in order.
 type session struct {
-	mu         sync.Mutex // guards the fields down to idleSince, and the read deadline, which depends on them
-	draining   bool
-	started    bool          // the startup is done
-	said       bool          // a command has begun to arrive after the startup
-	midway     bool          // a message has begun to arrive
-	timed      bool          // a read deadline is set
-	cutAt      time.Time     // deadline of the message that has begun, whatever progress it makes
-	open       int           // commands without an answer, plus one if a host connection is checked out
-	unanswered int           // commands without an answer
-	idleSince  time.Duration // when the last command was answered
+	mu              sync.Mutex // guards the fields down to idleSince, and the read deadline, which depends on them
+	draining        bool
+	startupDone     bool          // the startup is done
+	commandSeen     bool          // a command has begun to arrive after the startup
+	inMessage       bool          // a message has begun to arrive
+	hasDeadline     bool          // a read deadline is set
+	messageDeadline time.Time     // deadline of the message that has begun, whatever progress it makes
+	open            int           // commands without an answer, plus one if a host connection is checked out
+	unanswered      int           // commands without an answer
+	idleSince       time.Duration // since when no command is open, initially the accept
 
-	adopted  bool // another process did the startup
-	atRest   bool // the reader ended between two messages at a drain; input that follows is left to the process that takes over
-	closing  bool // guarded by the server's mutex
-	s        *Server
-	conn     *net.TCPConn
-	in       *bufio.Reader
-	user     string
-	general  *general // state of a general SQL session; nil: only the platform's statements are served
-	accepted time.Duration
-	ahead    *ahead        // commands that wait to be answered
-	overrun  bool          // too many commands are queued; used by the reader only
-	closed   chan struct{} // closed when the client has disconnected
-	writeBy  time.Time     // current write deadline
-	skipping bool          // after a refused extended query, messages up to Sync are skipped
+	adopted bool // another process did the startup
+	// stoppedIdle means that the reader ended between two messages at a drain. Input that follows is left to
+	// the process that takes over.
+	stoppedIdle   bool
+	closing       bool // guarded by the server's mutex
+	s             *Server
+	conn          *net.TCPConn
+	in            *bufio.Reader
+	user          string
+	general       *generalSession // state of a general SQL session; nil: only the platform's statements are served
+	acceptedAt    time.Duration
+	pending       *commandQueue // commands that wait to be answered
+	overrun       bool          // too many commands are queued; used by the reader only
+	disconnected  chan struct{} // closed when the client has disconnected
+	writeDeadline time.Time     // current write deadline
+	skipping      bool          // after a refused extended query, messages up to Sync are skipped
 }
 
 func (c *session) serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { c.conn.Close() })
 	defer stop()
-	if !c.adopted && !c.start(startWithin) {
+	if !c.adopted && !c.startup(startupTimeout) {
 		return
 	}
 	c.mu.Lock()
-	c.started = true
+	c.startupDone = true
 	c.mu.Unlock()
-	c.between() // the startup's deadline may have been set after that of a drain
-	go c.s.guard(func() {
-		defer c.ahead.end()
+	c.messageDone() // the startup's deadline may have been set after that of a drain
+	go c.s.recoverPanic(func() {
+		defer c.pending.end()
 		c.read()
 	})
-	whole := true
-	for whole {
+	alive := true
+	for alive {
 		cmd, ok := c.nextCommand()
 		if !ok {
 			break
 		}
-		whole = !c.left() && c.answer(ctx, cmd)
+		alive = !c.disconnectNoticed() && c.answer(ctx, cmd)
 		c.release(cmd)
-		c.answered()
+		c.commandAnswered()
 	}
 	if c.general != nil {
 		c.general.end()
 	}
-	if whole && !c.handOver() && !c.left() {
-		c.part()
+	if alive && !c.handOver() && !c.disconnectNoticed() {
+		c.closeGracefully()
 	}
 	c.conn.Close()
-	for over := false; !over; { // waits for the reader to end
+	for ended := false; !ended; { // waits for the reader to end
 		var cmd command
 		var ok bool
-		if cmd, ok, over = c.ahead.take(); ok {
+		if cmd, ok, ended = c.pending.take(); ok {
 			c.release(cmd)
-		} else if !over {
-			<-c.ahead.some
+		} else if !ended {
+			<-c.pending.available
 		}
 	}
 	if c.general != nil {
-		c.s.bytes.give(c.general.held)
+		c.s.statementBudget.release(c.general.heldBytes)
 	}
 }
 
-// left reports whether the reader has noticed that the client disconnected.
-func (c *session) left() bool {
+// disconnectNoticed reports whether the reader has noticed that the client disconnected.
+func (c *session) disconnectNoticed() bool {
 	select {
-	case <-c.closed:
+	case <-c.disconnected:
 		return true
 	default:
 		return false
 	}
 }
 
-// gone reports whether the client has disconnected, even if the reader has not noticed yet.
-func (c *session) gone() bool { return c.left() || socket.Ended(c.conn) }
+// clientDisconnected reports whether the client has disconnected, even if the reader has not noticed yet.
+func (c *session) clientDisconnected() bool {
+	return c.disconnectNoticed() || socket.PeerClosed(c.conn)
+}
 
 // handOver hands the connection over to another process, if connections are handed over and this one stopped
 // between two messages. It returns whether it did. The caller closes the connection here in any case.
 func (c *session) handOver() bool {
 	c.s.mu.Lock()
-	pass := c.s.pass
+	pass := c.s.handOver
 	c.s.mu.Unlock()
-	if pass == nil || !c.atRest || c.general != nil {
+	if pass == nil || !c.stoppedIdle || c.general != nil {
 		return false
 	}
 	c.mu.Lock()
@@ -125,70 +129,71 @@
 
 // release returns the memory held by a command.
 func (c *session) release(cmd command) {
-	c.s.bytes.give(cmd.held)
-	c.s.large.close(cmd.holding)
+	c.s.statementBudget.release(cmd.held)
+	c.s.large.close(cmd.largeHolding)
 	if cmd.batch != nil {
 		cmd.batch.Discard() // the reader may be blocked in a stream until a chunk is taken
 	}
 }
 
-func (c *session) answered() {
+func (c *session) commandAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open--
 	c.unanswered--
 	c.idleSince = c.s.cfg.Clock.Now()
-	if c.draining && c.unanswered == 0 && !c.midway {
-		c.readBy(0) // the session is between two requests now
+	if c.draining && c.unanswered == 0 && !c.inMessage {
+		c.setReadTimeout(0) // the session is between two requests now
 	}
 }
 
-// waits reports whether the client waits for an answer.
-func (c *session) waits() bool {
+// awaitsAnswer reports whether the client waits for an answer.
+func (c *session) awaitsAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unanswered > 0
 }
 
-// spare returns since when the session has had no open requests and whether it has received a command yet. ok
+// idleState returns since when the session has had no open requests and whether it has received a command yet. ok
 // is false while the session is busy.
-func (c *session) spare() (since time.Duration, said, ok bool) {
+func (c *session) idleState() (since time.Duration, commandSeen, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idleSince, c.said, c.open == 0 && !c.midway && socket.Quiet(c.conn)
+	return c.idleSince, c.commandSeen, c.open == 0 && !c.inMessage && socket.Quiet(c.conn)
 }
 
 // linger ends the sending and reads on for a short time: closing a socket with unread input resets the
 // connection, and the client would lose what was sent last.
 func (c *session) linger() {
 	if c.s.beginClosing(c) && c.conn.CloseWrite() == nil {
-		c.readBy(lingerFor)
+		c.setReadTimeout(lingerTimeout)
 		_, _ = io.Copy(io.Discard, c.conn)
 	}
 }
 
-// part closes a connection between two requests. Input that arrives at a closed socket, or is unread at the
+// closeGracefully closes a connection between two requests. Input that arrives at a closed socket, or is unread at the
 // close, resets the connection, and the part of the last answer that the client has not received is lost. So
 // the sending ends first, and the connection is closed once the client has received everything. Nothing is
 // read meanwhile: a request that crosses the close appears to its client as not accepted.
-func (c *session) part() {
+func (c *session) closeGracefully() {
 	if socket.Unsent(c.conn) == 0 || c.conn.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
-	written := c.idleSince
+	lastWritten := c.idleSince
 	c.mu.Unlock()
-	left := max(lingerFor, takeWithin-(c.s.cfg.Clock.Now()-written))
-	for end := time.Now().Add(left); socket.Unsent(c.conn) > 0 && time.Now().Before(end); {
-		time.Sleep(unsentPause)
+	remaining := max(lingerTimeout, lastAnswerTimeout-(c.s.cfg.Clock.Now()-lastWritten))
+	for deadline := time.Now().Add(remaining); socket.Unsent(c.conn) > 0 && time.Now().Before(deadline); {
+		time.Sleep(unsentPollInterval)
 	}
 }
 
 func (c *session) write(b []byte) bool {
-	// The deadline is renewed only once half of it has passed, so an answer gets between half of writeTimeout and all of it.
-	if now := time.Now(); c.writeBy.Sub(now) < writeTimeout/2 {
-		c.writeBy = now.Add(writeTimeout)
-		_ = c.conn.SetWriteDeadline(c.writeBy)
+	// The deadline is renewed only once half of it has passed, so an answer gets between half of writeTimeout and
+	// all of it.
+	if now := time.Now(); c.writeDeadline.Sub(now) < writeTimeout/2 {
+		c.writeDeadline = now.Add(writeTimeout)
+		_ = c.conn.SetWriteDeadline(c.writeDeadline)
 	}
 	_, err := socket.Steady{Conn: c.conn}.Write(b)
 	return err == nil
@@ -204,20 +209,20 @@
 		return false
 	case cmd.err != nil:
 		out := pg.AppendError(nil, cmd.err)
-		if cmd.ready {
+		if cmd.readyFollows {
 			out = pg.AppendReady(out)
 		}
 		return c.write(out)
 	case cmd.batch != nil:
 		return c.general.answer(ctx, cmd)
-	case cmd.sync && c.general != nil:
+	case cmd.readyOnly && c.general != nil:
 		return c.write(pg.AppendReadyAs(nil, c.general.state.Status))
-	case cmd.sync:
+	case cmd.readyOnly:
 		return c.write(pg.AppendReady(nil))
 	case cmd.empty:
 		select {
 		case <-c.s.ready:
-		case <-c.closed:
+		case <-c.disconnected:
 			return false
 		case <-ctx.Done():
 			return false
@@ -232,18 +237,18 @@
 	st := cmd.statement
 	// The client's wait runs from the arrival, also while earlier commands of this connection are answered.
 	r := &exchange.Request{ID: st.ID, User: c.user, Tenant: st.Tenant, Class: st.Class, Session: st.Key, Group: st.Group, Write: st.Write,
-		Retry: st.Retry, Arrived: cmd.arrived, Wait: st.Wait, After: st.After, ClientDisconnected: c.gone,
+		Retry: st.Retry, Arrived: cmd.arrived, Wait: st.Wait, After: st.After, ClientDisconnected: c.clientDisconnected,
 		Command: st, Answer: answer}
 	c.s.x.Submit(r)
 	select {
 	case a := <-answer:
 		// The memory of a large statement is released before the write, as the client may be slow to receive.
-		c.s.large.close(cmd.holding)
+		c.s.large.close(cmd.largeHolding)
 		if v, ok := a.Value.(pg.Value); ok && v.Rest != nil {
-			return c.pour(v, st.Tag())
+			return c.writeLargeValue(v, st.Tag())
 		}
 		return c.write(pg.AppendReady(appendAnswer(nil, st, a)))
-	case <-c.closed:
+	case <-c.disconnected:
 		c.s.x.CancelRequest(r)
 	case <-ctx.Done():
 	}
--- a/internal/wire/frontend/startup.go
+++ b/internal/wire/frontend/startup.go
@@ -7,12 +7,12 @@
 	"yokemast/internal/wire/pg"
 )
 
-// start performs the startup. Bytes that the client sends after its startup message stay in the buffer. It
+// startup performs the startup. Bytes that the client sends after its startup message stay in the buffer. It
 // returns false if the session ends.
-func (c *session) start(within time.Duration) bool {
+func (c *session) startup(timeout time.Duration) bool {
 	c.mu.Lock()
-	_ = c.conn.SetDeadline(time.Now().Add(within))
-	c.cutAt, c.timed = time.Now().Add(max(within, headWithin)), true
+	_ = c.conn.SetDeadline(time.Now().Add(timeout))
+	c.messageDeadline, c.hasDeadline = time.Now().Add(max(timeout, headTimeout)), true
 	c.mu.Unlock()
 	for range 4 { // at most one request for each kind of encryption precedes the startup message
 		kind, parameters, err := pg.ReadStartup(c.in)
@@ -39,12 +39,12 @@
 			c.user = parameters["user"]
 			c.mu.Lock()
 			_ = c.conn.SetDeadline(time.Time{})
-			c.timed = false
+			c.hasDeadline = false
 			c.mu.Unlock()
-			c.writeBy = time.Time{}
+			c.writeDeadline = time.Time{}
 			if c.s.cfg.Pool != nil {
 				if p := c.s.cfg.Pool(c.user, parameters["database"]); p != nil {
-					c.general = newGeneral(c, p, parameters)
+					c.general = newGeneralSession(c, p, parameters)
 					c.s.register(c)
 					return c.write(pg.AppendWelcomeAs(nil, kind, pg.DefaultParameters(), c.general.key))
 				}
@@ -57,7 +57,7 @@
 
 // reject tells the client that the connection limit is reached.
 func (c *session) reject() {
-	if !c.start(lingerFor) {
+	if !c.startup(lingerTimeout) {
 		return
 	}
 	e := pg.Refusal("too many connections", c.s.retryAfter())
--- a/internal/wire/pg/errors.go
+++ b/internal/wire/pg/errors.go
@@ -30,10 +30,10 @@
 
 // Refusal returns an error for a statement that was not executed and may be retried after the given time; 0
 // states none.
-func Refusal(message string, after time.Duration) *Error {
+func Refusal(message string, retryAfter time.Duration) *Error {
 	e := &Error{Code: CodeTooMany, Message: message}
-	if after > 0 {
-		e.Detail = strconv.FormatInt(max(after.Milliseconds(), 1), 10)
+	if retryAfter > 0 {
+		e.Detail = strconv.FormatInt(max(retryAfter.Milliseconds(), 1), 10)
 	}
 	return e
 }
@@ -54,7 +54,7 @@
 // ReadError parses the body of an ErrorResponse.
 func ReadError(body []byte) *Error {
 	e := &Error{}
-	for _, f := range splitZero(body) {
+	for _, f := range splitCStrings(body) {
 		if f == "" {
 			break
 		}
--- a/internal/wire/pg/fuzz_test.go
+++ b/internal/wire/pg/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The readers take whatever a client or host sends: they must end, hold no more than they were given, and what they read must
-// be written again as it was. `go test -fuzz NAME ./internal/wire/pg` searches on.
+// The readers must handle any input of a client or host: they must terminate, allocate no more than their input warrants,
+// and what they parse must be written back unchanged. `go test -fuzz NAME ./internal/wire/pg` continues the search.
 
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("Q\x00\x00\x00\x0dSELECT 1\x00"))
@@ -17,18 +17,18 @@
 	f.Add([]byte{'X', 0, 0, 0, 3})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bufio.NewReader(bytes.NewReader(b))
-		_ = Whole(r) // with nothing in the buffer yet
+		_ = MessageBuffered(r) // with an empty buffer
 		_, _ = r.Peek(1)
-		whole := Whole(r) && len(b) <= r.Size()
+		complete := MessageBuffered(r) && len(b) <= r.Size()
 		kind, body, err := Read(r, 1<<16)
 		if err != nil {
-			if whole && len(b) < 1<<16 && b[1] == 0 && b[2] == 0 && int(b[3])<<8|int(b[4]) >= 4 {
-				t.Fatalf("whole, and not read: %v", err)
+			if complete && len(b) < 1<<16 && b[1] == 0 && b[2] == 0 && int(b[3])<<8|int(b[4]) >= 4 {
+				t.Fatalf("a complete message was not read: %v", err)
 			}
 			return
 		}
 		if again := Append(nil, kind, body); !bytes.HasPrefix(b, again) {
-			t.Fatalf("%x is read as %x", b, again)
+			t.Fatalf("input %x was parsed as %x", b, again)
 		}
 	})
 }
@@ -40,7 +40,7 @@
 		kind, parameters, err := ReadStartup(bufio.NewReader(bytes.NewReader(b)))
 		if err == nil && kind == StartCancel {
 			if k, ok := parameters.CancelKey(); ok && !bytes.HasPrefix(b, AppendCancel(nil, k)) {
-				t.Fatalf("%x names %v", b, k)
+				t.Fatalf("cancel request %x was parsed as key %v", b, k)
 			}
 		}
 	})
@@ -95,7 +95,7 @@
 			return
 		}
 		if again, err := ParseStatement(bytes.TrimSuffix(s.AppendQuery(nil, s.Wait)[5:], []byte{0})); err != nil || again.ID != s.ID || again.Key != s.Key {
-			t.Fatalf("%q is passed on as something else: %v", text, err)
+			t.Fatalf("%q is forwarded as a different statement: %v", text, err)
 		}
 	})
 }
--- a/internal/wire/pg/large.go
+++ b/internal/wire/pg/large.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A large statement is an INSERT whose value does not fit into a message of MaxMessage. Its hex digits are decoded, held as
-// chunks of bytes, and written as the same digits again.
+// A large statement is an INSERT whose value does not fit into a message of MaxMessage. Its hex digits are decoded,
+// held as chunks of bytes, and written as the same digits again.
 
 const (
 	// MaxValue is the maximum size of a value in bytes.
@@ -18,126 +18,127 @@
 	// MaxLarge is the maximum length of a message body with a large statement: the value in hex and the
 	// statement around it.
 	MaxLarge = 2*MaxValue + 8<<10
-	// Piece is the size in bytes of the chunks in which a large message is read, held and written.
-	Piece = 32 << 10
-	// largeHead limits the text of a large statement before its value, largeTail the text after it.
-	largeHead = len(insertHead) + 2*maxKeyLength + 16
-	largeTail = 4 << 10
+	// ChunkSize is the size in bytes of the chunks in which a large message is read, held and written.
+	ChunkSize = 32 << 10
+	// maxLargeHead limits the text of a large statement before its value, maxLargeTail the text after it.
+	maxLargeHead = len(insertHead) + 2*maxKeyLength + 16
+	maxLargeTail = 4 << 10
 )
 
-// LargeNeed returns the memory in bytes that a large message of the given length needs if its digits are of
+// LargeMemory returns the memory in bytes that a large message of the given length needs if its digits are of
 // one case, and at most.
-func LargeNeed(length int) (usual, most int64) {
-	const round = 2*Piece + int64(largeHead+largeTail)
-	return int64(length)/2 + round, int64(length) + round
+func LargeMemory(length int) (typical, limit int64) {
+	const overhead = 2*ChunkSize + int64(maxLargeHead+maxLargeTail)
+	return int64(length)/2 + overhead, int64(length) + overhead
 }
 
-// packed is a large value in memory.
-type packed struct {
-	parts  [][]byte
-	digits int
-	kinds  byte // kinds of its digits, combined
-	raw    bool // the digits have mixed case, so parts holds digits instead of bytes
-	odd    byte // first digit of an incomplete byte; 0: none
+// largeValue is a large value in memory.
+type largeValue struct {
+	chunks       [][]byte
+	digits       int
+	digitKinds   byte // kinds of its digits, combined
+	asDigits     bool // the digits have mixed case, so chunks holds digits instead of bytes
+	pendingDigit byte // first digit of an incomplete byte; 0: none
 }
 
 // LargeReader reads a large statement while it arrives.
 type LargeReader struct {
-	// Take reserves memory for n bytes before they are held. If it fails, the reading ends with its error.
-	Take func(n int) error
+	// Reserve reserves memory for n bytes before they are held. If it fails, the reading ends with its error.
+	Reserve func(n int) error
 	// Read reads at least one byte, like an io.Reader.
 	Read func(p []byte) (int, error)
 
-	text   []byte // text around the value
-	at     int    // offset of the value in text; 0: not found yet
-	tail   bool   // the value has ended
-	value  packed
-	first  byte   // upper half of an incomplete byte
-	broken *Error // why the statement is refused; nil: no fault found yet
+	text          []byte // text around the value
+	valueAt       int    // offset of the value in text; 0: not found yet
+	inTail        bool   // the value has ended
+	value         largeValue
+	pendingNibble byte   // upper half of an incomplete byte
+	invalid       *Error // why the statement is refused; nil: no fault found yet
 }
 
-// Statement reads a body of the given length. A statement that is refused is returned as bad, after its body
-// has been read to the end. On any other error, left is the number of bytes that remain unread.
-func (l *LargeReader) Statement(length int) (s *Statement, bad *Error, left int, err error) {
-	if err := l.Take(Piece); err != nil {
+// Statement reads a body of the given length. The error of a statement that is not served is returned as
+// refused, after its body has been read to the end. On any other error, left is the number of bytes that
+// remain unread.
+func (l *LargeReader) Statement(length int) (s *Statement, refused *Error, left int, err error) {
+	if err := l.Reserve(ChunkSize); err != nil {
 		return nil, nil, length, err
 	}
-	buffer := make([]byte, Piece)
+	buffer := make([]byte, ChunkSize)
 	for left = length; left > 0; {
-		whole := buffer[:min(left, len(buffer))]
-		for n := 0; n < len(whole); { // chunks are filled before they are held, as small ones would be too many
-			got, err := l.Read(whole[n:])
+		chunk := buffer[:min(left, len(buffer))]
+		for n := 0; n < len(chunk); { // chunks are filled before they are held, as small ones would be too many
+			got, err := l.Read(chunk[n:])
 			n += got
 			left -= got
 			if err != nil {
 				return nil, nil, left, err
 			}
 		}
-		if l.broken == nil {
-			if err := l.add(whole); err != nil {
+		if l.invalid == nil {
+			if err := l.process(chunk); err != nil {
 				return nil, nil, left, err
 			}
 		}
 	}
-	if l.broken == nil && !l.tail {
-		l.broken = syntax("malformed INSERT")
+	if l.invalid == nil && !l.inTail {
+		l.invalid = syntaxError("malformed INSERT")
 	}
-	if l.broken != nil {
-		return nil, l.broken, 0, nil
+	if l.invalid != nil {
+		return nil, l.invalid, 0, nil
 	}
 	if l.text[len(l.text)-1] != 0 {
 		return nil, &Error{Code: CodeProtocolViolation, Message: "the query does not end in a zero byte"}, 0, nil
 	}
-	s, bad = ParseStatement(l.text[:len(l.text)-1])
-	if bad != nil {
-		return nil, bad, 0, nil
+	s, refused = ParseStatement(l.text[:len(l.text)-1])
+	if refused != nil {
+		return nil, refused, 0, nil
 	}
-	s.value, s.valueAt = &l.value, l.at
+	s.value, s.valueAt = &l.value, l.valueAt
 	return s, nil, 0, nil
 }
 
-// add processes the next bytes of the body.
-func (l *LargeReader) add(b []byte) error {
-	if l.at == 0 {
+// process handles the next bytes of the body.
+func (l *LargeReader) process(b []byte) error {
+	if l.valueAt == 0 {
 		before := len(l.text)
-		room := min(len(b), largeHead-before)
-		l.text = append(l.text, b[:room]...)
-		at, whole := valueStart(l.text)
+		headPart := min(len(b), maxLargeHead-before)
+		l.text = append(l.text, b[:headPart]...)
+		at, final := valueStart(l.text)
 		switch {
 		case at > 0:
-			l.at = at
+			l.valueAt = at
 			l.text = l.text[:at]
 			b = b[at-before:]
-		case whole || len(l.text) >= largeHead:
-			l.broken = &Error{Code: CodeProtocolViolation, Message: "message too long: only an INSERT is as long, with a value in hex"}
+		case final || len(l.text) >= maxLargeHead:
+			l.invalid = &Error{Code: CodeProtocolViolation, Message: "message too long: only an INSERT is as long, with a value in hex"}
 			return nil
 		default:
 			return nil
 		}
 	}
-	if !l.tail {
+	if !l.inTail {
 		n, kinds := 0, byte(0)
 		for n < len(b) && digitKind[b[n]] != 0 {
 			kinds |= digitKind[b[n]]
 			n++
 		}
 		if l.value.digits += n; l.value.digits > 2*MaxValue {
-			l.broken = &Error{Code: CodeProtocolViolation, Message: fmt.Sprintf("value of over %d bytes", MaxValue)}
+			l.invalid = &Error{Code: CodeProtocolViolation, Message: fmt.Sprintf("value of over %d bytes", MaxValue)}
 			return nil
 		}
-		if err := l.hold(b[:n], kinds); err != nil {
+		if err := l.appendDigits(b[:n], kinds); err != nil {
 			return err
 		}
 		if b = b[n:]; len(b) == 0 {
 			return nil
 		}
-		if l.tail = true; l.value.odd != 0 {
-			l.broken = syntax("malformed INSERT")
+		if l.inTail = true; l.value.pendingDigit != 0 {
+			l.invalid = syntaxError("malformed INSERT")
 			return nil
 		}
 	}
-	if len(l.text)-l.at+len(b) > largeTail {
-		l.broken = syntax("malformed INSERT")
+	if len(l.text)-l.valueAt+len(b) > maxLargeTail {
+		l.invalid = syntaxError("malformed INSERT")
 		return nil
 	}
 	l.text = append(l.text, b...)
@@ -145,8 +146,8 @@
 }
 
 // valueStart returns the offset of the first digit of an INSERT's value, or 0 if it is not found. In that
-// case whole reports that more text cannot change that.
-func valueStart(text []byte) (at int, whole bool) {
+// case final reports that more text cannot change that.
+func valueStart(text []byte) (at int, final bool) {
 	n := min(len(text), len(insertHead))
 	if !bytes.Equal(text[:n], []byte(insertHead)[:n]) {
 		return 0, true
@@ -154,15 +155,15 @@
 	if n < len(insertHead) {
 		return 0, false
 	}
-	_, rest, ok := quoted(text[n:])
-	const sign = `, '\x`
+	_, rest, ok := parseQuoted(text[n:])
+	const valuePrefix = `, '\x`
 	switch {
 	case !ok:
 		return 0, false
-	case bytes.HasPrefix(rest, []byte(sign)):
-		return len(text) - len(rest) + len(sign), false
+	case bytes.HasPrefix(rest, []byte(valuePrefix)):
+		return len(text) - len(rest) + len(valuePrefix), false
 	}
-	return 0, len(rest) >= len(sign)
+	return 0, len(rest) >= len(valuePrefix)
 }
 
 // Kinds of hex digits: decimal digits, lower-case and upper-case letters.
@@ -182,64 +183,64 @@
 	return out
 }()
 
-// hold stores digits of the given kinds.
-func (l *LargeReader) hold(digits []byte, kinds byte) error {
+// appendDigits stores digits of the given kinds.
+func (l *LargeReader) appendDigits(digits []byte, kinds byte) error {
 	v := &l.value
 	if len(digits) == 0 {
 		return nil
 	}
-	if both := v.kinds | kinds; both&lowerCase != 0 && both&upperCase != 0 && !v.raw {
-		if err := l.unpack(); err != nil {
+	if combined := v.digitKinds | kinds; combined&lowerCase != 0 && combined&upperCase != 0 && !v.asDigits {
+		if err := l.switchToDigits(); err != nil {
 			return err
 		}
 	}
-	v.kinds |= kinds
-	odd := v.odd != 0
-	v.odd = 0
+	v.digitKinds |= kinds
+	hadPending := v.pendingDigit != 0
+	v.pendingDigit = 0
 	if v.digits%2 != 0 {
-		v.odd = digits[len(digits)-1]
+		v.pendingDigit = digits[len(digits)-1]
 	}
-	if v.raw {
-		if err := l.Take(len(digits)); err != nil {
+	if v.asDigits {
+		if err := l.Reserve(len(digits)); err != nil {
 			return err
 		}
-		v.parts = append(v.parts, bytes.Clone(digits))
+		v.chunks = append(v.chunks, bytes.Clone(digits))
 		return nil
 	}
-	if err := l.Take(len(digits)/2 + 1); err != nil {
+	if err := l.Reserve(len(digits)/2 + 1); err != nil {
 		return err
 	}
 	out := make([]byte, 0, len(digits)/2+1)
-	if odd {
-		out = append(out, l.first<<4|nibble(digits[0]))
+	if hadPending {
+		out = append(out, l.pendingNibble<<4|nibble(digits[0]))
 		digits = digits[1:]
 	}
-	if v.odd != 0 {
-		l.first = nibble(v.odd)
+	if v.pendingDigit != 0 {
+		l.pendingNibble = nibble(v.pendingDigit)
 		digits = digits[:len(digits)-1]
 	}
 	out, err := hex.AppendDecode(out, digits)
 	if err != nil {
 		return err // not reached: digitKind passes hex digits only
 	}
-	v.parts = append(v.parts, out)
+	v.chunks = append(v.chunks, out)
 	return nil
 }
 
-// unpack replaces the bytes held so far by their digits, as digits of mixed case cannot be restored from
-// bytes.
-func (l *LargeReader) unpack() error {
+// switchToDigits replaces the bytes held so far by their digits, as digits of mixed case cannot be restored
+// from bytes.
+func (l *LargeReader) switchToDigits() error {
 	v := &l.value
-	for i, p := range v.parts {
-		if err := l.Take(len(p)); err != nil {
+	for i, p := range v.chunks {
+		if err := l.Reserve(len(p)); err != nil {
 			return err
 		}
-		v.parts[i] = v.digitsOf(nil, p)
+		v.chunks[i] = v.appendHex(nil, p)
 	}
-	if v.odd != 0 {
-		v.parts = append(v.parts, []byte{v.odd})
+	if v.pendingDigit != 0 {
+		v.chunks = append(v.chunks, []byte{v.pendingDigit})
 	}
-	v.raw = true
+	v.asDigits = true
 	return nil
 }
 
@@ -253,17 +254,17 @@
 	return c - 'a' + 10
 }
 
-// digitsOf appends the hex digits of a part.
-func (v *packed) digitsOf(out, part []byte) []byte {
-	if v.raw {
-		return append(out, part...)
+// appendHex appends the hex digits of a chunk.
+func (v *largeValue) appendHex(out, chunk []byte) []byte {
+	if v.asDigits {
+		return append(out, chunk...)
 	}
-	from := len(out)
-	out = hex.AppendEncode(out, part)
-	if v.kinds&upperCase != 0 {
-		for i, c := range out[from:] {
+	start := len(out)
+	out = hex.AppendEncode(out, chunk)
+	if v.digitKinds&upperCase != 0 {
+		for i, c := range out[start:] {
 			if c >= 'a' {
-				out[from+i] = c - 'a' + 'A'
+				out[start+i] = c - 'a' + 'A'
 			}
 		}
 	}
@@ -275,24 +276,24 @@
 
 // WriteQuery writes a large statement as a Query message in chunks, unchanged except for d.
 func (s *Statement) WriteQuery(w io.Writer, wait time.Duration) error {
-	d := s.Text[s.d0:s.d1]
-	if s.d1 > 0 {
+	d := s.Text[s.waitStart:s.waitEnd]
+	if s.waitEnd > 0 {
 		d = strconv.AppendInt(nil, max(wait.Milliseconds(), 1), 10)
 	}
-	length := len(s.Text) - (s.d1 - s.d0) + len(d) + s.value.digits + 1
-	out := make([]byte, 0, 2*Piece+largeHead)
+	length := len(s.Text) - (s.waitEnd - s.waitStart) + len(d) + s.value.digits + 1
+	out := make([]byte, 0, 2*ChunkSize+maxLargeHead)
 	out = AppendLong(out, Query, length-s.valueAt, s.Text[:s.valueAt])
-	for _, p := range s.value.parts {
-		out = s.value.digitsOf(out, p)
-		if len(out) >= Piece {
+	for _, p := range s.value.chunks {
+		out = s.value.appendHex(out, p)
+		if len(out) >= ChunkSize {
 			if _, err := w.Write(out); err != nil {
 				return err
 			}
 			out = out[:0]
 		}
 	}
-	if s.d1 > 0 {
-		out = append(append(append(out, s.Text[s.valueAt:s.d0]...), d...), s.Text[s.d1:]...)
+	if s.waitEnd > 0 {
+		out = append(append(append(out, s.Text[s.valueAt:s.waitStart]...), d...), s.Text[s.waitEnd:]...)
 	} else {
 		out = append(out, s.Text[s.valueAt:]...)
 	}
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -80,20 +80,20 @@
 	return kind, int(n), nil
 }
 
-// Whole reports whether the next message is completely buffered, so that reading it does not block.
-func Whole(r *bufio.Reader) bool {
-	have := r.Buffered()
-	if have < 5 {
+// MessageBuffered reports whether the next message is completely buffered, so that reading it does not block.
+func MessageBuffered(r *bufio.Reader) bool {
+	buffered := r.Buffered()
+	if buffered < 5 {
 		return false
 	}
 	head, err := r.Peek(5)
-	return err == nil && int64(binary.BigEndian.Uint32(head[1:])) <= int64(have-1)
+	return err == nil && int64(binary.BigEndian.Uint32(head[1:])) <= int64(buffered-1)
 }
 
 // Body reads the body announced by the head. A body above the limit is left unread, and the error is a
 // TooLong.
-func Body(r *bufio.Reader, length, most int) ([]byte, error) {
-	if length > most {
+func Body(r *bufio.Reader, length, limit int) ([]byte, error) {
+	if length > limit {
 		return nil, TooLong{length}
 	}
 	body := make([]byte, length)
@@ -108,10 +108,10 @@
 }
 
 // Read reads a complete message.
-func Read(r *bufio.Reader, most int) (kind byte, body []byte, err error) {
+func Read(r *bufio.Reader, limit int) (kind byte, body []byte, err error) {
 	kind, length, err := Head(r)
 	if err == nil {
-		body, err = Body(r, length, most)
+		body, err = Body(r, length, limit)
 	}
 	return kind, body, err
 }
@@ -259,15 +259,15 @@
 
 // Parameter parses the body of a ParameterStatus.
 func Parameter(body []byte) (name, value string, err error) {
-	fields := splitZero(body)
+	fields := splitCStrings(body)
 	if len(fields) != 2 {
 		return "", "", fmt.Errorf("%w: ParameterStatus with %d strings", ErrFraming, len(fields))
 	}
 	return fields[0], fields[1], nil
 }
 
-// splitZero splits a sequence of zero-terminated strings.
-func splitZero(b []byte) (out []string) {
+// splitCStrings splits a sequence of zero-terminated strings.
+func splitCStrings(b []byte) (out []string) {
 	start := 0
 	for i, c := range b {
 		if c == 0 {
--- a/internal/wire/pg/startup.go
+++ b/internal/wire/pg/startup.go
@@ -59,9 +59,9 @@
 	case n > 0 && body[n-1] != 0:
 		return 0, nil, &Error{Code: CodeProtocolViolation, Message: "invalid startup packet layout", Fatal: true}
 	case code != version3:
-		return StartOlder, parameters(body), nil
+		return StartOlder, parseParameters(body), nil
 	}
-	return StartSession, parameters(body), nil
+	return StartSession, parseParameters(body), nil
 }
 
 // CancelKey returns the key of a cancel request.
@@ -73,10 +73,10 @@
 	return Key{binary.BigEndian.Uint32([]byte(process)), binary.BigEndian.Uint32([]byte(secret))}, true
 }
 
-// parameters parses alternating names and values. As in PostgreSQL, the last value of a repeated name counts.
-func parameters(body []byte) Parameters {
+// parseParameters parses alternating names and values. As in PostgreSQL, the last value of a repeated name counts.
+func parseParameters(body []byte) Parameters {
 	out := Parameters{}
-	for fields := splitZero(body); len(fields) >= 2 && fields[0] != ""; fields = fields[2:] {
+	for fields := splitCStrings(body); len(fields) >= 2 && fields[0] != ""; fields = fields[2:] {
 		out[fields[0]] = fields[1]
 	}
 	return out
--- a/internal/wire/socket/socket.go
+++ b/internal/wire/socket/socket.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// peeks limits the repetitions of a system call that fails with a transient error.
-const peeks = 5
+// maxCalls limits the attempts at a system call that fails with a transient error.
+const maxCalls = 5
 
 // peek looks at the next unread byte of a connection without blocking. It returns 0 and no error at the end
 // of the stream, and syscall.EAGAIN if nothing is unread.
@@ -17,17 +17,17 @@
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		var b [1]byte
-		for range peeks {
+		for range maxCalls {
 			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			if err == syscall.EAGAIN || !Transient(err) {
-				return // any other transient error says nothing about the connection
+				return // otherwise the error is transient and says nothing about the connection
 			}
 		}
 	})
-	if failed != nil {
-		return 0, failed
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	return n, err
 }
@@ -39,22 +39,22 @@
 	return err == syscall.EAGAIN
 }
 
-// Ended reports whether the peer has ended or reset the connection and no unread data precedes that. It does
+// PeerClosed reports whether the peer has ended or reset the connection and no unread data precedes that. It does
 // not block.
-func Ended(c syscall.Conn) bool {
+func PeerClosed(c syscall.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n == 0 || err != nil && !Transient(err)
 }
 
-// Waiting reports whether a connection is queued at a listener. It does not block, whatever the deadline.
-func Waiting(l syscall.Conn) bool {
+// AcceptPending reports whether a connection is queued at a listener. It does not block, whatever the deadline.
+func AcceptPending(l syscall.Conn) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
 	}
 	waiting := false
 	err = raw.Control(func(fd uintptr) {
-		for range peeks {
+		for range maxCalls {
 			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 			n, err := unix.Poll(fds, 0)
 			if waiting = err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0; !Transient(err) {
@@ -73,7 +73,7 @@
 		return 0
 	}
 	_ = raw.Control(func(fd uintptr) {
-		for range peeks {
+		for range maxCalls {
 			n, _, err = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT)
 			if err == nil || err == syscall.EAGAIN || !Transient(err) {
 				return
@@ -99,9 +99,9 @@
 // Share sets SO_REUSEPORT, so that several processes of one user can listen on the same address. It is to be
 // used as the Control function of a net.ListenConfig.
 func Share(_, _ string, c syscall.RawConn) error {
-	var bad error
-	if err := c.Control(func(fd uintptr) { bad = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); err != nil {
+	var optErr error
+	if err := c.Control(func(fd uintptr) { optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); err != nil {
 		return err
 	}
-	return bad
+	return optErr
 }
--- a/internal/wire/socket/socket_test.go
+++ b/internal/wire/socket/socket_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestEnded(t *testing.T) {
+func TestPeerClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -16,10 +16,10 @@
 		end  func(*net.TCPConn)
 		want bool
 	}{
-		"it rests":                             {nil, false},
-		"it is closed":                         {func(c *net.TCPConn) { _ = c.Close() }, true},
-		"it is reset":                          {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }, true},
-		"something lies unread before its end": {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")); _ = c.Close() }, false},
+		"open":                       {nil, false},
+		"closed":                     {func(c *net.TCPConn) { _ = c.Close() }, true},
+		"reset":                      {func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }, true},
+		"unread data before the end": {func(c *net.TCPConn) { _, _ = c.Write([]byte("x")); _ = c.Close() }, false},
 	} {
 		n, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -35,8 +35,8 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		if got := Ended(n.(*net.TCPConn)); got != c.want {
-			t.Errorf("%s: ended %t", name, got)
+		if got := PeerClosed(n.(*net.TCPConn)); got != c.want {
+			t.Errorf("%s: peer closed %t", name, got)
 		}
 		n.Close()
 		other.Close()
--- a/internal/wire/socket/transient.go
+++ b/internal/wire/socket/transient.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// firstRetry is the first pause between retries of a call that failed with a transient error. The pause
-	// doubles up to lastRetry.
-	firstRetry = 2 * time.Millisecond
-	lastRetry  = 50 * time.Millisecond
+	// minRetryPause is the first pause between attempts at a call that failed with a transient error. The
+	// pause doubles up to maxRetryPause.
+	minRetryPause = 2 * time.Millisecond
+	maxRetryPause = 50 * time.Millisecond
 )
 
-// steadyCalls limits the calls for one read or write.
-const steadyCalls = 10
+// maxConnCalls limits the calls for one read or write.
+const maxConnCalls = 10
 
 // transient are errors of system calls that depend on the local machine and may not recur.
 var transient = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
@@ -34,11 +34,11 @@
 
 // Retry calls f until it succeeds, fails with an error that is not transient, or the time is over. It returns
 // the last result.
-func Retry[T any](ctx context.Context, within time.Duration, f func() (T, error)) (T, error) {
-	end := time.Now().Add(within)
-	for pause := firstRetry; ; pause = min(2*pause, lastRetry) {
+func Retry[T any](ctx context.Context, timeout time.Duration, f func() (T, error)) (T, error) {
+	deadline := time.Now().Add(timeout)
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		v, err := f()
-		if err == nil || !Transient(err) || time.Now().Add(pause).After(end) {
+		if err == nil || !Transient(err) || time.Now().Add(pause).After(deadline) {
 			return v, err
 		}
 		select {
@@ -49,13 +49,13 @@
 	}
 }
 
-// listenWithin limits the retries to listen on an address: a process must not fail at its start because of a
+// listenTimeout limits the retries to listen on an address: a process must not fail at its start because of a
 // transient error, and has to be ready soon after.
-const listenWithin = 5 * time.Second
+const listenTimeout = 5 * time.Second
 
 // Listen listens for TCP connections on an address.
 func Listen(ctx context.Context, config *net.ListenConfig, address string) (*net.TCPListener, error) {
-	l, err := Retry(ctx, listenWithin, func() (net.Listener, error) { return config.Listen(ctx, "tcp", address) })
+	l, err := Retry(ctx, listenTimeout, func() (net.Listener, error) { return config.Listen(ctx, "tcp", address) })
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 
 // ListenPacket listens for UDP datagrams over IPv4 on an address.
 func ListenPacket(ctx context.Context, config *net.ListenConfig, address string) (*net.UDPConn, error) {
-	c, err := Retry(ctx, listenWithin, func() (net.PacketConn, error) { return config.ListenPacket(ctx, "udp4", address) })
+	c, err := Retry(ctx, listenTimeout, func() (net.PacketConn, error) { return config.ListenPacket(ctx, "udp4", address) })
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +79,10 @@
 func (s Steady) Read(b []byte) (int, error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Read(b)
-		if n > 0 || calls >= steadyCalls || !Transient(err) {
+		if n > 0 || calls >= maxConnCalls || !Transient(err) {
 			return n, err
 		}
-		time.Sleep(firstRetry)
+		time.Sleep(minRetryPause)
 	}
 }
 
@@ -91,9 +91,9 @@
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Write(b[written:])
 		written += n
-		if err == nil || calls >= steadyCalls || !Transient(err) {
+		if err == nil || calls >= maxConnCalls || !Transient(err) {
 			return written, err
 		}
-		time.Sleep(firstRetry)
+		time.Sleep(minRetryPause)
 	}
 }
--- a/internal/wire/socket/transient_test.go
+++ b/internal/wire/socket/transient_test.go
@@ -18,11 +18,11 @@
 		calls int
 		ok    bool
 	}{
-		{"at once", 0, nil, 1, true},
-		{"no descriptors for a moment", 3, syscall.ENFILE, 4, true},
-		{"wrapped", 2, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}, 3, true},
-		{"the other end's refusal", 3, syscall.ECONNREFUSED, 1, false},
-		{"another's address", 3, syscall.EADDRINUSE, 1, false},
+		{"no error", 0, nil, 1, true},
+		{"descriptors exhausted", 3, syscall.ENFILE, 4, true},
+		{"wrapped error", 2, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}, 3, true},
+		{"refused by the peer", 3, syscall.ECONNREFUSED, 1, false},
+		{"address in use", 3, syscall.EADDRINUSE, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			calls := 0
@@ -38,12 +38,13 @@
 		})
 	}
 	if _, err := Retry(context.Background(), 30*time.Millisecond, func() (int, error) { return 0, syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
-		t.Errorf("a call that goes on failing ends with %v", err)
+		t.Errorf("a call that keeps failing returned %v", err)
 	}
 }
 
-// A process that starts while the machine has no descriptors for a moment listens all the same.
-func TestListenWhileCallsFail(t *testing.T) {
+// Listening succeeds although the first calls fail with a transient error, as at the start of a process while
+// descriptors are exhausted.
+func TestListenTransientErrors(t *testing.T) {
 	fails := 3
 	config := &net.ListenConfig{Control: func(string, string, syscall.RawConn) error {
 		if fails--; fails >= 0 {
@@ -64,14 +65,15 @@
 	c.Close()
 }
 
-// flaky is a connection of which every second call fails, and which takes and gives three bytes at a time.
-type flaky struct {
+// flakyConn is a connection of which every second call fails, and which reads and writes up to three bytes
+// per call.
+type flakyConn struct {
 	net.Conn
 	calls int
 	data  []byte
 }
 
-func (f *flaky) Read(b []byte) (int, error) {
+func (f *flakyConn) Read(b []byte) (int, error) {
 	if f.calls++; f.calls%2 == 1 {
 		return 0, syscall.ENOBUFS
 	}
@@ -80,7 +82,7 @@
 	return n, nil
 }
 
-func (f *flaky) Write(b []byte) (int, error) {
+func (f *flakyConn) Write(b []byte) (int, error) {
 	if f.calls++; f.calls%2 == 1 {
 		return 0, syscall.ENOMEM
 	}
@@ -93,7 +95,7 @@
 }
 
 func TestSteady(t *testing.T) {
-	f := &flaky{}
+	f := &flakyConn{}
 	s := Steady{f}
 	if n, err := s.Write([]byte("abcdefg")); n != 7 || err != nil || string(f.data) != "abcdefg" {
 		t.Errorf("wrote %d of 7 (%v): %q", n, err, f.data)
@@ -102,12 +104,12 @@
 	if n, err := s.Read(b); n != 3 || err != nil {
 		t.Errorf("read %d (%v)", n, err)
 	}
-	if _, err := (Steady{failed{}}).Read(b); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a connection that is broken: %v", err)
+	if _, err := (Steady{brokenConn{}}).Read(b); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("read of a broken connection: %v", err)
 	}
 }
 
-// failed is a connection that is broken.
-type failed struct{ net.Conn }
+// brokenConn is a connection whose reads fail with a permanent error.
+type brokenConn struct{ net.Conn }
 
-func (failed) Read([]byte) (int, error) { return 0, syscall.ECONNRESET }
+func (brokenConn) Read([]byte) (int, error) { return 0, syscall.ECONNRESET }
