--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -88,7 +88,9 @@
 	s.keys[c.general.key] = c
 }
 
-var errClientWrite = errors.New("frontend: write to the client failed")
+// errClientWrite reports a failed write to the client. Its text may be part of the error that ends the
+// session.
+var errClientWrite = errors.New("the client takes no answer")
 
 func (g *generalSession) write(b []byte) error {
 	if !g.c.write(b) {
--- a/internal/wire/frontend/large.go
+++ b/internal/wire/frontend/large.go
@@ -145,9 +145,9 @@
 // chunkBuffers holds buffers for large values in transit.
 var chunkBuffers = sync.Pool{New: func() any { return new([pg.ChunkSize]byte) }}
 
-// writeLargeValue writes an answer whose value is still being received, each chunk before the next is read. If the value
-// proves too old, the answer ends in an error. It returns false if the connection must be closed, so that the
-// client sees that the value is incomplete.
+// writeLargeValue writes an answer whose value is still being received, each chunk before the next is read.
+// If the value proves too old, the answer ends in an error. It returns false if the connection must be
+// closed, so that the client sees that the value is incomplete.
 func (c *session) writeLargeValue(v pg.Value, tag string) bool {
 	defer v.Rest.Close()
 	if !c.write(pg.AppendRowHead(nil, v)) {
--- a/internal/wire/frontend/queue.go
+++ b/internal/wire/frontend/queue.go
@@ -26,40 +26,40 @@
 
 func newCommandQueue() *commandQueue { return &commandQueue{available: make(chan struct{}, 1)} }
 
-func (a *commandQueue) signal() {
+func (q *commandQueue) signal() {
 	select {
-	case a.available <- struct{}{}:
+	case q.available <- struct{}{}:
 	default:
 	}
 }
 
-func (a *commandQueue) put(cmd command) {
-	a.mu.Lock()
-	a.list = append(a.list, cmd)
-	a.mu.Unlock()
-	a.signal()
+func (q *commandQueue) put(cmd command) {
+	q.mu.Lock()
+	q.list = append(q.list, cmd)
+	q.mu.Unlock()
+	q.signal()
 }
 
 // end marks that no more commands follow.
-func (a *commandQueue) end() {
-	a.mu.Lock()
-	a.ended = true
-	a.mu.Unlock()
-	a.signal()
+func (q *commandQueue) end() {
+	q.mu.Lock()
+	q.ended = true
+	q.mu.Unlock()
+	q.signal()
 }
 
 // take returns the next command. If none is queued, ok is false and ended reports whether the queue has
 // ended.
-func (a *commandQueue) take() (cmd command, ok, ended bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.list) == 0 {
-		return command{}, false, a.ended
+func (q *commandQueue) take() (cmd command, ok, ended bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.list) == 0 {
+		return command{}, false, q.ended
 	}
-	cmd = a.list[0]
-	a.list[0] = command{}
-	if a.list = a.list[1:]; len(a.list) == 0 {
-		a.list = nil
+	cmd = q.list[0]
+	q.list[0] = command{}
+	if q.list = q.list[1:]; len(q.list) == 0 {
+		q.list = nil
 	}
 	return cmd, true, false
 }
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -154,8 +154,8 @@
 	return c.unanswered > 0
 }
 
-// idleState returns since when the session has had no open requests and whether it has received a command yet. ok
-// is false while the session is busy.
+// idleState returns since when the session has had no open requests and whether it has received a command
+// yet. ok is false while the session is busy.
 func (c *session) idleState() (since time.Duration, commandSeen, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,10 +171,11 @@
 	}
 }
 
-// closeGracefully closes a connection between two requests. Input that arrives at a closed socket, or is unread at the
-// close, resets the connection, and the part of the last answer that the client has not received is lost. So
-// the sending ends first, and the connection is closed once the client has received everything. Nothing is
-// read meanwhile: a request that crosses the close appears to its client as not accepted.
+// closeGracefully closes a connection between two requests. Input that arrives at a closed socket, or is
+// unread at the close, resets the connection, and the part of the last answer that the client has not
+// received is lost. So the sending ends first, and the connection is closed once the client has received
+// everything. Nothing is read meanwhile: a request that crosses the close appears to its client as not
+// accepted.
 func (c *session) closeGracefully() {
 	if socket.Unsent(c.conn) == 0 || c.conn.CloseWrite() != nil {
 		return
--- a/internal/wire/frontend/session_test.go
+++ b/internal/wire/frontend/session_test.go
@@ -313,9 +313,9 @@
 // staleValue is a large value that is received completely but proves too old.
 type staleValue struct{ remaining int }
 
-func (o *staleValue) Read(p []byte) (int, error) {
-	n := min(len(p), o.remaining)
-	if o.remaining -= n; n == 0 {
+func (v *staleValue) Read(p []byte) (int, error) {
+	n := min(len(p), v.remaining)
+	if v.remaining -= n; n == 0 {
 		return 0, pg.ErrTooOld
 	}
 	return n, nil
