--- a/internal/wire/frontend/accept_deadline_test.go
+++ b/internal/wire/frontend/accept_deadline_test.go
@@ -60,7 +60,7 @@
 		}
 		defer tcp.Close()
 		s := newAcceptor(&fakeExchange{})
-		s.Leave(leave)
+		s.SetLeaveQueued(leave)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		accepted := 0
--- a/internal/wire/frontend/accept_test.go
+++ b/internal/wire/frontend/accept_test.go
@@ -31,7 +31,7 @@
 // newAcceptor returns a server with limits that the tests do not reach.
 func newAcceptor(x Exchange) *Server {
 	return New(Config{Clock: exchange.NewClock(), Log: zap.NewNop(), Counters: &counters.Set{}, MaxConns: 100, KeepIdle: 50,
-		MaxBytes: 1 << 20, MaxLarge: 1 << 20, Yes: func() bool { return true }}, x)
+		MaxBytes: 1 << 20, MaxLarge: 1 << 20, Ready: func() bool { return true }}, x)
 }
 
 // startWithQueuedClient starts a server and connects a client that sends a readiness probe. Its connection
@@ -43,7 +43,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Run(ctx) }()
-	s.Ready()
+	s.SetReady()
 	t.Cleanup(func() { l.Close(); stop(); <-done })
 	n, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/wire/frontend/commands.go
+++ b/internal/wire/frontend/commands.go
@@ -25,7 +25,7 @@
 
 // readMessage reads one message and queues the commands that answer it.
 func (c *session) readMessage() error {
-	kind, length, err := pg.Head(c.in)
+	kind, length, err := pg.ReadHead(c.in)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	case length > minCountedBody:
 		cmd.held = length
 	}
-	body, err := pg.Body(c.in, length, length)
+	body, err := pg.ReadBody(c.in, length, length)
 	if err != nil {
 		c.s.statementBudget.release(cmd.held)
 		return err
--- a/internal/wire/frontend/frontend.go
+++ b/internal/wire/frontend/frontend.go
@@ -68,20 +68,20 @@
 
 // Config configures a Server.
 type Config struct {
-	Clock    exchange.Clock
-	Log      *zap.Logger
-	Counters *counters.Set
-	MaxConns int // maximum number of clients
-	KeepIdle int // number of clients up to which idle connections stay open
-	Share    int // maximum number of connections of clients that have sent a command; 0: no limit
+	Clock     exchange.Clock
+	Log       *zap.Logger
+	Counters  *counters.Set
+	MaxConns  int // maximum number of clients
+	KeepIdle  int // number of clients up to which idle connections stay open
+	MaxActive int // maximum number of connections of clients that have sent a command; 0: no limit
 	// Pool returns the pool of a general SQL session. If it is nil, or returns nil, only the platform's
 	// statements are served.
 	Pool       func(user, database string) *Pool
 	MaxBytes   int64         // total size of the statements that are buffered whole
 	MaxLarge   int64         // total size of larger statements, which are read in chunks
 	RetryAfter time.Duration // sent to clients refused for lack of capacity; 0: none
-	Yes        func() bool   // answer to a readiness probe (the empty query) after Ready; must not block
-	Emptied    func()        // called when no connection is open or being accepted; may be nil
+	Ready      func() bool   // answer to a readiness probe (the empty query) after Ready; must not block
+	OnEmpty    func()        // called when no connection is open or being accepted; may be nil
 }
 
 // Server accepts and serves client connections.
@@ -99,7 +99,7 @@
 	leaveQueued atomic.Bool    // connections queued at a listener past its deadline belong to another process
 
 	mu              sync.Mutex
-	handOver        Pass // nil: connections are closed, not handed over
+	handOver        HandOver // nil: connections are closed, not handed over
 	sessions        map[*session]struct{}
 	closing         int                 // number of sessions that are closing
 	keys            map[pg.Key]*session // general SQL sessions by the key that a cancel request carries
@@ -113,21 +113,21 @@
 	s := &Server{cfg: cfg, x: x, ready: make(chan struct{}), evictionStopped: make(chan struct{}), statementBudget: &byteBudget{left: cfg.MaxBytes},
 		large:    newLargeMemory(cfg.MaxLarge, cfg.Counters),
 		sessions: map[*session]struct{}{}, keys: map[pg.Key]*session{}}
-	s.Retune(cfg.RetryAfter)
+	s.SetRetryAfter(cfg.RetryAfter)
 	return s
 }
 
-// Retune sets the retryAfter of clients that are refused for lack of capacity; 0 means none is sent.
-func (s *Server) Retune(retryAfter time.Duration) { s.retryAfterNanos.Store(int64(retryAfter)) }
+// SetRetryAfter sets the retryAfter of clients that are refused for lack of capacity; 0 means none is sent.
+func (s *Server) SetRetryAfter(retryAfter time.Duration) { s.retryAfterNanos.Store(int64(retryAfter)) }
 
 func (s *Server) retryAfter() time.Duration { return time.Duration(s.retryAfterNanos.Load()) }
 
-// Resize sets how many bytes of large statements are held at a time.
-func (s *Server) Resize(large int64) { s.large.resize(large) }
+// SetMaxLarge sets how many bytes of large statements are held at a time.
+func (s *Server) SetMaxLarge(large int64) { s.large.resize(large) }
 
-// Ready enables answers to the empty query, which the load balancer uses as its readiness probe. It must be
+// SetReady enables answers to the empty query, which the load balancer uses as its readiness probe. It must be
 // called once.
-func (s *Server) Ready() { close(s.ready) }
+func (s *Server) SetReady() { close(s.ready) }
 
 // Run evicts idle sessions until the context ends, which also ends all sessions, and waits for them.
 func (s *Server) Run(ctx context.Context) error {
@@ -137,9 +137,9 @@
 	return nil
 }
 
-// Leave sets whether connections that are queued at a listener when its deadline passes are left to another
+// SetLeaveQueued sets whether connections that are queued at a listener when its deadline passes are left to another
 // process that listens on the same address. Otherwise they are accepted.
-func (s *Server) Leave(leave bool) { s.leaveQueued.Store(leave) }
+func (s *Server) SetLeaveQueued(leave bool) { s.leaveQueued.Store(leave) }
 
 // Accept accepts clients until the listener is closed, or until its deadline has passed and, unless set by
 // Leave, no connection is queued there. It may then be called again. The end of the context ends the
@@ -234,9 +234,9 @@
 	})
 }
 
-// Held returns the number of connections, including those that may just be accepted, and how many of them
+// Connections returns the number of connections, including those that may just be accepted, and how many of them
 // wait for an answer.
-func (s *Server) Held() (all, waiting int) {
+func (s *Server) Connections() (all, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.sessions {
@@ -251,8 +251,8 @@
 	s.mu.Lock()
 	held := len(s.sessions) + int(s.accepting.Load())
 	s.mu.Unlock()
-	if s.cfg.Emptied != nil && held == 0 {
-		s.cfg.Emptied()
+	if s.cfg.OnEmpty != nil && held == 0 {
+		s.cfg.OnEmpty()
 	}
 }
 
@@ -336,7 +336,7 @@
 			silent = append(silent, idleSession{c, since})
 		}
 	}
-	pressed = s.cfg.Share > 0 && float64(active) >= scarceFraction*float64(s.cfg.Share) ||
+	pressed = s.cfg.MaxActive > 0 && float64(active) >= scarceFraction*float64(s.cfg.MaxActive) ||
 		float64(count) >= scarceFraction*float64(s.cfg.MaxConns)
 	limit := idleTimeout
 	if pressed {
@@ -382,7 +382,7 @@
 
 // lastAnswerReceived reports whether a client has received its last answer, or the time for that has passed.
 func (s *Server) lastAnswerReceived(i idleSession) bool {
-	return s.cfg.Clock.Now()-i.since >= lastAnswerTimeout || socket.Unsent(i.c.conn) == 0
+	return s.cfg.Clock.Now()-i.since >= lastAnswerTimeout || socket.Unacknowledged(i.c.conn) == 0
 }
 
 // logEnd logs why the gateway ends a client's connection.
@@ -429,15 +429,15 @@
 	s.cfg.Counters.ClientsOpen.Add(-1)
 }
 
-// Ending stops the eviction of idle connections: their clients could not open new ones.
-func (s *Server) Ending() { s.stopOnce.Do(func() { close(s.evictionStopped) }) }
+// StopEviction stops the eviction of idle connections: their clients could not open new ones.
+func (s *Server) StopEviction() { s.stopOnce.Do(func() { close(s.evictionStopped) }) }
 
-// Pass hands a connection with no open requests over to another process. idle is how long it has been idle.
-type Pass func(conn *net.TCPConn, user string, idle time.Duration) error
+// HandOver hands a connection with no open requests over to another process. idle is how long it has been idle.
+type HandOver func(conn *net.TCPConn, user string, idle time.Duration) error
 
 // Drain ends every session once it is between requests, and does so for new sessions too, until Resume is
 // called. If pass is not nil, connections are handed over instead of closed.
-func (s *Server) Drain(pass Pass) {
+func (s *Server) Drain(pass HandOver) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handOver = pass
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -26,20 +26,20 @@
 	Group int
 	// Read, Own and Write are the classes of reads, of reads after a write of the same session, and of
 	// everything that may write.
-	Read, Own, Write string
-	Transaction      time.Duration // maximum duration of a transaction, from its first statement
-	Idle             time.Duration // maximum idle time within a transaction
-	MaxBatch         int           // maximum size of a buffered pipeline in bytes
-	MaxMessage       int           // maximum size in bytes of a Bind that is streamed
-	Most             int           // maximum number of sessions that hold a host connection; 0: no limit
-	Stats            *PoolStats
+	Read, ReadAfterWrite, Write string
+	MaxTransaction              time.Duration // maximum duration of a transaction, from its first statement
+	MaxIdle                     time.Duration // maximum idle time within a transaction
+	MaxBatch                    int           // maximum size of a buffered pipeline in bytes
+	MaxMessage                  int           // maximum size in bytes of a Bind that is streamed
+	MaxSessions                 int           // maximum number of sessions that hold a host connection; 0: no limit
+	Stats                       *PoolStats
 }
 
 // PoolStats counts the activity of a pool's sessions.
 type PoolStats struct {
-	Sessions, Leased, Batches, Transactions atomic.Int64
-	Pins                                    [8]atomic.Int64 // by the bits of pooling.Pin
-	Lost, Cancels                           atomic.Int64
+	Sessions, CheckedOut, Batches, Transactions atomic.Int64
+	Pins                                        [8]atomic.Int64 // by the bits of pooling.Pin
+	Lost, Cancels                               atomic.Int64
 }
 
 // poolLimitRetryAfter is the retryAfter of a request refused because its pool holds the maximum number of host
@@ -61,7 +61,7 @@
 	batchBytes int          // size of batch
 	heldBytes  int          // bytes held of the statement budget
 
-	checkout  *relay.Lease // checked-out connection that is kept between batches; nil: none
+	checkout  *relay.Checkout // checked-out connection that is kept between batches; nil: none
 	request   *exchange.Request
 	answers   chan exchange.Answer
 	skipping  bool          // after an error, messages up to the next Sync are skipped
@@ -69,7 +69,7 @@
 	// freeSince is the end of the last batch after which no connection was kept. Clients of general SQL state
 	// no wait, so the time of the next batch starts there at the earliest.
 	freeSince time.Duration
-	running   atomic.Pointer[relay.Lease]
+	running   atomic.Pointer[relay.Checkout]
 }
 
 func newGeneralSession(c *session, p *Pool, parameters pg.Parameters) *generalSession {
@@ -157,7 +157,7 @@
 		}
 		g.heldBytes += length
 	}
-	body, err := pg.Body(c.in, length, length)
+	body, err := pg.ReadBody(c.in, length, length)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 	g.batch.Messages = append(g.batch.Messages, relay.Message{Kind: kind, Body: body})
 	g.batchBytes += length + 5
 	if kind == pg.Query || kind == pg.Sync || kind == pg.Flush {
-		g.batch.Ends = kind != pg.Flush
+		g.batch.Complete = kind != pg.Flush
 		cmd := command{batch: g.batch, held: g.heldBytes, arrived: c.s.cfg.Clock.Now()}
 		g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
 		c.enqueue(cmd)
@@ -206,7 +206,7 @@
 	if g.batch == nil {
 		g.batch = &relay.Batch{}
 	}
-	g.batch.Messages, g.batch.Part = append(g.batch.Messages, m), true
+	g.batch.Messages, g.batch.Streamed = append(g.batch.Messages, m), true
 	cmd := command{batch: g.batch, held: g.heldBytes, arrived: c.s.cfg.Clock.Now()}
 	g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
 	c.enqueue(cmd)
@@ -325,7 +325,7 @@
 	case write:
 		class = g.pool.Write
 	case g.lastWrite != 0:
-		class = g.pool.Own
+		class = g.pool.ReadAfterWrite
 	}
 	if hints["c"] != "" && !write {
 		class = hints["c"]
@@ -345,24 +345,24 @@
 	for _, x := range b.Commands {
 		pins = pins || x.Pin != 0
 	}
-	if pins || begins || g.pool.Mode == pooling.BySession || !b.Ends {
-		r.Checkout = g.pool.Transaction
+	if pins || begins || g.pool.Mode == pooling.BySession || !b.Complete {
+		r.Checkout = g.pool.MaxTransaction
 		if pins || g.pool.Mode == pooling.BySession {
 			r.Checkout = maxSessionCheckout
 		}
 	}
-	if m := int64(g.pool.Most); m > 0 && g.pool.Stats.Leased.Load() >= m {
+	if m := int64(g.pool.MaxSessions); m > 0 && g.pool.Stats.CheckedOut.Load() >= m {
 		r.QuotaRetryAfter = poolLimitRetryAfter
 	}
 	if begins {
 		g.pool.Stats.Transactions.Add(1)
 	}
 	checkout := relay.New(g.state, g.pool.Mode, g.write, b)
-	checkout.Idle = g.pool.Idle
+	checkout.MaxIdle = g.pool.MaxIdle
 	if !write && r.Checkout == 0 && g.lastWrite > 0 {
-		checkout.MustSee = g.lastWrite
+		checkout.MinPosition = g.lastWrite
 	}
-	checkout.Pinned = func(p pooling.Pin) {
+	checkout.OnPinned = func(p pooling.Pin) {
 		for i := range g.pool.Stats.Pins {
 			if p&(1<<i) != 0 {
 				g.pool.Stats.Pins[i].Add(1)
@@ -378,7 +378,7 @@
 }
 
 // setCheckout sets the checked-out connection, or clears it for nil. A session that has one counts as busy.
-func (g *generalSession) setCheckout(checkout *relay.Lease) {
+func (g *generalSession) setCheckout(checkout *relay.Checkout) {
 	if (g.checkout == nil) == (checkout == nil) {
 		g.checkout = checkout
 		return
@@ -386,10 +386,10 @@
 	g.c.mu.Lock()
 	if checkout != nil {
 		g.c.open++
-		g.pool.Stats.Leased.Add(1)
+		g.pool.Stats.CheckedOut.Add(1)
 	} else {
 		g.c.open--
-		g.pool.Stats.Leased.Add(-1)
+		g.pool.Stats.CheckedOut.Add(-1)
 	}
 	g.c.mu.Unlock()
 	g.checkout = checkout
@@ -414,7 +414,7 @@
 		g.setCheckout(nil)
 		if !first {
 			g.state.ConnectionLost()
-			return g.writeFatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
+			return g.writeFatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 		}
 		if a.Kind == exchange.Served { // the relay's Done precedes it, so the session cannot go on
 			return false
@@ -450,7 +450,7 @@
 		g.setCheckout(nil)
 		g.pool.Stats.Lost.Add(1)
 		g.state.ConnectionLost()
-		return g.writeFatal(relay.ErrorOf(d.Err))
+		return g.writeFatal(relay.ConnectionError(d.Err))
 	case !d.Keep:
 		g.setCheckout(nil)
 		g.freeSince = g.c.s.cfg.Clock.Now()
@@ -469,7 +469,7 @@
 // writeError answers a batch with an error of the gateway.
 func (g *generalSession) writeError(b *relay.Batch, e *pg.Error) bool {
 	out := pg.AppendError(nil, e)
-	if g.skipping = !b.Ends; b.Ends {
+	if g.skipping = !b.Complete; b.Complete {
 		out = pg.AppendReadyAs(out, g.state.Status)
 	}
 	return g.c.write(out)
@@ -502,7 +502,7 @@
 			return command{}, c.general.batchDone(d)
 		case a := <-c.general.answers:
 			c.general.setCheckout(nil)
-			c.general.writeFatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
+			c.general.writeFatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 			return command{}, false
 		}
 	}
--- a/internal/wire/frontend/large.go
+++ b/internal/wire/frontend/large.go
@@ -149,7 +149,7 @@
 // If the value proves too old, the answer ends in an error. It returns false if the connection must be
 // closed, so that the client sees that the value is incomplete.
 func (c *session) writeLargeValue(v pg.Value, tag string) bool {
-	defer v.Rest.Close()
+	defer v.Stream.Close()
 	if !c.write(pg.AppendRowHead(nil, v)) {
 		return false
 	}
@@ -157,10 +157,10 @@
 	defer chunkBuffers.Put(chunk)
 	written := 0
 	for {
-		n, err := v.Rest.Read(chunk[:])
+		n, err := v.Stream.Read(chunk[:])
 		if n > 0 {
 			_ = c.conn.SetWriteDeadline(time.Now().Add(clientStallTimeout))
-			if _, err := (socket.Steady{Conn: c.conn}).Write(chunk[:n]); err != nil {
+			if _, err := (socket.RetryConn{Conn: c.conn}).Write(chunk[:n]); err != nil {
 				c.s.cfg.Log.Info("value truncated", zap.String("reason", "write to the client failed"), zap.Int("written", written), zap.Int("size", v.Size), zap.Error(err))
 				return false
 			}
--- a/internal/wire/frontend/reading.go
+++ b/internal/wire/frontend/reading.go
@@ -75,7 +75,7 @@
 
 func (p progressConn) Read(b []byte) (int, error) {
 	c := p.c
-	n, err := socket.Steady{Conn: c.conn}.Read(b)
+	n, err := socket.RetryConn{Conn: c.conn}.Read(b)
 	if n == 0 {
 		return n, err
 	}
@@ -120,7 +120,7 @@
 	draining, commandSeen := c.draining && c.unanswered == 0, c.commandSeen
 	c.mu.Unlock()
 	noneBuffered := c.in.Buffered() == 0
-	quiet := noneBuffered && socket.Quiet(c.conn)
+	quiet := noneBuffered && socket.NothingReceived(c.conn)
 	c.stoppedIdle = draining && noneBuffered && (handedOver || quiet)
 	switch {
 	case c.stoppedIdle:
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -159,7 +159,7 @@
 func (c *session) idleState() (since time.Duration, commandSeen, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idleSince, c.commandSeen, c.open == 0 && !c.inMessage && socket.Quiet(c.conn)
+	return c.idleSince, c.commandSeen, c.open == 0 && !c.inMessage && socket.NothingReceived(c.conn)
 }
 
 // linger ends the sending and reads on for a short time: closing a socket with unread input resets the
@@ -177,14 +177,14 @@
 // everything. Nothing is read meanwhile: a request that crosses the close appears to its client as not
 // accepted.
 func (c *session) closeGracefully() {
-	if socket.Unsent(c.conn) == 0 || c.conn.CloseWrite() != nil {
+	if socket.Unacknowledged(c.conn) == 0 || c.conn.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
 	lastWritten := c.idleSince
 	c.mu.Unlock()
 	remaining := max(lingerTimeout, lastAnswerTimeout-(c.s.cfg.Clock.Now()-lastWritten))
-	for deadline := time.Now().Add(remaining); socket.Unsent(c.conn) > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(remaining); socket.Unacknowledged(c.conn) > 0 && time.Now().Before(deadline); {
 		time.Sleep(unsentPollInterval)
 	}
 }
@@ -196,7 +196,7 @@
 		c.writeDeadline = now.Add(writeTimeout)
 		_ = c.conn.SetWriteDeadline(c.writeDeadline)
 	}
-	_, err := socket.Steady{Conn: c.conn}.Write(b)
+	_, err := socket.RetryConn{Conn: c.conn}.Write(b)
 	return err == nil
 }
 
@@ -228,7 +228,7 @@
 		case <-ctx.Done():
 			return false
 		}
-		if !c.s.cfg.Yes() {
+		if !c.s.cfg.Ready() {
 			e := &pg.Error{Code: pg.CodeCannotConnectNow, Message: "drained: the gateway takes no new clients"}
 			return c.write(pg.AppendReady(pg.AppendError(nil, e)))
 		}
@@ -245,7 +245,7 @@
 	case a := <-answer:
 		// The memory of a large statement is released before the write, as the client may be slow to receive.
 		c.s.large.close(cmd.largeHolding)
-		if v, ok := a.Value.(pg.Value); ok && v.Rest != nil {
+		if v, ok := a.Value.(pg.Value); ok && v.Stream != nil {
 			return c.writeLargeValue(v, st.Tag())
 		}
 		return c.write(pg.AppendReady(appendAnswer(nil, st, a)))
--- a/internal/wire/frontend/session_test.go
+++ b/internal/wire/frontend/session_test.go
@@ -45,7 +45,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Run(ctx) }()
 	go s.Accept(ctx, l)
-	s.Ready()
+	s.SetReady()
 	t.Cleanup(func() {
 		l.Close()
 		stop()
@@ -241,13 +241,13 @@
 	})
 	// The answer exceeds the socket buffers.
 	r.Answer <- exchange.Answer{Kind: exchange.Served, Value: pg.Value{Data: make([]byte, 16<<20), Format: 1}}
-	if kind, _, err := pg.Head(in); err != nil || kind != pg.RowDescription {
+	if kind, _, err := pg.ReadHead(in); err != nil || kind != pg.RowDescription {
 		t.Fatalf("message type %q, error %v", kind, err)
 	}
 	_ = n.CloseWrite()
 	await(t, "the disconnect is noticed", c.disconnectNoticed)
 	_, _ = io.Copy(io.Discard, in) // lets the server write the rest of the answer
-	await(t, "the session has ended", func() bool { all, _ := s.Held(); return all == 1 })
+	await(t, "the session has ended", func() bool { all, _ := s.Connections(); return all == 1 })
 	if len(f.submitted) != 0 {
 		t.Error("the second request was submitted")
 	}
@@ -301,7 +301,7 @@
 	})
 	_ = n.Close()
 	<-f.canceled
-	await(t, "the session has ended", func() bool { all, _ := s.Held(); return all == 1 })
+	await(t, "the session has ended", func() bool { all, _ := s.Connections(); return all == 1 })
 	if got := s.statementBudget.left; got != 1<<20 {
 		t.Errorf("%d bytes of the budget are left of %d", got, 1<<20)
 	}
@@ -329,7 +329,7 @@
 	_, f, address := startServer(t)
 	n, in := connect(t, address)
 	_, _ = n.Write(append(testQuery(1), testQuery(2)...))
-	(<-f.submitted).Answer <- exchange.Answer{Kind: exchange.Served, Value: pg.Value{Size: 1 << 20, Rest: &staleValue{1 << 20}}}
+	(<-f.submitted).Answer <- exchange.Answer{Kind: exchange.Served, Value: pg.Value{Size: 1 << 20, Stream: &staleValue{1 << 20}}}
 	var kinds []byte
 	for range 4 {
 		kind, _, err := pg.Read(in, 2<<20)
@@ -369,7 +369,7 @@
 		c.idleSince -= 2*shortIdleTimeout - time.Duration(id)*shortIdleTimeout/2 // the first has been idle for longest
 		c.mu.Unlock()
 	}
-	await(t, "the second client has received its answer", func() bool { return socket.Unsent(held[1].conn) == 0 })
+	await(t, "the second client has received its answer", func() bool { return socket.Unacknowledged(held[1].conn) == 0 })
 	connect(t, address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/wire/pg/extended.go
+++ b/internal/wire/pg/extended.go
@@ -115,8 +115,8 @@
 // transaction).
 func AppendReadyAs(out []byte, status byte) []byte { return Append(out, ReadyForQuery, []byte{status}) }
 
-// AppendWelcomeAs appends the response to a startup message with the given parameters and cancel key.
-func AppendWelcomeAs(out []byte, s Startup, parameters [][2]string, k Key) []byte {
+// AppendStartupResponseWith appends the response to a startup message with the given parameters and cancel key.
+func AppendStartupResponseWith(out []byte, s Startup, parameters [][2]string, k Key) []byte {
 	if s == StartOlder {
 		out = Append(out, NegotiateVersion, []byte{0, 3, 0, 0, 0, 0, 0, 0})
 	}
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -57,13 +57,13 @@
 // ErrFraming reports that message boundaries are lost, so the stream cannot be read any further.
 var ErrFraming = errors.New("pg: framing lost")
 
-// TooLong reports a message above the limit. Its body has not been read.
-type TooLong struct{ Length int }
+// TooLongError reports a message above the limit. Its body has not been read.
+type TooLongError struct{ Length int }
 
-func (e TooLong) Error() string { return fmt.Sprintf("pg: message of %d bytes", e.Length) }
+func (e TooLongError) Error() string { return fmt.Sprintf("pg: message of %d bytes", e.Length) }
 
-// Head reads the type of a message and the length of its body.
-func Head(r *bufio.Reader) (kind byte, length int, err error) {
+// ReadHead reads the type of a message and the length of its body.
+func ReadHead(r *bufio.Reader) (kind byte, length int, err error) {
 	head, err := r.Peek(5) // in the reader's buffer, as an array here would be allocated for each message
 	if err != nil {
 		if err == io.EOF && len(head) > 0 {
@@ -90,11 +90,11 @@
 	return err == nil && int64(binary.BigEndian.Uint32(head[1:])) <= int64(buffered-1)
 }
 
-// Body reads the body announced by the head. A body above the limit is left unread, and the error is a
+// ReadBody reads the body announced by the head. A body above the limit is left unread, and the error is a
 // TooLong.
-func Body(r *bufio.Reader, length, limit int) ([]byte, error) {
+func ReadBody(r *bufio.Reader, length, limit int) ([]byte, error) {
 	if length > limit {
-		return nil, TooLong{length}
+		return nil, TooLongError{length}
 	}
 	body := make([]byte, length)
 	_, err := io.ReadFull(r, body)
@@ -109,9 +109,9 @@
 
 // Read reads a complete message.
 func Read(r *bufio.Reader, limit int) (kind byte, body []byte, err error) {
-	kind, length, err := Head(r)
+	kind, length, err := ReadHead(r)
 	if err == nil {
-		body, err = Body(r, length, limit)
+		body, err = ReadBody(r, length, limit)
 	}
 	return kind, body, err
 }
@@ -179,17 +179,17 @@
 
 // Value is the result of a statement in the format that the host sent.
 type Value struct {
-	Data   []byte // nil: NULL, or the value is in Rest
-	Format int16  // 0 text, 1 binary
-	Size   int    // size in bytes of the value in Rest
-	Rest   Rest   // a large value; nil: Data is the value
+	Data   []byte      // nil: NULL, or the value is in Rest
+	Format int16       // 0 text, 1 binary
+	Size   int         // size in bytes of the value in Rest
+	Stream ValueStream // a large value; nil: Data is the value
 }
 
 // ErrTooOld reports that a value was received completely but proves to be older than its request allows.
 var ErrTooOld = errors.New("pg: the value is older than its request allows")
 
-// Rest is a large value that is still being received. Its receiver must close it.
-type Rest interface {
+// ValueStream is a large value that is still being received. Its receiver must close it.
+type ValueStream interface {
 	// Read reads at least one byte. It returns io.EOF once the value is complete and its answer has ended
 	// correctly, and ErrTooOld if the value is complete too, but must not be served. After any other error
 	// the value will never be complete.
--- a/internal/wire/pg/startup.go
+++ b/internal/wire/pg/startup.go
@@ -89,8 +89,8 @@
 	return append(binary.BigEndian.AppendUint32(out, version3), body...)
 }
 
-// AppendWelcome appends a server's response to a startup message, up to and including ReadyForQuery.
-func AppendWelcome(out []byte, s Startup) []byte {
+// AppendStartupResponse appends a server's response to a startup message, up to and including ReadyForQuery.
+func AppendStartupResponse(out []byte, s Startup) []byte {
 	if s == StartOlder {
 		out = Append(out, NegotiateVersion, []byte{0, 3, 0, 0, 0, 0, 0, 0})
 	}
--- a/internal/wire/socket/socket.go
+++ b/internal/wire/socket/socket.go
@@ -32,9 +32,9 @@
 	return n, err
 }
 
-// Quiet reports whether the peer of a connection has neither closed it nor sent anything that is still
+// NothingReceived reports whether the peer of a connection has neither closed it nor sent anything that is still
 // unread. It does not block.
-func Quiet(c syscall.Conn) bool {
+func NothingReceived(c syscall.Conn) bool {
 	_, err := peek(c)
 	return err == syscall.EAGAIN
 }
@@ -83,8 +83,8 @@
 	return max(n, 0)
 }
 
-// Unsent returns the number of bytes written that the peer has not acknowledged yet, or 0 if unknown.
-func Unsent(c syscall.Conn) int {
+// Unacknowledged returns the number of bytes written that the peer has not acknowledged yet, or 0 if unknown.
+func Unacknowledged(c syscall.Conn) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
@@ -96,9 +96,9 @@
 	return n
 }
 
-// Share sets SO_REUSEPORT, so that several processes of one user can listen on the same address. It is to be
+// ReusePort sets SO_REUSEPORT, so that several processes of one user can listen on the same address. It is to be
 // used as the Control function of a net.ListenConfig.
-func Share(_, _ string, c syscall.RawConn) error {
+func ReusePort(_, _ string, c syscall.RawConn) error {
 	var optErr error
 	if err := c.Control(func(fd uintptr) { optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); err != nil {
 		return err
--- a/internal/wire/socket/transient.go
+++ b/internal/wire/socket/transient.go
@@ -71,12 +71,12 @@
 	return c.(*net.UDPConn), nil
 }
 
-// Steady is a connection whose reads and writes are retried after a transient error, which is not a fault of
+// RetryConn is a connection whose reads and writes are retried after a transient error, which is not a fault of
 // the connection.
-type Steady struct{ net.Conn }
+type RetryConn struct{ net.Conn }
 
 // Read implements net.Conn.
-func (s Steady) Read(b []byte) (int, error) {
+func (s RetryConn) Read(b []byte) (int, error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Read(b)
 		if n > 0 || calls >= maxConnCalls || !Transient(err) {
@@ -87,7 +87,7 @@
 }
 
 // Write implements net.Conn.
-func (s Steady) Write(b []byte) (written int, err error) {
+func (s RetryConn) Write(b []byte) (written int, err error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Write(b[written:])
 		written += n
--- a/internal/wire/socket/transient_test.go
+++ b/internal/wire/socket/transient_test.go
@@ -96,7 +96,7 @@
 
 func TestSteady(t *testing.T) {
 	f := &flakyConn{}
-	s := Steady{f}
+	s := RetryConn{f}
 	if n, err := s.Write([]byte("abcdefg")); n != 7 || err != nil || string(f.data) != "abcdefg" {
 		t.Errorf("wrote %d of 7 (%v): %q", n, err, f.data)
 	}
@@ -104,7 +104,7 @@
 	if n, err := s.Read(b); n != 3 || err != nil {
 		t.Errorf("read %d (%v)", n, err)
 	}
-	if _, err := (Steady{brokenConn{}}).Read(b); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := (RetryConn{brokenConn{}}).Read(b); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read of a broken connection: %v", err)
 	}
 }
