--- a/internal/wire/frontend/frontend.go
+++ b/internal/wire/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend is the client side: it listens, speaks PostgreSQL's protocol to clients, hands their requests to
-// the exchange and writes the answers.
+// Package frontend implements the client side of the gateway: it accepts connections, speaks the PostgreSQL
+// protocol with clients, submits their requests to the exchange and writes the answers.
 package frontend
 
 import (
@@ -26,103 +26,110 @@
 )
 
 const (
-	// startWithin is how long a client may take to say what it wants, and then to begin its first command.
-	startWithin = 2 * time.Second
-	// messageWithin is how long a message that has begun may bring nothing more; headWithin is how long its head may take to
-	// come, and a body longestWithin and a second more for each leastRate bytes. A client may spend 2 s on a head.
-	messageWithin = 2500 * time.Millisecond
-	headWithin    = 5 * time.Second
-	longestWithin = 10 * time.Second
-	leastRate     = 32 << 10
-	writeTimeout  = 5 * time.Second // for a client to take an answer
-	// overflow is how many connections over the limit may be closing: told that there is no room, made to
-	// give way, or cut off for what they sent.
-	overflow  = 24
-	lingerFor = 500 * time.Millisecond // for a client to read why it is cut off
-	// takeWithin is how long a client may take for its last answer, from when that was written: as long as clients wait for one.
-	takeWithin = 3 * time.Second
-	// unsentPause is between two looks whether a client has taken all that was written.
-	unsentPause = 2 * time.Millisecond
-	// mayClose is how long a connection may have nothing open before it can be closed; soonClose is the same while the
-	// clients' share of the descriptors is nearly full: until one of theirs is closed, others can't even come to ask.
-	mayClose    = 2 * time.Second
-	soonClose   = 250 * time.Millisecond
-	nearly      = 0.75                   // of the clients' share, or of the places: from there on it is nearly full
-	silentFor   = 100 * time.Millisecond // a client that says nothing for longer gives way to one that may
-	largeBody   = 2 << 10                // bodies over this count against MaxBytes
-	acceptPause = 5 * time.Millisecond   // after a call that failed
-	// acceptFailures in a row are the most for which a listener's deadline is put off.
-	acceptFailures = 50
-	sweepPause     = 100 * time.Millisecond // between two looks at who has nothing open
+	// startupTimeout limits the startup of a client, and then the time until its first command begins.
+	startupTimeout = 2 * time.Second
+	// progressTimeout limits the time without progress within a message. headTimeout limits the time for the
+	// head of a message, bodyTimeout plus one second for each minBodyRate bytes the time for its body.
+	// Clients may legitimately take 2 s for a head.
+	progressTimeout = 2500 * time.Millisecond
+	headTimeout     = 5 * time.Second
+	bodyTimeout     = 10 * time.Second
+	minBodyRate     = 32 << 10
+	writeTimeout    = 5 * time.Second // for a client to receive an answer
+	// maxClosing limits the connections above the connection limit that are being closed: rejected, evicted, or
+	// closed for invalid input.
+	maxClosing    = 24
+	lingerTimeout = 500 * time.Millisecond // for a client to read the error that precedes the close
+	// lastAnswerTimeout limits the time for a client to receive its last answer, from when it was written. It equals
+	// the time for which clients wait for an answer.
+	lastAnswerTimeout = 3 * time.Second
+	// unsentPollInterval is the interval of polling whether a client has received everything that was written.
+	unsentPollInterval = 2 * time.Millisecond
+	// idleTimeout is how long a connection must be idle before it can be closed. shortIdleTimeout replaces it
+	// while the clients' share of the descriptors is nearly exhausted: until a client closes one of its
+	// connections, others cannot connect at all.
+	idleTimeout      = 2 * time.Second
+	shortIdleTimeout = 250 * time.Millisecond
+	// scarceFraction is the fraction of Config.Share or Config.MaxConns from which on connections are scarce.
+	scarceFraction   = 0.75
+	silentTimeout    = 100 * time.Millisecond // without a first command; then the client may be evicted
+	minCountedBody   = 2 << 10                // larger bodies count against MaxBytes
+	acceptRetryPause = 5 * time.Millisecond   // after a failed accept
+	// maxAcceptFailures limits the failures in a row for which the deadline of a listener is extended.
+	maxAcceptFailures = 50
+	sweepInterval     = 100 * time.Millisecond // between searches for idle connections
 )
 
-// Exchange takes requests.
+// Exchange executes requests.
 type Exchange interface {
 	Submit(*exchange.Request)
 	CancelRequest(*exchange.Request)
 }
 
-// Config is what a Server needs to know.
+// Config configures a Server.
 type Config struct {
-	Clock      exchange.Clock
-	Log        *zap.Logger
-	Counters   *counters.Set
-	MaxConns   int                               // clients at a time
-	KeepIdle   int                               // of them that may stay for long with nothing open
-	MaxActive  int                               // connections that clients with requests can hold among them; 0: no such limit
-	Pool       func(user, database string) *Pool // of general sessions; nil, or nil of it: only the platform's statements are taken
-	MaxBytes   int64                             // of statements held at a time that are taken whole
-	MaxLarge   int64                             // of larger ones, that are taken in pieces
-	RetryAfter time.Duration                     // when a client that found no room may try again; 0: no advice
-	Ready      func() bool                       // once ready: whether the empty query is answered with yes; must not wait
-	OnEmpty    func()                            // the last connection has ended, and none is accepted; may be nil
+	Clock     exchange.Clock
+	Log       *zap.Logger
+	Counters  *counters.Set
+	MaxConns  int // maximum number of clients
+	KeepIdle  int // number of clients up to which idle connections stay open
+	MaxActive int // maximum number of connections of clients that have sent a command; 0: no limit
+	// Pool returns the pool of a general SQL session. If it is nil, or returns nil, only the platform's
+	// statements are served.
+	Pool       func(user, database string) *Pool
+	MaxBytes   int64         // total size of the statements that are buffered whole
+	MaxLarge   int64         // total size of larger statements, which are read in chunks
+	RetryAfter time.Duration // sent to clients refused for lack of capacity; 0: none
+	Ready      func() bool   // answer to a readiness probe (the empty query) after Ready; must not block
+	OnEmpty    func()        // called when no connection is open or being accepted; may be nil
 }
 
-// Server serves clients.
+// Server accepts and serves client connections.
 type Server struct {
-	cfg   Config
-	x     Exchange
-	ready chan struct{}
-	bytes *allowance
-	large *memory
-
-	retry atomic.Int64 // nanoseconds: Config.RetryAfter, or what Retune said
-
-	group     errgroup.Group // of sessions
-	accepting atomic.Int32   // calls of Accept
-	leaves    atomic.Bool    // what waits at a listener's deadline is another process's
-
-	mu       sync.Mutex
-	pass     HandOver // nil: connections are ended, not passed on
-	sessions map[*session]struct{}
-	closing  int                 // of them, closing
-	keys     map[pg.Key]*session // of general sessions: what a cancel request names
-	draining bool
-	ending   chan struct{} // closed when no new clients are to be expected
-	endOnce  sync.Once
+	cfg             Config
+	x               Exchange
+	ready           chan struct{}
+	statementBudget *byteBudget
+	large           *largeMemory
+
+	retryAfterNanos atomic.Int64 // retryAfter in nanoseconds, as set by Config.RetryAfter and settings updates
+
+	group       errgroup.Group // of sessions
+	accepting   atomic.Int32   // running calls of Accept
+	leaveQueued atomic.Bool    // connections queued at a listener past its deadline belong to another process
+
+	mu              sync.Mutex
+	handOver        HandOver // nil: connections are closed, not handed over
+	sessions        map[*session]struct{}
+	closing         int                 // number of sessions that are closing
+	keys            map[pg.Key]*session // general SQL sessions by the key that a cancel request carries
+	draining        bool
+	evictionStopped chan struct{} // closed when idle connections are no longer evicted
+	stopOnce        sync.Once
 }
 
-// New makes a server.
+// New returns a server that submits requests to x.
 func New(cfg Config, x Exchange) *Server {
-	s := &Server{cfg: cfg, x: x, ready: make(chan struct{}), ending: make(chan struct{}), bytes: &allowance{left: cfg.MaxBytes},
-		large:    newMemory(cfg.MaxLarge, cfg.Counters),
+	s := &Server{cfg: cfg, x: x, ready: make(chan struct{}), evictionStopped: make(chan struct{}), statementBudget: &byteBudget{left: cfg.MaxBytes},
+		large:    newLargeMemory(cfg.MaxLarge, cfg.Counters),
 		sessions: map[*session]struct{}{}, keys: map[pg.Key]*session{}}
 	s.SetRetryAfter(cfg.RetryAfter)
 	return s
 }
 
-// SetRetryAfter changes when a client that found no room may try again; 0: no advice.
-func (s *Server) SetRetryAfter(retryAfter time.Duration) { s.retry.Store(int64(retryAfter)) }
+// SetRetryAfter sets the retryAfter of clients that are refused for lack of capacity; 0 means none is sent.
+func (s *Server) SetRetryAfter(retryAfter time.Duration) { s.retryAfterNanos.Store(int64(retryAfter)) }
 
-func (s *Server) retryAfter() time.Duration { return time.Duration(s.retry.Load()) }
+func (s *Server) retryAfter() time.Duration { return time.Duration(s.retryAfterNanos.Load()) }
 
-// SetMaxLarge changes how many bytes of large statements are held at a time.
+// SetMaxLarge sets how many bytes of large statements are held at a time.
 func (s *Server) SetMaxLarge(large int64) { s.large.resize(large) }
 
-// SetReady lets the empty query be answered: the front takes the gateway in when it is.
+// SetReady enables answers to the empty query, which the load balancer uses as its readiness probe. It must be
+// called once.
 func (s *Server) SetReady() { close(s.ready) }
 
-// Run looks after the sessions until the context ends, which ends them, and waits for their end.
+// Run evicts idle sessions until the context ends, which also ends all sessions, and waits for them.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.group.Wait()
 	s.sweep(ctx)
@@ -130,113 +137,117 @@
 	return nil
 }
 
-// SetLeaveQueued says whether connections that wait at a listener when its deadline passes are left there, for another process that listens at
-// the same address. They are accepted otherwise.
-func (s *Server) SetLeaveQueued(leaves bool) { s.leaves.Store(leaves) }
+// SetLeaveQueued sets whether connections that are queued at a listener when its deadline passes are left to another
+// process that listens on the same address. Otherwise they are accepted.
+func (s *Server) SetLeaveQueued(leave bool) { s.leaveQueued.Store(leave) }
 
-// Accept accepts clients until the listener is closed, or until its deadline has passed and, without Leave, nothing waits there: then
-// it may be accepted from again. The context's end ends the sessions, and the accepting of what waits past the deadline.
+// Accept accepts clients until the listener is closed, or until its deadline has passed and, unless set by
+// Leave, no connection is queued there. It may then be called again. The end of the context ends the
+// sessions, and the accepting past the deadline.
 func (s *Server) Accept(ctx context.Context, l net.Listener) {
 	s.accepting.Add(1)
 	defer func() {
 		s.accepting.Add(-1)
-		s.emptied()
+		s.notifyIfEmpty()
 	}()
 	failures := 0 // in a row
 	for {
-		n, err := l.Accept()
+		conn, err := l.Accept()
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded) && failures > 0 && failures < acceptFailures && extend(l):
+		case errors.Is(err, os.ErrDeadlineExceeded) && failures > 0 && failures < maxAcceptFailures && extend(l):
 			failures++
 			continue
-		case errors.Is(err, os.ErrDeadlineExceeded) && failures == 0 && s.takes(ctx, l) && extend(l):
-			continue // the process may have been held up since before the deadline
+		case errors.Is(err, os.ErrDeadlineExceeded) && failures == 0 && s.acceptsQueued(ctx, l) && extend(l):
+			continue // the process may have been stalled since before the deadline
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 			return
-		case err != nil: // no descriptor left, or the client went before it was accepted
+		case err != nil: // no descriptor left, or the client disconnected before the accept
 			failures++
 			s.cfg.Counters.AcceptErrors.Add(1)
 			s.cfg.Log.Warn("accept failed", zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		failures = 0
 		s.cfg.Counters.Clients.Add(1)
-		c := s.session(n)
-		room, held := s.add(c)
-		if !held { // nothing that clients do may keep others from being accepted
+		c := s.newSession(conn)
+		admitted, tracked := s.add(c)
+		if !tracked { // bounds the connections being closed, so that accepting goes on
 			s.cfg.Counters.ClientsDropped.Add(1)
-			s.note("dropped: too many connections are closing", c)
-			n.Close()
+			s.logEnd("dropped: too many connections are closing", c)
+			conn.Close()
 			continue
 		}
 		serve := func() { c.serve(ctx) }
-		if !room {
+		if !admitted {
 			s.cfg.Counters.ClientsRefused.Add(1)
-			s.note("rejected: connection limit reached", c)
+			s.logEnd("rejected: connection limit reached", c)
 			serve = c.reject
 		}
-		s.begin(c, serve)
+		s.startSession(c, serve)
 	}
 }
 
-// takes says whether connections wait at a listener that are this process's to accept.
-func (s *Server) takes(ctx context.Context, l net.Listener) bool {
+// acceptsQueued reports whether connections are queued at a listener and this process is to accept them.
+func (s *Server) acceptsQueued(ctx context.Context, l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
-	return ok && ctx.Err() == nil && !s.leaves.Load() && socket.Waiting(c)
+	return ok && ctx.Err() == nil && !s.leaveQueued.Load() && socket.AcceptPending(c)
 }
 
-// extend gives a listener a moment more: what waits in its queue could not be accepted by its deadline.
+// extend moves the deadline of a listener by a few milliseconds, as queued connections could not be accepted
+// before it.
 func extend(l net.Listener) bool {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
-	return ok && d.SetDeadline(time.Now().Add(2*acceptPause)) == nil
+	return ok && d.SetDeadline(time.Now().Add(2*acceptRetryPause)) == nil
 }
 
-// Adopt goes on with a connection on which another process has done the startup, and on which nothing is open. It has idled
-// for so long there: who has idled long enough gives way here as there, or a server at its limit rejects others.
-func (s *Server) Adopt(ctx context.Context, n *net.TCPConn, user string, idle time.Duration) {
+// Adopt continues an idle connection whose startup was done by another process. idle is how long the
+// connection was idle there; it counts for eviction here, as otherwise a server at its connection limit would
+// reject new clients.
+func (s *Server) Adopt(ctx context.Context, conn *net.TCPConn, user string, idle time.Duration) {
 	s.cfg.Counters.ClientsAdopted.Add(1)
-	c := s.session(n)
-	c.user, c.started, c.said, c.adopted = user, true, true, true
+	c := s.newSession(conn)
+	c.user, c.startupDone, c.commandSeen, c.adopted = user, true, true, true
 	c.idleSince -= idle
 	s.mu.Lock()
 	s.sessions[c] = struct{}{}
 	s.cfg.Counters.ClientsOpen.Add(1)
 	if s.draining {
-		c.drain(s.pass != nil)
+		c.drain(s.handOver != nil)
 	}
 	s.mu.Unlock()
-	s.begin(c, func() { c.serve(ctx) })
+	s.startSession(c, func() { c.serve(ctx) })
 }
 
-func (s *Server) session(n net.Conn) *session {
+func (s *Server) newSession(conn net.Conn) *session {
 	now := s.cfg.Clock.Now()
-	c := &session{s: s, conn: n.(*net.TCPConn), ahead: newAhead(), closed: make(chan struct{}), accepted: now, idleSince: now}
-	c.in = bufio.NewReaderSize(paced{c}, 4<<10)
+	c := &session{s: s, conn: conn.(*net.TCPConn), pending: newCommandQueue(), disconnected: make(chan struct{}), acceptedAt: now, idleSince: now}
+	c.in = bufio.NewReaderSize(progressConn{c}, 4<<10)
 	return c
 }
 
-func (s *Server) begin(c *session, serve func()) {
+func (s *Server) startSession(c *session, serve func()) {
 	s.group.Go(func() error {
 		defer s.remove(c)
-		s.guard(serve)
+		s.recoverPanic(serve)
 		return nil
 	})
 }
 
-// Connections is how many connections there are, with those that may just be accepted, and how many of them wait for an answer.
+// Connections returns the number of connections, including those that may just be accepted, and how many of them
+// wait for an answer.
 func (s *Server) Connections() (all, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.sessions {
-		if c.waits() {
+		if c.awaitsAnswer() {
 			waiting++
 		}
 	}
 	return len(s.sessions) + int(s.accepting.Load()), waiting
 }
 
-func (s *Server) emptied() {
+func (s *Server) notifyIfEmpty() {
 	s.mu.Lock()
 	held := len(s.sessions) + int(s.accepting.Load())
 	s.mu.Unlock()
@@ -245,8 +256,8 @@
 	}
 }
 
-// guard keeps a panic in one connection from ending the process.
-func (s *Server) guard(f func()) {
+// recoverPanic recovers a panic, so that a fault in one connection does not end the process.
+func (s *Server) recoverPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.cfg.Counters.Panics.Add(1)
@@ -256,36 +267,37 @@
 	f()
 }
 
-// add takes a session in; held says whether it may stay for a moment, room whether it may be served.
-func (s *Server) add(c *session) (room, held bool) {
+// add registers a session. tracked reports whether it may exist at all, admitted whether it may be served; a
+// session that is tracked but not admitted is to be rejected with an error.
+func (s *Server) add(c *session) (admitted, tracked bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	room = len(s.sessions)-s.closing < s.cfg.MaxConns || s.evictIdle()
-	if len(s.sessions) >= s.cfg.MaxConns+overflow {
+	admitted = len(s.sessions)-s.closing < s.cfg.MaxConns || s.evictIdle()
+	if len(s.sessions) >= s.cfg.MaxConns+maxClosing {
 		return false, false
 	}
 	s.sessions[c] = struct{}{}
 	s.cfg.Counters.ClientsOpen.Add(1)
-	if !room {
+	if !admitted {
 		c.closing = true
 		s.closing++
 	} else if s.draining {
-		c.drain(s.pass != nil)
+		c.drain(s.handOver != nil)
 	}
-	return room, true
+	return admitted, true
 }
 
-// sweep ends sessions that have had nothing open for long, where they are many. Clients may have no more than a part of
-// the descriptors among them: those that ask once and hold their connection keep others from ever getting one, long
-// before this side is full.
+// sweep evicts idle sessions while there are many sessions. Clients share a limited number of descriptors:
+// those that send one request and keep their connection would prevent others from connecting long before this
+// server reaches its connection limit.
 func (s *Server) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepPause)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.ending:
+		case <-s.evictionStopped:
 			return
 		case <-tick.C:
 		}
@@ -295,53 +307,54 @@
 	}
 }
 
-// idler is a session with nothing open, and since when.
-type idler struct {
+// idleSession is a session with no open requests, and since when.
+type idleSession struct {
 	c     *session
 	since time.Duration
 }
 
-// idlers gives the sessions that may be ended: the silent, which have said nothing yet, and the idle, which have asked
-// and have nothing open, each with the one at it for longest first. pressed says that clients' connections are so many
-// that newcomers may find no place.
-func (s *Server) idlers() (silent, idle []idler, pressed bool) {
-	now, held, asked := s.cfg.Clock.Now(), 0, 0
+// idleSessions returns the sessions that may be evicted: silent sessions, which have not sent a command yet, and
+// idle sessions, which have sent commands and have none open. Each list starts with the session that has been
+// in its state for longest. pressed reports that so many connections are open that new clients may be unable
+// to connect.
+func (s *Server) idleSessions() (silent, idle []idleSession, pressed bool) {
+	now, count, active := s.cfg.Clock.Now(), 0, 0
 	for c := range s.sessions {
 		if c.closing {
 			continue
 		}
-		held++
-		since, said, ok := c.spare()
-		if said {
-			asked++
+		count++
+		since, commandSeen, ok := c.idleState()
+		if commandSeen {
+			active++
 		}
 		switch {
 		case !ok:
-		case said:
-			idle = append(idle, idler{c, since})
-		case now-since >= silentFor:
-			silent = append(silent, idler{c, since})
+		case commandSeen:
+			idle = append(idle, idleSession{c, since})
+		case now-since >= silentTimeout:
+			silent = append(silent, idleSession{c, since})
 		}
 	}
-	pressed = s.cfg.MaxActive > 0 && float64(asked) >= nearly*float64(s.cfg.MaxActive) ||
-		float64(held) >= nearly*float64(s.cfg.MaxConns)
-	limit := mayClose
+	pressed = s.cfg.MaxActive > 0 && float64(active) >= scarceFraction*float64(s.cfg.MaxActive) ||
+		float64(count) >= scarceFraction*float64(s.cfg.MaxConns)
+	limit := idleTimeout
 	if pressed {
-		limit = soonClose
+		limit = shortIdleTimeout
 	}
-	idle = slices.DeleteFunc(idle, func(i idler) bool { return now-i.since < limit })
-	for _, list := range [][]idler{silent, idle} {
-		slices.SortFunc(list, func(a, b idler) int { return cmp.Compare(a.since, b.since) })
+	idle = slices.DeleteFunc(idle, func(i idleSession) bool { return now-i.since < limit })
+	for _, list := range [][]idleSession{silent, idle} {
+		slices.SortFunc(list, func(a, b idleSession) int { return cmp.Compare(a.since, b.since) })
 	}
 	return silent, idle, pressed
 }
 
-// evictSurplus ends sessions that have had nothing open for long, down to those that may stay.
+// evictSurplus evicts idle sessions until KeepIdle sessions remain.
 func (s *Server) evictSurplus() {
-	_, idle, pressed := s.idlers()
-	spared := len(s.sessions) - s.closing - s.cfg.KeepIdle
-	for _, i := range idle[:max(0, min(spared, len(idle)))] {
-		if !s.taken(i) {
+	_, idle, pressed := s.idleSessions()
+	surplus := len(s.sessions) - s.closing - s.cfg.KeepIdle
+	for _, i := range idle[:max(0, min(surplus, len(idle)))] {
+		if !s.lastAnswerReceived(i) {
 			continue
 		}
 		if pressed {
@@ -351,45 +364,48 @@
 	}
 }
 
-// evictIdle ends the session that can best be spared in a server at its connection limit: of clients that have said nothing yet the one silent
-// for longest, as those who mean it write at once, else the one that has had nothing open for longest. Clients that ask
-// once and hold their connection, or connect and say nothing, would otherwise keep all others out.
+// evictIdle evicts one session of a server at its connection limit. It prefers the session that has been
+// silent for longest, as well-behaved clients send a command at once, then the one that has been idle for
+// longest, and passes over sessions whose client has not received its last answer if there are others.
+// Otherwise clients that send one request and keep their connection, or connect and send nothing, would lock
+// out all others. It returns false if no session can be evicted.
 func (s *Server) evictIdle() bool {
-	silent, idle, _ := s.idlers()
-	list := append(silent, idle...)
-	if len(list) == 0 {
+	silent, idle, _ := s.idleSessions()
+	candidates := append(silent, idle...)
+	if len(candidates) == 0 {
 		return false
 	}
-	first := max(0, slices.IndexFunc(list, func(i idler) bool { return s.taken(i) }))
-	s.evict(list[first].c)
+	first := max(0, slices.IndexFunc(candidates, func(i idleSession) bool { return s.lastAnswerReceived(i) }))
+	s.evict(candidates[first].c)
 	return true
 }
 
-// taken says that a client has taken its last answer, or has had its time for that.
-func (s *Server) taken(i idler) bool {
-	return s.cfg.Clock.Now()-i.since >= takeWithin || socket.Unacknowledged(i.c.conn) == 0
+// lastAnswerReceived reports whether a client has received its last answer, or the time for that has passed.
+func (s *Server) lastAnswerReceived(i idleSession) bool {
+	return s.cfg.Clock.Now()-i.since >= lastAnswerTimeout || socket.Unacknowledged(i.c.conn) == 0
 }
 
-// note logs why a client's connection ends that the client did not end.
-func (s *Server) note(why string, c *session) {
-	s.cfg.Log.Info("connection ended", zap.String("why", why), zap.Stringer("client", c.conn.RemoteAddr()),
-		zap.Duration("age", s.cfg.Clock.Now()-c.accepted), zap.Int64("clients", s.cfg.Counters.ClientsOpen.Get()))
+// logEnd logs why the gateway ends a client's connection.
+func (s *Server) logEnd(reason string, c *session) {
+	s.cfg.Log.Info("connection ended", zap.String("why", reason), zap.Stringer("client", c.conn.RemoteAddr()),
+		zap.Duration("age", s.cfg.Clock.Now()-c.acceptedAt), zap.Int64("clients", s.cfg.Counters.ClientsOpen.Get()))
 }
 
 func (s *Server) evict(c *session) {
 	s.cfg.Counters.ClientsEvicted.Add(1)
-	s.note("gives way: it had nothing open", c)
+	s.logEnd("evicted: idle", c)
 	c.closing = true
 	s.closing++
-	c.drain(s.pass != nil)
+	c.drain(s.handOver != nil)
 }
 
-// beginClosing says that a session is closing and counts no longer; false: too many are.
+// beginClosing marks a session as closing, so that it no longer counts against MaxConns. It returns false if
+// too many sessions are closing.
 func (s *Server) beginClosing(c *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !c.closing {
-		if s.closing >= overflow {
+		if s.closing >= maxClosing {
 			return false
 		}
 		c.closing = true
@@ -400,7 +416,7 @@
 
 func (s *Server) remove(c *session) {
 	c.conn.Close()
-	defer s.emptied()
+	defer s.notifyIfEmpty()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.closing {
@@ -413,32 +429,32 @@
 	s.cfg.Counters.ClientsOpen.Add(-1)
 }
 
-// StopEviction lets clients keep their connections from now on, idle or not: they would get no new ones.
-func (s *Server) StopEviction() { s.endOnce.Do(func() { close(s.ending) }) }
+// StopEviction stops the eviction of idle connections: their clients could not open new ones.
+func (s *Server) StopEviction() { s.stopOnce.Do(func() { close(s.evictionStopped) }) }
 
-// HandOver gives a connection on which nothing is open, and nothing has been for so long, to another process.
+// HandOver hands a connection with no open requests over to another process. idle is how long it has been idle.
 type HandOver func(conn *net.TCPConn, user string, idle time.Duration) error
 
-// Drain ends every session as soon as it is between requests, and those that come, until Resume. With pass, connections are
-// passed on in place of being ended.
+// Drain ends every session once it is between requests, and does so for new sessions too, until Resume is
+// called. If pass is not nil, connections are handed over instead of closed.
 func (s *Server) Drain(pass HandOver) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pass = pass
+	s.handOver = pass
 	if s.draining {
 		return
 	}
 	s.draining = true
 	for c := range s.sessions {
-		c.drain(s.pass != nil)
+		c.drain(s.handOver != nil)
 	}
 }
 
-// Resume lets sessions stay again. Those that have been ended by Drain already are gone.
+// Resume ends a drain. Sessions that Drain has ended already stay ended.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining, s.pass = false, nil
+	s.draining, s.handOver = false, nil
 	for c := range s.sessions {
 		if !c.closing {
 			c.resume()
@@ -446,13 +462,13 @@
 	}
 }
 
-// allowance bounds the bytes of large statements, so that they always fit into memory.
-type allowance struct {
+// byteBudget bounds the total size of buffered statements, so that they always fit into memory.
+type byteBudget struct {
 	mu   sync.Mutex
 	left int64
 }
 
-func (b *allowance) take(n int) bool {
+func (b *byteBudget) acquire(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if int64(n) > b.left {
@@ -462,7 +478,7 @@
 	return true
 }
 
-func (b *allowance) give(n int) {
+func (b *byteBudget) release(n int) {
 	b.mu.Lock()
 	b.left += int64(n)
 	b.mu.Unlock()
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -19,79 +19,87 @@
 	"yokemast/internal/wire/relay"
 )
 
-// Pool is how the sessions of a user or database are served that may ask general SQL.
+// Pool configures the general SQL sessions of a user or database.
 type Pool struct {
-	Name                        string
-	Mode                        pooling.Mode
-	Group                       int
-	Read, ReadAfterWrite, Write string        // classes: of reads, of reads after a write of the session's own, of all that may write
-	MaxTransaction              time.Duration // that a transaction may take from its first statement
-	MaxIdle                     time.Duration // that one may be open with nothing asked
-	MaxBatch                    int           // bytes of a pipeline that are held before its end
-	MaxMessage                  int           // bytes of a Bind, which is passed on in pieces
-	MaxSessions                 int           // sessions that hold a host connection at a time; 0: any number
+	Name  string
+	Mode  pooling.Mode
+	Group int
+	// Read, Own and Write are the classes of reads, of reads after a write of the same session, and of
+	// everything that may write.
+	Read, ReadAfterWrite, Write string
+	MaxTransaction              time.Duration // maximum duration of a transaction, from its first statement
+	MaxIdle                     time.Duration // maximum idle time within a transaction
+	MaxBatch                    int           // maximum size of a buffered pipeline in bytes
+	MaxMessage                  int           // maximum size in bytes of a Bind that is streamed
+	MaxSessions                 int           // maximum number of sessions that hold a host connection; 0: no limit
 	Stats                       *PoolStats
 }
 
-// PoolStats counts what sessions of a pool do.
+// PoolStats counts the activity of a pool's sessions.
 type PoolStats struct {
 	Sessions, CheckedOut, Batches, Transactions atomic.Int64
 	Pins                                        [8]atomic.Int64 // by the bits of pooling.Pin
 	Lost, Cancels                               atomic.Int64
 }
 
-// overPool is when a client may come again whose pool holds as many host connections as it may.
-const overPool = 50 * time.Millisecond
+// poolLimitRetryAfter is the retryAfter of a request refused because its pool holds the maximum number of host
+// connections.
+const poolLimitRetryAfter = 50 * time.Millisecond
 
-// sessionLease bounds how long a session that keeps its connection may do so.
-const sessionLease = 24 * time.Hour
+// maxSessionCheckout limits how long a session may keep its host connection.
+const maxSessionCheckout = 24 * time.Hour
 
-// general is what a session has that may ask general SQL. The reader gathers batches, the other goroutine has them run.
-type general struct {
+// generalSession is the state of a general SQL session. The reader collects batches, the other goroutine executes
+// them.
+type generalSession struct {
 	c     *session
 	pool  *Pool
 	state *pooling.Session
 	key   pg.Key
 
-	batch *relay.Batch // being gathered
-	bytes int
-	held  int // of the budget
+	batch      *relay.Batch // batch being collected
+	batchBytes int          // size of batch
+	heldBytes  int          // bytes held of the statement budget
 
-	lease   *relay.Checkout // that is kept between batches
-	request *exchange.Request
-	answers chan exchange.Answer
-	skip    bool          // up to the next Sync
-	wrote   time.Duration // position of the session's last write, by the fleet's clock
-	free    time.Duration // when its last batch ended: no client says how long it waits, so the next one's time starts there
-	running atomic.Pointer[relay.Checkout]
+	checkout  *relay.Checkout // checked-out connection that is kept between batches; nil: none
+	request   *exchange.Request
+	answers   chan exchange.Answer
+	skipping  bool          // after an error, messages up to the next Sync are skipped
+	lastWrite time.Duration // position of the session's last write by the fleet's clock; negative: unknown, 0: none
+	// freeSince is the end of the last batch after which no connection was kept. Clients of general SQL state
+	// no wait, so the time of the next batch starts there at the earliest.
+	freeSince time.Duration
+	running   atomic.Pointer[relay.Checkout]
 }
 
-func newGeneral(c *session, p *Pool, parameters pg.Parameters) *general {
+func newGeneralSession(c *session, p *Pool, parameters pg.Parameters) *generalSession {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
-	g := &general{c: c, pool: p, state: pooling.NewSession(parameters),
+	g := &generalSession{c: c, pool: p, state: pooling.NewSession(parameters),
 		key: pg.Key{Process: binary.BigEndian.Uint32(b[:]), Secret: binary.BigEndian.Uint32(b[4:])}}
 	p.Stats.Sessions.Add(1)
 	return g
 }
 
-// register lets cancel requests find the session.
+// register makes the session known to cancel requests.
 func (s *Server) register(c *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys[c.general.key] = c
 }
 
-var errClient = errors.New("the client takes no answer")
+// errClientWrite reports a failed write to the client. Its text may be part of the error that ends the
+// session.
+var errClientWrite = errors.New("the client takes no answer")
 
-func (g *general) write(b []byte) error {
+func (g *generalSession) write(b []byte) error {
 	if !g.c.write(b) {
-		return errClient
+		return errClientWrite
 	}
 	return nil
 }
 
-// cancel cancels what the session of that key is running, if it is.
+// cancel cancels the command that the session of the given key executes, if any.
 func (s *Server) cancel(key pg.Key) {
 	s.mu.Lock()
 	c := s.keys[key]
@@ -101,31 +109,31 @@
 	}
 	if l := c.general.running.Load(); l != nil {
 		c.general.pool.Stats.Cancels.Add(1)
-		_ = l.Cancel(context.Background()) // it is bounded in time; that nothing was there to cancel is no fault
+		_ = l.Cancel(context.Background()) // bounded in time; it is no error if nothing was running
 	}
 }
 
-// next reads one message into the batch and queues the batch at its end.
-func (g *general) next(kind byte, length int, bad func(code, message string) *pg.Error) error {
+// readMessage reads one message into the batch, and queues the batch at its end.
+func (g *generalSession) readMessage(kind byte, length int, badMessage func(code, message string) *pg.Error) error {
 	c := g.c
 	refuse := func(e *pg.Error) error {
-		c.s.bytes.give(g.held)
-		g.batch, g.bytes, g.held = nil, 0, 0
+		c.s.statementBudget.release(g.heldBytes)
+		g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
 		c.skipping = kind != pg.Query
 		if kind == pg.Query || kind == pg.Function {
-			return c.skip(length, command{err: e}, command{sync: true})
+			return c.skipBody(length, command{err: e}, command{readyOnly: true})
 		}
-		return c.skip(length, command{err: e})
+		return c.skipBody(length, command{err: e})
 	}
 	switch kind {
 	case pg.Terminate:
 		return io.EOF
 	case pg.Function:
-		return refuse(bad(pg.CodeNotSupported, "function calls are not supported"))
+		return refuse(badMessage(pg.CodeNotSupported, "function calls are not supported"))
 	case pg.CopyData, pg.CopyDone, pg.CopyFail:
-		return c.skip(length) // as PostgreSQL does outside a copy
+		return c.skipBody(length) // ignored outside COPY, as PostgreSQL does
 	case pg.Password:
-		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "no password was asked for")}, command{sync: true})
+		return c.skipBody(length, command{err: badMessage(pg.CodeProtocolViolation, "no password was asked for")}, command{readyOnly: true})
 	case pg.Query, pg.Parse, pg.Bind, pg.Describe, pg.Execute, pg.Close, pg.Flush, pg.Sync:
 	default:
 		return pg.ErrFraming
@@ -133,21 +141,21 @@
 	if c.skipping {
 		if kind == pg.Sync {
 			c.skipping = false
-			return c.skip(length, command{sync: true})
+			return c.skipBody(length, command{readyOnly: true})
 		}
-		return c.skip(length)
+		return c.skipBody(length)
 	}
-	if kind == pg.Bind && length > streamFrom && length <= g.pool.MaxMessage {
-		return g.stream(length, bad)
+	if kind == pg.Bind && length > minStreamedBind && length <= g.pool.MaxMessage {
+		return g.streamBind(length, badMessage)
 	}
-	if g.bytes+length > g.pool.MaxBatch {
-		return refuse(bad("54000", "the message or the pipeline is too long"))
+	if g.batchBytes+length > g.pool.MaxBatch {
+		return refuse(badMessage("54000", "the message or the pipeline is too long"))
 	}
-	if length > largeBody {
-		if !c.s.bytes.take(length) {
+	if length > minCountedBody {
+		if !c.s.statementBudget.acquire(length) {
 			return refuse(pg.Refusal("no memory for the statement", c.s.retryAfter()))
 		}
-		g.held += length
+		g.heldBytes += length
 	}
 	body, err := pg.ReadBody(c.in, length, length)
 	if err != nil {
@@ -157,70 +165,70 @@
 		g.batch = &relay.Batch{}
 	}
 	g.batch.Messages = append(g.batch.Messages, relay.Message{Kind: kind, Body: body})
-	g.bytes += length + 5
+	g.batchBytes += length + 5
 	if kind == pg.Query || kind == pg.Sync || kind == pg.Flush {
 		g.batch.Complete = kind != pg.Flush
-		cmd := command{batch: g.batch, held: g.held, arrived: c.s.cfg.Clock.Now()}
-		g.batch, g.bytes, g.held = nil, 0, 0
-		c.queue(cmd)
+		cmd := command{batch: g.batch, held: g.heldBytes, arrived: c.s.cfg.Clock.Now()}
+		g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
+		c.enqueue(cmd)
 	}
 	return nil
 }
 
-// streamFrom is the length of a Bind from which on it is passed on in pieces, and piece the size of these.
+// minStreamedBind is the length in bytes above which a Bind is streamed, in chunks of chunkSize bytes.
 const (
-	streamFrom = 64 << 10
-	piece      = 32 << 10
+	minStreamedBind = 64 << 10
+	chunkSize       = 32 << 10
 )
 
-// stream hands a long Bind over as it comes: the batch so far goes ahead with it.
-func (g *general) stream(length int, bad func(code, message string) *pg.Error) error {
+// streamBind forwards a long Bind in chunks as it arrives. The batch collected so far is queued with it.
+func (g *generalSession) streamBind(length int, badMessage func(code, message string) *pg.Error) error {
 	c := g.c
 	head, err := c.in.Peek(min(length, c.in.Size()))
 	if err != nil {
 		return err
 	}
-	names := bytes.IndexByte(head, 0) + 1
-	if n := bytes.IndexByte(head[names:], 0) + 1; names > 0 && n > 0 {
-		names += n
+	namesLen := bytes.IndexByte(head, 0) + 1
+	if n := bytes.IndexByte(head[namesLen:], 0) + 1; namesLen > 0 && n > 0 {
+		namesLen += n
 	} else {
 		c.skipping = true
-		return c.skip(length, command{err: bad(pg.CodeProtocolViolation, "the names in a Bind are too long")})
+		return c.skipBody(length, command{err: badMessage(pg.CodeProtocolViolation, "the names in a Bind are too long")})
 	}
-	if !c.s.bytes.take(2 * piece) {
+	if !c.s.statementBudget.acquire(2 * chunkSize) {
 		c.skipping = true
-		return c.skip(length, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())})
+		return c.skipBody(length, command{err: pg.Refusal("no memory for the statement", c.s.retryAfter())})
 	}
-	defer c.s.bytes.give(2 * piece)
-	rest := relay.NewStream(length - names)
-	m := relay.Message{Kind: pg.Bind, Body: bytes.Clone(head[:names]), Rest: rest}
-	_, _ = c.in.Discard(names)
+	defer c.s.statementBudget.release(2 * chunkSize)
+	rest := relay.NewStream(length - namesLen)
+	m := relay.Message{Kind: pg.Bind, Body: bytes.Clone(head[:namesLen]), Rest: rest}
+	_, _ = c.in.Discard(namesLen)
 	if g.batch == nil {
 		g.batch = &relay.Batch{}
 	}
 	g.batch.Messages, g.batch.Streamed = append(g.batch.Messages, m), true
-	cmd := command{batch: g.batch, held: g.held, arrived: c.s.cfg.Clock.Now()}
-	g.batch, g.bytes, g.held = nil, 0, 0
-	c.queue(cmd)
+	cmd := command{batch: g.batch, held: g.heldBytes, arrived: c.s.cfg.Clock.Now()}
+	g.batch, g.batchBytes, g.heldBytes = nil, 0, 0
+	c.enqueue(cmd)
 	defer rest.End()
-	wanted, buffers := true, [2][]byte{make([]byte, piece), make([]byte, piece)}
-	for left, i := length-names, 0; left > 0; i = 1 - i {
-		c.readBy(messageWithin) // each piece in time: the whole may take longer
-		b := buffers[i][:min(left, piece)]
+	accepted, buffers := true, [2][]byte{make([]byte, chunkSize), make([]byte, chunkSize)}
+	for remaining, i := length-namesLen, 0; remaining > 0; i = 1 - i {
+		c.setReadTimeout(progressTimeout) // a deadline for each chunk, as the whole message may take longer
+		b := buffers[i][:min(remaining, chunkSize)]
 		if _, err := io.ReadFull(c.in, b); err != nil {
 			return err
 		}
-		left -= len(b)
-		wanted = wanted && rest.Put(b)
+		remaining -= len(b)
+		accepted = accepted && rest.Put(b)
 	}
 	c.mu.Lock()
-	c.timed = true // between clears the deadline
+	c.hasDeadline = true // makes messageDone clear the deadline
 	c.mu.Unlock()
 	return nil
 }
 
-// commands says what a batch does, as far as can be seen.
-func (g *general) commands(b *relay.Batch) (out []pooling.Command, text string) {
+// scanCommands returns the commands of a batch, as far as its text is known, and the text of the last statement.
+func (g *generalSession) scanCommands(b *relay.Batch) (out []pooling.Command, text string) {
 	for _, m := range b.Messages {
 		switch m.Kind {
 		case pg.Query:
@@ -234,7 +242,7 @@
 		case pg.Bind:
 			body := m.Body
 			if m.Rest != nil {
-				body = append(bytes.Clone(body), make([]byte, 6)...) // only its names are here
+				body = append(bytes.Clone(body), make([]byte, 6)...) // m.Body holds the names only
 			}
 			if _, name, _, err := pg.ReadBind(body); err == nil {
 				if st := g.state.Prepared(name); st != nil {
@@ -247,8 +255,8 @@
 	return out, text
 }
 
-// comment reads names and values from the last comment of a text.
-func comment(text string) map[string]string {
+// parseComment parses the name=value pairs in the last comment of a statement.
+func parseComment(text string) map[string]string {
 	out := map[string]string{}
 	start, end := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
 	if start < 0 || end < start {
@@ -262,37 +270,37 @@
 	return out
 }
 
-var leases atomic.Int64
+var requestIDs atomic.Int64
 
-// answer has a batch run and its answer written; false ends the session.
-func (g *general) answer(ctx context.Context, cmd command) bool {
+// answer executes a batch and writes its answer. It returns false if the session ends.
+func (g *generalSession) answer(ctx context.Context, cmd command) bool {
 	c, b := g.c, cmd.batch
 	g.pool.Stats.Batches.Add(1)
-	if g.skip {
-		// What follows an error is skipped up to the Sync, as a host would.
+	if g.skipping {
+		// Messages after an error are skipped up to the Sync, as PostgreSQL does.
 		b.Discard()
-		if g.skip = b.Messages[len(b.Messages)-1].Kind != pg.Sync; g.skip {
+		if g.skipping = b.Messages[len(b.Messages)-1].Kind != pg.Sync; g.skipping {
 			return true
 		}
 		return c.write(pg.AppendReadyAs(nil, g.state.Status))
 	}
 	defer b.Discard()
 	var text string
-	b.Commands, text = g.commands(b)
+	b.Commands, text = g.scanCommands(b)
 	for _, x := range b.Commands {
 		if x.Kind == pooling.Copy {
-			return g.say(b, &pg.Error{Code: pg.CodeNotSupported, Message: "COPY is not carried"})
+			return g.writeError(b, &pg.Error{Code: pg.CodeNotSupported, Message: "COPY is not carried"})
 		}
 	}
 	last := b.Messages[len(b.Messages)-1].Kind
 	begins, readOnly := b.Begins()
 	switch {
-	case len(b.Messages) == 1 && last == pg.Sync && g.lease == nil:
+	case len(b.Messages) == 1 && last == pg.Sync && g.checkout == nil:
 		return c.write(pg.AppendReady(nil))
-	case len(b.Messages) == 1 && last == pg.Query && len(b.Commands) == 1 && b.Commands[0].Kind == pooling.Empty && g.lease == nil:
+	case len(b.Messages) == 1 && last == pg.Query && len(b.Commands) == 1 && b.Commands[0].Kind == pooling.Empty && g.checkout == nil:
 		select {
 		case <-c.s.ready:
-		case <-c.closed:
+		case <-c.disconnected:
 			return false
 		case <-ctx.Done():
 			return false
@@ -300,38 +308,38 @@
 		return c.write(pg.AppendReady(pg.Append(nil, pg.EmptyQueryResponse)))
 	case len(b.Messages) == 1 && last == pg.Query && len(b.Commands) == 1 && b.Commands[0].Kind == pooling.Deallocate &&
 		g.state.Prepared(b.Commands[0].Name) != nil:
-		// The host knows it by another name, if it does.
+		// The host may have the statement under another name, so the gateway answers itself.
 		g.state.Close(b.Commands[0].Name)
 		return c.write(pg.AppendReadyAs(pg.Append(nil, pg.CommandComplete, []byte("DEALLOCATE\x00")), g.state.Status))
 	case begins && g.pool.Mode == pooling.ByStatement:
-		return g.say(b, &pg.Error{Code: pg.CodeNotSupported, Message: "this pool carries no transactions"})
+		return g.writeError(b, &pg.Error{Code: pg.CodeNotSupported, Message: "this pool carries no transactions"})
 	}
-	if g.lease != nil {
-		g.lease.Next(b)
-		return g.wait(ctx, b, false)
+	if g.checkout != nil {
+		g.checkout.Next(b)
+		return g.awaitBatch(ctx, b, false)
 	}
-	said := comment(text)
+	hints := parseComment(text)
 	write := b.Writes() || begins && !readOnly
 	class := g.pool.Read
 	switch {
 	case write:
 		class = g.pool.Write
-	case g.wrote != 0:
+	case g.lastWrite != 0:
 		class = g.pool.ReadAfterWrite
 	}
-	if said["c"] != "" && !write {
-		class = said["c"]
+	if hints["c"] != "" && !write {
+		class = hints["c"]
 	}
 	group := g.pool.Group
-	if n, err := strconv.Atoi(said["cluster"]); err == nil {
+	if n, err := strconv.Atoi(hints["cluster"]); err == nil {
 		group = n
 	}
-	r := &exchange.Request{ID: fmt.Sprintf("general-%d", leases.Add(1)), User: c.user, Tenant: said["tenant"], Class: class, Session: c.user,
-		Group: group, Write: write, Arrived: max(cmd.arrived, g.free)}
-	if g.wrote > 0 {
-		r.After = g.wrote
-	} else if g.wrote < 0 {
-		r.After = c.s.cfg.Clock.MaxFleetTime() // it wrote, and the host did not say when
+	r := &exchange.Request{ID: fmt.Sprintf("general-%d", requestIDs.Add(1)), User: c.user, Tenant: hints["tenant"], Class: class, Session: c.user,
+		Group: group, Write: write, Arrived: max(cmd.arrived, g.freeSince)}
+	if g.lastWrite > 0 {
+		r.After = g.lastWrite
+	} else if g.lastWrite < 0 {
+		r.After = c.s.cfg.Clock.MaxFleetTime() // it wrote, and the host did not state the position
 	}
 	pins := false
 	for _, x := range b.Commands {
@@ -340,21 +348,21 @@
 	if pins || begins || g.pool.Mode == pooling.BySession || !b.Complete {
 		r.Checkout = g.pool.MaxTransaction
 		if pins || g.pool.Mode == pooling.BySession {
-			r.Checkout = sessionLease
+			r.Checkout = maxSessionCheckout
 		}
 	}
 	if m := int64(g.pool.MaxSessions); m > 0 && g.pool.Stats.CheckedOut.Load() >= m {
-		r.QuotaRetryAfter = overPool
+		r.QuotaRetryAfter = poolLimitRetryAfter
 	}
 	if begins {
 		g.pool.Stats.Transactions.Add(1)
 	}
-	l := relay.New(g.state, g.pool.Mode, g.write, b)
-	l.MaxIdle = g.pool.MaxIdle
-	if !write && r.Checkout == 0 && g.wrote > 0 {
-		l.MinPosition = g.wrote
+	checkout := relay.New(g.state, g.pool.Mode, g.write, b)
+	checkout.MaxIdle = g.pool.MaxIdle
+	if !write && r.Checkout == 0 && g.lastWrite > 0 {
+		checkout.MinPosition = g.lastWrite
 	}
-	l.OnPinned = func(p pooling.Pin) {
+	checkout.OnPinned = func(p pooling.Pin) {
 		for i := range g.pool.Stats.Pins {
 			if p&(1<<i) != 0 {
 				g.pool.Stats.Pins[i].Add(1)
@@ -362,21 +370,21 @@
 		}
 	}
 	g.answers = make(chan exchange.Answer, 1)
-	r.Command, r.Answer, r.ClientDisconnected = l, g.answers, c.gone
+	r.Command, r.Answer, r.ClientDisconnected = checkout, g.answers, c.clientDisconnected
 	g.request = r
-	g.hold(l)
+	g.setCheckout(checkout)
 	c.s.x.Submit(r)
-	return g.wait(ctx, b, true)
+	return g.awaitBatch(ctx, b, true)
 }
 
-// hold takes a lease, or lets it go: a session that holds one is at work.
-func (g *general) hold(l *relay.Checkout) {
-	if (g.lease == nil) == (l == nil) {
-		g.lease = l
+// setCheckout sets the checked-out connection, or clears it for nil. A session that has one counts as busy.
+func (g *generalSession) setCheckout(checkout *relay.Checkout) {
+	if (g.checkout == nil) == (checkout == nil) {
+		g.checkout = checkout
 		return
 	}
 	g.c.mu.Lock()
-	if l != nil {
+	if checkout != nil {
 		g.c.open++
 		g.pool.Stats.CheckedOut.Add(1)
 	} else {
@@ -384,38 +392,38 @@
 		g.pool.Stats.CheckedOut.Add(-1)
 	}
 	g.c.mu.Unlock()
-	g.lease = l
+	g.checkout = checkout
 }
 
-// wait waits for the end of a batch.
-func (g *general) wait(ctx context.Context, b *relay.Batch, first bool) bool {
-	c, l := g.c, g.lease
-	g.running.Store(l)
+// awaitBatch waits for the end of a batch. first is set for the batch that requests the connection.
+func (g *generalSession) awaitBatch(ctx context.Context, b *relay.Batch, first bool) bool {
+	c, checkout := g.c, g.checkout
+	g.running.Store(checkout)
 	defer g.running.Store(nil)
 	select {
-	case d := <-l.Done():
-		return g.done(d)
+	case d := <-checkout.Done():
+		return g.batchDone(d)
 	case a := <-g.answers:
 		select {
-		case d := <-l.Done(): // both are there
-			return g.done(d)
+		case d := <-checkout.Done(): // both channels were ready
+			return g.batchDone(d)
 		default:
 		}
-		l.Mute()
-		l.Close()
-		g.hold(nil)
+		checkout.Mute()
+		checkout.Close()
+		g.setCheckout(nil)
 		if !first {
 			g.state.ConnectionLost()
-			return g.fatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
+			return g.writeFatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 		}
-		if a.Kind == exchange.Served { // its Done comes before
+		if a.Kind == exchange.Served { // the relay's Done precedes it, so the session cannot go on
 			return false
 		}
-		return g.say(b, errorOf(a))
-	case <-c.closed:
+		return g.writeError(b, errorOf(a))
+	case <-c.disconnected:
 		c.s.x.CancelRequest(g.request)
-		l.Mute()
-		l.Close()
+		checkout.Mute()
+		checkout.Close()
 		return false
 	case <-ctx.Done():
 		return false
@@ -429,70 +437,72 @@
 	return a.Reason
 }
 
-// done takes the end of a batch, or of a lease between two.
-func (g *general) done(d relay.Done) bool {
+// batchDone handles the end of a batch, or of a checkout between two batches. It returns false if the session
+// ends.
+func (g *generalSession) batchDone(d relay.Done) bool {
 	if d.Wrote != 0 {
-		g.wrote = d.Wrote
+		g.lastWrite = d.Wrote
 	}
 	switch {
 	case d.Err != nil:
-		g.lease.Mute()
+		g.checkout.Mute()
 		g.c.s.x.CancelRequest(g.request)
-		g.hold(nil)
+		g.setCheckout(nil)
 		g.pool.Stats.Lost.Add(1)
 		g.state.ConnectionLost()
-		return g.fatal(relay.ConnectionError(d.Err))
+		return g.writeFatal(relay.ConnectionError(d.Err))
 	case !d.Keep:
-		g.hold(nil)
-		g.free = g.c.s.cfg.Clock.Now()
+		g.setCheckout(nil)
+		g.freeSince = g.c.s.cfg.Clock.Now()
 	}
 	return true
 }
 
-// fatal tells the client why its session ends.
-func (g *general) fatal(e *pg.Error) bool {
+// writeFatal sends the error that ends the session. It returns false.
+func (g *generalSession) writeFatal(e *pg.Error) bool {
 	if g.c.write(pg.AppendError(nil, e)) {
 		g.c.linger()
 	}
 	return false
 }
 
-// say answers a batch with an error of the gateway's own.
-func (g *general) say(b *relay.Batch, e *pg.Error) bool {
+// writeError answers a batch with an error of the gateway.
+func (g *generalSession) writeError(b *relay.Batch, e *pg.Error) bool {
 	out := pg.AppendError(nil, e)
-	if g.skip = !b.Complete; b.Complete {
+	if g.skipping = !b.Complete; b.Complete {
 		out = pg.AppendReadyAs(out, g.state.Status)
 	}
 	return g.c.write(out)
 }
 
-// end ends the session's lease, if it holds one: an open transaction is rolled back.
-func (g *general) end() {
-	if g.lease != nil {
-		g.lease.Mute()
-		g.lease.Close()
-		g.hold(nil)
+// end closes the session's checkout, if any, which rolls back an open transaction.
+func (g *generalSession) end() {
+	if g.checkout != nil {
+		g.checkout.Mute()
+		g.checkout.Close()
+		g.setCheckout(nil)
 	}
 	g.pool.Stats.Sessions.Add(-1)
 }
 
-// nextCommand gives the next command. A lease that ends while the client says nothing ends the session.
+// nextCommand returns the next command, and false if the session ends. A checkout that ends while no command
+// arrives ends the session.
 func (c *session) nextCommand() (command, bool) {
 	for {
-		if cmd, ok, over := c.ahead.take(); ok || over {
+		if cmd, ok, ended := c.pending.take(); ok || ended {
 			return cmd, ok
 		}
-		if c.general == nil || c.general.lease == nil {
-			<-c.ahead.some
+		if c.general == nil || c.general.checkout == nil {
+			<-c.pending.available
 			continue
 		}
 		select {
-		case <-c.ahead.some:
-		case d := <-c.general.lease.Done():
-			return command{}, c.general.done(d)
+		case <-c.pending.available:
+		case d := <-c.general.checkout.Done():
+			return command{}, c.general.batchDone(d)
 		case a := <-c.general.answers:
-			c.general.hold(nil)
-			c.general.fatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
+			c.general.setCheckout(nil)
+			c.general.writeFatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 			return command{}, false
 		}
 	}
--- a/internal/wire/pg/large.go
+++ b/internal/wire/pg/large.go
@@ -9,141 +9,145 @@
 	"time"
 )
 
-// A large statement is an INSERT whose value does not fit into a message of MaxMessage. Its value is held as bytes, in
-// pieces, not as the digits that it came in, and is written as those digits again.
+// A large statement is an INSERT whose value does not fit into a message of MaxMessage. Its hex digits are decoded,
+// held as chunks of bytes, and written as the same digits again.
 
 const (
-	// MaxValue is the size of the largest value, in bytes.
+	// MaxValue is the maximum size of a value in bytes.
 	MaxValue = 4 << 20
-	// MaxLarge bounds the body of a message with a large statement: the value in hex and the statement round it.
+	// MaxLarge is the maximum length of a message body with a large statement: the value in hex and the
+	// statement around it.
 	MaxLarge = 2*MaxValue + 8<<10
-	// Piece is how much of a large message is read, held and written at a time, in bytes.
-	Piece = 32 << 10
-	// largeHead is how much of a large statement may stand before its value, and largeTail after it.
-	largeHead = len(insertHead) + 2*maxKeyLength + 16
-	largeTail = 4 << 10
+	// ChunkSize is the size in bytes of the chunks in which a large message is read, held and written.
+	ChunkSize = 32 << 10
+	// maxLargeHead limits the text of a large statement before its value, maxLargeTail the text after it.
+	maxLargeHead = len(insertHead) + 2*maxKeyLength + 16
+	maxLargeTail = 4 << 10
 )
 
-// LargeNeed is how much memory a large message needs, for its length: where its digits are of one case, and at most.
-func LargeNeed(length int) (usual, most int64) {
-	const round = 2*Piece + int64(largeHead+largeTail)
-	return int64(length)/2 + round, int64(length) + round
+// LargeMemory returns the memory in bytes that a large message of the given length needs if its digits are of
+// one case, and at most.
+func LargeMemory(length int) (typical, limit int64) {
+	const overhead = 2*ChunkSize + int64(maxLargeHead+maxLargeTail)
+	return int64(length)/2 + overhead, int64(length) + overhead
 }
 
-// packed is a value held.
-type packed struct {
-	parts  [][]byte
-	digits int
-	kinds  byte // of its digits
-	raw    bool // they were of both cases: the parts hold digits, not bytes
-	odd    byte // the first digit of a byte whose second has not come yet; 0: none
+// largeValue is a large value in memory.
+type largeValue struct {
+	chunks       [][]byte
+	digits       int
+	digitKinds   byte // kinds of its digits, combined
+	asDigits     bool // the digits have mixed case, so chunks holds digits instead of bytes
+	pendingDigit byte // first digit of an incomplete byte; 0: none
 }
 
-// LargeReader reads a large statement as it comes.
+// LargeReader reads a large statement while it arrives.
 type LargeReader struct {
-	// Take asks for the memory of a piece before it is held. Its error ends the reading.
-	Take func(n int) error
-	// Read reads what has come, at least one byte, as an io.Reader does.
+	// Reserve reserves memory for n bytes before they are held. If it fails, the reading ends with its error.
+	Reserve func(n int) error
+	// Read reads at least one byte, like an io.Reader.
 	Read func(p []byte) (int, error)
 
-	text   []byte // what stands round the value
-	at     int    // where the value stands in it; 0: not found yet
-	tail   bool   // the value has ended
-	value  packed
-	first  byte // of a byte whose second digit has not come: its upper half
-	broken *Error
+	text          []byte // text around the value
+	valueAt       int    // offset of the value in text; 0: not found yet
+	inTail        bool   // the value has ended
+	value         largeValue
+	pendingNibble byte   // upper half of an incomplete byte
+	invalid       *Error // why the statement is refused; nil: no fault found yet
 }
 
-// Statement reads a body of that length to its end. An *Error says that it is no statement that is taken: its body has been
-// read all the same. Any other error leaves the rest unread; how much that is, left tells.
-func (l *LargeReader) Statement(length int) (s *Statement, bad *Error, left int, err error) {
-	if err := l.Take(Piece); err != nil {
+// Statement reads a body of the given length. The error of a statement that is not served is returned as
+// refused, after its body has been read to the end. On any other error, left is the number of bytes that
+// remain unread.
+func (l *LargeReader) Statement(length int) (s *Statement, refused *Error, left int, err error) {
+	if err := l.Reserve(ChunkSize); err != nil {
 		return nil, nil, length, err
 	}
-	buffer := make([]byte, Piece)
+	buffer := make([]byte, ChunkSize)
 	for left = length; left > 0; {
-		whole := buffer[:min(left, len(buffer))]
-		for n := 0; n < len(whole); { // a piece is held whole: of small ones there would be too many
-			got, err := l.Read(whole[n:])
+		chunk := buffer[:min(left, len(buffer))]
+		for n := 0; n < len(chunk); { // chunks are filled before they are held, as small ones would be too many
+			got, err := l.Read(chunk[n:])
 			n += got
 			left -= got
 			if err != nil {
 				return nil, nil, left, err
 			}
 		}
-		if l.broken == nil {
-			if err := l.add(whole); err != nil {
+		if l.invalid == nil {
+			if err := l.process(chunk); err != nil {
 				return nil, nil, left, err
 			}
 		}
 	}
-	if l.broken == nil && !l.tail {
-		l.broken = syntax("malformed INSERT")
+	if l.invalid == nil && !l.inTail {
+		l.invalid = syntaxError("malformed INSERT")
 	}
-	if l.broken != nil {
-		return nil, l.broken, 0, nil
+	if l.invalid != nil {
+		return nil, l.invalid, 0, nil
 	}
 	if l.text[len(l.text)-1] != 0 {
 		return nil, &Error{Code: CodeProtocolViolation, Message: "the query does not end in a zero byte"}, 0, nil
 	}
-	s, bad = ParseStatement(l.text[:len(l.text)-1])
-	if bad != nil {
-		return nil, bad, 0, nil
+	s, refused = ParseStatement(l.text[:len(l.text)-1])
+	if refused != nil {
+		return nil, refused, 0, nil
 	}
-	s.value, s.valueAt = &l.value, l.at
+	s.value, s.valueAt = &l.value, l.valueAt
 	return s, nil, 0, nil
 }
 
-// add takes the next bytes.
-func (l *LargeReader) add(b []byte) error {
-	if l.at == 0 {
+// process handles the next bytes of the body.
+func (l *LargeReader) process(b []byte) error {
+	if l.valueAt == 0 {
 		before := len(l.text)
-		room := min(len(b), largeHead-before)
-		l.text = append(l.text, b[:room]...)
-		at, whole := valueStart(l.text)
+		headPart := min(len(b), maxLargeHead-before)
+		l.text = append(l.text, b[:headPart]...)
+		at, final := valueStart(l.text)
 		switch {
 		case at > 0:
-			l.at = at
+			l.valueAt = at
 			l.text = l.text[:at]
 			b = b[at-before:]
-		case whole || len(l.text) >= largeHead:
-			l.broken = &Error{Code: CodeProtocolViolation, Message: "message too long: only an INSERT is as long, with a value in hex"}
+		case final || len(l.text) >= maxLargeHead:
+			l.invalid = &Error{Code: CodeProtocolViolation, Message: "message too long: only an INSERT is as long, with a value in hex"}
 			return nil
 		default:
 			return nil
 		}
 	}
-	if !l.tail {
+	if !l.inTail {
 		n, kinds := 0, byte(0)
 		for n < len(b) && digitKind[b[n]] != 0 {
 			kinds |= digitKind[b[n]]
 			n++
 		}
 		if l.value.digits += n; l.value.digits > 2*MaxValue {
-			l.broken = &Error{Code: CodeProtocolViolation, Message: fmt.Sprintf("value of over %d bytes", MaxValue)}
+			l.invalid = &Error{Code: CodeProtocolViolation, Message: fmt.Sprintf("value of over %d bytes", MaxValue)}
 			return nil
 		}
-		if err := l.hold(b[:n], kinds); err != nil {
+		if err := l.appendDigits(b[:n], kinds); err != nil {
 			return err
 		}
 		if b = b[n:]; len(b) == 0 {
 			return nil
 		}
-		if l.tail = true; l.value.odd != 0 {
-			l.broken = syntax("malformed INSERT")
+		if l.inTail = true; l.value.pendingDigit != 0 {
+			l.invalid = syntaxError("malformed INSERT")
 			return nil
 		}
 	}
-	if len(l.text)-l.at+len(b) > largeTail {
-		l.broken = syntax("malformed INSERT")
+	if len(l.text)-l.valueAt+len(b) > maxLargeTail {
+		l.invalid = syntaxError("malformed INSERT")
 		return nil
 	}
 	l.text = append(l.text, b...)
 	return nil
 }
 
-// valueStart says where the digits of an INSERT's value begin; 0: not yet, and never if whole.
-func valueStart(text []byte) (at int, whole bool) {
+// valueStart returns the offset of the first digit of an INSERT's value, or 0 if it is not found. In that
+// case final reports that more text cannot change that.
+func valueStart(text []byte) (at int, final bool) {
 	n := min(len(text), len(insertHead))
 	if !bytes.Equal(text[:n], []byte(insertHead)[:n]) {
 		return 0, true
@@ -151,18 +155,18 @@
 	if n < len(insertHead) {
 		return 0, false
 	}
-	_, rest, ok := quoted(text[n:])
-	const sign = `, '\x`
+	_, rest, ok := parseQuoted(text[n:])
+	const valuePrefix = `, '\x`
 	switch {
 	case !ok:
 		return 0, false
-	case bytes.HasPrefix(rest, []byte(sign)):
-		return len(text) - len(rest) + len(sign), false
+	case bytes.HasPrefix(rest, []byte(valuePrefix)):
+		return len(text) - len(rest) + len(valuePrefix), false
 	}
-	return 0, len(rest) >= len(sign)
+	return 0, len(rest) >= len(valuePrefix)
 }
 
-// Kinds of digits: of either case, of lower and of upper case.
+// Kinds of hex digits: decimal digits, lower-case and upper-case letters.
 const anyCase, lowerCase, upperCase = 1, 2, 4
 
 var digitKind = func() (out [256]byte) {
@@ -179,63 +183,64 @@
 	return out
 }()
 
-// hold keeps digits of those kinds.
-func (l *LargeReader) hold(digits []byte, kinds byte) error {
+// appendDigits stores digits of the given kinds.
+func (l *LargeReader) appendDigits(digits []byte, kinds byte) error {
 	v := &l.value
 	if len(digits) == 0 {
 		return nil
 	}
-	if both := v.kinds | kinds; both&lowerCase != 0 && both&upperCase != 0 && !v.raw {
-		if err := l.unpack(); err != nil {
+	if combined := v.digitKinds | kinds; combined&lowerCase != 0 && combined&upperCase != 0 && !v.asDigits {
+		if err := l.switchToDigits(); err != nil {
 			return err
 		}
 	}
-	v.kinds |= kinds
-	odd := v.odd != 0
-	v.odd = 0
+	v.digitKinds |= kinds
+	hadPending := v.pendingDigit != 0
+	v.pendingDigit = 0
 	if v.digits%2 != 0 {
-		v.odd = digits[len(digits)-1]
+		v.pendingDigit = digits[len(digits)-1]
 	}
-	if v.raw {
-		if err := l.Take(len(digits)); err != nil {
+	if v.asDigits {
+		if err := l.Reserve(len(digits)); err != nil {
 			return err
 		}
-		v.parts = append(v.parts, bytes.Clone(digits))
+		v.chunks = append(v.chunks, bytes.Clone(digits))
 		return nil
 	}
-	if err := l.Take(len(digits)/2 + 1); err != nil {
+	if err := l.Reserve(len(digits)/2 + 1); err != nil {
 		return err
 	}
 	out := make([]byte, 0, len(digits)/2+1)
-	if odd {
-		out = append(out, l.first<<4|nibble(digits[0]))
+	if hadPending {
+		out = append(out, l.pendingNibble<<4|nibble(digits[0]))
 		digits = digits[1:]
 	}
-	if v.odd != 0 {
-		l.first = nibble(v.odd)
+	if v.pendingDigit != 0 {
+		l.pendingNibble = nibble(v.pendingDigit)
 		digits = digits[:len(digits)-1]
 	}
 	out, err := hex.AppendDecode(out, digits)
 	if err != nil {
-		return err // digitKind has let none pass that is no digit
+		return err // not reached: digitKind passes hex digits only
 	}
-	v.parts = append(v.parts, out)
+	v.chunks = append(v.chunks, out)
 	return nil
 }
 
-// unpack goes over to holding digits: of both cases, they can't be made again from the bytes.
-func (l *LargeReader) unpack() error {
+// switchToDigits replaces the bytes held so far by their digits, as digits of mixed case cannot be restored
+// from bytes.
+func (l *LargeReader) switchToDigits() error {
 	v := &l.value
-	for i, p := range v.parts {
-		if err := l.Take(len(p)); err != nil {
+	for i, p := range v.chunks {
+		if err := l.Reserve(len(p)); err != nil {
 			return err
 		}
-		v.parts[i] = v.digitsOf(nil, p)
+		v.chunks[i] = v.appendHex(nil, p)
 	}
-	if v.odd != 0 {
-		v.parts = append(v.parts, []byte{v.odd})
+	if v.pendingDigit != 0 {
+		v.chunks = append(v.chunks, []byte{v.pendingDigit})
 	}
-	v.raw = true
+	v.asDigits = true
 	return nil
 }
 
@@ -249,46 +254,46 @@
 	return c - 'a' + 10
 }
 
-// digitsOf appends the digits of a part.
-func (v *packed) digitsOf(out, part []byte) []byte {
-	if v.raw {
-		return append(out, part...)
+// appendHex appends the hex digits of a chunk.
+func (v *largeValue) appendHex(out, chunk []byte) []byte {
+	if v.asDigits {
+		return append(out, chunk...)
 	}
-	from := len(out)
-	out = hex.AppendEncode(out, part)
-	if v.kinds&upperCase != 0 {
-		for i, c := range out[from:] {
+	start := len(out)
+	out = hex.AppendEncode(out, chunk)
+	if v.digitKinds&upperCase != 0 {
+		for i, c := range out[start:] {
 			if c >= 'a' {
-				out[from+i] = c - 'a' + 'A'
+				out[start+i] = c - 'a' + 'A'
 			}
 		}
 	}
 	return out
 }
 
-// Large says that the statement holds a large value: it is written by WriteQuery alone.
+// Large reports whether the statement has a large value. Only WriteQuery can write such a statement.
 func (s *Statement) Large() bool { return s.value != nil }
 
-// WriteQuery writes a large statement as a query, piece by piece, unchanged but for d.
+// WriteQuery writes a large statement as a Query message in chunks, unchanged except for d.
 func (s *Statement) WriteQuery(w io.Writer, wait time.Duration) error {
-	d := s.Text[s.d0:s.d1]
-	if s.d1 > 0 {
+	d := s.Text[s.waitStart:s.waitEnd]
+	if s.waitEnd > 0 {
 		d = strconv.AppendInt(nil, max(wait.Milliseconds(), 1), 10)
 	}
-	length := len(s.Text) - (s.d1 - s.d0) + len(d) + s.value.digits + 1
-	out := make([]byte, 0, 2*Piece+largeHead)
+	length := len(s.Text) - (s.waitEnd - s.waitStart) + len(d) + s.value.digits + 1
+	out := make([]byte, 0, 2*ChunkSize+maxLargeHead)
 	out = AppendLong(out, Query, length-s.valueAt, s.Text[:s.valueAt])
-	for _, p := range s.value.parts {
-		out = s.value.digitsOf(out, p)
-		if len(out) >= Piece {
+	for _, p := range s.value.chunks {
+		out = s.value.appendHex(out, p)
+		if len(out) >= ChunkSize {
 			if _, err := w.Write(out); err != nil {
 				return err
 			}
 			out = out[:0]
 		}
 	}
-	if s.d1 > 0 {
-		out = append(append(append(out, s.Text[s.valueAt:s.d0]...), d...), s.Text[s.d1:]...)
+	if s.waitEnd > 0 {
+		out = append(append(append(out, s.Text[s.valueAt:s.waitStart]...), d...), s.Text[s.waitEnd:]...)
 	} else {
 		out = append(out, s.Text[s.valueAt:]...)
 	}
