--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs routers on the operators' line protocol: events in on standard input, one reply a
-// batch on standard output. It maps instances to routers and holds no decision.
+// Command wirehost runs routers on the operators' line protocol: it reads events from standard input and writes one reply
+// per batch to standard output. It maps instances to routers and makes no decisions itself.
 package main
 
 import (
@@ -22,74 +22,76 @@
 	}
 }
 
+// instance is one router and the estimates for its clients.
 type instance struct {
-	router *balance.Router
-	zero   time.Duration
-	giveUp map[string]time.Duration // of each class
-	tries  *waits.Estimator
-	first  map[string]string // class of each open request whose client had not tried before
+	router        *balance.Router
+	zero          time.Duration            // zero time of the settings, for decoding events
+	deadlines     map[string]time.Duration // by class
+	estimator     *waits.Estimator
+	firstAttempts map[string]string // class of each open request that is the first attempt of its client, by request id
 }
 
 func newInstance(router *balance.Router, set settings.Settings) *instance {
-	it := &instance{router: router, zero: set.Zero, giveUp: map[string]time.Duration{}, tries: waits.New(), first: map[string]string{}}
+	it := &instance{router: router, zero: set.Zero, deadlines: map[string]time.Duration{}, estimator: waits.New(), firstAttempts: map[string]string{}}
 	for _, c := range set.Balance.Classes {
-		it.giveUp[c.Name] = c.Deadline
+		it.deadlines[c.Name] = c.Deadline
 	}
 	return it
 }
 
-// request tells the module how long a request's client has been at it.
-func (it *instance) request(now time.Duration, q balance.Request) balance.Request {
-	if q.Elapsed = it.tries.Observe(q.Class, it.giveUp[q.Class], q.Deadline-now); q.Elapsed == 0 {
-		it.first[q.ID] = q.Class
+// setElapsed sets the estimated time since the client's first attempt, and records the request if it is the first.
+func (it *instance) setElapsed(now time.Duration, q balance.Request) balance.Request {
+	if q.Elapsed = it.estimator.Observe(q.Class, it.deadlines[q.Class], q.Deadline-now); q.Elapsed == 0 {
+		it.firstAttempts[q.ID] = q.Class
 	}
 	return q
 }
 
-// ended notes the end of a request.
-func (it *instance) ended(id string, served bool) {
-	if class, ok := it.first[id]; ok && !served {
-		it.tries.Unserved(class)
+// requestEnded records the end of a request.
+func (it *instance) requestEnded(id string, served bool) {
+	if class, ok := it.firstAttempts[id]; ok && !served {
+		it.estimator.Unserved(class)
 	}
-	delete(it.first, id)
+	delete(it.firstAttempts, id)
 }
 
+// host runs the instances and collects the reply of the current batch.
 type host struct {
-	instances map[int]*instance
-	tables    map[int][]balance.Member
-	acts      []balance.Action
-	reply     []byte
+	instances   map[int]*instance
+	memberLists map[int][]balance.Member
+	actions     []balance.Action
+	reply       []byte
 }
 
 func run(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, 1<<20)
 	out := bufio.NewWriterSize(w, 1<<20)
-	h := &host{instances: map[int]*instance{}, tables: map[int][]balance.Member{}}
+	h := &host{instances: map[int]*instance{}, memberLists: map[int][]balance.Member{}}
 	var now time.Duration
-	turn, open := int64(-1), false
+	batch, open := int64(-1), false
 	for {
 		line, err := in.ReadBytes('\n')
 		if err == io.EOF && len(line) == 0 {
 			if open {
-				return fmt.Errorf("batch %d: input ended inside it", turn)
+				return fmt.Errorf("batch %d: unexpected end of input", batch)
 			}
 			return nil
 		}
 		if err != nil && err != io.EOF {
-			return fmt.Errorf("batch %d: %w", turn, err)
+			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 		name, e, err := sim.Line(line)
 		if err != nil {
-			return fmt.Errorf("batch %d: %w", turn, err)
+			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 		switch {
 		case name == "TICK" && !open:
-			now, turn, open = time.Duration(e.Wall), e.Turn, true
+			now, batch, open = time.Duration(e.Wall), e.Turn, true
 		case name == "TICK" || !open:
-			return fmt.Errorf("batch %d: %s out of place", turn, name)
+			return fmt.Errorf("batch %d: unexpected %s", batch, name)
 		case name == "COMMIT":
 			open = false
-			if h.reply, err = sim.Plain(h.reply, "ACK", map[string]any{"turn": turn}); err == nil {
+			if h.reply, err = sim.Plain(h.reply, "ACK", map[string]any{"turn": batch}); err == nil {
 				_, err = out.Write(h.reply)
 			}
 			if err == nil {
@@ -100,7 +102,7 @@
 			err = h.event(now, name, e)
 		}
 		if err != nil {
-			return fmt.Errorf("batch %d: %w", turn, err)
+			return fmt.Errorf("batch %d: %w", batch, err)
 		}
 	}
 }
@@ -116,7 +118,7 @@
 			}
 			list = append(list, m)
 		}
-		h.tables[e.Ref] = list
+		h.memberLists[e.Ref] = list
 		return nil
 	case "SPAWN":
 		set, err := settings.Decode(e.Options)
@@ -142,9 +144,9 @@
 		if e.Kind == "lost" {
 			return h.decide(now, e.Who, it, balance.ListUnavailable{})
 		}
-		list, ok := h.tables[e.Ref]
+		list, ok := h.memberLists[e.Ref]
 		if !ok {
-			return fmt.Errorf("UPDATE: list %d was never given", e.Ref)
+			return fmt.Errorf("UPDATE: unknown list %d", e.Ref)
 		}
 		return h.decide(now, e.Who, it, balance.Members{Snapshot: e.Kind != "incr", List: list})
 	}
@@ -154,33 +156,33 @@
 	}
 	switch v := ev.(type) {
 	case balance.Request:
-		ev = it.request(now, v)
+		ev = it.setElapsed(now, v)
 	case balance.RequestCanceled:
-		it.ended(v.ID, false)
+		it.requestEnded(v.ID, false)
 	case balance.Outcome:
 		if v.Final {
-			it.ended(v.ID, v.Result == balance.OK)
+			it.requestEnded(v.ID, v.Result == balance.OK)
 		}
 	}
 	return h.decide(now, e.Who, it, ev)
 }
 
-// decide hands one event to a router. A panic there is that instance's fault alone and is reported as one.
-func (h *host) decide(now time.Duration, who int, it *instance, ev balance.Event) (err error) {
+// decide passes one event to a router. A panic of the router is reported for its instance and does not affect others.
+func (h *host) decide(now time.Duration, id int, it *instance, ev balance.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply, err = sim.Plain(h.reply, "GIVE_IN", map[string]any{"who": who, "bodyText": fmt.Sprint(p)})
+			h.reply, err = sim.Plain(h.reply, "GIVE_IN", map[string]any{"who": id, "bodyText": fmt.Sprint(p)})
 		}
 	}()
-	h.acts = it.router.Handle(now, ev, h.acts[:0])
-	for _, a := range h.acts {
+	h.actions = it.router.Handle(now, ev, h.actions[:0])
+	for _, a := range h.actions {
 		switch a := a.(type) {
 		case balance.Refuse:
-			it.ended(a.ID, false)
+			it.requestEnded(a.ID, false)
 		case balance.Fail:
-			it.ended(a.ID, false)
+			it.requestEnded(a.ID, false)
 		}
-		if h.reply, err = sim.Action(h.reply, who, a); err != nil {
+		if h.reply, err = sim.Action(h.reply, id, a); err != nil {
 			return err
 		}
 	}
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -13,11 +13,11 @@
 
 func frames(lines ...string) string { return strings.Join(lines, "\n") + "\n" }
 
-func second(who string) []string {
-	return []string{strings.ReplaceAll(spawn, `"who":0`, `"who":`+who),
+func requestFrames(id string) []string {
+	return []string{strings.ReplaceAll(spawn, `"who":0`, `"who":`+id),
 		`{"TABLE":{"ref":1,"lines":[{"host":"h:1","leader":1,"shard":2,"status":"active"}]}}`,
-		`{"UPDATE":{"who":` + who + `,"kind":"warm_copy","stamp":1,"ref":1}}`,
-		`{"ORDER":{"who":` + who + `,"requestId":"0a","grade":"g","validUntil":3000000000,"shard":2}}`}
+		`{"UPDATE":{"who":` + id + `,"kind":"warm_copy","stamp":1,"ref":1}}`,
+		`{"ORDER":{"who":` + id + `,"requestId":"0a","grade":"g","validUntil":3000000000,"shard":2}}`}
 }
 
 func reply(t *testing.T, in string) string {
@@ -29,9 +29,9 @@
 	return out.String()
 }
 
-func TestABatchGetsItsReply(t *testing.T) {
+func TestBatchReply(t *testing.T) {
 	tick := `{"TICK":{"wall":1000000000,"turn":7}}`
-	out := reply(t, frames(append(append([]string{tick}, second("0")...), `{"COMMIT":{}}`)...))
+	out := reply(t, frames(append(append([]string{tick}, requestFrames("0")...), `{"COMMIT":{}}`)...))
 	for _, want := range []string{`{"ISSUE":{`, `"host":"h:1"`, `"requestId":"0a"`} {
 		if !strings.Contains(out, want) {
 			t.Errorf("reply %s lacks %s", out, want)
@@ -42,10 +42,10 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	tick := `{"TICK":{"wall":1000000000,"turn":7}}`
-	alone := reply(t, frames(append(append([]string{tick}, second("1")...), `{"COMMIT":{}}`)...))
-	both := reply(t, frames(append(append(append([]string{tick}, second("0")...), second("1")...), `{"COMMIT":{}}`)...))
+	alone := reply(t, frames(append(append([]string{tick}, requestFrames("1")...), `{"COMMIT":{}}`)...))
+	both := reply(t, frames(append(append(append([]string{tick}, requestFrames("0")...), requestFrames("1")...), `{"COMMIT":{}}`)...))
 	var kept []string
 	for _, l := range strings.Split(both, "\n") {
 		if !strings.Contains(l, `"who":0`) {
@@ -53,7 +53,7 @@
 		}
 	}
 	if got := strings.Join(kept, "\n"); got != alone {
-		t.Errorf("beside another: %s\nalone: %s", got, alone)
+		t.Errorf("with a second instance: %s\nalone: %s", got, alone)
 	}
 }
 
@@ -67,14 +67,14 @@
 	}
 }
 
-func TestBadInputStops(t *testing.T) {
+func TestMalformedInputIsAnError(t *testing.T) {
 	tick := `{"TICK":{"wall":1,"turn":7}}`
 	for name, in := range map[string]string{
 		"malformed":        frames(tick, `{"ORDER":`),
 		"unknown instance": frames(tick, `{"TIMER":{"who":9,"ctx":1}}`),
-		"list never given": frames(tick, spawn, `{"UPDATE":{"who":0,"kind":"total","ref":3}}`),
-		"out of place":     frames(tick, tick),
-		"cut off":          frames(tick),
+		"unknown list":     frames(tick, spawn, `{"UPDATE":{"who":0,"kind":"total","ref":3}}`),
+		"unexpected TICK":  frames(tick, tick),
+		"truncated batch":  frames(tick),
 		"no classes":       frames(tick, `{"SPAWN":{"who":0,"options":{}}}`),
 	} {
 		err := run(strings.NewReader(in), new(bytes.Buffer))
--- a/cmd/yokemast/cells.go
+++ b/cmd/yokemast/cells.go
@@ -18,16 +18,16 @@
 )
 
 type cellsCmd struct {
-	Show    showCmd    `cmd:"" help:"Show the cells, their hosts and what they hold, and the moves."`
-	Plan    planCmd    `cmd:"" help:"Show which cells would change if hosts came or went. Nothing changes by it."`
+	Show    showCmd    `cmd:"" help:"Show the cells, their hosts and requests, and the moves."`
+	Plan    planCmd    `cmd:"" help:"Show which cells would change if hosts were added or removed, without changing any."`
 	Move    moveCmd    `cmd:"" help:"Move a tenant to another cell or group while it is served."`
-	Abort   abortCmd   `cmd:"" help:"Abort a tenant's move: it stays where it was."`
-	Confirm confirmCmd `cmd:"" help:"Let a move settle that was ordered with --confirm."`
+	Abort   abortCmd   `cmd:"" help:"Abort a tenant's move; the tenant stays where it was."`
+	Confirm confirmCmd `cmd:"" help:"Confirm a move that was started with --confirm, so that it settles."`
 }
 
-// gatewayFlags say which gateway is meant.
+// gatewayFlags select the gateway and the output format.
 type gatewayFlags struct {
-	Socket   string `help:"The gateway's control socket, in place of the operator's file." env:"YOKEMAST_CONTROL" type:"path"`
+	Socket   string `help:"The gateway's control socket; overrides the operator's file." env:"YOKEMAST_CONTROL" type:"path"`
 	Operator string `help:"The operator's file, which names the control socket." env:"YOKEMAST_OPERATOR" type:"path"`
 	JSON     bool   `name:"json" help:"Print JSON."`
 }
@@ -46,7 +46,7 @@
 	return control.NewClient(g.Socket), nil
 }
 
-// print writes v as JSON or as tables.
+// print writes v as JSON, or calls tables to write it as tables.
 func (g gatewayFlags) print(v any, tables func(w io.Writer)) error {
 	if g.JSON {
 		enc := json.NewEncoder(os.Stdout)
@@ -60,7 +60,7 @@
 
 type showCmd struct{ gatewayFlags }
 
-// Run shows.
+// Run shows the cells.
 func (s *showCmd) Run() error {
 	c, err := s.client()
 	if err != nil {
@@ -91,7 +91,7 @@
 		}
 		fmt.Fprintln(w, "\nTENANT\tFROM\tTO\tSTAGE\tREADS OVER\tWRITES HELD\tREASON")
 		for _, m := range append(r.Moves, r.Ended...) {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\t%d\t%s\n", m.Tenant, place(m.From, m.FromGroup), place(m.To, m.ToGroup), m.Stage,
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\t%d\t%s\n", m.Tenant, cellAndGroup(m.From, m.FromGroup), cellAndGroup(m.To, m.ToGroup), m.Stage,
 				100*m.Share, m.Held, dash(m.Reason))
 		}
 	})
@@ -105,11 +105,11 @@
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", p.A, p.B, p.Group, p.Hosts)
 	}
 	if relaxed > 0 {
-		fmt.Fprintf(w, "\n%d slots are filled beyond the overlap that is allowed: there are too few hosts\n", relaxed)
+		fmt.Fprintf(w, "\n%d slots exceed the allowed overlap, as there are too few hosts\n", relaxed)
 	}
 }
 
-func place(cell string, group int) string {
+func cellAndGroup(cell string, group int) string {
 	if group == 0 {
 		return cell
 	}
@@ -125,11 +125,11 @@
 
 type planCmd struct {
 	gatewayFlags
-	Come  []string `help:"A host that would come, as ID:GROUP or ID:GROUP:WEIGHT." placeholder:"HOST"`
-	Leave []string `help:"The id of a host that would go." placeholder:"ID"`
+	Come  []string `help:"A host that would be added, as ID:GROUP or ID:GROUP:WEIGHT." placeholder:"HOST"`
+	Leave []string `help:"The id of a host that would be removed." placeholder:"ID"`
 }
 
-// Run plans.
+// Run shows the forecast.
 func (p *planCmd) Run() error {
 	q := control.PlanRequest{Leave: p.Leave}
 	for _, s := range p.Come {
@@ -168,13 +168,13 @@
 type moveCmd struct {
 	gatewayFlags
 	Tenant    string `arg:"" help:"The tenant."`
-	To        string `help:"The cell that it goes to; without it, it stays in its own." placeholder:"CELL"`
+	To        string `help:"The destination cell; by default the tenant stays in its cell." placeholder:"CELL"`
 	FromGroup int    `help:"The group that its data has been copied from." placeholder:"N"`
 	ToGroup   int    `help:"The group that its data has been copied to." placeholder:"N"`
 	Confirm   bool   `help:"Stay fenced until 'cells confirm': for several gateways, so that all fence before one settles."`
 }
 
-// Run moves.
+// Run starts the move.
 func (m *moveCmd) Run() error {
 	if m.To == "" && m.FromGroup == m.ToGroup {
 		return errors.New("nothing to move: give --to, or --from-group and --to-group")
@@ -191,7 +191,7 @@
 	Tenant string `arg:"" help:"The tenant."`
 }
 
-// Run aborts.
+// Run aborts the move.
 func (a *abortCmd) Run() error {
 	return order(a.gatewayFlags, "abort", control.MoveRequest{Tenant: a.Tenant})
 }
@@ -201,7 +201,7 @@
 	Tenant string `arg:"" help:"The tenant."`
 }
 
-// Run confirms.
+// Run confirms the move.
 func (a *confirmCmd) Run() error {
 	return order(a.gatewayFlags, "confirm", control.MoveRequest{Tenant: a.Tenant})
 }
--- a/cmd/yokemast/lease.go
+++ b/cmd/yokemast/lease.go
@@ -15,23 +15,23 @@
 	"yokemast/internal/lifecycle"
 )
 
-// leaseVoterCmd runs one voter of the fleet's leases, holding a lease for one task: for installations where gateways
-// may reach each other over TCP, and for the proof of the leases. `serve` does not start it.
+// leaseVoterCmd runs one voter of the fleet's leases, which holds a lease for one task. It is for installations where
+// gateways can connect to each other over TCP, and for tests of the leases. `serve` does not start it.
 type leaseVoterCmd struct {
 	ID       uint64        `help:"This voter's member id, 1 to 65535." required:""`
 	Peer     []string      `help:"Another voter, as ID=HOST:PORT; once for each." required:""`
-	Listen   string        `help:"Where the other voters reach this one, on IPv4." required:""`
-	Dir      string        `help:"A folder for the voter's log; without one it is kept in memory." type:"path"`
+	Listen   string        `help:"The IPv4 address on which the other voters connect." required:""`
+	Dir      string        `help:"A folder for the voter's log; by default the log is kept in memory." type:"path"`
 	Tick     time.Duration `help:"One tick of the consensus clock; an election after 10." default:"100ms"`
 	TTL      time.Duration `help:"The lease's time to live." default:"1s"`
-	Margin   time.Duration `help:"Time that a holder gives up before the voters could let the lease pass." default:"150ms"`
+	Margin   time.Duration `help:"How long before the voters could grant the lease to another a holder stops using it." default:"150ms"`
 	Drift    float64       `help:"How far any two clocks' rates may differ, as a fraction." default:"0.01"`
 	Task     string        `help:"The lease's name." default:"scout"`
-	Resource string        `help:"Where acts under the lease go, over TCP." required:""`
+	Resource string        `help:"The TCP address that acts under the lease are sent to." required:""`
 	ActEvery time.Duration `help:"How often the holder acts." default:"20ms"`
 	History  bool          `help:"Log each lease request and its answer with wall times, for a linearizability check."`
-	// ClockRate exists for proofs of the drift bound; the default keeps the true rate.
-	ClockRate float64 `help:"How fast this voter's lease clock runs against true time, 0.5 to 2; for proofs only." default:"1"`
+	// ClockRate is for tests of the drift bound; the default is the true rate.
+	ClockRate float64 `help:"Rate of this voter's lease clock relative to true time, 0.5 to 2; for tests only." default:"1"`
 }
 
 // Run runs the voter until SIGTERM or SIGINT.
--- a/cmd/yokemast/main.go
+++ b/cmd/yokemast/main.go
@@ -14,21 +14,21 @@
 )
 
 type cli struct {
-	Serve   serveCmd   `cmd:"" help:"Run the gateway until SIGTERM. SIGHUP takes discovery, the settings and the operator's file anew, SIGUSR1 logs the counters."`
-	Check   checkCmd   `cmd:"" help:"Read a configuration and say whether a gateway could start from it."`
-	Cells   cellsCmd   `cmd:"" help:"Look at the cells of a running gateway, and move tenants."`
+	Serve   serveCmd   `cmd:"" help:"Run the gateway until SIGTERM. SIGHUP reloads discovery's address, the settings and the operator's file; SIGUSR1 logs the counters."`
+	Check   checkCmd   `cmd:"" help:"Validate a configuration without starting a gateway."`
+	Cells   cellsCmd   `cmd:"" help:"Show the cells of a running gateway, and move tenants."`
 	Pools   poolsCmd   `cmd:"" help:"Show how a running gateway's clients share host connections."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 
-	LeaseVoter leaseVoterCmd `cmd:"" name:"lease-voter" help:"Run one voter of the fleet's leases, holding a lease for a task (not on this platform)."`
+	LeaseVoter leaseVoterCmd `cmd:"" name:"lease-voter" help:"Run one voter of the fleet's leases, which holds a lease for a task (not on this platform)."`
 }
 
 type configFlag struct {
 	Config   string `help:"The configuration file." env:"ROUTER_CONFIG" required:"" type:"path"`
-	Operator string `help:"The operator's file; without one, nothing is done beyond the configuration." env:"YOKEMAST_OPERATOR" type:"path"`
+	Operator string `help:"The operator's file, with optional settings beyond the configuration." env:"YOKEMAST_OPERATOR" type:"path"`
 }
 
-// operator reads the operator's file; nil where there is none.
+// operator loads the operator's file. It returns nil if none is named.
 func (f *configFlag) operator() (*operator.File, error) {
 	if f.Operator == "" {
 		return nil, nil
@@ -38,14 +38,14 @@
 
 type serveCmd struct {
 	configFlag
-	Name      string `help:"The gateway's name, in place of the configuration's." env:"ROUTER_NAME"`
-	Listen    string `help:"Where clients connect, in place of the configuration's." env:"ROUTER_LISTEN"`
-	Discovery string `help:"Discovery's address, in place of the configuration's." env:"ROUTER_DISCOVERY"`
-	LogEach   int    `help:"How many lines of a kind are logged in a second; the others are counted." default:"10"`
-	Admin     string `help:"Where staff call, in place of the configuration's." env:"ROUTER_ADMIN"`
+	Name      string `help:"The gateway's name; overrides the configuration." env:"ROUTER_NAME"`
+	Listen    string `help:"The address for clients; overrides the configuration." env:"ROUTER_LISTEN"`
+	Discovery string `help:"Discovery's address; overrides the configuration." env:"ROUTER_DISCOVERY"`
+	LogEach   int    `help:"Maximum number of log lines of a kind per second; further ones are counted." default:"10"`
+	Admin     string `help:"The address for administration calls; overrides the configuration." env:"ROUTER_ADMIN"`
 }
 
-// Run serves.
+// Run runs the gateway.
 func (s *serveCmd) Run() error {
 	signals := lifecycle.NotifySignals()
 	c, err := lifecycle.LoadConfig(s.Config)
@@ -55,28 +55,28 @@
 	if err := c.Override(s.Name, s.Listen, s.Discovery, s.Admin); err != nil {
 		return err
 	}
-	own, err := s.operator()
+	operatorFile, err := s.operator()
 	if err != nil {
 		return err
 	}
 	reload := func(old lifecycle.Config) (lifecycle.Config, error) {
 		c, err := old.ReloadConfig(s.Config)
 		if err == nil {
-			// Discovery as the file has it: the environment still names the address of the start.
+			// Discovery is taken from the file: the environment still names the address at the start.
 			err = c.Override(s.Name, s.Listen, "", s.Admin)
 		}
 		return c, err
 	}
-	return lifecycle.Serve(signals, c, own, lifecycle.Reload{Config: reload, Operator: s.operator}, s.LogEach)
+	return lifecycle.Serve(signals, c, operatorFile, lifecycle.Reload{Config: reload, Operator: s.operator}, s.LogEach)
 }
 
 type checkCmd struct {
 	configFlag
-	Print     bool `help:"Print the settings of the operator's file in force, defaults included."`
-	Reference bool `help:"Print the reference of the operator's file, and nothing else."`
+	Print     bool `help:"Print the effective settings of the operator's file, including defaults."`
+	Reference bool `help:"Print only the reference of the operator's file."`
 }
 
-// Run checks.
+// Run validates the configuration and the operator's file.
 func (s *checkCmd) Run() error {
 	if s.Reference {
 		return operator.Reference(os.Stdout)
@@ -85,12 +85,12 @@
 	if err != nil {
 		return err
 	}
-	own, err := s.operator()
+	operatorFile, err := s.operator()
 	if err != nil {
 		return err
 	}
-	if s.Print && own != nil {
-		return own.Print(os.Stdout)
+	if s.Print && operatorFile != nil {
+		return operatorFile.Print(os.Stdout)
 	}
 	fmt.Printf("ok: %s listens on %s, %d classes, %d hosts known\n", c.Name, c.Listen,
 		len(c.Settings.Balance.Classes), len(c.Known.Members))
--- a/cmd/yokemast/pools.go
+++ b/cmd/yokemast/pools.go
@@ -35,7 +35,7 @@
 		for _, x := range r.Hosts {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", x.Host, x.Open, x.Used, x.Idle, x.Opening)
 		}
-		fmt.Fprintf(w, "\nconnections at most: %d; waiting for one: %d; none was free: %d times; prepared statements found: %d, made: %d\n", r.Peak, r.Waiting, r.NoneFree,
+		fmt.Fprintf(w, "\npeak connections: %d; waiting for one: %d; none free: %d times; prepared statement hits: %d, misses: %d\n", r.Peak, r.Waiting, r.NoneFree,
 			r.Hits, r.Misses)
 	})
 }
--- a/example/toyserver/main.go
+++ b/example/toyserver/main.go
@@ -1,5 +1,5 @@
-// Command toyserver stands in for what a gateway needs round it, on loopback: discovery and one group of three
-// database hosts, a primary and two replicas, that share one table in memory. It is for trying the gateway out.
+// Command toyserver runs what a gateway needs to be tried out, on loopback: discovery and one group of three database
+// hosts, a primary and two replicas, that share one table in memory.
 package main
 
 import (
@@ -18,12 +18,12 @@
 )
 
 type cli struct {
-	Discovery string        `help:"Where discovery listens." default:"127.0.0.1:8500"`
-	Port      int           `help:"The first host's port; the others follow." default:"15432"`
+	Discovery string        `help:"Discovery's listen address." default:"127.0.0.1:8500"`
+	Port      int           `help:"The first host's port; the others use the following ports." default:"15432"`
 	Group     int           `help:"The group of the hosts." default:"1"`
-	Replicas  int           `help:"How many replicas there are beside the primary." default:"2"`
-	Lag       time.Duration `help:"How far the replicas lie behind." default:"20ms"`
-	Work      time.Duration `help:"What a request takes." default:"0"`
+	Replicas  int           `help:"Number of replicas in addition to the primary." default:"2"`
+	Lag       time.Duration `help:"Replication lag of the replicas." default:"20ms"`
+	Work      time.Duration `help:"Execution time of a request." default:"0"`
 }
 
 func main() {
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -1,4 +1,4 @@
-// Package lifecycle starts the gateway, keeps its parts together and ends it.
+// Package lifecycle starts the gateway, connects its parts, applies reloads and hot restarts, and shuts it down.
 package lifecycle
 
 import (
@@ -15,10 +15,10 @@
 	"yokemast/internal/wire/settings"
 )
 
-// Config is all that a gateway is told at its start.
+// Config is the configuration that a gateway is started with.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // the second address, where staff call; "": there is none
+	Admin                   string // address of the administration calls, or empty if there is none
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
@@ -26,38 +26,39 @@
 	Peers                   Peers
 	Settings                settings.Settings
 	shape                   *settings.Shape
-	inFile                  string // the discovery that the file names
+	fileDiscovery           string // discovery address in the file, before Override
 }
 
-// Peers is where gateways meet. It is empty where they may not, or where there is only one.
+// Peers holds the addresses for gossip messages between gateways. It is empty if the settings do not allow them or if
+// there is only one gateway.
 type Peers struct {
 	Listen, All, Self netip.AddrPort
 }
 
 const (
-	leastSockets  = 64
-	leastMemoryMB = 32
+	minSockets  = 64
+	minMemoryMB = 32
 )
 
-// freeKeys are those that a configuration may lack that is read anew: nothing of them is used then.
-var freeKeys = []string{"known", "admin", "seed"}
+// optionalKeys are the keys that may be missing from a reloaded configuration, as a reload uses none of them.
+var optionalKeys = []string{"known", "admin", "seed"}
 
-// LoadConfig reads and checks a configuration; the error names the field at fault.
+// LoadConfig reads and validates the configuration file at path. The error names the invalid field.
 func LoadConfig(path string) (Config, error) {
 	return load(path, func(Config, []byte) error { return nil })
 }
 
-// ReloadConfig reads a configuration that is to take this one's place; the error names the field at fault.
-func (c Config) ReloadConfig(path string) (Config, error) { return load(path, c.replacedBy) }
+// ReloadConfig reads and validates a configuration that is to replace c. The error names the invalid field.
+func (c Config) ReloadConfig(path string) (Config, error) { return load(path, c.checkReplacement) }
 
-func load(path string, fits func(Config, []byte) error) (Config, error) {
+func load(path string, validate func(Config, []byte) error) (Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
 	c, err := ParseConfig(b)
 	if err == nil {
-		err = fits(c, b)
+		err = validate(c, b)
 	}
 	if err != nil {
 		return c, fmt.Errorf("config: %s: %w", path, err)
@@ -65,7 +66,7 @@
 	return c, nil
 }
 
-// ParseConfig reads and checks a configuration; the error names the field at fault.
+// ParseConfig parses and validates a configuration. The error names the invalid field.
 func ParseConfig(b []byte) (Config, error) {
 	if !gjson.ValidBytes(b) {
 		return Config{}, errors.New("not JSON")
@@ -74,18 +75,18 @@
 	c := Config{Name: root.Get("name").Str, Listen: root.Get("listen").Str, Discovery: root.Get("discovery").Str,
 		Admin: root.Get("admin").Str, Cores: root.Get("limits.cores").Num, MemoryMB: int(root.Get("limits.memory_mb").Int()),
 		Sockets: int(root.Get("limits.sockets").Int())}
-	c.inFile = c.Discovery
+	c.fileDiscovery = c.Discovery
 	if err := c.Override("", "", "", ""); err != nil {
 		return c, err
 	}
 	if !(c.Cores > 0) {
-		return c, errors.New("limits.cores: not above 0")
+		return c, errors.New("limits.cores: must be above 0")
 	}
-	if c.MemoryMB < leastMemoryMB {
-		return c, fmt.Errorf("limits.memory_mb: under %d", leastMemoryMB)
+	if c.MemoryMB < minMemoryMB {
+		return c, fmt.Errorf("limits.memory_mb: must be at least %d", minMemoryMB)
 	}
-	if c.Sockets < leastSockets {
-		return c, fmt.Errorf("limits.sockets: under %d", leastSockets)
+	if c.Sockets < minSockets {
+		return c, fmt.Errorf("limits.sockets: must be at least %d", minSockets)
 	}
 	seed := root.Get("seed")
 	if seed.Type != gjson.String || seed.Str == "" {
@@ -93,7 +94,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(seed.Str, 16, 64); err != nil {
-		h := fnv.New64a() // any text will do
+		h := fnv.New64a() // a seed that is not a hexadecimal number is hashed
 		_, _ = h.Write([]byte(seed.Str))
 		c.Seed = h.Sum64()
 	}
@@ -105,19 +106,19 @@
 	if c.Settings, err = settings.Decode([]byte(root.Get("settings").Raw)); err != nil {
 		return c, err
 	}
-	if c.Peers, err = peersOf(root, c.Settings); err != nil {
+	if c.Peers, err = parsePeers(root, c.Settings); err != nil {
 		return c, err
 	}
 	if c.Settings.Balance, err = c.Settings.Balance.Checked(); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
-	c.shape = settings.ShapeOf(root, freeKeys...)
+	c.shape = settings.ShapeOf(root, optionalKeys...)
 	return c, nil
 }
 
-// replacedBy says why a configuration can't take the place of this one; nil: it can. A file that was cut off or lost a key
-// can still be read, with zeros for what it lacks.
-func (c Config) replacedBy(_ Config, raw []byte) error {
+// checkReplacement returns an error if the new configuration cannot replace c. A truncated file or one without some keys
+// can still parse, with zero values for what is missing, so the raw keys are compared with those of the first file.
+func (c Config) checkReplacement(_ Config, raw []byte) error {
 	root := gjson.ParseBytes(raw)
 	if err := c.shape.Fits(root); err != nil {
 		return err
@@ -125,8 +126,8 @@
 	return settings.Positive(root.Get("settings"))
 }
 
-// peersOf reads the addresses of the tier. A tier without any just does without.
-func peersOf(root gjson.Result, s settings.Settings) (p Peers, err error) {
+// parsePeers reads the peer addresses. A configuration without them is valid: the gateway then sends no gossip.
+func parsePeers(root gjson.Result, s settings.Settings) (p Peers, err error) {
 	listen, all := root.Get("peer_listen").Str, root.Get("peers_all").Str
 	if !s.Peers || s.Balance.Routers < 2 || listen == "" || all == "" {
 		return p, nil
@@ -145,7 +146,7 @@
 	return p, nil
 }
 
-// Override puts what is not empty in place of what the configuration holds, and checks the addresses.
+// Override replaces values of the configuration by the arguments that are not empty, and validates the addresses.
 func (c *Config) Override(name, listen, discovery, admin string) error {
 	for _, f := range []struct {
 		to    *string
--- a/internal/lifecycle/lease.go
+++ b/internal/lifecycle/lease.go
@@ -17,27 +17,27 @@
 	"yokemast/internal/wire/fleet"
 )
 
-// LeaseVoter says how one voter of the fleet's leases runs, and which task it holds a lease for. It is not started by
-// `serve`: on this platform gateways may send each other only datagrams of 256 bytes.
+// LeaseVoter configures one voter of the fleet's leases and the task that it holds a lease for. `serve` does not start
+// one: on this platform gateways may send each other only datagrams of 256 bytes.
 type LeaseVoter struct {
 	ID       uint64
-	Peers    map[uint64]string // the address at which to reach each other voter
-	Listen   string            // where the others reach this one
-	Dir      string            // for the log; "" keeps it in memory, and the voter must not come back under its ID
-	Tick     time.Duration     // 100 ms: an election after 10 ticks
+	Peers    map[uint64]string // the addresses of the other voters
+	Listen   string            // the address on which the other voters connect
+	Dir      string            // directory of the log; if empty, the log is in memory and the voter must not restart under its ID
+	Tick     time.Duration     // usually 100 ms; an election starts after 10 ticks
 	Lease    leases.HolderConfig
-	Task     string        // the lease's name
-	Resource string        // where acts under the lease go, as fleet frames of kind KindAct
+	Task     string        // name of the lease
+	Resource string        // address that acts under the lease are sent to, as fleet frames of kind KindAct
 	ActEvery time.Duration // how often the holder acts
-	// ClockRate is how fast this voter's lease clock runs against true time, for proving that the margin covers
-	// drift: 1 (or 0) in use; the proof sets one voter within the drift bound and one beyond it.
+	// ClockRate is the rate of this voter's lease clock relative to true time. It is 1 (or 0) in production. Tests of the
+	// margin set one voter within the drift bound and one beyond it.
 	ClockRate float64
-	// History logs each request for the lease and its answer ("lease request"), with the wall time of its sending
-	// and of its answer, for a linearizability check of the lease; about ten lines a second a voter.
+	// History logs each request for the lease and its answer ("lease request") with the wall times of both, for a
+	// linearizability check of the lease. It adds about ten log lines per second and voter.
 	History bool
 }
 
-// voterCounts are what a voter counts, logged every 10 s and at its end.
+// voterCounts holds the counters of a voter. They are logged every 10 s and at shutdown.
 type voterCounts struct {
 	grants, losses, leaders, refusedFrames, refusedAsks, acts, lostRequests uint64
 }
@@ -49,25 +49,26 @@
 		zap.Uint64("unanswered_requests", n.lostRequests)}
 }
 
-// request is one request for the lease on its way: its sending on the lease clock and on the wall, and what it asked.
+// request is a pending request for the lease.
 type request struct {
-	sent time.Duration
-	wall int64 // Unix ns
-	e    leases.Entry
+	sent      time.Duration // on the lease clock
+	wallNanos int64         // time of the send, in Unix ns
+	entry     leases.Entry  // what was requested
 }
 
-// answer is the voters' answer to an ask: the asker's proposal, then 1 byte granted or held (1) or not (0), then the
-// token.
+// answerSize is the size of an answer to an ask: the proposal number of the ask, 1 byte that is 1 if the lease is granted
+// or held and 0 otherwise, and the token.
 const answerSize = 8 + 1 + 8
 
-type ask struct {
+// forwardedAsk is an ask of another voter that this voter has proposed.
+type forwardedAsk struct {
 	from     uint64
 	proposal uint64
 }
 
-// RunLeaseVoter runs a voter until ctx ends.
+// RunLeaseVoter runs a voter until ctx is done.
 func RunLeaseVoter(ctx context.Context, c LeaseVoter, log *zap.Logger) error {
-	hold, err := leases.NewHolding(c.Lease)
+	holding, err := leases.NewHolding(c.Lease)
 	if err != nil {
 		return err
 	}
@@ -111,7 +112,7 @@
 	send := func(to uint64, b []byte) {
 		select {
 		case out[to] <- b:
-		default: // a peer that does not read loses frames, as it would on a lossy link
+		default: // frames to a peer that does not read are dropped, as on a lossy link
 		}
 	}
 	start, rate := time.Now(), c.ClockRate
@@ -120,65 +121,65 @@
 	}
 	now := func() time.Duration { return time.Duration(float64(time.Since(start)) * rate) }
 	var (
-		mine    = map[uint64]request{} // local proposals
-		asked   = map[uint64]request{} // asks sent to a leader, by their number here
-		theirs  = map[uint64]ask{}     // proposals made for another voter's ask
-		seq     uint64
-		waiting time.Duration = -1 // when the outstanding request was sent
-		lead    uint64
-		counts  voterCounts
+		proposed     = map[uint64]request{}      // own requests proposed by this voter, by proposal
+		sentRequests = map[uint64]request{}      // own requests sent to the leader, by sequence number
+		forwarded    = map[uint64]forwardedAsk{} // asks of other voters proposed by this voter, by proposal
+		seq          uint64
+		pendingSince time.Duration = -1 // when the pending request was sent; -1 if there is none
+		leader       uint64
+		counts       voterCounts
 	)
 	defer func() { log.Info("lease counters", counts.fields()...) }()
-	entry := func() leases.Entry {
-		if _, err := hold.Act(now()); err == nil {
-			return leases.Entry{Op: leases.Renew, Name: c.Task, Holder: fmt.Sprint(c.ID), Token: hold.Token(),
+	nextEntry := func() leases.Entry {
+		if _, err := holding.Act(now()); err == nil {
+			return leases.Entry{Op: leases.Renew, Name: c.Task, Holder: fmt.Sprint(c.ID), Token: holding.Token(),
 				TTL: c.Lease.TTL}
 		}
 		return leases.Entry{Op: leases.Acquire, Name: c.Task, Holder: fmt.Sprint(c.ID), TTL: c.Lease.TTL}
 	}
-	result := func(r request, granted bool, token uint64) {
-		waiting = -1
+	handleResult := func(r request, granted bool, token uint64) {
+		pendingSince = -1
 		if c.History {
-			log.Info("lease request", zap.String("lease", c.Task), zap.Bool("renew", r.e.Op == leases.Renew),
-				zap.Uint64("asked_token", r.e.Token), zap.Bool("granted", granted), zap.Uint64("token", token),
-				zap.Int64("call_ns", r.wall), zap.Int64("return_ns", time.Now().UnixNano()))
+			log.Info("lease request", zap.String("lease", c.Task), zap.Bool("renew", r.entry.Op == leases.Renew),
+				zap.Uint64("asked_token", r.entry.Token), zap.Bool("granted", granted), zap.Uint64("token", token),
+				zap.Int64("call_ns", r.wallNanos), zap.Int64("return_ns", time.Now().UnixNano()))
 		}
 		if granted {
-			before := hold.Token()
-			hold.Granted(r.sent, token)
-			if hold.Token() != before {
+			before := holding.Token()
+			holding.Granted(r.sent, token)
+			if holding.Token() != before {
 				counts.grants++
 				log.Info("lease granted", zap.String("lease", c.Task), zap.Uint64("token", token))
 			}
 			return
 		}
-		if r.e.Op == leases.Renew && r.e.Token == hold.Token() && hold.Until() > 0 {
+		if r.entry.Op == leases.Renew && r.entry.Token == holding.Token() && holding.Until() > 0 {
 			counts.losses++
-			log.Info("lease lost", zap.String("lease", c.Task), zap.Uint64("token", r.e.Token),
+			log.Info("lease lost", zap.String("lease", c.Task), zap.Uint64("token", r.entry.Token),
 				zap.String("reason", "renewal refused"))
 		}
-		if r.e.Op == leases.Renew {
-			hold.Lost(r.e.Token)
+		if r.entry.Op == leases.Renew {
+			holding.Lost(r.entry.Token)
 		}
 	}
-	counting := time.NewTicker(10 * time.Second)
-	defer counting.Stop()
+	countersTicker := time.NewTicker(10 * time.Second)
+	defer countersTicker.Stop()
 	ticker := time.NewTicker(c.Tick)
 	defer ticker.Stop()
-	acting := time.NewTicker(c.ActEvery)
-	defer acting.Stop()
+	actTicker := time.NewTicker(c.ActEvery)
+	defer actTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			ln.Close()
 			return g.Wait()
-		case <-counting.C:
+		case <-countersTicker.C:
 			log.Info("lease counters", counts.fields()...)
 			continue
-		case <-acting.C:
-			if tok, err := hold.Act(now()); err == nil {
-				// the act carries the wall time of its sending, so that whoever receives it can tell two holders
-				// acting at once from a late delivery
+		case <-actTicker.C:
+			if tok, err := holding.Act(now()); err == nil {
+				// The act carries the wall time of the send, so that the receiver can distinguish two concurrent holders
+				// from a late delivery.
 				select {
 				case acts <- fleet.Append(nil, fleet.KindAct, uint16(c.ID),
 					fmt.Appendf(nil, "%s %d %d", c.Task, tok, time.Now().UnixNano())):
@@ -203,69 +204,69 @@
 					log.Warn("lease ask refused", zap.Uint16("from", f.From), zap.Error(err))
 					break
 				}
-				if mine, err := node.Propose(now(), e); err == nil {
-					theirs[mine] = ask{from: uint64(f.From), proposal: p}
+				if proposal, err := node.Propose(now(), e); err == nil {
+					forwarded[proposal] = forwardedAsk{from: uint64(f.From), proposal: p}
 				}
 			case fleet.KindAnswer:
 				if len(f.Payload) != answerSize {
 					break
 				}
 				p := binary.BigEndian.Uint64(f.Payload)
-				if r, ok := asked[p]; ok {
-					delete(asked, p)
-					result(r, f.Payload[8] == 1, binary.BigEndian.Uint64(f.Payload[9:]))
+				if r, ok := sentRequests[p]; ok {
+					delete(sentRequests, p)
+					handleResult(r, f.Payload[8] == 1, binary.BigEndian.Uint64(f.Payload[9:]))
 				}
 			}
 		case <-ticker.C:
 			node.Tick()
 			t := now()
-			if waiting >= 0 && t-waiting > c.Lease.TTL/3 {
-				waiting = -1 // the request or its answer was lost
+			if pendingSince >= 0 && t-pendingSince > c.Lease.TTL/3 {
+				pendingSince = -1 // the request or its answer was lost
 				counts.lostRequests++
 			}
-			// guards against tables that grow without end with proposals and asks that a change of leader lost
-			for _, m := range []map[uint64]request{mine, asked} {
+			// Proposals and asks that a change of leader lost would otherwise stay in the tables for ever.
+			for _, m := range []map[uint64]request{proposed, sentRequests} {
 				for p, r := range m {
 					if t-r.sent > c.Lease.TTL {
 						delete(m, p)
 					}
 				}
 			}
-			if len(theirs) > 4096 {
-				clear(theirs)
+			if len(forwarded) > 4096 {
+				clear(forwarded)
 			}
-			_, actErr := hold.Act(t)
-			if waiting < 0 && (actErr != nil || hold.RenewDue(t)) {
-				e := entry()
-				r := request{sent: t, wall: time.Now().UnixNano(), e: e}
+			_, actErr := holding.Act(t)
+			if pendingSince < 0 && (actErr != nil || holding.RenewDue(t)) {
+				e := nextEntry()
+				r := request{sent: t, wallNanos: time.Now().UnixNano(), entry: e}
 				if p, err := node.Propose(t, e); err == nil {
-					mine[p], waiting = r, t
+					proposed[p], pendingSince = r, t
 				} else if nl := (consensus.ErrNotLeader{}); errors.As(err, &nl) && nl.Leader != 0 {
 					seq++
-					asked[seq], waiting = r, t
+					sentRequests[seq], pendingSince = r, t
 					send(nl.Leader, fleet.Append(nil, fleet.KindAsk, uint16(c.ID), leases.Encode(nil, seq, e)))
 				}
 			}
 		}
-		msgs, outs := node.Process(now())
-		if l := node.Leader(); l != lead {
+		msgs, outcomes := node.Process(now())
+		if l := node.Leader(); l != leader {
 			counts.leaders++
 			log.Info("lease leader", zap.Uint64("leader", l), zap.Uint64("term", node.Term()))
-			lead = l
+			leader = l
 		}
 		for _, m := range msgs {
 			if b, err := fleet.AppendRaft(nil, m); err == nil {
 				send(m.GetTo(), b)
 			}
 		}
-		for _, o := range outs {
+		for _, o := range outcomes {
 			held := o.Result.Err == nil && o.Result.Lease.Holder == o.Entry.Holder
-			if r, ok := mine[o.Proposal]; ok {
-				delete(mine, o.Proposal)
-				result(r, held, o.Result.Lease.Token)
+			if r, ok := proposed[o.Proposal]; ok {
+				delete(proposed, o.Proposal)
+				handleResult(r, held, o.Result.Lease.Token)
 			}
-			if a, ok := theirs[o.Proposal]; ok {
-				delete(theirs, o.Proposal)
+			if a, ok := forwarded[o.Proposal]; ok {
+				delete(forwarded, o.Proposal)
 				b := binary.BigEndian.AppendUint64(nil, a.proposal)
 				if held {
 					b = append(b, 1)
@@ -279,6 +280,7 @@
 	}
 }
 
+// accept reads frames from all connections to ln into in, until ctx is done.
 func accept(ctx context.Context, ln net.Listener, members func(uint16) bool, in chan<- fleet.Frame,
 	log *zap.Logger) error {
 	for {
@@ -310,7 +312,8 @@
 	}
 }
 
-// dialOut writes what comes on ch to addr, dialling again after a failure; what comes while it is down is lost.
+// dialOut writes the frames from ch to addr. It dials again after a failure; frames that arrive while there is no
+// connection are dropped.
 func dialOut(ctx context.Context, addr string, ch <-chan []byte) {
 	var conn net.Conn
 	defer func() {
--- a/internal/lifecycle/log.go
+++ b/internal/lifecycle/log.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// logLines is how many lines may wait to be written.
+	// logLines is the maximum number of lines that wait to be written.
 	logLines = 1024
-	// logFlush is how long the end of the process waits for what has not been written yet.
+	// logFlush is the maximum time that Sync, called at shutdown, waits for unwritten lines.
 	logFlush = 200 * time.Millisecond
 )
 
-// newLog makes a log in JSON that takes so many lines of a kind in a second and counts the others: a day on which everything
-// fails must not fill it, nor cost more than the day itself. Nobody who logs waits for out.
-func newLog(out io.Writer, each int, counts *counters.Set) *zap.Logger {
+// newLog returns a logger that writes JSON to out. It writes at most linesPerSecond lines of a kind per second and counts the
+// dropped ones: many failures at once must neither fill the disk nor cost more than the failures themselves. Logging
+// never blocks on out.
+func newLog(out io.Writer, linesPerSecond int, counts *counters.Set) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeDuration = zapcore.StringDurationEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), newLogWriter(out, counts), zap.InfoLevel)
@@ -28,20 +29,20 @@
 			counts.LogDropped.Add(1)
 		}
 	})
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, max(1, each), 0, hook), zap.ErrorOutput(zapcore.AddSync(io.Discard)))
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, max(1, linesPerSecond), 0, hook), zap.ErrorOutput(zapcore.AddSync(io.Discard)))
 }
 
-// logWriter hands lines to a goroutine that writes them. Where the reader of the log stands still or is gone, lines are dropped
-// and counted, in place of holding up what the gateway does.
+// logWriter passes lines to a goroutine that writes them. If the reader of the log is blocked or has closed its end, lines
+// are dropped and counted, so that the gateway is not blocked.
 type logWriter struct {
 	lines  chan logLine
 	counts *counters.Set
 }
 
-// logLine is a line to be written, or a mark in their order.
+// logLine is a line to be written, or a marker in the sequence of lines.
 type logLine struct {
 	text    []byte
-	reached chan<- struct{} // of a mark: closed when all before it is written
+	reached chan<- struct{} // set for a marker only; closed when all lines before it are written
 }
 
 func newLogWriter(out io.Writer, counts *counters.Set) *logWriter {
@@ -58,7 +59,7 @@
 	return w
 }
 
-// Write takes a line.
+// Write queues a copy of line, or drops and counts it if the queue is full.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- logLine{text: append([]byte(nil), line...)}:
@@ -68,7 +69,7 @@
 	return len(line), nil
 }
 
-// Sync waits until all lines are written, for a moment at most.
+// Sync waits until all queued lines are written, or until logFlush has passed.
 func (w *logWriter) Sync() error {
 	timer := time.NewTimer(logFlush)
 	defer timer.Stop()
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// logCounters logs every counter, and how long ago discovery was last heard.
+// logCounters logs all counters and the time since the last answer of discovery.
 func (g *gateway) logCounters() {
 	fields := g.counts.Fields()
 	if g.watcher != nil {
--- a/internal/lifecycle/log_test.go
+++ b/internal/lifecycle/log_test.go
@@ -10,15 +10,15 @@
 	"yokemast/internal/memory/counters"
 )
 
-// reader is who reads the log.
-type reader struct {
+// logReader is the reader of the log.
+type logReader struct {
 	mu      sync.Mutex
 	read    bytes.Buffer
-	stopped chan struct{} // reads nothing until it is closed; nil: it reads
+	stopped chan struct{} // if not nil, Write blocks until it is closed
 	err     error
 }
 
-func (r *reader) Write(b []byte) (int, error) {
+func (r *logReader) Write(b []byte) (int, error) {
 	if r.stopped != nil {
 		<-r.stopped
 	}
@@ -30,8 +30,8 @@
 	return r.read.Write(b)
 }
 
-func TestLogIsWrittenBeforeTheEnd(t *testing.T) {
-	r, counts := &reader{}, &counters.Set{}
+func TestSyncWritesAllLines(t *testing.T) {
+	r, counts := &logReader{}, &counters.Set{}
 	log := newLog(r, 1000, counts)
 	for range 500 {
 		log.Info("line")
@@ -40,13 +40,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if got := bytes.Count(r.read.Bytes(), []byte("\n")); got != 500 {
-		t.Errorf("%d lines of 500 are written", got)
+		t.Errorf("%d of 500 lines are written", got)
 	}
 }
 
-// A reader of the log that stands still, or is gone, holds nobody up: what it does not take is counted.
-func TestNobodyWaitsForTheReaderOfTheLog(t *testing.T) {
-	for name, r := range map[string]*reader{"stands still": {stopped: make(chan struct{})}, "is gone": {err: errors.New("broken pipe")}} {
+// A blocked or closed log reader must not block the gateway: lines that it does not take are dropped and counted.
+func TestBlockedLogReaderDoesNotBlockLogging(t *testing.T) {
+	for name, r := range map[string]*logReader{"blocked": {stopped: make(chan struct{})}, "closed": {err: errors.New("broken pipe")}} {
 		counts := &counters.Set{}
 		log := newLog(r, 10*logLines, counts)
 		began := time.Now()
--- a/internal/lifecycle/pools.go
+++ b/internal/lifecycle/pools.go
@@ -14,48 +14,49 @@
 	"yokemast/internal/wire/frontend"
 )
 
-// pools gives the pool of a user and a database: the first that takes both; nil: there is none.
-func pools(own *operator.File, classes []balance.Class) ([]*frontend.Pool, func(user, database string) *frontend.Pool, error) {
-	list := own.Pools.Pools
+// newPools builds the pools of the operator's file. It also returns a function that finds the pool of a user and a
+// database: the first one that matches both, or nil if none does.
+func newPools(file *operator.File, classes []balance.Class) ([]*frontend.Pool, func(user, database string) *frontend.Pool, error) {
+	list := file.Pools.Pools
 	if len(list) == 0 {
 		return nil, nil, nil
 	}
 	tenant := func(user string) string {
-		if own.Cells == nil || len(own.Cells.Users[user]) == 0 {
+		if file.Cells == nil || len(file.Cells.Users[user]) == 0 {
 			return ""
 		}
-		return own.Cells.Users[user][0]
+		return file.Cells.Users[user][0]
 	}
 	need := map[string]balance.Need{}
 	for _, c := range classes {
 		need[c.Name] = c.Need
 	}
-	made := make([]*frontend.Pool, len(list))
+	built := make([]*frontend.Pool, len(list))
 	for i, p := range list {
 		for _, name := range []string{p.Read, p.ReadAfterWrite, p.Write} {
 			if n, ok := need[name]; !ok || (n == balance.Write) != (name == p.Write) {
-				return nil, nil, fmt.Errorf("pools.pool: %q: class %q is not one of the platform's that fits", p.Name, name)
+				return nil, nil, fmt.Errorf("pools.pool: %q: class %q does not exist in the settings or does not fit", p.Name, name)
 			}
 		}
-		made[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, Own: p.ReadAfterWrite, Write: p.Write,
+		built[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, Own: p.ReadAfterWrite, Write: p.Write,
 			Transaction: p.MaxTransaction, Idle: p.MaxIdle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, Most: p.MaxSessions, Stats: &frontend.PoolStats{}}
 	}
-	takes := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
-	return made, func(user, database string) *frontend.Pool {
+	matches := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
+	return built, func(user, database string) *frontend.Pool {
 		for i, p := range list {
-			if takes(p.Users, user) && takes(p.Databases, database) && takes(p.Tenants, tenant(user)) {
-				return made[i]
+			if matches(p.Users, user) && matches(p.Databases, database) && matches(p.Tenants, tenant(user)) {
+				return built[i]
 			}
 		}
 		return nil
 	}, nil
 }
 
-// report says how the pools stand.
-func report(made []*frontend.Pool, hosts *backend.Backend, counts *counters.Set) control.PoolsReport {
+// poolsReport returns the current state of the pools and of the host connections.
+func poolsReport(pools []*frontend.Pool, hosts *backend.Backend, counts *counters.Set) control.PoolsReport {
 	out := control.PoolsReport{Pools: []control.PoolReport{}, Hosts: []control.HostReport{}, Hits: counts.PreparedHits.Get(),
 		Misses: counts.PreparedMisses.Get(), NoneFree: counts.HostsFull.Get()}
-	for _, p := range made {
+	for _, p := range pools {
 		s := p.Stats
 		r := control.PoolReport{Pool: p.Name, Mode: p.Mode.String(), Sessions: s.Sessions.Load(), Holding: s.Leased.Load(),
 			Batches: s.Batches.Load(), Transactions: s.Transactions.Load(), Lost: s.Lost.Load(), Cancels: s.Cancels.Load(),
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -16,36 +16,38 @@
 	"yokemast/internal/wire/socket"
 )
 
-// Reload reads the files anew. Operator gives nil where there is no operator's file.
+// Reload holds the functions that read the files again. Operator returns nil if there is no operator's file.
 type Reload struct {
 	Config   func(old Config) (Config, error)
 	Operator func() (*operator.File, error)
 }
 
-// reloading is what a SIGHUP changes. It belongs to the goroutine that takes signals.
-type reloading struct {
-	c       Config         // the last that was taken
-	own     *operator.File // as at the start
-	from    Reload
-	watcher *discovery.Watcher
-	x       *exchange.Exchange
-	hosts   *backend.Backend
-	front   *frontend.Server
-	duty    *controller
-	log     *zap.Logger
-	counts  *counters.Set
+// reloader applies a SIGHUP to the parts of the gateway. It is used by the goroutine that handles signals only.
+type reloader struct {
+	config       Config         // the last configuration applied
+	operatorFile *operator.File // as loaded at the start
+	source       Reload
+	watcher      *discovery.Watcher
+	exchange     *exchange.Exchange
+	hosts        *backend.Backend
+	frontend     *frontend.Server
+	controller   *controller
+	log          *zap.Logger
+	counts       *counters.Set
 }
 
-// read reads both files. again says that one could not be read for the machine's own state.
-func (r *reloading) read() (again bool) {
-	again = r.configuration()
-	return r.operator() || again
+// read reloads both files. It reports whether to retry because a file could not be read for a transient reason, such as
+// no free file descriptor.
+func (r *reloader) read() (retry bool) {
+	retry = r.reloadConfig()
+	return r.reloadOperatorFile() || retry
 }
 
-// configuration takes the address of discovery and the settings, both or neither. Hosts, sessions and requests stay as they
-// are: the list of another discovery is merged into what is known. All else that the file says holds from the start to the end.
-func (r *reloading) configuration() (again bool) {
-	c, err := r.from.Config(r.c)
+// reloadConfig applies the address of discovery and the settings, both or neither. Hosts, sessions and requests are kept:
+// the endpoint list of a new discovery is merged with the known hosts. All other values of the file apply until the
+// process exits.
+func (r *reloader) reloadConfig() (retry bool) {
+	c, err := r.source.Config(r.config)
 	if err != nil {
 		r.counts.BadReloads.Add(1)
 		r.log.Error("the new configuration is not used", zap.Error(err))
@@ -54,18 +56,18 @@
 	r.counts.Reloads.Add(1)
 	r.log.Info("configuration read anew", zap.String("discovery", c.Discovery))
 	r.watcher.Move(c.Discovery)
-	r.x.UpdateSettings(c.Settings.Balance)
-	connect, idle := connections(c.Settings)
+	r.exchange.UpdateSettings(c.Settings.Balance)
+	connect, idle := hostTimeouts(c.Settings)
 	r.hosts.Retune(connect, idle, c.Settings.Balance.ColdTime)
-	r.front.Retune(retryAdvice(c.Settings.Balance))
-	r.duty.retime(c.Settings.Balance.Classes)
-	r.c = c
+	r.frontend.Retune(connectRetryAfter(c.Settings.Balance))
+	r.controller.setClasses(c.Settings.Balance.Classes)
+	r.config = c
 	return false
 }
 
-// operator takes the operator's file anew; one that makes no sense is not used in any part.
-func (r *reloading) operator() (again bool) {
-	f, err := r.from.Operator()
+// reloadOperatorFile reloads the operator's file. An invalid file changes nothing.
+func (r *reloader) reloadOperatorFile() (retry bool) {
+	f, err := r.source.Operator()
 	switch {
 	case err != nil:
 		r.counts.BadOperators.Add(1)
@@ -73,30 +75,31 @@
 	case f != nil:
 		r.counts.Operators.Add(1)
 		r.log.Info("operator's file read anew", zap.Bool("cells", f.Cells != nil))
-		if f.Control != r.own.Control {
-			r.log.Warn("the control socket stays as it was until the next start")
+		if f.Control != r.operatorFile.Control {
+			r.log.Warn("changed control socket is not used until the next start")
 		}
-		r.x.Configure(f.Cells)
+		r.exchange.Configure(f.Cells)
 	}
 	return socket.Transient(err)
 }
 
-// retryAdvice is the come-back time of a client that found no room.
-func retryAdvice(s balance.Settings) time.Duration {
+// connectRetryAfter returns the retryAfter of a client that is refused at the connection limit, or 0 if the settings do
+// not allow one.
+func connectRetryAfter(s balance.Settings) time.Duration {
 	if !s.RetryAfter {
 		return 0
 	}
 	return min(retryAfter, s.MaxRetryAfter)
 }
 
-// connections gives how long one to a host may take to come up, and how long it may idle.
-func connections(s settings.Settings) (connect, idle time.Duration) {
-	return orElse(s.ConnectTimeout, defaultConnectTimeout), time.Duration(float64(orElse(s.ConnIdle, defaultConnIdle)) * idlePart)
+// hostTimeouts returns the connect timeout and the maximum idle time of connections to hosts.
+func hostTimeouts(s settings.Settings) (connect, idle time.Duration) {
+	return orDefault(s.ConnectTimeout, defaultConnectTimeout), time.Duration(float64(orDefault(s.ConnIdle, defaultConnIdle)) * idleFraction)
 }
 
-func orElse(d, otherwise time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -32,81 +32,85 @@
 )
 
 const (
-	// readyWithin is how long a start waits for discovery before it makes do with the list it was given.
-	readyWithin           = time.Second
+	// maxDiscoveryWait is how long the start waits for discovery before it serves from the endpoint list in the
+	// configuration.
+	maxDiscoveryWait      = time.Second
 	defaultConnIdle       = 30 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
-	idlePart              = 0.8                   // of the hosts' own limit
-	memoryPart            = 0.75                  // of the memory, as the collector's limit
-	spareSockets          = 44                    // for the listener, discovery, the log, and clients on their way out
-	clientPart            = 0.6                   // of the other sockets
-	keepPart              = 12                    // of the sockets, for clients with nothing open for long
-	sharePart             = 3                     // of the sockets, that clients with requests can hold at most
-	clientsPerMB          = 8                     // each may have an answer of 64 KiB on its way
-	hostsPerMB            = 5                     // each may have one coming, and one read whole
-	statementPart         = 0.15                  // of the memory, for statements held whole at a time
-	programMB             = 14                    // of the memory that the collector does not see: the program itself, stacks of threads
-	largePart             = 3                     // of what the collector may let pile up, for larger ones, which are held in pieces
-	lastAccepts           = 20 * time.Millisecond // for which the clients' address is accepted from before it is closed, and as long as any wait there
-	tellHold              = 50 * time.Millisecond // a note waits so long for others to go with it
-	tellPerTake           = 192                   // bytes delivered to other gateways for each request
-	tellBurst             = 8 << 10
-	retryAfter            = 200 * time.Millisecond // for a client that found no room
+	idleFraction          = 0.8  // of the hosts' own idle limit
+	memoryFraction        = 0.75 // of the memory, as the garbage collector's limit
+	reservedSockets       = 44   // for the listener, discovery, the log, and client connections being closed
+	clientFraction        = 0.6  // of the remaining sockets, for clients
+	keepIdleDivisor       = 12   // idle clients may keep 1/12 of the sockets for long
+	shareDivisor          = 3    // clients with requests hold at most 1/3 of the sockets
+	clientsPerMB          = 8    // each may buffer an answer of 64 KiB
+	hostsPerMB            = 5    // each may be receiving one answer and hold another complete one
+	statementFraction     = 0.15 // of the memory, for statements that are held completely
+	programOverheadMB     = 14   // memory outside of the garbage collector: the program itself and thread stacks
+	largeDivisor          = 3    // 1/3 of the heap limit is for larger statements, which are held in pieces
+	// finalAcceptTime is how long connections are still accepted before the listener is closed, and longer while any are
+	// queued.
+	finalAcceptTime       = 20 * time.Millisecond
+	gossipMaxDelay        = 50 * time.Millisecond // how long a gossip entry may wait to share a message with others
+	gossipBytesPerRequest = 192                   // added to the send budget for each accepted request
+	gossipBurst           = 8 << 10
+	retryAfter            = 200 * time.Millisecond // for a client refused at the connection limit
 	user, database        = "backend", "store"
 )
 
-// began is the process's first moment, as near as a package can tell it: what discovery has counts as told from then on, however long the
-// configuration takes to read.
-var began = time.Now()
+// processStart is the start time of the process, as closely as package initialization can measure it. Statements of
+// discovery are dated from this time, however long the configuration takes to load.
+var processStart = time.Now()
 
-// gateway is a running one: its parts, and what joins them.
+// gateway is a running gateway: its parts and the state that connects them.
 type gateway struct {
-	c     Config
-	own   *operator.File // nil without one
-	log   *zap.Logger
-	clock exchange.Clock
-	begun time.Duration // the process's first moment
-	// firstDiscovery is the agent that the process was started with, by the environment where it names one.
+	config       Config
+	operatorFile *operator.File // nil if there is none
+	log          *zap.Logger
+	clock        exchange.Clock
+	startedAt    time.Duration // processStart on clock
+	// firstDiscovery is the discovery address that the process was started with; the environment takes precedence over
+	// the file.
 	firstDiscovery string
 	counts         *counters.Set
 
 	ctx   context.Context
 	group *errgroup.Group
 
-	duty     *controller
-	x        *exchange.Exchange
-	hosts    *backend.Backend
-	front    *frontend.Server
-	watcher  *discovery.Watcher
-	others   *peers.Peers // nil: there are none
-	listener *net.TCPListener
-	made     []*frontend.Pool
-	upgrade  upgrade
+	controller *controller
+	exchange   *exchange.Exchange
+	hosts      *backend.Backend
+	frontend   *frontend.Server
+	watcher    *discovery.Watcher
+	peers      *peers.Peers // nil if there is no gossip between gateways
+	listener   *net.TCPListener
+	pools      []*frontend.Pool
+	upgrade    upgrade
 
-	accepting bool // belongs to apply
-	shared    bool
-	closing   atomic.Bool // the clients' address is closed once nothing waits to be accepted
+	accepting       bool // used by apply only
+	limitsShared    bool
+	closingListener atomic.Bool // the client listener is closed once its queue is empty
 }
 
-// Serve runs a gateway until SIGTERM or SIGINT, or until a part of it can't go on. At SIGHUP it takes discovery, the settings
-// and the cells from what reload gives. own is the operator's file, nil without one. each is how many lines of a kind are
-// logged in a second. signals are followed from before the configuration was read, to the end: a SIGHUP that nobody waits for ends the
-// process, and one that came meanwhile has the configuration read anew.
-func Serve(signals Signals, c Config, own *operator.File, reload Reload, each int) error {
+// Serve runs a gateway until SIGTERM or SIGINT, or until one of its parts fails. At SIGHUP it applies discovery's address,
+// the settings and the cells that reload returns. The operator's file may be nil. At most linesPerSecond lines of a
+// kind are logged per second. signals must be registered before the configuration is read: an unhandled SIGHUP would end
+// the process, and one that arrives during the start reloads the configuration.
+func Serve(signals Signals, c Config, operatorFile *operator.File, reload Reload, linesPerSecond int) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 
 	counts := &counters.Set{}
-	log := newLog(os.Stderr, each, counts)
+	log := newLog(os.Stderr, linesPerSecond, counts)
 	defer func() { _ = log.Sync() }()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	group, ctx := errgroup.WithContext(ctx)
-	g := &gateway{c: c, own: own, log: log, clock: exchange.NewClock().WithContradictionLog(log, counts), counts: counts, ctx: ctx, group: group}
-	g.begun = g.clock.Now() - time.Since(began)
+	g := &gateway{config: c, operatorFile: operatorFile, log: log, clock: exchange.NewClock().WithContradictionLog(log, counts), counts: counts, ctx: ctx, group: group}
+	g.startedAt = g.clock.Now() - time.Since(processStart)
 	defer g.logCounters()
-	g.duty = newController(g.clock, c.Settings.Balance.Classes, log, counts)
-	g.join()
-	defer g.leave()
+	g.controller = newController(g.clock, c.Settings.Balance.Classes, log, counts)
+	g.joinInstance()
+	defer g.releaseInstanceLock()
 	debug.SetMemoryLimit(g.heap())
 	if err := g.build(); err != nil {
 		stop()
@@ -115,159 +119,163 @@
 	}
 	defer g.listener.Close()
 	g.run()
-	again := reloading{c: c, own: own, from: reload, watcher: g.watcher, x: g.x, hosts: g.hosts, front: g.front, duty: g.duty, log: log, counts: g.counts}
+	onReload := reloader{config: c, operatorFile: operatorFile, source: reload, watcher: g.watcher, exchange: g.exchange, hosts: g.hosts, frontend: g.frontend, controller: g.controller, log: log, counts: g.counts}
 	group.Go(func() error { return g.handleTermination(signals.terminate) })
-	group.Go(func() error { return g.handleSignals(signals, again.read) })
+	group.Go(func() error { return g.handleSignals(signals, onReload.read) })
 	group.Go(func() error {
 		defer stop()
-		g.duty.run(ctx, g.front.Held, g.apply)
+		g.controller.run(ctx, g.frontend.Held, g.apply)
 		return nil
 	})
 	return group.Wait()
 }
 
-// build makes the parts. What it opens first is what can fail.
+// build creates the parts. It first opens the sockets, which can fail.
 func (g *gateway) build() error {
-	c, settings := g.c, g.c.Settings.Balance
+	c, settings := g.config, g.config.Settings.Balance
 	listener, err := g.listen()
 	if err != nil {
 		return err
 	}
 	g.listener = listener
-	exchanged := exchange.Config{Settings: settings, Seed: c.Seed, Clock: g.clock, Log: g.log, Counters: g.counts}
+	exchangeConfig := exchange.Config{Settings: settings, Seed: c.Seed, Clock: g.clock, Log: g.log, Counters: g.counts}
 	if c.Peers.Listen.IsValid() {
 		config := peers.Config{Listen: c.Peers.Listen, All: c.Peers.All, Self: c.Peers.Self, Log: g.log, Counters: g.counts, Share: c.Admin != "",
-			Conn: g.upgrade.peers()}
-		if g.others, err = peers.Listen(config); err != nil {
+			Conn: g.upgrade.peerConn()}
+		if g.peers, err = peers.Listen(config); err != nil {
 			return err
 		}
-		exchanged.SendGossip = g.others.Tell
-		exchanged.Gossip = gossip.New(gossip.Config{Gateways: settings.Routers, Classes: settings.Classes,
-			MaxDelay: tellHold, BytesPerRequest: tellPerTake, Burst: tellBurst})
+		exchangeConfig.SendGossip = g.peers.Send
+		exchangeConfig.Gossip = gossip.New(gossip.Config{Gateways: settings.Routers, Classes: settings.Classes,
+			MaxDelay: gossipMaxDelay, BytesPerRequest: gossipBytesPerRequest, Burst: gossipBurst})
 	}
-	if g.x, err = exchange.New(exchanged); err != nil {
+	if g.exchange, err = exchange.New(exchangeConfig); err != nil {
 		return err
 	}
 	if c.Admin != "" {
-		calls, err := socket.Listen(g.ctx, &net.ListenConfig{}, c.Admin)
+		adminListener, err := socket.Listen(g.ctx, &net.ListenConfig{}, c.Admin)
 		if err != nil {
 			return fmt.Errorf("admin: %w", err)
 		}
 		g.group.Go(func() error {
-			defer calls.Close()
-			return admin.Serve(g.ctx, calls, g.duty, g.log, g.counts)
+			defer adminListener.Close()
+			return admin.Serve(g.ctx, adminListener, g.controller, g.log, g.counts)
 		})
 	}
 	limits, prepared, wait := pooling.Limits{MinRest: backend.DefaultRest}, 0, time.Duration(0)
 	var pool func(user, database string) *frontend.Pool
-	if g.own != nil {
-		limits, prepared, wait = g.own.Pools.Limits, g.own.Pools.Prepared, g.own.Pools.Wait
-		if g.made, pool, err = pools(g.own, settings.Classes); err != nil {
-			return fmt.Errorf("%s: %w", g.own.Path, err)
+	if g.operatorFile != nil {
+		limits, prepared, wait = g.operatorFile.Pools.Limits, g.operatorFile.Pools.Prepared, g.operatorFile.Pools.Wait
+		if g.pools, pool, err = newPools(g.operatorFile, settings.Classes); err != nil {
+			return fmt.Errorf("%s: %w", g.operatorFile.Path, err)
 		}
 	}
 	clients, conns := g.connections()
-	connect, idle := connections(c.Settings)
+	connect, idle := hostTimeouts(c.Settings)
 	g.hosts = backend.New(g.ctx, g.group, backend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, Pools: limits, Prepared: prepared,
 		Wait: wait, Seed: c.Seed, ColdTime: settings.ColdTime, ConnectTimeout: connect, IdleTimeout: idle, MaxConns: conns,
-		User: user, Database: database}, g.x)
-	g.front = frontend.New(frontend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, MaxConns: clients, KeepIdle: c.Sockets / keepPart,
-		Share: c.Sockets / sharePart, Pool: pool, MaxBytes: int64(float64(c.MemoryMB) * (1 << 20) * statementPart), MaxLarge: g.heap() / largePart,
-		RetryAfter: retryAdvice(settings), Yes: g.duty.Ready, Emptied: g.duty.wake}, g.x)
+		User: user, Database: database}, g.exchange)
+	g.frontend = frontend.New(frontend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, MaxConns: clients, KeepIdle: c.Sockets / keepIdleDivisor,
+		Share: c.Sockets / shareDivisor, Pool: pool, MaxBytes: int64(float64(c.MemoryMB) * (1 << 20) * statementFraction), MaxLarge: g.heap() / largeDivisor,
+		RetryAfter: connectRetryAfter(settings), Yes: g.controller.Ready, Emptied: g.controller.notify}, g.exchange)
 	g.watcher = discovery.NewWatcher(c.Discovery, c.Seed)
-	g.watcher.Begun = g.begun
-	g.watcher.Log, g.watcher.Counters, g.watcher.Clock, g.watcher.Members, g.watcher.Answered = g.log, g.counts, g.clock, g.x.Members, g.ready()
-	return g.operate()
+	g.watcher.Begun = g.startedAt
+	g.watcher.Log, g.watcher.Counters, g.watcher.Clock, g.watcher.Members, g.watcher.Answered = g.log, g.counts, g.clock, g.exchange.Members, g.onReady()
+	return g.applyOperatorFile()
 }
 
-// connections gives how many clients and how many connections to hosts there may be at a time. While two processes share the
-// limits the clients are where they are passed on to, and each has half of the connections to hosts.
+// connections returns the maximum numbers of client connections and of host connections. While two processes share the
+// limits during a hot restart, each has half of the host connections; client connections are not halved, as they move
+// from one process to the other.
 func (g *gateway) connections() (clients, hosts int) {
-	sockets := g.c.Sockets - spareSockets
-	if g.c.Admin != "" {
+	sockets := g.config.Sockets - reservedSockets
+	if g.config.Admin != "" {
 		sockets -= admin.Descriptors
 	}
-	clients = min(int(float64(sockets)*clientPart), g.c.MemoryMB*clientsPerMB)
-	hosts = min(sockets-clients, g.c.MemoryMB*hostsPerMB)
-	if g.duty.view.Load().LimitsShared {
+	clients = min(int(float64(sockets)*clientFraction), g.config.MemoryMB*clientsPerMB)
+	hosts = min(sockets-clients, g.config.MemoryMB*hostsPerMB)
+	if g.controller.view.Load().LimitsShared {
 		hosts = max(1, hosts/2)
 	}
 	return clients, hosts
 }
 
-// heap is how many bytes the collector may let pile up.
+// heap returns the memory limit of the garbage collector in bytes. It is halved while two processes share the limits.
 func (g *gateway) heap() int64 {
-	n := int64(min(float64(g.c.MemoryMB)*memoryPart, float64(g.c.MemoryMB-programMB)) * (1 << 20))
-	if g.duty.view.Load().LimitsShared {
+	n := int64(min(float64(g.config.MemoryMB)*memoryFraction, float64(g.config.MemoryMB-programOverheadMB)) * (1 << 20))
+	if g.controller.view.Load().LimitsShared {
 		n /= 2
 	}
 	return n
 }
 
-// operate does what the operator's file asks for.
-func (g *gateway) operate() error {
-	if g.own == nil {
+// applyOperatorFile applies the cells of the operator's file and opens its control socket.
+func (g *gateway) applyOperatorFile() error {
+	if g.operatorFile == nil {
 		return nil
 	}
-	g.x.Configure(g.own.Cells)
-	if g.own.Control.Socket == "" {
+	g.exchange.Configure(g.operatorFile.Cells)
+	if g.operatorFile.Control.Socket == "" {
 		return nil
 	}
-	l, err := control.Listen(g.own.Control.Socket, g.own.Control.Mode)
+	l, err := control.Listen(g.operatorFile.Control.Socket, g.operatorFile.Control.Mode)
 	if err != nil {
 		return err
 	}
 	g.group.Go(func() error {
 		defer l.Close()
-		return control.Serve(g.ctx, l, g.x, func() control.PoolsReport { return report(g.made, g.hosts, g.counts) }, g.log)
+		return control.Serve(g.ctx, l, g.exchange, func() control.PoolsReport { return poolsReport(g.pools, g.hosts, g.counts) }, g.log)
 	})
 	return nil
 }
 
-// ready gives what is to be called, any number of times, when the gateway knows enough to serve.
-func (g *gateway) ready() func() {
+// onReady returns a function that marks the gateway as ready. It may be called any number of times.
+func (g *gateway) onReady() func() {
 	return sync.OnceFunc(func() {
-		g.log.Info("ready", zap.String("name", g.c.Name), zap.String("listen", g.c.Listen))
-		_ = g.duty.tell(service.Ready)
-		g.front.Ready()
-		g.succeed()
+		g.log.Info("ready", zap.String("name", g.config.Name), zap.String("listen", g.config.Listen))
+		_ = g.controller.handle(service.Ready)
+		g.frontend.Ready()
+		g.notifyOldProcess()
 	})
 }
 
-// run starts the parts.
+// run starts the parts with what is known from the configuration and the old process.
 func (g *gateway) run() {
-	known, inherited := g.inherited()
-	g.firstDiscovery = g.c.Discovery
-	if inherited && known.Discovery == g.c.inFile && known.FirstDiscovery == g.c.Discovery { // the environment is still that of the elder's start
-		g.c.Discovery = g.c.inFile
-		g.watcher.Move(g.c.Discovery)
+	known, inherited := g.decodeHandoverState()
+	g.firstDiscovery = g.config.Discovery
+	if inherited && known.Discovery == g.config.fileDiscovery && known.FirstDiscovery == g.config.Discovery {
+		// The environment is that of the start of the old process, which by now uses the address in the file after a
+		// reload: this address takes precedence.
+		g.config.Discovery = g.config.fileDiscovery
+		g.watcher.Move(g.config.Discovery)
 	}
-	if len(g.c.Known.Members) > 0 {
-		g.x.Members(exchange.List{Agent: g.c.Discovery, Revision: g.c.Known.Revision, At: g.begun, Snapshot: true, Hosts: g.c.Known.Members})
+	if len(g.config.Known.Members) > 0 {
+		g.exchange.Members(exchange.List{Agent: g.config.Discovery, Revision: g.config.Known.Revision, At: g.startedAt, Snapshot: true, Hosts: g.config.Known.Members})
 	}
 	if inherited {
-		g.x.Inherit(g.upgrade.asked, known)
+		g.exchange.Inherit(g.upgrade.requestedAt, known)
 	}
-	revision := firstRevision(g.c.Known, inherited)
-	if g.others != nil {
-		g.group.Go(func() error { return g.others.Run(g.ctx, g.x.ReceiveGossip) })
+	revision := firstRevision(g.config.Known, inherited)
+	if g.peers != nil {
+		g.group.Go(func() error { return g.peers.Run(g.ctx, g.exchange.ReceiveGossip) })
 	}
-	g.group.Go(func() error { return g.x.Run(g.ctx, g.hosts) })
+	g.group.Go(func() error { return g.exchange.Run(g.ctx, g.hosts) })
 	g.group.Go(func() error { return g.watcher.Run(g.ctx, revision) })
-	g.group.Go(func() error { return g.front.Run(g.ctx) })
+	g.group.Go(func() error { return g.frontend.Run(g.ctx) })
 	g.group.Go(func() error {
 		select {
 		case <-g.ctx.Done():
-		case <-time.After(readyWithin):
+		case <-time.After(maxDiscoveryWait):
 			g.watcher.Answered()
 		}
 		return nil
 	})
-	g.follow()
+	g.runHandover()
 }
 
-// firstRevision is that after which discovery is asked first for changes. Without a list in the file there is none; and what the process
-// before knew may be older than what the file says, or come from another agent, which counts otherwise.
+// firstRevision returns the revision after which discovery is first asked for a delta. It is NoRevision if the file has no
+// endpoint list, and also after a hot restart: what the old process knew may be older than the file, or come from another
+// agent with revisions of its own.
 func firstRevision(file discovery.List, inherited bool) int64 {
 	if inherited || len(file.Members) == 0 {
 		return listwatch.NoRevision
@@ -275,67 +283,68 @@
 	return file.Revision
 }
 
-// listen opens the clients' address, or takes it over.
+// listen opens the client listener, or takes over that of the old process.
 func (g *gateway) listen() (*net.TCPListener, error) {
-	if l := g.upgrade.clients(); l != nil {
+	if l := g.upgrade.clientListener(); l != nil {
 		return l, nil
 	}
 	config := net.ListenConfig{}
-	if g.c.Admin != "" { // an upgrade may find no elder that answers
+	if g.config.Admin != "" { // a hot restart may find an old process that does not answer
 		config.Control = socket.Share
 	}
-	l, err := socket.Listen(g.ctx, &config, g.c.Listen)
+	l, err := socket.Listen(g.ctx, &config, g.config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	return l, nil
 }
 
-// apply does what the state of the process asks for.
+// apply carries out the view of the process state.
 func (g *gateway) apply(v service.View) {
 	if v.AnswersDue > 0 {
-		g.x.BeginShutdown(v.AnswersDue)
-		g.front.Ending()
+		g.exchange.BeginShutdown(v.AnswersDue)
+		g.frontend.Ending()
 	}
-	if v.LimitsShared != g.shared {
-		g.shared = v.LimitsShared
+	if v.LimitsShared != g.limitsShared {
+		g.limitsShared = v.LimitsShared
 		debug.SetMemoryLimit(g.heap())
 		_, hosts := g.connections()
 		g.hosts.Limit(hosts)
-		g.front.Resize(g.heap() / largePart)
+		g.frontend.Resize(g.heap() / largeDivisor)
 	}
-	g.front.Leave(v.NewProcess != service.NoNewProcess)
+	g.frontend.Leave(v.NewProcess != service.NoNewProcess)
 	switch {
 	case v.Accept && !g.accepting:
 		_ = g.listener.SetDeadline(time.Time{})
 		g.group.Go(func() error {
-			g.front.Accept(g.ctx, g.listener)
-			if g.closing.Load() {
+			g.frontend.Accept(g.ctx, g.listener)
+			if g.closingListener.Load() {
 				_ = g.listener.Close()
 			}
 			return nil
 		})
 	case !v.Accept && v.Phase == service.ShuttingDown && v.NewProcess == service.NoNewProcess && g.accepting:
-		// What this machine has accepted already is taken first: closed now, it would be reset with the request it may hold.
-		g.closing.Store(true)
-		_ = g.listener.SetDeadline(time.Now().Add(lastAccepts))
-	case !v.Accept && v.Phase == service.ShuttingDown && v.NewProcess == service.NoNewProcess && !g.closing.Load():
+		// Connections that the kernel has already established are accepted first: closing the listener now would reset
+		// them together with the requests that they may carry.
+		g.closingListener.Store(true)
+		_ = g.listener.SetDeadline(time.Now().Add(finalAcceptTime))
+	case !v.Accept && v.Phase == service.ShuttingDown && v.NewProcess == service.NoNewProcess && !g.closingListener.Load():
 		_ = g.listener.Close()
 	case !v.Accept && g.accepting:
-		// Not closed: what waits in its queue is the heir's, or this process's again if the heir dies.
+		// The listener stays open: queued connections belong to the new process, or to this one again if the new one exits.
 		_ = g.listener.SetDeadline(time.Now())
 	}
 	g.accepting = v.Accept
 	if v.CloseConnections {
-		g.front.Drain(g.upgrade.pass(v.HandOver))
+		g.frontend.Drain(g.upgrade.passFunc(v.HandOver))
 	} else {
-		g.front.Resume()
+		g.frontend.Resume()
 	}
-	if g.others != nil && g.c.Admin != "" {
+	if g.peers != nil && g.config.Admin != "" {
 		if v.HandOver {
-			g.others.Stop()
+			g.peers.Stop()
 		} else {
-			g.others.Start()
+			g.peers.Start()
 		}
 	}
 }
--- a/internal/lifecycle/service.go
+++ b/internal/lifecycle/service.go
@@ -15,41 +15,44 @@
 )
 
 const (
-	// frontAway is how long after a no the front still opens connections, 0.2 s, and the tenth of a second between two of
-	// its questions, with some room for its own delays.
-	frontAway = 350 * time.Millisecond
-	// killAfter is how long after SIGTERM, on top of the longest deadline, SIGKILL comes at the earliest; a deadline
-	// over longestCounted counts as that.
-	killAfter      = 700 * time.Millisecond
-	longestCounted = 3 * time.Second
-	// answerAhead is how long before that the last answer is due, and endAhead the end of the process.
-	answerAhead = 150 * time.Millisecond
-	endAhead    = 80 * time.Millisecond
-	// lateAnswers is how long the process still stays then for answers that a hold-up has delayed: both times may pass during one.
-	lateAnswers  = 60 * time.Millisecond
-	answersPause = time.Millisecond // between two looks at what is unanswered
-	// shedAhead is how long before the last answer connections are ended between requests. Until then clients are
-	// served as before: they go on using the connections they have, and nobody takes this gateway's place so soon.
-	shedAhead = 600 * time.Millisecond
-	// acceptFor is how long after SIGTERM new connections still come, 0.2 to 0.4 s, with some room. Where the deadlines are
-	// short connections are ended between requests before that.
-	acceptFor = 450 * time.Millisecond
-	// linger is how long a process whose heir took the clients stays by: SIGTERM comes within 6 s of the heir's yes.
-	linger = 10 * time.Second
+	// loadBalancerDelay is how long the load balancer still opens connections after the process reports not ready: 0.2 s,
+	// plus 0.1 s between two readiness checks, plus a reserve for its own delays.
+	loadBalancerDelay = 350 * time.Millisecond
+	// killDelay plus the longest deadline is the earliest time after SIGTERM at which SIGKILL is sent. A deadline above
+	// maxCountedDeadline counts as maxCountedDeadline.
+	killDelay          = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	// answerLead and exitLead are how long before SIGKILL the last answer is due and the process exits.
+	answerLead = 150 * time.Millisecond
+	exitLead   = 80 * time.Millisecond
+	// lateAnswerWait is how long the process then still waits for answers that a stall has delayed: both times may pass
+	// during one stall.
+	lateAnswerWait     = 60 * time.Millisecond
+	answerPollInterval = time.Millisecond // between two checks for unanswered requests
+	// closeLead is how long before the last answer is due connections are closed between requests. Until then clients are
+	// served as before: they continue to use their connections, and no other gateway replaces this one that early.
+	closeLead = 600 * time.Millisecond
+	// acceptTime is how long after SIGTERM new connections are accepted: they arrive for 0.2 to 0.4 s, plus a reserve.
+	// With short deadlines, closing connections between requests starts earlier than that.
+	acceptTime = 450 * time.Millisecond
+	// lingerTime is how long the old process stays after the new one has taken over the clients: SIGTERM arrives within 6 s
+	// of the new process reporting ready.
+	lingerTime = 10 * time.Second
 )
 
-// timesOf gives the platform's times for these classes.
-func timesOf(classes []balance.Class) service.Times {
+// timesFor returns the times of the shutdown for these classes.
+func timesFor(classes []balance.Class) service.Times {
 	var longest time.Duration
 	for _, class := range classes {
 		longest = max(longest, class.Deadline)
 	}
-	kill := min(longest, longestCounted) + killAfter
-	return service.Times{LoadBalancerDelay: frontAway, Accept: acceptFor, CloseConnections: kill - answerAhead - shedAhead, AnswersDue: kill - answerAhead, Exit: kill - endAhead,
-		Linger: linger}
+	kill := min(longest, maxCountedDeadline) + killDelay
+	return service.Times{LoadBalancerDelay: loadBalancerDelay, Accept: acceptTime, CloseConnections: kill - answerLead - closeLead, AnswersDue: kill - answerLead, Exit: kill - exitLead,
+		Linger: lingerTime}
 }
 
-// controller keeps the state of the process and has it carried out. Asking it never waits for what is carried out.
+// controller holds the state of the process and runs the function that carries it out. Queries never wait for that
+// function.
 type controller struct {
 	clock  exchange.Clock
 	log    *zap.Logger
@@ -62,45 +65,47 @@
 }
 
 func newController(clock exchange.Clock, classes []balance.Class, log *zap.Logger, counts *counters.Set) *controller {
-	c := &controller{clock: clock, log: log, counts: counts, state: service.New(timesOf(classes)), changed: make(chan struct{}, 1)}
-	c.refresh()
+	c := &controller{clock: clock, log: log, counts: counts, state: service.New(timesFor(classes)), changed: make(chan struct{}, 1)}
+	c.refreshView()
 	return c
 }
 
-// tell takes an event; what it changes holds when tell returns, and is carried out soon after.
-func (c *controller) tell(e service.Event) error {
+// handle processes an event. The new state is visible when handle returns and is carried out shortly after.
+func (c *controller) handle(e service.Event) error {
 	c.mu.Lock()
 	err := c.state.Handle(c.clock.Now(), e)
 	c.mu.Unlock()
 	if err != nil {
-		c.log.Warn("not followed", zap.Stringer("event", e), zap.Error(err))
+		c.log.Warn("event ignored", zap.Stringer("event", e), zap.Error(err))
 		return err
 	}
-	v := c.refresh()
-	if e != service.Ready { // that has a line of its own
+	v := c.refreshView()
+	if e != service.Ready { // logged separately
 		c.log.Info("service", zap.Stringer("event", e), zap.Stringer("phase", v.Phase), zap.Stringer("heir", v.NewProcess), zap.Bool("yes", v.Ready))
 	}
-	c.wake()
+	c.notify()
 	return nil
 }
 
-// retime takes the classes of new settings: SIGKILL waits for the longest deadline.
-func (c *controller) retime(classes []balance.Class) {
+// setClasses applies the classes of a settings update: the time of SIGKILL depends on the longest deadline.
+func (c *controller) setClasses(classes []balance.Class) {
 	now := c.clock.Now()
 	c.mu.Lock()
-	c.state.SetTimes(now, timesOf(classes), now+exchange.SettleAfter)
+	c.state.SetTimes(now, timesFor(classes), now+exchange.SettleAfter)
 	c.mu.Unlock()
-	c.wake()
+	c.notify()
 }
 
-func (c *controller) wake() {
+// notify wakes run, so that it carries out the current view.
+func (c *controller) notify() {
 	select {
 	case c.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (c *controller) refresh() service.View {
+// refreshView computes, stores and returns the current view.
+func (c *controller) refreshView() service.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.state.View(c.clock.Now())
@@ -108,33 +113,33 @@
 	return v
 }
 
-// Ready says whether the process says yes.
+// Ready reports whether the process is ready to serve.
 func (c *controller) Ready() bool { return c.view.Load().Ready }
 
-// Drain sends the clients away.
+// Drain starts draining the clients.
 func (c *controller) Drain() error {
 	c.counts.Drains.Add(1)
-	return c.tell(service.Drain)
+	return c.handle(service.Drain)
 }
 
-// Resume takes them back.
+// Resume ends the drain.
 func (c *controller) Resume() error {
 	c.counts.Resumes.Add(1)
-	return c.tell(service.Resume)
+	return c.handle(service.Resume)
 }
 
-// run has each view carried out until the process is to end. held says how many connections there are, and how many of them
-// wait for an answer; when there is none left, wake is to be called.
-func (c *controller) run(ctx context.Context, held func() (all, waiting int), apply func(service.View)) {
+// run calls apply with each view until the process has to exit. countConnections returns the number of client connections
+// and how many of them wait for an answer. notify must be called when the last connection is closed.
+func (c *controller) run(ctx context.Context, countConnections func() (all, waiting int), apply func(service.View)) {
 	for {
-		v := c.refresh()
+		v := c.refreshView()
 		apply(v)
-		all, _ := held()
+		all, _ := countConnections()
 		if v.ExitWhenIdle && all == 0 {
 			return
 		}
 		if v.ExitNow {
-			if waiting := c.awaitAnswers(ctx, held); waiting > 0 {
+			if waiting := c.awaitAnswers(ctx, countConnections); waiting > 0 {
 				c.log.Warn("ending with requests unanswered", zap.Int("clients", waiting))
 			}
 			return
@@ -152,14 +157,15 @@
 	}
 }
 
-// awaitAnswers waits until no connection waits for an answer, for lateAnswers at most. It says how many still do.
-func (c *controller) awaitAnswers(ctx context.Context, held func() (all, waiting int)) int {
-	end := c.clock.Now() + lateAnswers
+// awaitAnswers waits until no connection waits for an answer, for lateAnswerWait at most. It returns the number of
+// connections that still wait.
+func (c *controller) awaitAnswers(ctx context.Context, countConnections func() (all, waiting int)) int {
+	end := c.clock.Now() + lateAnswerWait
 	for {
-		_, waiting := held()
+		_, waiting := countConnections()
 		if waiting == 0 || c.clock.Now() >= end || ctx.Err() != nil {
 			return waiting
 		}
-		time.Sleep(answersPause)
+		time.Sleep(answerPollInterval)
 	}
 }
--- a/internal/lifecycle/service_test.go
+++ b/internal/lifecycle/service_test.go
@@ -13,31 +13,31 @@
 	"yokemast/internal/memory/exchange"
 )
 
-func TestTheEndWaitsForAnswersThatAHoldUpDelayedButNotUpToTheKill(t *testing.T) {
-	kill := killAfter // without classes no deadline is added
+func TestShutdownWaitsForLateAnswers(t *testing.T) {
+	kill := killDelay // no deadline is added without classes
 	for name, c := range map[string]struct {
-		answered   time.Duration // after SIGTERM; 0: never
-		least, end time.Duration
+		answered         time.Duration // time after SIGTERM of the answer, or 0 if there is none
+		minTime, maxTime time.Duration
 	}{
-		"answered in time":          {kill - answerAhead, kill - endAhead, kill - endAhead},
-		"answered after the time":   {kill - endAhead + 5*time.Millisecond, kill - endAhead + 5*time.Millisecond, kill - endAhead + 7*time.Millisecond},
-		"its client never takes it": {0, kill - endAhead + lateAnswers, kill - 10*time.Millisecond},
+		"answered in time": {kill - answerLead, kill - exitLead, kill - exitLead},
+		"answered late":    {kill - exitLead + 5*time.Millisecond, kill - exitLead + 5*time.Millisecond, kill - exitLead + 7*time.Millisecond},
+		"never answered":   {0, kill - exitLead + lateAnswerWait, kill - 10*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newController(exchange.NewClock(), nil, zap.NewNop(), &counters.Set{})
-				_ = d.tell(service.Ready)
-				_ = d.tell(service.Terminate)
-				told := time.Now()
-				held := func() (all, waiting int) {
-					if c.answered > 0 && time.Since(told) >= c.answered {
+				_ = d.handle(service.Ready)
+				_ = d.handle(service.Terminate)
+				terminatedAt := time.Now()
+				countConnections := func() (all, waiting int) {
+					if c.answered > 0 && time.Since(terminatedAt) >= c.answered {
 						return 1, 0
 					}
 					return 1, 1
 				}
-				d.run(context.Background(), held, func(service.View) {})
-				if took := time.Since(told); took < c.least || took > c.end {
-					t.Errorf("it ended %s after SIGTERM, want %s to %s", took, c.least, c.end)
+				d.run(context.Background(), countConnections, func(service.View) {})
+				if took := time.Since(terminatedAt); took < c.minTime || took > c.maxTime {
+					t.Errorf("process exited %s after SIGTERM, want %s to %s", took, c.minTime, c.maxTime)
 				}
 			})
 		})
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -11,22 +11,23 @@
 	"yokemast/internal/control/service"
 )
 
-// Signals are those that the process follows, each kind on a channel of its own: one that can't be taken at once is dropped, and
-// a series of SIGHUP must not take a SIGTERM's place. One of a kind that waits stands for all that came meanwhile.
+// Signals holds one channel for each kind of signal that the process handles. The runtime drops a signal whose channel is
+// full, and a series of SIGHUP must not displace a SIGTERM. A pending signal stands for all later ones of its kind.
 type Signals struct{ terminate, reload, report chan os.Signal }
 
-// NotifySignals has the process follow signals from now on. A SIGHUP that comes before ends it, unless it was started with SIGHUP ignored.
+// NotifySignals starts the delivery of signals to the returned channels. An earlier SIGHUP ends the process, unless the
+// process was started with SIGHUP ignored.
 func NotifySignals() Signals {
 	s := Signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	signal.Notify(s.report, syscall.SIGUSR1)
-	// Who reads the log may go away: writing on must not end the process.
+	// The reader of the log may close its end of the pipe: a later write must not end the process.
 	signal.Ignore(syscall.SIGPIPE)
 	return s
 }
 
-// handleTermination follows SIGTERM and SIGINT, also while a reload is going on.
+// handleTermination handles SIGTERM and SIGINT, also while a reload is running.
 func (g *gateway) handleTermination(terminate <-chan os.Signal) error {
 	for {
 		select {
@@ -34,18 +35,18 @@
 			return nil
 		case sig := <-terminate:
 			g.log.Info("ending", zap.Stringer("signal", sig))
-			_ = g.duty.tell(service.Terminate)
+			_ = g.controller.handle(service.Terminate)
 		}
 	}
 }
 
-// rereadPause is how long after a file could not be read for a moment it is read again.
-const rereadPause = 50 * time.Millisecond
+// rereadDelay is the delay before a file is read again that could not be read for a transient reason.
+const rereadDelay = 50 * time.Millisecond
 
-// handleSignals follows the other signals. read reads the files anew; again says that one could not be read for the machine's own state,
-// which may be gone the next moment: no other SIGHUP comes for it.
-func (g *gateway) handleSignals(s Signals, read func() (again bool)) error {
-	var reread <-chan time.Time
+// handleSignals handles the other signals. readFiles reloads the files. It returns true if one of them could not be read
+// for a transient reason; handleSignals then tries again by itself, as no other SIGHUP will arrive for this change.
+func (g *gateway) handleSignals(s Signals, readFiles func() (retry bool)) error {
+	var rereadTimer <-chan time.Time
 	for {
 		select {
 		case <-g.ctx.Done():
@@ -54,10 +55,10 @@
 			g.logCounters()
 			continue
 		case <-s.reload:
-		case <-reread:
+		case <-rereadTimer:
 		}
-		if reread = nil; read() {
-			reread = time.After(rereadPause)
+		if rereadTimer = nil; readFiles() {
+			rereadTimer = time.After(rereadDelay)
 		}
 	}
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -15,157 +15,161 @@
 	"yokemast/internal/wire/succession"
 )
 
-// claimEvery is how often a process that found no place in its line looks for one.
-const claimEvery = 500 * time.Millisecond
+// claimInterval is how often a process without the instance lock tries to acquire it.
+const claimInterval = 500 * time.Millisecond
 
-// upgrade is the process's place between the one before it and the one after it. Where the platform gives no second address it
-// stays empty: nothing is opened, asked or told.
+// upgrade is the state of a hot restart: the old process that this one replaces, and the new process that replaces this
+// one. Without an administration address there are no hot restarts, and it stays empty: nothing is opened or sent.
 type upgrade struct {
-	asked time.Duration // when the process before was asked what it knows
-	came  time.Duration // when its answer had come
-	line  *succession.Line
-	elder *succession.Elder // nil: there is none
+	requestedAt time.Duration // when the handover state was requested
+	receivedAt  time.Duration // when the handover state had been received
+	lock        *succession.InstanceLock
+	oldProcess  *succession.OldProcess // nil if there is none
 
-	mu   sync.Mutex
-	heir *succession.Heir // nil: there is none
+	mu         sync.Mutex
+	newProcess *succession.NewProcess // nil if there is none
 }
 
-func (u *upgrade) peers() *net.UDPConn {
-	if u.elder == nil {
+// peerConn returns the gossip socket of the old process, or nil if there is none.
+func (u *upgrade) peerConn() *net.UDPConn {
+	if u.oldProcess == nil {
 		return nil
 	}
-	return u.elder.Peers
+	return u.oldProcess.Peers
 }
 
-func (u *upgrade) clients() *net.TCPListener {
-	if u.elder == nil {
+// clientListener returns the client listener of the old process, or nil if there is none.
+func (u *upgrade) clientListener() *net.TCPListener {
+	if u.oldProcess == nil {
 		return nil
 	}
-	return u.elder.Clients
+	return u.oldProcess.Clients
 }
 
-// pass gives the way by which connections are passed on; nil: they are not.
-func (u *upgrade) pass(wanted bool) frontend.Pass {
+// passFunc returns the function that passes client connections to the new process, or nil if they are not passed on.
+func (u *upgrade) passFunc(wanted bool) frontend.Pass {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !wanted || u.heir == nil {
+	if !wanted || u.newProcess == nil {
 		return nil
 	}
-	return u.heir.Pass
+	return u.newProcess.PassConnection
 }
 
-func (u *upgrade) setHeir(h *succession.Heir) {
+func (u *upgrade) setNewProcess(p *succession.NewProcess) {
 	u.mu.Lock()
-	u.heir = h
+	u.newProcess = p
 	u.mu.Unlock()
 }
 
-// join finds the process's place in the line of its gateway. Without one it serves all the same, by an address of its own.
-func (g *gateway) join() {
-	if g.c.Admin == "" {
+// joinInstance acquires the instance lock, or takes it over together with the handover state of the old process. If that
+// fails, the process serves all the same, with a listener of its own.
+func (g *gateway) joinInstance() {
+	if g.config.Admin == "" {
 		return
 	}
-	g.upgrade.asked = g.clock.Now()
-	line, elder, err := succession.Join(g.ctx, os.TempDir(), g.c.Listen)
-	g.upgrade.came = g.clock.Now()
+	g.upgrade.requestedAt = g.clock.Now()
+	lock, oldProcess, err := succession.Join(g.ctx, os.TempDir(), g.config.Listen)
+	g.upgrade.receivedAt = g.clock.Now()
 	if err != nil {
 		g.log.Warn("no handover", zap.Error(err))
-		_ = g.duty.tell(service.OldProcessFound) // someone may be there who does not answer
+		_ = g.controller.handle(service.OldProcessFound) // there may be an old process that does not answer
 		return
 	}
-	g.upgrade.line, g.upgrade.elder = line, elder
-	if elder != nil {
-		_ = g.duty.tell(service.OldProcessFound)
+	g.upgrade.lock, g.upgrade.oldProcess = lock, oldProcess
+	if oldProcess != nil {
+		_ = g.controller.handle(service.OldProcessFound)
 	}
 }
 
-func (g *gateway) leave() {
-	if g.upgrade.line != nil {
-		g.upgrade.line.Close()
+func (g *gateway) releaseInstanceLock() {
+	if g.upgrade.lock != nil {
+		g.upgrade.lock.Close()
 	}
 }
 
-// inherited gives what the elder knew.
-func (g *gateway) inherited() (handover.State, bool) {
-	if g.upgrade.elder == nil {
+// decodeHandoverState returns the handover state of the old process, and false if there is none that can be used.
+func (g *gateway) decodeHandoverState() (handover.State, bool) {
+	if g.upgrade.oldProcess == nil {
 		return handover.State{}, false
 	}
-	k, err := handover.Decode(g.upgrade.asked, g.upgrade.came, g.upgrade.elder.Knowledge)
+	k, err := handover.Decode(g.upgrade.requestedAt, g.upgrade.receivedAt, g.upgrade.oldProcess.State)
 	if err != nil {
-		g.log.Warn("what the process before knew is not used", zap.Error(err))
+		g.log.Warn("handover state of the old process is not used", zap.Error(err))
 		return k, false
 	}
 	g.log.Info("took over", zap.Int("hosts", len(k.Hosts)), zap.Int64("revision", k.Revision))
 	return k, true
 }
 
-// succeed tells the elder that this process serves.
-func (g *gateway) succeed() {
-	if g.upgrade.elder == nil {
+// notifyOldProcess notifies the old process that this process serves.
+func (g *gateway) notifyOldProcess() {
+	if g.upgrade.oldProcess == nil {
 		return
 	}
-	if err := g.upgrade.elder.Ready(); err != nil {
-		g.log.Warn("the process before does not hear", zap.Error(err))
+	if err := g.upgrade.oldProcess.Ready(); err != nil {
+		g.log.Warn("old process not notified", zap.Error(err))
 	}
 }
 
-// follow takes the elder's clients until it has ended, and then waits for an heir.
-func (g *gateway) follow() {
-	if g.c.Admin == "" {
+// runHandover adopts the clients of the old process until it has exited, and then waits for a new process.
+func (g *gateway) runHandover() {
+	if g.config.Admin == "" {
 		return
 	}
 	g.group.Go(func() error {
 		u := &g.upgrade
 		switch {
-		case u.elder != nil:
-			u.elder.Follow(g.ctx, func(c *net.TCPConn, user string, idle time.Duration) { g.front.Adopt(g.ctx, c, user, idle) })
-			_ = g.duty.tell(service.OldProcessExited)
-		case u.line == nil:
-			line, err := succession.Claim(g.ctx, os.TempDir(), g.c.Listen, claimEvery)
-			_ = g.duty.tell(service.OldProcessExited)
+		case u.oldProcess != nil:
+			u.oldProcess.ReceiveClients(g.ctx, func(c *net.TCPConn, user string, idle time.Duration) { g.frontend.Adopt(g.ctx, c, user, idle) })
+			_ = g.controller.handle(service.OldProcessExited)
+		case u.lock == nil:
+			lock, err := succession.WaitLock(g.ctx, os.TempDir(), g.config.Listen, claimInterval)
+			_ = g.controller.handle(service.OldProcessExited)
 			if err != nil {
 				if g.ctx.Err() == nil {
-					g.log.Warn("no handover to a next process", zap.Error(err))
+					g.log.Warn("no handover to a new process", zap.Error(err))
 				}
 				return nil
 			}
-			u.line = line
+			u.lock = lock
 		}
 		if g.ctx.Err() != nil {
 			return nil
 		}
-		err := u.line.Await(g.ctx, succession.Heirs{Log: g.log, Estate: g.estate,
-			Came: func(h *succession.Heir) {
-				u.setHeir(h)
-				_ = g.duty.tell(service.NewProcessConnected)
+		err := u.lock.AcceptNewProcesses(g.ctx, succession.NewProcessHandler{Log: g.log, HandoverState: g.collectHandoverState,
+			Connected: func(p *succession.NewProcess) {
+				u.setNewProcess(p)
+				_ = g.controller.handle(service.NewProcessConnected)
 			},
-			Ready: func() { _ = g.duty.tell(service.NewProcessReady) },
+			Ready: func() { _ = g.controller.handle(service.NewProcessReady) },
 			Lost: func() {
 				if g.ctx.Err() != nil {
-					return // it is this process that ends
+					return // this process is shutting down
 				}
-				_ = g.duty.tell(service.NewProcessLost)
-				u.setHeir(nil)
+				_ = g.controller.handle(service.NewProcessLost)
+				u.setNewProcess(nil)
 			}})
 		if err != nil {
-			g.log.Warn("no handover to a next process", zap.Error(err))
+			g.log.Warn("no handover to a new process", zap.Error(err))
 		}
 		return nil
 	})
 }
 
-// estate is what this process leaves.
-func (g *gateway) estate(ctx context.Context) (succession.Estate, error) {
-	e := succession.Estate{Clients: g.listener}
-	if g.others != nil {
-		e.Peers = g.others.Conn()
+// collectHandoverState returns what this process passes to a new one.
+func (g *gateway) collectHandoverState(ctx context.Context) (succession.HandoverState, error) {
+	state := succession.HandoverState{Clients: g.listener}
+	if g.peers != nil {
+		state.Peers = g.peers.Conn()
 	}
-	revision := g.watcher.Revision() // before the survey, which may know more than that
-	k, err := g.x.HandoverState(ctx)
+	// The revision is read before the handover state, so that the state is never older than the revision.
+	revision := g.watcher.Revision()
+	known, err := g.exchange.HandoverState(ctx)
 	if err != nil {
-		return e, err
+		return state, err
 	}
-	k.Revision, k.Discovery, k.FirstDiscovery = revision, g.watcher.Address(), g.firstDiscovery
-	e.Knowledge, err = handover.Encode(k)
-	return e, err
+	known.Revision, known.Discovery, known.FirstDiscovery = revision, g.watcher.Address(), g.firstDiscovery
+	state.State, err = handover.Encode(known)
+	return state, err
 }
--- a/internal/wire/admin/admin.go
+++ b/internal/wire/admin/admin.go
@@ -1,12 +1,12 @@
-// Package admin is the second address, where staff and the platform's tools call the process by HTTP/1.1, one call a
+// Package admin serves the administration address for operators and the platform's tools, by HTTP/1.1 with one call per
 // connection:
 //
 //	GET  /_ready         200: the process is ready to serve; 503: it is not
-//	POST /_lameduck/on   204: it drains
-//	POST /_lameduck/off  204: it is back at work; 409: it is ending and can't be
+//	POST /_lameduck/on   204: the process drains
+//	POST /_lameduck/off  204: the drain is ended; 409: the process is shutting down
 //	GET  /_counters      200: the counters, as a JSON object
 //
-// Nothing here waits for clients, hosts or the exchange.
+// No call waits for clients, hosts or the exchange.
 package admin
 
 import (
@@ -29,52 +29,52 @@
 )
 
 const (
-	// callers is how many may be connected at a time. One more takes the place of the one that has been silent for
-	// longest: callers that finish no call can't keep an honest one waiting.
-	callers = 16
-	// callWithin is how long a caller may take to say what it wants, and then to take the answer.
-	callWithin = 5 * time.Second
-	maxHead    = 8 << 10
-	// pauseAfter is the pause after an accept that failed: without a descriptor the next one fails as well.
-	pauseAfter = 5 * time.Millisecond
+	// maxCallers is the maximum number of open connections. A further one replaces the oldest, so that callers that never
+	// finish a call cannot block others.
+	maxCallers = 16
+	// callTimeout is the time limit for reading a request, and for writing its answer.
+	callTimeout    = 5 * time.Second
+	maxHeaderBytes = 8 << 10
+	// acceptRetryDelay is the delay after a failed accept: without a free descriptor the next one would fail as well.
+	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// Descriptors is how many the address may hold: the listener and its callers.
-const Descriptors = callers + 2
+// Descriptors is the maximum number of file descriptors in use: those of the listener and of the callers.
+const Descriptors = maxCallers + 2
 
-// Service is what is called. No method may wait.
+// Service is the process state that calls read and change. Its methods must not block.
 type Service interface {
 	Ready() bool
 	Drain() error
 	Resume() error
 }
 
-// Serve answers calls until the context ends.
+// Serve answers calls until ctx is done.
 func Serve(ctx context.Context, l net.Listener, s Service, log *zap.Logger, counts *counters.Set) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
 		if s.Ready() {
-			say(w, http.StatusOK, "ready")
+			respond(w, http.StatusOK, "ready")
 			return
 		}
-		say(w, http.StatusServiceUnavailable, "not ready")
+		respond(w, http.StatusServiceUnavailable, "not ready")
 	})
 	mux.HandleFunc("GET /_counters", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(counts.Values()) // a caller that has gone needs none
+		_ = json.NewEncoder(w).Encode(counts.Values()) // the caller may have disconnected
 	})
 	for path, do := range map[string]func() error{"on": s.Drain, "off": s.Resume} {
 		mux.HandleFunc("POST /_lameduck/"+path, func(w http.ResponseWriter, _ *http.Request) {
 			if err := do(); err != nil {
-				say(w, http.StatusConflict, err.Error())
+				respond(w, http.StatusConflict, err.Error())
 				return
 			}
 			w.WriteHeader(http.StatusNoContent)
 		})
 	}
-	door := &door{Listener: l, open: map[*caller]time.Time{}, counts: counts}
-	server := &http.Server{Handler: counted(mux, counts), ReadTimeout: callWithin, WriteTimeout: callWithin, MaxHeaderBytes: maxHead,
-		ErrorLog: zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))} // what callers do wrong is counted, not logged
+	callers := &callerListener{Listener: l, open: map[*caller]time.Time{}, counts: counts}
+	server := &http.Server{Handler: countCalls(mux, counts), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))} // errors of callers are counted, not logged
 	server.SetKeepAlivesEnabled(false)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -82,7 +82,7 @@
 		return server.Close()
 	})
 	group.Go(func() error {
-		if err := server.Serve(door); err != http.ErrServerClosed {
+		if err := server.Serve(callers); err != http.ErrServerClosed {
 			return fmt.Errorf("admin: %w", err)
 		}
 		return nil
@@ -90,72 +90,74 @@
 	return group.Wait()
 }
 
-func say(w http.ResponseWriter, status int, what string) {
+func respond(w http.ResponseWriter, status int, what string) {
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, what+"\n")
 }
 
-// counted counts calls and those answered with no.
-func counted(next http.Handler, counts *counters.Set) http.Handler {
+// countCalls counts all calls and those answered with an error status.
+func countCalls(next http.Handler, counts *counters.Set) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		counts.Calls.Add(1)
-		next.ServeHTTP(&noting{w, counts}, r)
+		next.ServeHTTP(&statusCounter{w, counts}, r)
 	})
 }
 
-type noting struct {
+// statusCounter counts error statuses.
+type statusCounter struct {
 	http.ResponseWriter
 	counts *counters.Set
 }
 
-func (n *noting) WriteHeader(status int) {
+func (n *statusCounter) WriteHeader(status int) {
 	if status >= 400 {
 		n.counts.CallsFailed.Add(1)
 	}
 	n.ResponseWriter.WriteHeader(status)
 }
 
-// door is a listener that holds so many connections at most.
-type door struct {
+// callerListener is a listener with at most maxCallers open connections.
+type callerListener struct {
 	net.Listener
 	counts *counters.Set
 	mu     sync.Mutex
-	open   map[*caller]time.Time // since when
+	open   map[*caller]time.Time // time of the accept
 }
 
-// Accept never gives up while the listener is open.
-func (d *door) Accept() (net.Conn, error) {
+// Accept retries after errors until the listener is closed. At the connection limit it closes the oldest connection.
+func (d *callerListener) Accept() (net.Conn, error) {
 	for {
 		c, err := d.Listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil, err
 			}
-			time.Sleep(pauseAfter)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		d.mu.Lock()
-		if len(d.open) >= callers {
+		if len(d.open) >= maxCallers {
 			oldest := slices.MinFunc(slices.Collect(maps.Keys(d.open)), func(a, b *caller) int { return d.open[a].Compare(d.open[b]) })
 			delete(d.open, oldest)
 			d.counts.CallersDropped.Add(1)
 			_ = oldest.Conn.Close()
 		}
-		in := &caller{Conn: c, d: d}
+		in := &caller{Conn: c, listener: d}
 		d.open[in] = time.Now()
 		d.mu.Unlock()
 		return in, nil
 	}
 }
 
+// caller is an accepted connection. Closing it removes it from its listener.
 type caller struct {
 	net.Conn
-	d *door
+	listener *callerListener
 }
 
 func (c *caller) Close() error {
-	c.d.mu.Lock()
-	delete(c.d.open, c)
-	c.d.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.open, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/wire/control/server.go
+++ b/internal/wire/control/server.go
@@ -1,5 +1,5 @@
-// Package control is the gateway's control socket: HTTP with JSON over a unix domain socket, for commands against a running
-// gateway. The operator's file says whether there is one; its permissions are all that guards it.
+// Package control implements the gateway's control socket: HTTP with JSON over a Unix domain socket, for commands to a
+// running gateway. The operator's file says whether there is one. Access is controlled by the file permissions only.
 package control
 
 import (
@@ -22,31 +22,31 @@
 )
 
 const (
-	// conns bounds what the socket takes of the descriptors, and requestWithin how long one may be held.
-	conns         = 4
-	requestWithin = 5 * time.Second
-	maxBody       = 1 << 20
+	// maxConns limits the descriptors that the socket uses, and requestTimeout how long one may be held.
+	maxConns       = 4
+	requestTimeout = 5 * time.Second
+	maxBody        = 1 << 20
 )
 
-// Exchange is what the socket speaks for.
+// Exchange runs functions on the state of the cells.
 type Exchange interface {
 	Cells(ctx context.Context, do func(now time.Duration, s *cells.State) ([]cells.Action, error)) error
 }
 
-// PlanRequest names hosts that would come and go.
+// PlanRequest lists hosts that would be added or removed.
 type PlanRequest struct {
 	Come  []Host   `json:"come"`
 	Leave []string `json:"leave"`
 }
 
-// Host is one that would come.
+// Host is a host that would be added.
 type Host struct {
 	ID     string  `json:"id"`
 	Group  int     `json:"group"`
 	Weight float64 `json:"weight"`
 }
 
-// MoveRequest is an order to move a tenant, or to abort or confirm its move.
+// MoveRequest requests the move of a tenant, or aborts or confirms it.
 type MoveRequest struct {
 	Tenant    string `json:"tenant"`
 	To        string `json:"to,omitempty"`
@@ -55,18 +55,18 @@
 	Confirm   bool   `json:"confirm,omitempty"`
 }
 
-// PoolsReport is how connections to hosts are shared.
+// PoolsReport shows how clients share connections to hosts.
 type PoolsReport struct {
 	Pools    []PoolReport `json:"pools"`
 	Hosts    []HostReport `json:"hosts"`
-	Waiting  int          `json:"waiting"` // for a connection
-	Peak     int          `json:"peak"`    // connections to hosts that there were at most
+	Waiting  int          `json:"waiting"` // requests that wait for a connection
+	Peak     int          `json:"peak"`    // maximum number of connections to hosts so far
 	Hits     int64        `json:"prepared_hits"`
 	Misses   int64        `json:"prepared_misses"`
-	NoneFree int64        `json:"none_free"` // times that no connection was to be had
+	NoneFree int64        `json:"none_free"` // how often no connection was free
 }
 
-// PoolReport is one pool of clients.
+// PoolReport is the state of one pool of clients.
 type PoolReport struct {
 	Pool         string           `json:"pool"`
 	Mode         string           `json:"mode"`
@@ -74,12 +74,12 @@
 	Holding      int64            `json:"holding"` // sessions that hold a host connection
 	Batches      int64            `json:"batches"`
 	Transactions int64            `json:"transactions"`
-	Lost         int64            `json:"lost"` // sessions ended with their host connection, or for their silence
+	Lost         int64            `json:"lost"` // sessions closed because their host connection failed or they were idle too long
 	Cancels      int64            `json:"cancels"`
 	Pinned       map[string]int64 `json:"pinned"` // how often, by reason
 }
 
-// HostReport is one host's connections.
+// HostReport holds the numbers of connections to one host.
 type HostReport struct {
 	Host    string `json:"host"`
 	Open    int    `json:"open"`
@@ -88,36 +88,37 @@
 	Opening int    `json:"opening"`
 }
 
-type failure struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
-// Listen makes the socket at path. One that a dead gateway left there is replaced; one that answers is an error. It gets
-// its permissions before it can be found.
+// Listen creates the socket at path. A socket left by a dead gateway is replaced; one that answers is an error. The
+// permissions are set under a temporary name, before the socket appears at path.
 func Listen(path string, mode os.FileMode) (net.Listener, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("control socket %s: another process answers there", path)
 	}
 	if old, err := os.Lstat(path); err == nil && old.Mode()&os.ModeSocket == 0 {
-		return nil, fmt.Errorf("control socket %s: something else is there", path)
+		return nil, fmt.Errorf("control socket %s: path exists and is no socket", path)
 	}
-	making := fmt.Sprintf("%s.%d", path, os.Getpid())
-	_ = os.Remove(making)
-	l, err := net.Listen("unix", making)
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	_ = os.Remove(temporary)
+	l, err := net.Listen("unix", temporary)
 	if err != nil {
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false)
-	if err = os.Chmod(making, mode); err == nil {
-		err = os.Rename(making, path)
+	if err = os.Chmod(temporary, mode); err == nil {
+		err = os.Rename(temporary, path)
 	}
 	if err != nil {
 		l.Close()
-		_ = os.Remove(making)
+		_ = os.Remove(temporary)
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
-	return &listener{netutil.LimitListener(l, conns), path}, nil
+	return &listener{netutil.LimitListener(l, maxConns), path}, nil
 }
 
 type listener struct {
@@ -125,14 +126,14 @@
 	path string
 }
 
-// Close takes the socket away.
+// Close closes the listener and removes the socket.
 func (l *listener) Close() error {
 	return errors.Join(l.Listener.Close(), os.Remove(l.path))
 }
 
-// Serve answers until the context ends.
+// Serve answers requests until ctx is done.
 func Serve(ctx context.Context, l net.Listener, x Exchange, pools func() PoolsReport, log *zap.Logger) error {
-	s := &http.Server{Handler: handler(x, pools), ReadTimeout: requestWithin, WriteTimeout: requestWithin,
+	s := &http.Server{Handler: handler(x, pools), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: zap.NewStdLog(log)}
 	s.SetKeepAlivesEnabled(false)
 	stop := context.AfterFunc(ctx, func() { s.Close() })
@@ -145,10 +146,10 @@
 
 func handler(x Exchange, pools func() PoolsReport) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/pools", func(w http.ResponseWriter, _ *http.Request) { answer(w, pools(), nil) })
+	mux.HandleFunc("GET /v1/pools", func(w http.ResponseWriter, _ *http.Request) { respond(w, pools(), nil) })
 	mux.HandleFunc("GET /v1/cells", func(w http.ResponseWriter, r *http.Request) {
 		var out cells.Report
-		answer(w, &out, x.Cells(r.Context(), func(_ time.Duration, s *cells.State) ([]cells.Action, error) {
+		respond(w, &out, x.Cells(r.Context(), func(_ time.Duration, s *cells.State) ([]cells.Action, error) {
 			out = s.Report()
 			return nil, nil
 		}))
@@ -158,41 +159,41 @@
 		if !read(w, r, &q) {
 			return
 		}
-		come := make([]balance.Member, 0, len(q.Come))
+		added := make([]balance.Member, 0, len(q.Come))
 		for _, h := range q.Come {
 			m := balance.Member{Server: h.ID, Group: h.Group, Weight: h.Weight}
 			if m.Weight <= 0 {
 				m.Weight = 1
 			}
-			come = append(come, m)
+			added = append(added, m)
 		}
 		var out cells.Forecast
-		answer(w, &out, x.Cells(r.Context(), func(_ time.Duration, s *cells.State) (_ []cells.Action, err error) {
-			out, err = s.Plan(come, q.Leave)
+		respond(w, &out, x.Cells(r.Context(), func(_ time.Duration, s *cells.State) (_ []cells.Action, err error) {
+			out, err = s.Plan(added, q.Leave)
 			return nil, err
 		}))
 	})
-	order := func(do func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error)) http.HandlerFunc {
+	moveHandler := func(do func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			var q MoveRequest
 			if !read(w, r, &q) {
 				return
 			}
 			var out cells.Report
-			answer(w, &out, x.Cells(r.Context(), func(now time.Duration, s *cells.State) ([]cells.Action, error) {
+			respond(w, &out, x.Cells(r.Context(), func(now time.Duration, s *cells.State) ([]cells.Action, error) {
 				acts, err := do(now, s, q)
 				out = s.Report()
 				return acts, err
 			}))
 		}
 	}
-	mux.HandleFunc("POST /v1/cells/move", order(func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error) {
+	mux.HandleFunc("POST /v1/cells/move", moveHandler(func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error) {
 		return s.Move(now, cells.Order{Tenant: q.Tenant, To: q.To, FromGroup: q.FromGroup, ToGroup: q.ToGroup, Confirm: q.Confirm})
 	}))
-	mux.HandleFunc("POST /v1/cells/abort", order(func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error) {
+	mux.HandleFunc("POST /v1/cells/abort", moveHandler(func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error) {
 		return s.Abort(now, q.Tenant, "by the operator")
 	}))
-	mux.HandleFunc("POST /v1/cells/confirm", order(func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error) {
+	mux.HandleFunc("POST /v1/cells/confirm", moveHandler(func(now time.Duration, s *cells.State, q MoveRequest) ([]cells.Action, error) {
 		return s.Confirm(now, q.Tenant)
 	}))
 	return mux
@@ -202,26 +203,26 @@
 	dec := json.NewDecoder(io.LimitReader(r.Body, maxBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(to); err != nil {
-		fail(w, http.StatusBadRequest, fmt.Errorf("the request can't be read: %w", err))
+		respondError(w, http.StatusBadRequest, fmt.Errorf("invalid request: %w", err))
 		return false
 	}
 	return true
 }
 
-func answer(w http.ResponseWriter, out any, err error) {
+func respond(w http.ResponseWriter, out any, err error) {
 	switch {
 	case errors.Is(err, cells.ErrNoTenant), errors.Is(err, cells.ErrNoCell), errors.Is(err, exchange.ErrNoCells):
-		fail(w, http.StatusNotFound, err)
+		respondError(w, http.StatusNotFound, err)
 	case err != nil:
-		fail(w, http.StatusConflict, err)
+		respondError(w, http.StatusConflict, err)
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(out)
 	}
 }
 
-func fail(w http.ResponseWriter, status int, err error) {
+func respondError(w http.ResponseWriter, status int, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(failure{err.Error()})
+	_ = json.NewEncoder(w).Encode(errorBody{err.Error()})
 }
--- a/internal/wire/fleet/frame.go
+++ b/internal/wire/fleet/frame.go
@@ -1,12 +1,12 @@
-// Package fleet frames what gateways send each other over TCP for the fleet's agreements: the consensus library's
-// messages, and a gateway's requests for leases to the voters and their answers. It is not used where the platform
-// allows only datagrams of 256 bytes between gateways: a consensus message does not fit in one.
+// Package fleet implements the frames that gateways exchange over TCP for consensus and leases: the consensus library's
+// messages, requests of gateways to the voters for leases, and their answers. It is not used where the platform allows
+// only datagrams of 256 bytes between gateways, as a consensus message does not fit in one.
 //
 // A frame is
 //
-//	4 bytes  length of what follows, at most MaxFrame
+//	4 bytes  length of the rest, at most MaxFrame
 //	1 byte   kind
-//	2 bytes  the sender's member id
+//	2 bytes  member id of the sender
 //	...      the payload: for KindRaft a raftpb.Message in protocol buffers, for asks a lease entry, for answers
 //	         the proposal, 1 byte held (1) or not (0) and the token, for acts the lease's name and the token
 //
@@ -23,26 +23,26 @@
 	"io"
 )
 
-// Kind is what a frame carries.
+// Kind is the type of a frame.
 type Kind uint8
 
 const (
 	KindRaft   Kind = 1 // a message of the consensus library, voter to voter
 	KindAsk    Kind = 2 // a lease entry that a gateway asks a voter to propose
 	KindAnswer Kind = 3 // a voter's answer to an ask
-	KindAct    Kind = 4 // an act under a lease, to the side acted on: the lease's name, a space, the token
+	KindAct    Kind = 4 // an act under a lease, to the resource: the lease's name, a space, the token
 )
 
-// MaxFrame bounds a frame after its length, in bytes: the consensus library's messages are held to 64 KiB of
-// entries, and a snapshot of leases is far smaller than the rest.
+// MaxFrame is the maximum size of a frame without its length field, in bytes. Messages of the consensus library are
+// limited to 64 KiB of entries, and a snapshot of leases is much smaller than MaxFrame.
 const MaxFrame = 1 << 20
 
-const head = 4 + 1 + 2
+const headSize = 4 + 1 + 2
 
-// ErrFrame is what Read says of bytes that are no frame of a member.
+// ErrFrame is wrapped by the errors of Read for bytes that are no valid frame of a member.
 var ErrFrame = errors.New("bad fleet frame")
 
-// Frame is one frame read.
+// Frame is a decoded frame.
 type Frame struct {
 	Kind    Kind
 	From    uint16
@@ -63,15 +63,15 @@
 	members func(uint16) bool
 }
 
-// NewReader reads from r; members says which sender ids are known.
+// NewReader returns a Reader of r. members reports whether a sender id is known.
 func NewReader(r io.Reader, members func(uint16) bool) *Reader {
 	return &Reader{r: bufio.NewReaderSize(r, 16<<10), members: members}
 }
 
-// Read reads the next frame. io.EOF at a frame's boundary is a clean end; anything else is an error that wraps
-// ErrFrame or the connection's.
+// Read reads the next frame. It returns io.EOF if the connection ends between two frames. Other errors wrap ErrFrame or
+// the error of the connection.
 func (r *Reader) Read() (Frame, error) {
-	var h [head]byte
+	var h [headSize]byte
 	if _, err := io.ReadFull(r.r, h[:4]); err != nil {
 		return Frame{}, err
 	}
--- a/internal/wire/fleet/frame_test.go
+++ b/internal/wire/fleet/frame_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Raft(f); !errors.Is(err, ErrFrame) {
-		t.Fatalf("a member spoke for another: %v", err)
+		t.Fatalf("accepted a message in the name of another member: %v", err)
 	}
 	f, _ = NewReader(bytes.NewReader(Append(nil, KindRaft, 1, []byte{0xff, 0xff})), members).Read()
 	if _, err := Raft(f); !errors.Is(err, ErrFrame) {
@@ -77,7 +77,7 @@
 				return
 			}
 			if !members(fr.From) || fr.Kind < KindRaft || fr.Kind > KindAct {
-				t.Fatalf("took %+v", fr)
+				t.Fatalf("accepted %+v", fr)
 			}
 			_, _ = Raft(fr)
 		}
--- a/internal/wire/fleet/raft.go
+++ b/internal/wire/fleet/raft.go
@@ -20,8 +20,8 @@
 	return Append(b, KindRaft, uint16(m.GetFrom()), payload), nil
 }
 
-// Raft reads the consensus message of a frame and checks that it comes from the frame's sender: a member may not
-// speak for another.
+// Raft decodes the consensus message of a frame and checks that it comes from the sender of the frame: a member must not
+// send messages for another.
 func Raft(f Frame) (*raftpb.Message, error) {
 	if f.Kind != KindRaft {
 		return nil, fmt.Errorf("kind %d is no consensus message: %w", f.Kind, ErrFrame)
--- a/internal/wire/peers/peers.go
+++ b/internal/wire/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers carries datagrams between the gateways of a tier.
+// Package peers sends and receives gossip messages between the gateways of a tier, as UDP datagrams.
 package peers
 
 import (
@@ -16,33 +16,34 @@
 	"yokemast/internal/wire/socket"
 )
 
-// maxBytes is the longest datagram that the platform takes; a longer one that comes in is read cut off, and told by its length.
-const maxBytes = 256
+// maxDatagram is the longest datagram that the platform delivers, in bytes. A longer one is truncated on receipt to one
+// byte more and thus recognized by its length.
+const maxDatagram = 256
 
-// stoppedFor is how often one that has been stopped looks whether it reads again.
-const stoppedFor = 100 * time.Millisecond
+// stoppedPollInterval is how often a stopped Peers checks whether it has been started again.
+const stoppedPollInterval = 100 * time.Millisecond
 
-// failedFor is the pause after a read that failed.
-const failedFor = 5 * time.Millisecond
+// readErrorDelay is the delay after a failed read.
+const readErrorDelay = 5 * time.Millisecond
 
-// Config is what Peers need to know.
+// Config configures Peers.
 type Config struct {
-	Listen   netip.AddrPort // where datagrams come in
-	All      netip.AddrPort // reaches every gateway of the tier
-	Self     netip.AddrPort // what this gateway's own come from, if they come back
+	Listen   netip.AddrPort // address that datagrams are received on
+	All      netip.AddrPort // address that reaches every gateway of the tier
+	Self     netip.AddrPort // source address of this gateway's own datagrams, which are ignored
 	Log      *zap.Logger
 	Counters *counters.Set
-	Share    bool         // with an earlier process of this gateway
-	Conn     *net.UDPConn // the socket of that process, to be used in place of one of its own; nil: there is none
+	Share    bool         // share the address with the old process of this gateway
+	Conn     *net.UDPConn // the socket of the old process, or nil to open one
 }
 
-// Peers is the socket.
+// Peers is the socket for gossip messages.
 type Peers struct {
 	cfg  Config
 	conn *net.UDPConn
 }
 
-// Listen opens the socket.
+// Listen opens the socket, or uses that of the old process.
 func Listen(cfg Config) (*Peers, error) {
 	if cfg.Conn != nil {
 		return &Peers{cfg, cfg.Conn}, nil
@@ -58,17 +59,17 @@
 	return &Peers{cfg, conn}, nil
 }
 
-// Conn is the socket, for a process that follows this one.
+// Conn returns the socket, to be passed to a new process.
 func (p *Peers) Conn() *net.UDPConn { return p.conn }
 
-// Stop reads no more: what comes in is for the process that follows this one. Start takes that back.
+// Stop stops reading: the new process receives the datagrams from now on. Start reverts it.
 func (p *Peers) Stop() { _ = p.conn.SetReadDeadline(time.Now()) }
 
-// Start reads again.
+// Start resumes reading.
 func (p *Peers) Start() { _ = p.conn.SetReadDeadline(time.Time{}) }
 
-// Tell sends a datagram to all. What can't be sent is lost, as any datagram may be.
-func (p *Peers) Tell(b []byte) {
+// Send sends a datagram to all gateways. One that cannot be sent is counted and dropped, as datagrams may be lost anyway.
+func (p *Peers) Send(b []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(b, p.cfg.All); err != nil {
 		p.cfg.Counters.GossipErrors.Add(1)
 		return
@@ -76,11 +77,11 @@
 	p.cfg.Counters.GossipSent.Add(1)
 }
 
-// Run hands over what comes in until the context ends. What it hands over is the receiver's to keep.
-func (p *Peers) Run(ctx context.Context, heard func([]byte)) error {
+// Run calls receive with each datagram until ctx is done. receive owns the bytes.
+func (p *Peers) Run(ctx context.Context, receive func([]byte)) error {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
-	buffer := make([]byte, maxBytes+1)
+	buffer := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		switch {
@@ -89,16 +90,16 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // stopped
 			select {
 			case <-ctx.Done():
-			case <-time.After(stoppedFor):
+			case <-time.After(stoppedPollInterval):
 			}
 			continue
 		case err != nil:
 			p.cfg.Counters.GossipErrors.Add(1)
-			time.Sleep(failedFor) // an error that lasts must not take the processor
+			time.Sleep(readErrorDelay) // a persistent error must not cause a busy loop
 			continue
 		case from == p.cfg.Self:
 			continue
 		}
-		heard(append([]byte(nil), buffer[:n]...))
+		receive(append([]byte(nil), buffer[:n]...))
 	}
 }
--- a/internal/wire/succession/conn.go
+++ b/internal/wire/succession/conn.go
@@ -12,34 +12,35 @@
 	"time"
 )
 
-// A message is a head of 8 bytes (2 bytes "ym", the version of this protocol, its kind, the length of its body) and the
-// body. Descriptors travel with the head.
+// A message has a head of 8 bytes (2 bytes "ym", the protocol version, the kind and the length of the body) and the body.
+// File descriptors are sent with the head.
 const (
 	version  = 1
 	headSize = 8
 	maxBody  = 4 << 20
 	maxFiles = 3
 
-	kindHello  = 1 // heir: it would follow
-	kindEstate = 2 // elder: what it leaves; with the sockets and the lock that the body counts
-	kindBusy   = 3 // elder: another upgrade is under way
-	kindReady  = 4 // heir: from now on it serves
-	kindClient = 5 // elder: one client's connection; the body is how long it has idled, in milliseconds (4 bytes), and its user
+	kindHello    = 1 // new process: requests the handover state
+	kindHandover = 2 // old process: the handover state, with the descriptors of the lock and the sockets
+	kindBusy     = 3 // old process: another hot restart is in progress
+	kindReady    = 4 // new process: it serves from now on
+	kindClient   = 5 // old process: a client connection; the body is its idle time in milliseconds (4 bytes) and its user
 )
 
-// Errors of a connection between two processes.
+// Errors of a connection between the two processes.
 var (
-	ErrProtocol = errors.New("succession: not this protocol, or another version of it")
-	errStranger = errors.New("succession: the other process belongs to another user")
+	ErrProtocol  = errors.New("hot restart: unknown protocol or protocol version")
+	errOtherUser = errors.New("hot restart: peer process runs as another user")
 )
 
-// link is one end. Sending is safe for concurrent use.
+// link is one end of a connection between the two processes. Method send is safe for concurrent use.
 type link struct {
 	conn *net.UnixConn
 	mu   sync.Mutex
 }
 
-// newLink checks who is at the other end: whoever may write to the folder could listen there, or connect.
+// newLink checks that the peer process runs as the same user: any process that may write to the folder could listen on
+// the socket, or connect to it.
 func newLink(c *net.UnixConn) (*link, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -56,16 +57,16 @@
 		return nil, bad
 	}
 	if int(cred.Uid) != os.Getuid() {
-		return nil, errStranger
+		return nil, errOtherUser
 	}
 	return &link{conn: c}, nil
 }
 
-// send writes a message with the descriptors of the files, which stay open here.
+// send writes a message with the descriptors of the files. The files stay open in this process.
 func (l *link) send(kind byte, body []byte, files ...syscall.Conn) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.conn.SetWriteDeadline(time.Now().Add(answerWithin)); err != nil {
+	if err := l.conn.SetWriteDeadline(time.Now().Add(messageTimeout)); err != nil {
 		return err
 	}
 	out := append(make([]byte, 0, headSize+len(body)), 'y', 'm', version, kind)
@@ -83,7 +84,7 @@
 	})
 }
 
-// withDescriptors runs do with the descriptors of the files, which can't be closed meanwhile.
+// withDescriptors calls do with fds and the descriptors of the files, which cannot be closed during the call.
 func withDescriptors(files []syscall.Conn, fds []int, do func([]int) error) error {
 	if len(files) == 0 {
 		return do(fds)
@@ -100,7 +101,7 @@
 	return inner
 }
 
-// receive reads a message. Its files are the caller's.
+// receive reads a message. The caller must close the files.
 func (l *link) receive() (kind byte, body []byte, files []*os.File, err error) {
 	defer func() {
 		if err != nil {
@@ -114,7 +115,7 @@
 		if err != nil {
 			return 0, nil, files, err
 		}
-		more, err := filesOf(rights[:oob])
+		more, err := parseFiles(rights[:oob])
 		files = append(files, more...)
 		switch {
 		case err != nil:
@@ -135,7 +136,8 @@
 	return head[3], body, files, err
 }
 
-func filesOf(rights []byte) (files []*os.File, err error) {
+// parseFiles returns the files in the control messages. After an error it returns those parsed so far.
+func parseFiles(rights []byte) (files []*os.File, err error) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, err
--- a/internal/wire/succession/queue_test.go
+++ b/internal/wire/succession/queue_test.go
@@ -10,8 +10,8 @@
 	"yokemast/internal/wire/socket"
 )
 
-// waiting connects so many clients, who say something at once, and are not accepted yet.
-func waiting(t *testing.T, address string, n int) []net.Conn {
+// connectUnaccepted connects n clients that send one byte at once and are not accepted yet.
+func connectUnaccepted(t *testing.T, address string, n int) []net.Conn {
 	t.Helper()
 	var out []net.Conn
 	for range n {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// answer accepts what is in the queue and says back what it reads, until the listener is closed.
-func answer(l net.Listener) {
+// echo accepts queued connections and echoes one byte on each, until the listener is closed.
+func echo(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// turnedBack counts the clients that get no answer.
-func turnedBack(clients []net.Conn) (n int) {
+// countUnanswered returns the number of clients that get no answer.
+func countUnanswered(clients []net.Conn) (n int) {
 	for _, c := range clients {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
@@ -53,11 +53,11 @@
 	return n
 }
 
-// The way that was taken and the one that was not, over upgrades under which clients connect all the time. A process that ends
-// closes the socket that it listens on. If its heir has the same one, who waits in the queue is the heir's; if the heir opened one
-// of its own beside it, by SO_REUSEPORT, who waits in the old one's queue is turned back unheard.
-func TestWhoWaitsWhileTheOldProcessEnds(t *testing.T) {
-	const upgrades, clients = 100, 100
+// Compares handing over the listening socket with opening a second one by SO_REUSEPORT, while clients connect during hot
+// restarts. The old process closes its descriptor when it exits. If the new process has the same socket, it accepts the
+// queued connections; with a socket of its own, connections in the queue of the old socket are reset.
+func TestQueuedClientsSurviveHotRestart(t *testing.T) {
+	const restarts, clients = 100, 100
 	open := func(address string) *net.TCPListener {
 		l, err := (&net.ListenConfig{Control: socket.Share}).Listen(context.Background(), "tcp4", address)
 		if err != nil {
@@ -65,8 +65,8 @@
 		}
 		return l.(*net.TCPListener)
 	}
-	handed := func(old *net.TCPListener) *net.TCPListener {
-		f, err := old.File()
+	duplicate := func(oldListener *net.TCPListener) *net.TCPListener {
+		f, err := oldListener.File()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,30 +79,30 @@
 	}
 	lost := map[bool]int{}
 	for _, same := range []bool{true, false} {
-		for range upgrades {
-			old := open("127.0.0.1:0")
-			var heir *net.TCPListener
+		for range restarts {
+			oldListener := open("127.0.0.1:0")
+			var newListener *net.TCPListener
 			if same {
-				heir = handed(old)
+				newListener = duplicate(oldListener)
 			} else {
-				heir = open(old.Addr().String())
+				newListener = open(oldListener.Addr().String())
 			}
-			all := waiting(t, old.Addr().String(), clients)
-			_ = old.Close()
-			go answer(heir)
-			lost[same] += turnedBack(all)
-			_ = heir.Close()
+			all := connectUnaccepted(t, oldListener.Addr().String(), clients)
+			_ = oldListener.Close()
+			go echo(newListener)
+			lost[same] += countUnanswered(all)
+			_ = newListener.Close()
 			for _, c := range all {
 				_ = c.Close()
 			}
 		}
 	}
 	t.Logf("figure turned_back_one_socket=%d turned_back_two_sockets=%d of %d clients over %d upgrades", lost[true], lost[false],
-		upgrades*clients, upgrades)
+		restarts*clients, restarts)
 	if lost[true] != 0 {
-		t.Errorf("%d clients are turned back though the socket is handed over", lost[true])
+		t.Errorf("%d clients got no answer though the socket is handed over", lost[true])
 	}
 	if lost[false] == 0 {
-		t.Error("no client is turned back by a second socket: the test shows nothing")
+		t.Error("every client is answered with a second socket: the comparison shows nothing")
 	}
 }
