--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -32,7 +32,7 @@
 }
 
 func newInstance(router *balance.Router, set settings.Settings) *instance {
-	it := &instance{router: router, zero: set.Zero, deadlines: map[string]time.Duration{}, estimator: waits.New(), firstAttempts: map[string]string{}}
+	it := &instance{router: router, zero: set.PositionOrigin, deadlines: map[string]time.Duration{}, estimator: waits.New(), firstAttempts: map[string]string{}}
 	for _, c := range set.Balance.Classes {
 		it.deadlines[c.Name] = c.Deadline
 	}
@@ -80,7 +80,7 @@
 		if err != nil && err != io.EOF {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		name, e, err := sim.Line(line)
+		name, e, err := sim.ParseLine(line)
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
@@ -91,7 +91,7 @@
 			return fmt.Errorf("batch %d: unexpected %s", batch, name)
 		case name == "COMMIT":
 			open = false
-			if h.reply, err = sim.Plain(h.reply, "ACK", map[string]any{"turn": batch}); err == nil {
+			if h.reply, err = sim.AppendMessage(h.reply, "ACK", map[string]any{"turn": batch}); err == nil {
 				_, err = out.Write(h.reply)
 			}
 			if err == nil {
@@ -171,7 +171,7 @@
 func (h *host) decide(now time.Duration, id int, it *instance, ev balance.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply, err = sim.Plain(h.reply, "GIVE_IN", map[string]any{"who": id, "bodyText": fmt.Sprint(p)})
+			h.reply, err = sim.AppendMessage(h.reply, "GIVE_IN", map[string]any{"who": id, "bodyText": fmt.Sprint(p)})
 		}
 	}()
 	h.actions = it.router.Handle(now, ev, h.actions[:0])
@@ -182,7 +182,7 @@
 		case balance.Fail:
 			it.requestEnded(a.ID, false)
 		}
-		if h.reply, err = sim.Action(h.reply, id, a); err != nil {
+		if h.reply, err = sim.AppendAction(h.reply, id, a); err != nil {
 			return err
 		}
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -120,10 +120,10 @@
 // can still parse, with zero values for what is missing, so the raw keys are compared with those of the first file.
 func (c Config) checkReplacement(_ Config, raw []byte) error {
 	root := gjson.ParseBytes(raw)
-	if err := c.shape.Fits(root); err != nil {
+	if err := c.shape.Check(root); err != nil {
 		return err
 	}
-	return settings.Positive(root.Get("settings"))
+	return settings.CheckPositive(root.Get("settings"))
 }
 
 // parsePeers reads the peer addresses. A configuration without them is valid: the gateway then sends no gossip.
--- a/internal/lifecycle/pools.go
+++ b/internal/lifecycle/pools.go
@@ -38,8 +38,8 @@
 				return nil, nil, fmt.Errorf("pools.pool: %q: class %q does not exist in the settings or does not fit", p.Name, name)
 			}
 		}
-		built[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, Own: p.ReadAfterWrite, Write: p.Write,
-			Transaction: p.MaxTransaction, Idle: p.MaxIdle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, Most: p.MaxSessions, Stats: &frontend.PoolStats{}}
+		built[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, ReadAfterWrite: p.ReadAfterWrite, Write: p.Write,
+			MaxTransaction: p.MaxTransaction, MaxIdle: p.MaxIdle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, MaxSessions: p.MaxSessions, Stats: &frontend.PoolStats{}}
 	}
 	matches := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	return built, func(user, database string) *frontend.Pool {
@@ -58,7 +58,7 @@
 		Misses: counts.PreparedMisses.Get(), NoneFree: counts.HostsFull.Get()}
 	for _, p := range pools {
 		s := p.Stats
-		r := control.PoolReport{Pool: p.Name, Mode: p.Mode.String(), Sessions: s.Sessions.Load(), Holding: s.Leased.Load(),
+		r := control.PoolReport{Pool: p.Name, Mode: p.Mode.String(), Sessions: s.Sessions.Load(), Holding: s.CheckedOut.Load(),
 			Batches: s.Batches.Load(), Transactions: s.Transactions.Load(), Lost: s.Lost.Load(), Cancels: s.Cancels.Load(),
 			Pinned: map[string]int64{}}
 		for i, name := range pooling.PinNames() {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -55,11 +55,11 @@
 	}
 	r.counts.Reloads.Add(1)
 	r.log.Info("configuration read anew", zap.String("discovery", c.Discovery))
-	r.watcher.Move(c.Discovery)
+	r.watcher.SetAddress(c.Discovery)
 	r.exchange.UpdateSettings(c.Settings.Balance)
 	connect, idle := hostTimeouts(c.Settings)
-	r.hosts.Retune(connect, idle, c.Settings.Balance.ColdTime)
-	r.frontend.Retune(connectRetryAfter(c.Settings.Balance))
+	r.hosts.UpdateSettings(connect, idle, c.Settings.Balance.ColdTime)
+	r.frontend.SetRetryAfter(connectRetryAfter(c.Settings.Balance))
 	r.controller.setClasses(c.Settings.Balance.Classes)
 	r.config = c
 	return false
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -124,7 +124,7 @@
 	group.Go(func() error { return g.handleSignals(signals, onReload.read) })
 	group.Go(func() error {
 		defer stop()
-		g.controller.run(ctx, g.frontend.Held, g.apply)
+		g.controller.run(ctx, g.frontend.Connections, g.apply)
 		return nil
 	})
 	return group.Wait()
@@ -162,7 +162,7 @@
 			return admin.Serve(g.ctx, adminListener, g.controller, g.log, g.counts)
 		})
 	}
-	limits, prepared, wait := pooling.Limits{MinRest: backend.DefaultRest}, 0, time.Duration(0)
+	limits, prepared, wait := pooling.Limits{MinRest: backend.DefaultMinRest}, 0, time.Duration(0)
 	var pool func(user, database string) *frontend.Pool
 	if g.operatorFile != nil {
 		limits, prepared, wait = g.operatorFile.Pools.Limits, g.operatorFile.Pools.Prepared, g.operatorFile.Pools.Wait
@@ -172,15 +172,15 @@
 	}
 	clients, conns := g.connections()
 	connect, idle := hostTimeouts(c.Settings)
-	g.hosts = backend.New(g.ctx, g.group, backend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, Pools: limits, Prepared: prepared,
-		Wait: wait, Seed: c.Seed, ColdTime: settings.ColdTime, ConnectTimeout: connect, IdleTimeout: idle, MaxConns: conns,
+	g.hosts = backend.New(g.ctx, g.group, backend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, Pools: limits, MaxPrepared: prepared,
+		MaxWait: wait, Seed: c.Seed, ColdTime: settings.ColdTime, ConnectTimeout: connect, IdleTimeout: idle, MaxConns: conns,
 		User: user, Database: database}, g.exchange)
 	g.frontend = frontend.New(frontend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, MaxConns: clients, KeepIdle: c.Sockets / keepIdleDivisor,
-		Share: c.Sockets / shareDivisor, Pool: pool, MaxBytes: int64(float64(c.MemoryMB) * (1 << 20) * statementFraction), MaxLarge: g.heap() / largeDivisor,
-		RetryAfter: connectRetryAfter(settings), Yes: g.controller.Ready, Emptied: g.controller.notify}, g.exchange)
+		MaxActive: c.Sockets / shareDivisor, Pool: pool, MaxBytes: int64(float64(c.MemoryMB) * (1 << 20) * statementFraction), MaxLarge: g.heap() / largeDivisor,
+		RetryAfter: connectRetryAfter(settings), Ready: g.controller.Ready, OnEmpty: g.controller.notify}, g.exchange)
 	g.watcher = discovery.NewWatcher(c.Discovery, c.Seed)
-	g.watcher.Begun = g.startedAt
-	g.watcher.Log, g.watcher.Counters, g.watcher.Clock, g.watcher.Members, g.watcher.Answered = g.log, g.counts, g.clock, g.exchange.Members, g.onReady()
+	g.watcher.ProcessStart = g.startedAt
+	g.watcher.Log, g.watcher.Counters, g.watcher.Clock, g.watcher.OnList, g.watcher.OnFirstAnswer = g.log, g.counts, g.clock, g.exchange.Members, g.onReady()
 	return g.applyOperatorFile()
 }
 
@@ -234,7 +234,7 @@
 	return sync.OnceFunc(func() {
 		g.log.Info("ready", zap.String("name", g.config.Name), zap.String("listen", g.config.Listen))
 		_ = g.controller.handle(service.Ready)
-		g.frontend.Ready()
+		g.frontend.SetReady()
 		g.notifyOldProcess()
 	})
 }
@@ -247,7 +247,7 @@
 		// The environment is that of the start of the old process, which by now uses the address in the file after a
 		// reload: this address takes precedence.
 		g.config.Discovery = g.config.fileDiscovery
-		g.watcher.Move(g.config.Discovery)
+		g.watcher.SetAddress(g.config.Discovery)
 	}
 	if len(g.config.Known.Members) > 0 {
 		g.exchange.Members(exchange.List{Agent: g.config.Discovery, Revision: g.config.Known.Revision, At: g.startedAt, Snapshot: true, Hosts: g.config.Known.Members})
@@ -266,7 +266,7 @@
 		select {
 		case <-g.ctx.Done():
 		case <-time.After(maxDiscoveryWait):
-			g.watcher.Answered()
+			g.watcher.OnFirstAnswer()
 		}
 		return nil
 	})
@@ -290,7 +290,7 @@
 	}
 	config := net.ListenConfig{}
 	if g.config.Admin != "" { // a hot restart may find an old process that does not answer
-		config.Control = socket.Share
+		config.Control = socket.ReusePort
 	}
 	l, err := socket.Listen(g.ctx, &config, g.config.Listen)
 	if err != nil {
@@ -303,16 +303,16 @@
 func (g *gateway) apply(v service.View) {
 	if v.AnswersDue > 0 {
 		g.exchange.BeginShutdown(v.AnswersDue)
-		g.frontend.Ending()
+		g.frontend.StopEviction()
 	}
 	if v.LimitsShared != g.limitsShared {
 		g.limitsShared = v.LimitsShared
 		debug.SetMemoryLimit(g.heap())
 		_, hosts := g.connections()
-		g.hosts.Limit(hosts)
-		g.frontend.Resize(g.heap() / largeDivisor)
+		g.hosts.SetMaxConns(hosts)
+		g.frontend.SetMaxLarge(g.heap() / largeDivisor)
 	}
-	g.frontend.Leave(v.NewProcess != service.NoNewProcess)
+	g.frontend.SetLeaveQueued(v.NewProcess != service.NoNewProcess)
 	switch {
 	case v.Accept && !g.accepting:
 		_ = g.listener.SetDeadline(time.Time{})
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -47,7 +47,7 @@
 }
 
 // passFunc returns the function that passes client connections to the new process, or nil if they are not passed on.
-func (u *upgrade) passFunc(wanted bool) frontend.Pass {
+func (u *upgrade) passFunc(wanted bool) frontend.HandOver {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !wanted || u.newProcess == nil {
