--- a/cmd/yokemast/admin_test.go
+++ b/cmd/yokemast/admin_test.go
@@ -13,13 +13,14 @@
 	"yokemast/internal/testbed/hosts"
 )
 
-// withAdmin gives the configuration a second address, which comes back in address.
+// withAdmin returns an edit that adds an admin address to the configuration, and stores that address in
+// address.
 func withAdmin(address *string) func(string) string {
 	*address = strings.Replace(ownAddress(), ":5432", ":8081", 1)
 	return func(c string) string { return strings.Replace(c, `"listen":`, `"admin":"`+*address+`","listen":`, 1) }
 }
 
-// call makes one call and gives its status.
+// call sends one request to the admin address and returns the HTTP status.
 func call(t testing.TB, method, address, path string) int {
 	t.Helper()
 	req, _ := http.NewRequest(method, "http://"+address+path, nil)
@@ -32,11 +33,11 @@
 	return resp.StatusCode
 }
 
-// waitClosed waits until the gateway has ended a connection on which nothing is owed.
+// waitClosed waits until the gateway has closed a connection on which no answer is outstanding.
 func waitClosed(t testing.TB, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-		t.Fatalf("the connection gave %d bytes and %v, not its end", n, err)
+		t.Fatalf("the connection returned %d bytes and %v, want EOF", n, err)
 	}
 }
 
@@ -56,7 +57,7 @@
 	}
 }
 
-// Callers that connect and say nothing, or begin and don't end, must not keep an honest one waiting.
+// Connections that send nothing, or only part of a request, must not delay other callers of the admin address.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	var admin string
 	edit := withAdmin(&admin)
@@ -83,7 +84,7 @@
 	_, rest, _ := strings.Cut(g.log.String(), `"callers_dropped":`)
 	dropped := 0
 	if _, _ = fmt.Sscan(rest, &dropped); dropped < 24 {
-		t.Errorf("%d of 40 silent callers made room: more than 16 hold descriptors at a time", dropped)
+		t.Errorf("%d of 40 silent callers were dropped: more than 16 hold descriptors at a time", dropped)
 	}
 }
 
@@ -101,26 +102,26 @@
 	}
 	g := start(t, edit, h, slow)
 	idle, busy := g.client(), g.client()
-	// No position is believed before a primary's answer has shown how the clock stands.
+	// Positions are used only once a primary's answer has bounded the clock offset.
 	if got := idle.Ask(write("k", "9f", comment("order", ""))); got != "row k" {
 		t.Fatalf("the first write is answered %q", got)
 	}
 	busy.Send(read("slow", comment("view", "")))
 	for end := time.Now().Add(patience); !asked(slow, "slow"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the request does not reach a host")
+			t.Fatal("the request did not reach a host")
 		}
 	}
 	if got := call(t, "POST", admin, "/_lameduck/on"); got != 204 {
 		t.Fatal(got)
 	}
 	if got := g.client().Ask(""); got != "57P03" && got != "57P03, closed" {
-		t.Errorf("drained, the empty query is answered %q", got)
+		t.Errorf("during the drain the empty query is answered %q", got)
 	}
 	waitClosed(t, idle)
 	close(hold)
 	if got := busy.Answer(); !strings.HasPrefix(got, "row ") {
-		t.Errorf("what was under way is answered %q", got)
+		t.Errorf("the request in flight is answered %q", got)
 	}
 	waitClosed(t, busy)
 	if got := call(t, "POST", admin, "/_lameduck/off"); got != 204 {
@@ -133,9 +134,9 @@
 	if got := back.Ask(read("k", comment("view", ""))); !strings.HasPrefix(got, "row ") {
 		t.Errorf("after the drain a read is answered %q", got)
 	}
-	time.Sleep(500 * time.Millisecond) // longer than the drain would have kept it
+	time.Sleep(500 * time.Millisecond) // longer than a draining process keeps a connection
 	if got := back.Ask(""); got != "empty" {
-		t.Errorf("a client that came after the drain is answered %q", got)
+		t.Errorf("a client that connected after the drain is answered %q", got)
 	}
 }
 
--- a/cmd/yokemast/bench_test.go
+++ b/cmd/yokemast/bench_test.go
@@ -18,20 +18,20 @@
 	"yokemast/internal/wire/pg"
 )
 
-// cpuOf gives the processor time that a process has used.
+// cpuOf returns the processor time that a process has used.
 func cpuOf(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		b.Skip("no processor times here: ", err)
+		b.Skip("processor times are not available:  ", err)
 	}
 	f := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+2:]))
 	user, _ := strconv.ParseInt(f[11], 10, 64)
 	system, _ := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond // the kernel counts hundredths of a second
+	return time.Duration(user+system) * 10 * time.Millisecond // the kernel counts in units of 10 ms
 }
 
-// quickHost answers every query at once with one row, and says that it is a primary.
+// quickHost starts a host that answers every query at once with one row and reports the primary's role.
 func quickHost(b *testing.B) *hosts.Host {
 	h, err := hosts.New("s-1", hosts.Leader, nil)
 	if err != nil {
@@ -87,8 +87,8 @@
 	return h
 }
 
-// BenchmarkPooled measures what a statement of a pooled session costs the real program on one core, when nothing has to be
-// carried and when another session's settings have to be replaced each time.
+// BenchmarkPooled measures the cost of a statement of a pooled session in the real program on one core, both
+// without session settings and with another session's settings to be replaced before each statement.
 func BenchmarkPooled(b *testing.B) {
 	for _, set := range []bool{false, true} {
 		b.Run(fmt.Sprintf("other settings each time=%v", set), func(b *testing.B) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// BenchmarkGateway measures what a request costs the real program on one core, against the same clients on a direct
-// connection to the host.
+// BenchmarkGateway measures the cost of a request in the real program on one core, compared with the same
+// clients on direct connections to the host.
 func BenchmarkGateway(b *testing.B) {
 	for _, n := range []int{16, 200} {
 		for _, way := range []string{"direct", "through", "through, no rest"} {
@@ -166,7 +166,7 @@
 					}
 					work.Wait()
 				}
-				each(2 * n) // warm
+				each(2 * n) // warm up
 				var before time.Duration
 				if pid > 0 {
 					before = cpuOf(b, pid)
--- a/cmd/yokemast/bulk_test.go
+++ b/cmd/yokemast/bulk_test.go
@@ -18,7 +18,7 @@
 	"yokemast/internal/wire/pg"
 )
 
-// bulkValue is a value of so many bytes that no other key has.
+// bulkValue returns size pseudo-random bytes that differ for each key.
 func bulkValue(key string, size int) []byte {
 	seed := [32]byte{}
 	copy(seed[:], key)
@@ -31,7 +31,8 @@
 	return pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: v, Format: 1}, tag))
 }
 
-// bulk makes a host of large values: a read of "SIZE-name" gives as many bytes, a write gives back what was written.
+// bulk starts a host of large values: a read of "SIZE-name" returns SIZE bytes, a write returns the written
+// value.
 func bulk(t testing.TB) *hosts.Host {
 	h := newHost(t, "h1", "leader", nil)
 	h.Script = func(_ int, q string) []byte {
@@ -57,7 +58,7 @@
 
 func small(c string) string { return strings.Replace(c, `"memory_mb":192`, `"memory_mb":32`, 1) }
 
-// peakMB is the most memory that the process has had.
+// peakMB returns the peak resident memory of the process in MiB.
 func (g *gateway) peakMB() int {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(b), "VmHWM:")
@@ -73,7 +74,7 @@
 		key := fmt.Sprint(size, "-a")
 		c.Send(read(key, comment("view", "")))
 		if r := c.ReadReply(); r.Closed || !bytes.Equal(r.Value, bulkValue(key, size)) {
-			t.Errorf("a value of %d bytes comes back as %d, code %q, closed %v", size, len(r.Value), r.Code, r.Closed)
+			t.Errorf("a read of %d bytes returns %d, code %q, closed %v", size, len(r.Value), r.Code, r.Closed)
 		}
 		v := bulkValue("w", size)
 		c.Send(write("k", hex.EncodeToString(v), comment("order", "")))
@@ -83,11 +84,11 @@
 	}
 	c.Send(read(fmt.Sprint(pg.MaxValue+1, "-a"), comment("view", "")))
 	if r := c.ReadReply(); r.Code == "" {
-		t.Errorf("a value that is too large is served: %d bytes", len(r.Value))
+		t.Errorf("a value over the limit is served: %d bytes", len(r.Value))
 	}
 }
 
-// A statement cut anywhere comes whole; a client may take two seconds for a head.
+// A startup or statement that arrives in small pieces over seconds is still read in full.
 func TestSlowPieces(t *testing.T) {
 	g := start(t, small, bulk(t))
 	c := g.dial()
@@ -96,7 +97,7 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	if got := c.Answer(); got != "ready" {
-		t.Fatalf("a slow startup is answered %q", got)
+		t.Fatalf("a startup sent byte by byte is answered %q", got)
 	}
 	v := bulkValue("w", 200_000)
 	text := pg.AppendQuery(nil, write("k", hex.EncodeToString(v), comment("order", "")))
@@ -109,7 +110,8 @@
 	}
 }
 
-// The first bytes of a value go on before the rest has come, and a value whose host stops in its middle never looks whole.
+// The first bytes of a value are forwarded before the rest has arrived, and a value whose host closes the
+// connection halfway must not look complete to the client.
 func TestFirstBytesAndBrokenOff(t *testing.T) {
 	h := newHost(t, "h1", "leader", nil)
 	whole, got := served(bulkValue("k", 1<<20), "SELECT 1"), make(chan struct{})
@@ -129,24 +131,25 @@
 		c.Send(read(key, comment("view", "")))
 		first := make([]byte, 150_000)
 		if _, err := io.ReadFull(c.In, first); err != nil {
-			t.Fatalf("the first bytes do not come before the rest: %v", err)
+			t.Fatalf("the first bytes are not forwarded before the rest: %v", err)
 		}
 		stop.Do(func() { close(got) })
 		rest, err := io.ReadAll(io.LimitReader(c.In, int64(len(whole)-len(first))))
 		switch {
 		case key == "k" && !bytes.Equal(append(first, rest...), whole):
-			t.Errorf("%d bytes and %v", len(first)+len(rest), err)
+			t.Errorf("the value differs: %d bytes, %v", len(first)+len(rest), err)
 		case key == "broken" && len(first)+len(rest) >= len(whole)-20:
-			t.Errorf("a value broken off comes with %d bytes of %d", len(first)+len(rest), len(whole))
+			t.Errorf("a truncated value arrives with %d bytes of %d", len(first)+len(rest), len(whole))
 		}
 	}
 }
 
-// Large values, together many times the memory, are written and read slowly by many clients; all come whole, or are refused.
+// Many clients slowly write and read large values that together exceed the memory limit many times over. Each
+// value arrives complete or is refused, and the process stays within its limit.
 func TestBulkInLittleMemory(t *testing.T) {
 	g := start(t, small, bulk(t))
 	many, size := 24, 3<<20
-	if raceDetector { // ten times slower: as many would outlast their clients' deadlines
+	if raceDetector { // about ten times slower: more values would exceed the clients' deadlines
 		many, size = 8, 2<<20
 	}
 	var work sync.WaitGroup
@@ -181,7 +184,7 @@
 					mu.Lock()
 					wrong++
 					mu.Unlock()
-					t.Errorf("%d bytes, code %q, closed %v", len(r.Value), r.Code, r.Closed)
+					t.Errorf("answered with %d bytes, code %q, closed %v", len(r.Value), r.Code, r.Closed)
 				}
 				return
 			}
@@ -189,8 +192,8 @@
 		})
 	}
 	work.Wait()
-	t.Logf("%d values of %d MiB, refused %d times, %d wrong, at most %d MB", many, size>>20, refused, wrong, g.peakMB())
+	t.Logf("%d values of %d MiB, refused %d times, %d wrong, peak memory %d MB", many, size>>20, refused, wrong, g.peakMB())
 	if most := g.peakMB(); most > 32 && !raceDetector {
-		t.Errorf("%d MB, 32 are allowed", most)
+		t.Errorf("peak memory is %d MB, the limit is 32", most)
 	}
 }
--- a/cmd/yokemast/client_limits_test.go
+++ b/cmd/yokemast/client_limits_test.go
@@ -34,10 +34,10 @@
 		}
 	}
 	if over == 0 || len(all) == 0 {
-		t.Errorf("%d served, %d turned away", len(all), over)
+		t.Errorf("%d clients served, %d refused", len(all), over)
 	}
 	if got := all[0].Ask(read("k", comment("view", ""))); got != "row k" {
-		t.Errorf("one that was there first is answered %q", got)
+		t.Errorf("the first client is answered %q", got)
 	}
 }
 
@@ -46,7 +46,7 @@
 	for name, hold := range map[string]func(*clients.Client){
 		"silent from the start":    func(*clients.Client) {},
 		"silent after the startup": func(c *clients.Client) { c.Write(pg.AppendStartup(nil, "backend", "store")) },
-		"asked once and held theirs": func(c *clients.Client) {
+		"idle after one query": func(c *clients.Client) {
 			c.Write(append(pg.AppendStartup(nil, "backend", "store"), pg.AppendQuery(nil, "")...))
 		},
 	} {
@@ -64,7 +64,7 @@
 					break
 				}
 				if time.Now().After(end) {
-					t.Fatal("no room is made")
+					t.Fatal("idle connections are not closed for a new client")
 				}
 			}
 		})
@@ -75,20 +75,21 @@
 	few := func(c string) string { return strings.Replace(c, `"sockets":1024`, `"sockets":64`, 1) }
 	g := start(t, few, newHost(t, "s-1", "leader", nil))
 	var all []*clients.Client
-	for range 8 { // fewer than there is room for
+	for range 8 { // fewer than the connection limit
 		all = append(all, g.client())
 		all[len(all)-1].Ask("")
 	}
 	if _, err := all[0].In.ReadByte(); err != io.EOF {
-		t.Errorf("the one that was idle for longest reads %v", err)
+		t.Errorf("the client that was idle for longest reads %v, want EOF", err)
 	}
 	if got := all[7].Ask(""); got != "empty" {
-		t.Errorf("the one that was idle last is answered %q", got)
+		t.Errorf("the most recently active client is answered %q", got)
 	}
 }
 
 func TestIdleClientsAreEndedSoonerUnderPressure(t *testing.T) {
-	// Of 128 descriptors clients with requests can hold 42; three quarters of that is pressure.
+	// Of 128 descriptors, clients with requests can hold 42. Idle clients are closed sooner above three
+	// quarters of that.
 	some := func(c string) string { return strings.Replace(c, `"sockets":1024`, `"sockets":128`, 1) }
 	for n, want := range map[int]string{36: `"clients_pressed":[1-9]`, 20: `"clients_pressed":0`} {
 		t.Run(fmt.Sprint(n, " clients"), func(t *testing.T) {
@@ -100,10 +101,10 @@
 				all[len(all)-1].Ask("")
 			}
 			if _, err := all[0].In.ReadByte(); err != io.EOF {
-				t.Errorf("the one that was idle for longest reads %v", err)
+				t.Errorf("the client that was idle for longest reads %v, want EOF", err)
 			}
 			if got := all[n-1].Ask(""); got != "empty" {
-				t.Errorf("the one that was idle last is answered %q", got)
+				t.Errorf("the most recently active client is answered %q", got)
 			}
 			_ = g.cmd.Process.Signal(syscall.SIGUSR1)
 			g.waitLog(`"clients_pressed":`)
@@ -118,7 +119,7 @@
 	g := start(t, nil, newHost(t, "s-1", "leader", nil))
 	c := g.client()
 	if got := c.Answer(); got != "closed" {
-		t.Errorf("a client that begins no command is answered %q", got)
+		t.Errorf("a client that sends no command is answered %q", got)
 	}
 	g.waitLog(`"why":"ended: it began no command in time","client":"` + c.LocalAddr().String() + `"`)
 }
--- a/cmd/yokemast/clock_test.go
+++ b/cmd/yokemast/clock_test.go
@@ -11,8 +11,8 @@
 	"yokemast/internal/testbed/rules"
 )
 
-// The machine's wall clock was stepped before the process started: all others tell times by a clock that differs. Replicas are
-// used as if nothing were off, and no read is staler than its class.
+// The machine's wall clock was stepped before the process started, so the times that hosts and clients state
+// are off by a constant. Replicas are still used, and no read is staler than its class allows.
 func TestAWallClockThatIsOff(t *testing.T) {
 	for _, skew := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 		t.Run(skew.String(), func(t *testing.T) {
@@ -26,7 +26,7 @@
 			cluster.Bound, cluster.Own = 500*time.Millisecond, "own"
 			all := cluster.Hosts()
 			all[1].SetLag(5 * time.Millisecond)
-			all[2].SetLag(3200 * time.Millisecond) // what a clock that is behind by 3 s would take for fresh
+			all[2].SetLag(3200 * time.Millisecond) // looks fresh to a clock that is 3 s behind
 			brief := func(s string) string { return strings.ReplaceAll(s, `"onTime":10000000000`, `"onTime":400000000`) }
 			g := start(t, brief, all...)
 			c := g.client()
@@ -38,7 +38,7 @@
 				c.Do(clients.Request{Class: "view", Key: fmt.Sprint("k", n), Wait: 2 * time.Second, Repeatable: true}, ledger)
 				own := clients.Request{Class: "own", Key: fmt.Sprint("k", n), Wait: 2 * time.Second, Repeatable: true, After: time.Now().Add(skew)}
 				if got := c.Do(own, ledger); !got.Row || string(got.Value) != string(w.Value) {
-					t.Fatalf("a read of what was just written is answered %+v", got)
+					t.Fatalf("a read of the session's own write is answered %+v", got)
 				}
 			}
 			if broken := ledger.Broken(); len(broken) > 0 {
@@ -51,7 +51,7 @@
 				}
 			}
 			if reads < 40 {
-				t.Errorf("the fresh replica served %d of 120 reads that any fresh one may: %s", reads, g.log)
+				t.Errorf("the fresh replica served %d of the 120 reads that it may serve, want at least 40: %s", reads, g.log)
 			}
 		})
 	}
--- a/cmd/yokemast/drain_grace_test.go
+++ b/cmd/yokemast/drain_grace_test.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// notifiedWithin is when a change counts as notified at the latest, after discovery had it and could be reached.
+	// notifiedWithin is how long after discovery has a change and is reachable the gateway counts as notified
+	// of it.
 	notifiedWithin = 6 * time.Second
-	drainGrace     = time.Second // of settingsJSON
+	drainGrace     = time.Second // stopSendingWithin in settingsJSON
 )
 
-// drainBench is a running gateway before a cluster of three hosts, with clients that never pause.
+// drainBench is a running gateway in front of a cluster of three hosts, with clients that send continuously.
 type drainBench struct {
 	*gateway
 	cluster *hosts.Cluster
@@ -71,26 +72,28 @@
 	}
 }
 
-// drainPrimary lists the primary as draining, which goes on leading. The rules count it as notified 6 s later.
+// drainPrimary lists the primary as draining; the host remains the primary. The ledger's rules count the
+// gateway as notified 6 s later.
 func (b *drainBench) drainPrimary() {
 	primary := b.cluster.Primary()
 	b.agent.Set(primary.Entry("DRAINING"))
 	time.AfterFunc(notifiedWithin, func() { b.ledger.Told(primary.ID, false) })
 }
 
-// Whatever discovery's answers and the signals of a reload do, a host that was told to drain gets nothing new later than the grace.
+// A draining host receives no new request after the drain grace, whatever discovery answers and however often
+// the configuration is reloaded.
 func TestDrainGraceWhileDiscoveryIsInTrouble(t *testing.T) {
 	for name, run := range map[string]func(t *testing.T) *drainBench{
-		"answers are slow":                        drainBehindSlowDiscovery,
-		"a series of reloads that change nothing": drainUnderReloads,
-		"silent, and busy at its return":          drainAfterSilence,
+		"answers are slow":                 drainBehindSlowDiscovery,
+		"repeated reloads without changes": drainUnderReloads,
+		"silent, then unavailable":         drainAfterSilence,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := run(t)
 			time.Sleep(notifiedWithin + drainGrace + 500*time.Millisecond)
 			if n := b.ledger.Counts().AfterDrain; n > 0 {
-				t.Errorf("%d requests came to a host later than the grace after it was told to drain: %s", n, b.log)
+				t.Errorf("%d requests reached a draining host after the grace: %s", n, b.log)
 			}
 			if b.ledger.Counts().Served == 0 {
 				t.Errorf("nothing was served: %s", b.log)
@@ -99,7 +102,8 @@
 	}
 }
 
-// drainBehindSlowDiscovery: each answer takes 1.5 s beyond the wait that was asked for.
+// drainBehindSlowDiscovery drains the primary while each answer of discovery takes 1.5 s longer than the
+// requested wait.
 func drainBehindSlowDiscovery(t *testing.T) *drainBench {
 	var slow atomic.Bool
 	b := newDrainBench(t, func(int, http.ResponseWriter, *http.Request) bool {
@@ -115,7 +119,7 @@
 	return b
 }
 
-// drainUnderReloads: SIGHUP every 0.2 s, answers that take 0.3 s.
+// drainUnderReloads drains the primary while SIGHUP arrives every 0.2 s and answers of discovery take 0.3 s.
 func drainUnderReloads(t *testing.T) *drainBench {
 	b := newDrainBench(t, func(int, http.ResponseWriter, *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
@@ -138,7 +142,8 @@
 	return b
 }
 
-// drainAfterSilence: the agent swallows all calls for 3 s, and turns the first one after that away 1.9 s later.
+// drainAfterSilence drains the primary after the agent has left all calls unanswered for 3 s. The agent
+// refuses the first call after that, 1.9 s after it came.
 func drainAfterSilence(t *testing.T) *drainBench {
 	var silent, busy atomic.Bool
 	b := newDrainBench(t, func(_ int, w http.ResponseWriter, r *http.Request) bool {
@@ -154,7 +159,7 @@
 		return false
 	})
 	silent.Store(true)
-	time.Sleep(3200 * time.Millisecond) // the call that waits has begun before; the next one began just now
+	time.Sleep(3200 * time.Millisecond) // the long-poll call has timed out; the next call began just now
 	busy.Store(true)
 	silent.Store(false)
 	b.drainPrimary()
--- a/cmd/yokemast/end_stall_test.go
+++ b/cmd/yokemast/end_stall_test.go
@@ -34,9 +34,9 @@
 	}
 	t.Logf("%v, %s after SIGTERM", answers, time.Since(told))
 	if answers["closed"] > 0 {
-		t.Errorf("%d of %d requests are lost", answers["closed"], len(all))
+		t.Errorf("%d of %d requests got no answer", answers["closed"], len(all))
 	}
 	if strings.Contains(g.log.String(), "ending with requests unanswered") {
-		t.Errorf("something was not answered: %s", g.log)
+		t.Errorf("the process ended with unanswered requests: %s", g.log)
 	}
 }
--- a/cmd/yokemast/ending_test.go
+++ b/cmd/yokemast/ending_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// From SIGTERM to its end a process serves those that it holds, whatever it has been asked for before.
+// Between SIGTERM and its end a process still serves its connected clients, also in classes that were not
+// requested before.
 func TestEndingProcessServesClassesNobodyAskedForYet(t *testing.T) {
 	old, _ := upgradable(t, newHost(t, "h1", "leader", nil))
 	c := old.client()
--- a/cmd/yokemast/first_list_test.go
+++ b/cmd/yokemast/first_list_test.go
@@ -12,8 +12,8 @@
 	"yokemast/internal/testbed/rules"
 )
 
-// What the agent has counts as told from a new process's first moment, also where its first call falls silent or is turned away. The
-// agent answers any other call at once.
+// A drain that the agent lists counts as notified from the start of a new process, even if the process's
+// first call to the agent gets no answer or is refused. The agent answers the second call at once.
 func TestANewProcessKeepsADrainThoughItsFirstCallFails(t *testing.T) {
 	for name, fails := range map[string]func(w http.ResponseWriter, r *http.Request){
 		"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -49,7 +49,7 @@
 				c.Do(clients.Request{Class: "order", Key: "k", Write: true, Value: []byte("v"), Wait: 200 * time.Millisecond}, nil)
 			}
 			if n := ledger.Counts().AfterDrain; n > 0 {
-				t.Errorf("%d requests came to a host later than the grace: %s", n, ledger.Broken()[0])
+				t.Errorf("%d requests reached a draining host after the grace: %s", n, ledger.Broken()[0])
 			}
 		})
 	}
--- a/cmd/yokemast/harness_test.go
+++ b/cmd/yokemast/harness_test.go
@@ -22,7 +22,8 @@
 	"yokemast/internal/testbed/hosts"
 )
 
-// The tests start the real program: this test's own binary, which runs main where it is told to.
+// TestMain runs main instead of the tests if YOKEMAST_TEST_MAIN is set: the tests start their own binary as
+// the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("YOKEMAST_TEST_MAIN") != "" {
 		main()
@@ -31,9 +32,9 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second // nothing here takes nearly as long: what is waited for is lost if it runs out
+const patience = 20 * time.Second // far longer than any step of the tests takes
 
-// newHost starts a scripted host that ends with the test.
+// newHost starts a scripted host that is closed at the end of the test.
 func newHost(t testing.TB, id, role string, script func(n int, query string) []byte) *hosts.Host {
 	t.Helper()
 	h, err := hosts.New(id, role, script)
@@ -44,7 +45,7 @@
 	return h
 }
 
-// gateway is a running program.
+// gateway is a running process of the program.
 type gateway struct {
 	t       testing.TB
 	cmd     *exec.Cmd
@@ -68,7 +69,7 @@
 
 var gateways atomic.Int64
 
-// ownAddress is a loopback address that no other gateway of the tests has, whatever ports others are given.
+// ownAddress returns a loopback address that no other gateway of the tests uses.
 func ownAddress() string {
 	pid, n := os.Getpid(), int(gateways.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d:5432", 64+pid%128, (pid/128+64*(n/250))%256, 1+n%250)
@@ -94,7 +95,7 @@
 	return cmd
 }
 
-// logged is what a running program logs.
+// logged collects the log of a running program.
 type logged struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -112,7 +113,7 @@
 	return l.b.String()
 }
 
-// waitLog waits until the log holds the text.
+// waitLog waits until the log contains the text.
 func (g *gateway) waitLog(text string) {
 	g.t.Helper()
 	for end := time.Now().Add(patience); !strings.Contains(g.log.String(), text); time.Sleep(time.Millisecond) {
@@ -122,19 +123,19 @@
 	}
 }
 
-// start runs a gateway that knows the hosts and waits until it is ready.
+// start runs a gateway configured with the hosts and waits until it is ready.
 func start(t testing.TB, edit func(string) string, all ...*hosts.Host) *gateway {
 	t.Helper()
 	return startWith(t, edit, nil, all...)
 }
 
-// startWith does the same with more arguments of the command line.
+// startWith is start with additional command-line arguments.
 func startWith(t testing.TB, edit func(string) string, args []string, all ...*hosts.Host) *gateway {
 	t.Helper()
 	return startBehind(t, edit, nil, args, all...)
 }
 
-// startBehind does the same with an agent that answers as before says.
+// startBehind is startWith with a discovery agent that calls before, if it is not nil, ahead of each answer.
 func startBehind(t testing.TB, edit func(string) string, before func(int, http.ResponseWriter, *http.Request) bool, args []string,
 	all ...*hosts.Host) *gateway {
 	t.Helper()
@@ -170,7 +171,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the gateway does not listen: %s", g.log)
+			t.Fatalf("the gateway is not listening: %s", g.log)
 		}
 	}
 	c := g.client()
@@ -191,7 +192,7 @@
 	return c
 }
 
-// client is a client's connection, with its startup done.
+// client returns a client connection that has completed its startup.
 func (g *gateway) client() *clients.Client {
 	g.t.Helper()
 	c, err := clients.Start(g.address, "backend", patience)
@@ -202,7 +203,7 @@
 	return c
 }
 
-// comment makes a comment with a new id.
+// comment returns a statement's comment with a new request id.
 func comment(class string, more string) string {
 	return fmt.Sprintf("/* id=%s,c=%s,d=15000,cluster=1%s */", clients.NewID(), class, more)
 }
--- a/cmd/yokemast/moments_test.go
+++ b/cmd/yokemast/moments_test.go
@@ -20,27 +20,27 @@
 	"yokemast/internal/wire/pg"
 )
 
-// Each test here forces one order of events that is rare in service: what comes between two steps of the gateway.
+// Each test in this file forces an order of events that is rare in service, between two steps of the gateway.
 
-// killAt is when SIGKILL may come after SIGTERM where the longest deadline is 3 s or more.
+// killAt returns how long after SIGTERM the platform may send SIGKILL, if the longest deadline is 3 s or more.
 func killAt() time.Duration {
-	if raceDetector { // it sleeps for a second of its own when a process ends
+	if raceDetector { // the race detector sleeps for 1 s when a process exits
 		return 4700 * time.Millisecond
 	}
 	return 3700 * time.Millisecond
 }
 
-// waitAsked waits until a host has got so many queries.
+// waitAsked waits until a host has received n queries.
 func waitAsked(t testing.TB, h *hosts.Host, n int) {
 	t.Helper()
 	for end := time.Now().Add(patience); len(h.Asked()) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the host was asked %d times, not %d", len(h.Asked()), n)
+			t.Fatalf("the host received %d queries, want %d", len(h.Asked()), n)
 		}
 	}
 }
 
-// waitCounter waits until the running program counts as much.
+// waitCounter waits until a counter of the program has the value n.
 func (g *gateway) waitCounter(name string, n int) {
 	g.t.Helper()
 	want := fmt.Sprintf("%q:%d,", name, n)
@@ -52,7 +52,7 @@
 	}
 }
 
-// SIGKILL may come 3.7 s after SIGTERM, whatever the deadline of what was taken before.
+// Requests in flight at SIGTERM are answered before SIGKILL may come 3.7 s later, whatever their deadline.
 func TestWhatIsOpenAtSIGTERMIsAnsweredBeforeTheEnd(t *testing.T) {
 	silent := func(int, string) []byte { return []byte{} }
 	for _, c := range []struct {
@@ -62,15 +62,15 @@
 		want  string
 	}{
 		{"a write at a host that hangs", func(h *hosts.Host) { h.Script = silent }, write("k", "9f", comment("order", "")), "58000"},
-		{"a write that no primary takes", func(h *hosts.Host) { h.Script = always("25006")(h) }, write("k", "9f", comment("order", "")), "53300 come back"},
-		{"a write whose connection does not come up", func(h *hosts.Host) { h.Admit = func(int) { time.Sleep(patience) } },
+		{"a write that every host refuses as not primary", func(h *hosts.Host) { h.Script = always("25006")(h) }, write("k", "9f", comment("order", "")), "53300 come back"},
+		{"a write whose host connection is not established", func(h *hosts.Host) { h.Admit = func(int) { time.Sleep(patience) } },
 			write("k", "9f", comment("order", "")), "53300 come back"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t, "s-1", "leader", nil)
 			c.host(h)
-			edit := func(s string) string { // late answers of these classes are worth something: they are held for long
+			edit := func(s string) string { // late answers have a value in these classes, so requests are kept for long
 				return strings.Replace(s, `"onTime":400000000,"giveUp":20000000000`, `"onTime":14000000000,"giveUp":20000000000`, 1)
 			}
 			g := start(t, edit, h)
@@ -83,21 +83,22 @@
 				t.Errorf("answered %q, want %q", got, c.want)
 			}
 			if err := g.cmd.Wait(); err != nil {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the process ended with %v", err)
 			}
 			if took := time.Since(told); took > killAt() {
-				t.Errorf("it ended %s after SIGTERM", took)
+				t.Errorf("the process ended %s after SIGTERM", took)
 			}
 			if strings.Contains(g.log.String(), "ending with requests unanswered") {
-				t.Errorf("something was not answered: %s", g.log)
+				t.Errorf("the process ended with unanswered requests: %s", g.log)
 			}
 		})
 	}
 }
 
-// A client's wait runs from when it sent, also while what it sent before is being answered.
+// A request's deadline counts from when the client sent it, also while its earlier pipelined commands are
+// being answered.
 func TestTimeRunsBehindOtherCommands(t *testing.T) {
-	for _, before := range []int{1, 20} { // the reader must go on whatever waits
+	for _, before := range []int{1, 20} { // reading must go on however many commands wait
 		release := make(chan struct{})
 		h := newHost(t, "s-1", "leader", nil)
 		h.Script = func(_ int, query string) []byte { <-release; return h.Row(query) }
@@ -111,7 +112,7 @@
 		all = pg.AppendQuery(all, read("brief", brief))
 		_, _ = c.Write(all)
 		waitAsked(t, h, 1)
-		time.Sleep(700 * time.Millisecond) // the time of the last one is over
+		time.Sleep(700 * time.Millisecond) // the last request's deadline has passed
 		close(release)
 		for range before {
 			if got := c.Answer(); got != "row k" {
@@ -119,30 +120,31 @@
 			}
 		}
 		if got := c.Answer(); got != "53300 come back" {
-			t.Errorf("behind %d: what had no time left is answered %q", before, got)
+			t.Errorf("after %d commands: the request past its deadline is answered %q", before, got)
 		}
 		if n := len(h.Asked()); n != before {
-			t.Errorf("behind %d: %d queries went out", before, n)
+			t.Errorf("after %d commands: %d queries were sent", before, n)
 		}
 	}
 }
 
-// withoutProbes edits settings so that the connections which a host gets are those of requests alone: a process that starts
-// probes hosts for the time.
+// withoutProbes turns probes off, so that a host gets connections for requests alone: a process that starts
+// probes hosts to learn the clock offset.
 func withoutProbes(s string) string { return strings.Replace(s, `"probes":true`, `"probes":false`, 1) }
 
-// leavings are the ways in which a client goes.
+// leavings are the ways in which a client disconnects.
 var leavings = []struct {
 	name  string
 	leave func(c *clients.Client)
 }{
 	{"closes", func(c *clients.Client) { _ = c.Close() }},
-	{"ends its sending", func(c *clients.Client) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
+	{"half-closes", func(c *clients.Client) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
 	{"resets", func(c *clients.Client) { _ = c.Conn.(*net.TCPConn).SetLinger(0); _ = c.Close() }},
-	{"says goodbye", func(c *clients.Client) { _, _ = c.Write(pg.Append(nil, pg.Terminate, nil)) }},
+	{"sends Terminate", func(c *clients.Client) { _, _ = c.Write(pg.Append(nil, pg.Terminate, nil)) }},
 }
 
-// A client that leaves with commands waiting is noticed at once, and none of them is sent on.
+// A client that disconnects with pipelined commands waiting is noticed at once, and none of them is sent to a
+// host.
 func TestClientThatLeavesWithCommandsWaiting(t *testing.T) {
 	for _, l := range leavings {
 		t.Run(l.name, func(t *testing.T) {
@@ -159,18 +161,19 @@
 			l.leave(c)
 			select {
 			case <-h.Ended:
-			case <-time.After(5 * time.Second): // its time is 15 s
-				t.Fatal("the attempt is still out")
+			case <-time.After(5 * time.Second): // the request's deadline is 15 s
+				t.Fatal("the attempt is still in flight")
 			}
 			g.waitCounter("clients_open", 0)
 			if n := len(h.Asked()); n != 1 {
-				t.Errorf("%d queries went out", n)
+				t.Errorf("%d queries were sent", n)
 			}
 		})
 	}
 }
 
-// A write can't be canceled once it is out, but before its connection has come up it is dropped with its client.
+// A write can't be canceled once it is sent, but while its host connection is being established it is dropped
+// when its client disconnects.
 func TestNothingGoesOutForAClientThatHasLeft(t *testing.T) {
 	for _, l := range leavings {
 		t.Run(l.name, func(t *testing.T) {
@@ -195,17 +198,18 @@
 			}
 			for _, q := range h.Asked() {
 				if strings.Contains(q, "'left'") {
-					t.Errorf("sent on after its client had left: %s", q)
+					t.Errorf("sent to a host after its client had disconnected: %s", q)
 				}
 			}
 		})
 	}
 }
 
-// Within its window a keyed write may go again; a connection that comes up later must not carry it past that.
+// A keyed write may be retried only within its window: it must not be sent on a connection that is
+// established later.
 func TestAWindowMayCloseWhileAConnectionComesUp(t *testing.T) {
 	coming, up := make(chan struct{}, 1000), make(chan struct{})
-	var broke atomic.Bool // the first attempt has come, and breaks off: from then on connections come up late
+	var broke atomic.Bool // set when the first attempt fails: later connections are established late
 	h := newHost(t, "s-1", "leader", func(int, string) []byte { broke.Store(true); return nil })
 	h.Admit = func(int) {
 		if broke.Load() {
@@ -219,21 +223,22 @@
 	c := start(t, edit, h).client()
 	c.Send(write("k", "9f", comment("order", "")))
 	select {
-	case <-coming: // the first attempt broke off, and the second is on its way
+	case <-coming: // the first attempt failed, and the retry waits for its connection
 	case <-time.After(patience):
-		t.Fatal("there is no second attempt")
+		t.Fatal("the gateway makes no retry")
 	}
-	time.Sleep(600 * time.Millisecond) // the window closes
+	time.Sleep(600 * time.Millisecond) // the window of 0.5 s ends
 	close(up)
 	if got := c.Answer(); !strings.HasPrefix(got, "53300") {
 		t.Errorf("answered %q", got)
 	}
 	if n := len(h.Asked()); n != 1 {
-		t.Errorf("%d attempts went out", n)
+		t.Errorf("%d attempts were sent", n)
 	}
 }
 
-// A connection asked for before its host was told to drain may come up after the grace: nothing goes out on it then.
+// A connection requested before the drain notification may be established after the drain grace: nothing is
+// sent on it.
 func TestAHostDrainsWhileAConnectionComesUp(t *testing.T) {
 	for _, how := range []string{"DRAINING", "DELETED", "not listed"} {
 		t.Run(how, func(t *testing.T) {
@@ -257,26 +262,27 @@
 			}
 			g.waitLog(`"msg":"hosts listed"`)
 			told := time.Now()
-			time.Sleep(time.Until(told.Add(1100 * time.Millisecond))) // the grace is over
+			time.Sleep(time.Until(told.Add(1100 * time.Millisecond))) // the drain grace has ended
 			close(up)
 			if got := c.Answer(); !strings.HasPrefix(got, "53300") {
 				t.Errorf("answered %q", got)
 			}
 			if asked := h.Asked(); len(asked) > 0 {
-				t.Errorf("sent to a host told %s: %s", how, asked)
+				t.Errorf("sent to a host that is %s: %s", how, asked)
 			}
 		})
 	}
 }
 
-// What the kernel has accepted when the clients' address closes is served: the process is stopped over that moment.
+// Connections in the kernel's accept queue when the listener closes are served. The process is stopped at
+// that moment, so that connections queue up.
 func TestWhatWaitsToBeAcceptedAtTheEndIsTaken(t *testing.T) {
 	g := start(t, nil, newHost(t, "s-1", "leader", nil))
 	_ = g.cmd.Process.Signal(syscall.SIGTERM)
 	g.waitLog(`"msg":"ending"`)
 	told := time.Now()
 	_ = g.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(time.Until(told.Add(2970 * time.Millisecond))) // just after it would have stopped accepting
+	time.Sleep(time.Until(told.Add(2970 * time.Millisecond))) // just after the process would have stopped accepting
 	var all []*clients.Client
 	for range 10 {
 		c := g.dial()
@@ -294,7 +300,8 @@
 	}
 }
 
-// Who sends more at once than is read ahead is told so; what came before that is answered, and others are served.
+// A client that pipelines more commands than are read ahead is refused and closed; its earlier commands are
+// answered, and other clients are served.
 func TestMoreCommandsThanAreReadAhead(t *testing.T) {
 	release := make(chan struct{})
 	h := newHost(t, "s-1", "leader", nil)
@@ -329,7 +336,7 @@
 	}
 }
 
-// resets resets the connection of a call.
+// resets resets the connection of an HTTP call and reports whether it could.
 func resets(w http.ResponseWriter) bool {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -340,7 +347,7 @@
 	return true
 }
 
-// troubles are what an agent can do with a call. Each gives whether it has answered.
+// troubles are the faults of a discovery agent. Each function reports whether it has handled the call.
 var troubles = map[string]func(http.ResponseWriter, *http.Request) bool{
 	"silent": func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true },
 	"resets": func(w http.ResponseWriter, _ *http.Request) bool { return resets(w) },
@@ -358,13 +365,13 @@
 		return true
 	},
 	"breaks off": func(w http.ResponseWriter, _ *http.Request) bool {
-		_, _ = w.Write([]byte(`{"revision":42,"complete":true,"members":[]}`)) // a list, and no end
+		_, _ = w.Write([]byte(`{"revision":42,"complete":true,"members":[]}`)) // a list without the end of the response
 		w.(http.Flusher).Flush()
 		return resets(w)
 	},
 }
 
-// Whatever becomes of a watch, what it misses is in force within 6 s.
+// A change that a failed watch call misses takes effect within 6 s.
 func TestWhatABrokenWatchMissesComesInTime(t *testing.T) {
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -382,16 +389,17 @@
 			g.agent.Set(h.Entry("DRAINING"))
 			g.waitLog(`"msg":"hosts listed"`)
 			if took := time.Since(at); took > 6*time.Second {
-				t.Errorf("the drain was in force after %s", took)
+				t.Errorf("the drain took effect after %s", took)
 			}
 			if strings.Contains(g.log.String(), `"revision":42,"entries":0`) {
-				t.Errorf("a list that broke off was used: %s", g.log)
+				t.Errorf("a truncated list was used: %s", g.log)
 			}
 		})
 	}
 }
 
-// What discovery's agent has counts as told from the process's first moment, before it has read its configuration.
+// A drain that the discovery agent lists at the start counts as notified from the start of the process,
+// before the configuration is read. Reading it takes 0.3 s here, as the file is a pipe.
 func TestTheFirstListCountsFromBeforeTheConfigurationIsRead(t *testing.T) {
 	const reading = 300 * time.Millisecond
 	h := newHost(t, "s-1", "leader", nil)
@@ -411,24 +419,24 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = g.cmd.Process.Kill(); _ = g.cmd.Wait() }()
-	w, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the process reads
+	w, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the process has opened the file
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(reading) // that the file takes
+	time.Sleep(reading) // how long the file takes to read
 	_, _ = w.Write(text)
 	_ = w.Close()
 	g.waitLog(`"msg":"hosts listed"`)
 	for line := range strings.Lines(g.log.String()) {
 		if before := gjson.Get(line, "notified_before"); before.Exists() {
 			if d, err := time.ParseDuration(before.Str); err != nil || d < reading {
-				t.Errorf("the first list counts as told %s before it arrived (%v)", before.Raw, err)
+				t.Errorf("the first list counts as notified %s before it arrived (%v)", before.Raw, err)
 			}
 		}
 	}
 }
 
-// A gateway is ready soon, whatever discovery does, and serves by the list that it was given.
+// A gateway becomes ready within 5 s, whatever discovery does, and serves by the list in its configuration.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
@@ -436,7 +444,7 @@
 			began := time.Now()
 			g := startBehind(t, nil, func(_ int, w http.ResponseWriter, r *http.Request) bool { return trouble(w, r) }, nil, newHost(t, "s-1", "leader", nil))
 			if took := time.Since(began); took > 5*time.Second {
-				t.Errorf("it was ready after %s", took)
+				t.Errorf("the gateway was ready after %s", took)
 			}
 			if got := g.client().Ask(write("k", "9f", comment("order", ""))); got != "row k" {
 				t.Errorf("answered %q", got)
@@ -445,7 +453,8 @@
 	}
 }
 
-// Idle clients fill all places while discovery is away. At its return the list comes, and who asks is served.
+// Idle clients use up the connection limit while discovery is unreachable. When discovery returns, the list
+// arrives and new clients are served.
 func TestDiscoveryComesBackToAFullHouse(t *testing.T) {
 	var away atomic.Bool
 	h := newHost(t, "s-1", "leader", nil)
@@ -456,7 +465,7 @@
 	away.Store(true)
 	g.agent.CloseClientConnections()
 	g.waitLog(`"discovery failed"`)
-	for range 400 { // as many as there are places, and more
+	for range 400 { // more than the connection limit
 		n, err := net.Dial("tcp", g.address)
 		if err != nil {
 			t.Fatal(err)
@@ -470,7 +479,7 @@
 	back := time.Now()
 	g.waitLog(`"discovery answers again"`)
 	if took := time.Since(back); took > 5*time.Second {
-		t.Errorf("the list came after %s", took)
+		t.Errorf("the list arrived after %s", took)
 	}
 	for end := time.Now().Add(patience); ; {
 		c, err := clients.Start(g.address, "backend", patience)
@@ -482,16 +491,17 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("nobody is served: %s", g.log)
+			t.Fatalf("no client is served: %s", g.log)
 		}
 	}
 }
 
-// Signals may come in any order and at any stage: what was taken is answered, and the process ends in time, and cleanly.
+// Whatever the order of SIGHUP and SIGTERM, accepted requests are answered and the process exits cleanly and
+// in time.
 func TestSignalsInAnyOrder(t *testing.T) {
 	const hup, term = syscall.SIGHUP, syscall.SIGTERM
 	for name, signals := range map[string][]syscall.Signal{
-		"SIGTERM twice": {term, term}, "SIGHUP behind SIGTERM": {term, hup}, "SIGTERM behind SIGHUP": {hup, term},
+		"SIGTERM twice": {term, term}, "SIGHUP after SIGTERM": {term, hup}, "SIGTERM after SIGHUP": {hup, term},
 		"two SIGHUP and SIGTERM": {hup, hup, term}, "all at once": {hup, term, hup, term, hup},
 		"SIGTERM in a series of SIGHUP": append(append(slices.Repeat([]syscall.Signal{hup}, 100), term), slices.Repeat([]syscall.Signal{hup}, 100)...),
 	} {
@@ -514,10 +524,10 @@
 				t.Errorf("answered %q", got)
 			}
 			if err := g.cmd.Wait(); err != nil {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the process ended with %v", err)
 			}
 			if took := time.Since(told); took > killAt() {
-				t.Errorf("it ended %s after SIGTERM", took)
+				t.Errorf("the process ended %s after SIGTERM", took)
 			}
 		})
 	}
@@ -528,15 +538,15 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		// From its first line on it follows signals; a process that runs has passed that soon.
+		// The program handles signals from its first line on, which it reaches well within 0.2 s.
 		time.Sleep(200 * time.Millisecond)
 		_ = cmd.Process.Signal(term)
 		told := time.Now()
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the process ended with %v", err)
 		}
 		if took := time.Since(told); took > killAt() {
-			t.Errorf("it ended %s after SIGTERM", took)
+			t.Errorf("the process ended %s after SIGTERM", took)
 		}
 	})
 }
--- a/cmd/yokemast/peers_test.go
+++ b/cmd/yokemast/peers_test.go
@@ -11,8 +11,9 @@
 	"yokemast/internal/control/gossip"
 )
 
-// The real program tells another gateway how its attempt ended, and takes what that one tells: a read goes to the
-// replica by the position heard, as nothing may be probed here. A datagram that can't be read harms nothing.
+// The real program sends a gossip entry about its attempt's outcome to another gateway, and uses the entries
+// it receives: a read goes to the replica by the received position, as probes are off. A malformed datagram
+// is ignored.
 func TestGatewaysTellEachOther(t *testing.T) {
 	other, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +43,7 @@
 	}
 	heard, err := state.Receive(time.Duration(time.Now().UnixNano()), gossip.Offsets{Bounded: true}, b[:n], nil)
 	if err != nil || len(heard) != 1 || heard[0].Server != "s-1" || heard[0].Class != "order" || heard[0].Role != balance.Primary {
-		t.Errorf("told %+v, %v", heard, err)
+		t.Errorf("received the gossip entries %+v, %v", heard, err)
 	}
 	to, err := net.ResolveUDPAddr("udp4", own)
 	if err != nil {
@@ -58,7 +59,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		if got := c.Ask(read("k", comment("view", ""))); got != "row k" || time.Now().After(end) {
-			t.Fatalf("a read is answered %q, the follower got none", got)
+			t.Fatalf("a read is answered %q, and the replica received none", got)
 		}
 	}
 }
--- a/cmd/yokemast/pooling_failures_test.go
+++ b/cmd/yokemast/pooling_failures_test.go
@@ -39,11 +39,11 @@
 		"after a failure":  {"BEGIN", "INSERT INTO kv (name, content) VALUES ('k', 'left')", "FAIL"},
 		"in a savepoint":   {"BEGIN", "SAVEPOINT s", "INSERT INTO kv (name, content) VALUES ('k', 'left')"},
 		"after a SET":      {"BEGIN", "SET app.session = 'left'"},
-		"in one query all": {"BEGIN; SET app.session = 'left'; INSERT INTO kv (name, content) VALUES ('k', 'left')"},
+		"all in one query": {"BEGIN; SET app.session = 'left'; INSERT INTO kv (name, content) VALUES ('k', 'left')"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startPooled(t, 1, fmt.Sprintf(onePool, 1), nil, nil) // one connection: the next session gets the same
+			p := startPooled(t, 1, fmt.Sprintf(onePool, 1), nil, nil) // one connection, so the next session gets the same
 			c, err := clients.Start(p.address, "app", patience)
 			if err != nil {
 				t.Fatal(err)
@@ -54,7 +54,7 @@
 			c.Close()
 			next := p.must(t)
 			if got, err := one(t.Context(), next, "SHOW app.session"); got != "" || err != nil {
-				t.Errorf("the next session finds %q, %v", got, err)
+				t.Errorf("the next session reads the setting %q, %v", got, err)
 			}
 			if _, err := next.Exec(t.Context(), "INSERT INTO kv (name, content) VALUES ('k', 'next')"); err != nil {
 				t.Error(err)
@@ -76,7 +76,7 @@
 		c.Ask(s)
 	}
 	if got := c.Answer(); got != "25P03, closed" {
-		t.Errorf("its client is told %q", got)
+		t.Errorf("the client is answered %q", got)
 	}
 	if _, err := p.must(t).Exec(t.Context(), "INSERT INTO kv (name, content) VALUES ('k', 'next')"); err != nil {
 		t.Error(err)
@@ -135,7 +135,7 @@
 		t.Errorf("%v: %s", got, diff)
 	}
 	if got, err := one(ctx, k, "SELECT 'after'"); got != "after" || err != nil {
-		t.Errorf("after it: %q, %v", got, err)
+		t.Errorf("after the pipeline: %q, %v", got, err)
 	}
 }
 
@@ -152,7 +152,7 @@
 		sleeping <- err
 	}()
 	time.Sleep(100 * time.Millisecond)
-	if err := a.PgConn().CancelRequest(ctx); err != nil { // a's statement has ended; its connection runs b's
+	if err := a.PgConn().CancelRequest(ctx); err != nil { // a's statement has ended, and its host connection runs b's
 		t.Error(err)
 	}
 	if err := <-sleeping; err != nil {
@@ -168,10 +168,10 @@
 	}
 	var bad *pgconn.PgError
 	if err := <-sleeping; !errors.As(err, &bad) || bad.Code != "57014" {
-		t.Errorf("its own ends with %v", err)
+		t.Errorf("the session's own statement ends with %v", err)
 	}
 	if got, err := one(ctx, a, "SELECT 'next'"); got != "next" || err != nil {
-		t.Errorf("the next on that connection: %q, %v", got, err)
+		t.Errorf("the next statement on that connection: %q, %v", got, err)
 	}
 }
 
@@ -199,7 +199,7 @@
 	} {
 		k = p.must(t)
 		if err := run(name); err == nil {
-			t.Errorf("%s: its client is told that it went well", name)
+			t.Errorf("%s: the client got no error", name)
 		}
 		if n := p.c.IDs()[name]; n != 1 {
 			t.Errorf("%s: committed %d times", name, n)
--- a/cmd/yokemast/pooling_limits_test.go
+++ b/cmd/yokemast/pooling_limits_test.go
@@ -51,13 +51,13 @@
 	}
 	var bad *pgconn.PgError
 	if _, err := one(t.Context(), b, "SELECT 'x'"); !errors.As(err, &bad) || bad.Code != pg.CodeTooMany || bad.Detail == "" {
-		t.Errorf("beyond the pool's bound: %v", err)
+		t.Errorf("beyond the pool's limit: %v", err)
 	}
 	if err := tx.Rollback(t.Context()); err != nil {
 		t.Error(err)
 	}
 	if got, err := one(t.Context(), b, "SELECT 'x'"); got != "x" || err != nil {
-		t.Errorf("after it: %q, %v", got, err)
+		t.Errorf("after the transaction: %q, %v", got, err)
 	}
 	c, err := clients.Start(p.address, "other", patience)
 	if err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// peak is how many host connections the gateway had at most. A host counts a connection until it has noticed that the gateway has
-// closed it, so hosts may see a few more than there are.
+// peak returns the highest number of host connections that the gateway had at a time. A host counts a
+// connection until it notices that the gateway has closed it, so hosts may count a few more.
 func (p *pooled) peak(t *testing.T) int {
 	t.Helper()
 	var r control.PoolsReport
@@ -123,10 +123,10 @@
 	}
 	work.Wait()
 	if served.Load() != 400 {
-		t.Errorf("%d of 400 were served, %d times there was no room", served.Load(), refused.Load())
+		t.Errorf("%d of 400 clients were served, %d attempts were refused", served.Load(), refused.Load())
 	}
-	if most := p.peak(t); most > 8 || p.c.Peak() > 2*8 { // each may be there twice, closing and open
-		t.Errorf("%d host connections, hosts saw %d", most, p.c.Peak())
+	if most := p.peak(t); most > 8 || p.c.Peak() > 2*8 { // a host may count a closing connection beside its successor
+		t.Errorf("%d host connections, hosts counted %d", most, p.c.Peak())
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGUSR1)
 	p.waitLog(`"panics":0`)
--- a/cmd/yokemast/proof_cells_test.go
+++ b/cmd/yokemast/proof_cells_test.go
@@ -21,10 +21,10 @@
 	"yokemast/internal/wire/pg"
 )
 
-// proofSeed draws keys and classes of the calm clients; it is printed with every figure.
+// proofSeed seeds the keys and classes of the calm tenants' clients. It is printed with every figure.
 const proofSeed = 20261201
 
-// cluster starts a group's hosts and closes them with the test.
+// cluster starts a group's hosts and closes them at the end of the test.
 func cluster(t *testing.T, group int, prefix string, n int, l *rules.Ledger, set func(*hosts.Host)) *hosts.Cluster {
 	t.Helper()
 	c, err := hosts.NewCluster(group, prefix, n, l, set)
@@ -39,7 +39,7 @@
 	return c
 }
 
-// operatorFile writes an operator's file with a control socket and gives its path and the socket's.
+// operatorFile writes an operator's file with a control socket and returns the paths of both.
 func operatorFile(t testing.TB, text string) (path, socket string) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "yk") // a socket's path must be short
@@ -55,7 +55,7 @@
 	return path, socket
 }
 
-// command runs a sub-command of the program and gives what it prints.
+// command runs a subcommand of the program and returns its output.
 func command(t testing.TB, args ...string) (string, error) {
 	t.Helper()
 	out, err := program(t.Context(), args...).CombinedOutput()
@@ -78,30 +78,31 @@
   (cell "coast" (concurrency 8)) (cell "hills") (cell "city")
   (tenant "flooder" (cell "coast")) (tenant "calm-1" (cell "hills")) (tenant "calm-2" (cell "city")))`
 
-// brisk gives reads an aim of 0.6 s: by far more than they take here, and little against what a flood makes of them.
+// brisk sets the latency target of reads to 0.6 s: far more than they take here, and little compared with
+// their latency under a flood.
 func brisk(c string) string {
 	return strings.ReplaceAll(c, `"onTime":10000000000,"giveUp":20000000000`, `"onTime":600000000,"giveUp":2000000000`)
 }
 
-// flooded is what two calm tenants get while a third is as it is.
+// flooded counts the results of two calm tenants while a third floods the gateway.
 type flooded struct {
 	asked, served, lost int
 	floodRefused        int64
 	counts              rules.Counts
 }
 
-// shared has two cells with three replicas each, of which they share two.
+// shared configures two cells with three replicas each, two of which they have in common.
 const shared = `(cells (claims yes) (size 3) (overlap 2) (queue 1) (floor 8)
   (cell "coast" (concurrency 8) (pin "s-1" "s-2" "s-3")) (cell "hills" (pin "s-2" "s-3" "s-4"))
   (tenant "flooder" (cell "coast")) (tenant "calm-1" (cell "hills")) (tenant "calm-2" (cell "hills")))`
 
-// flood runs the calm tenants' requests, the same for the same seed, with so many connections of a third tenant that ask
-// without a pause and come again the moment they are turned away.
+// flood runs the calm tenants' requests, the same for the same seed, beside flooders connections of a third
+// tenant that send continuously and retry at once when they are refused.
 func flood(t *testing.T, own string, flooders int) (out flooded) {
 	t.Helper()
 	l := &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond}}
-	// Each host runs one request of 40 ms at a time: what the calm ones need fits their share, and nothing depends on how
-	// fast this machine is.
+	// Each host runs one request of 40 ms at a time: the calm tenants' load fits their share, and the result
+	// does not depend on the speed of the machine.
 	c := cluster(t, 1, "s-", 7, l, func(h *hosts.Host) { h.Slots, h.Room, h.Work = 1, 3, 40*time.Millisecond })
 	var args []string
 	if own != "" {
@@ -176,8 +177,8 @@
 	return out
 }
 
-// TestProofCells shows that a flooded cell harms no other, and that a tenant is moved under load without losing or doubling
-// a write. Replay: go test ./cmd/yokemast -run TestProofCells -v
+// TestProofCells shows that a flooded cell does not affect the tenants of other cells. Replay: go test
+// ./cmd/yokemast -run TestProofCells -v
 func TestProofCells(t *testing.T) {
 	quiet := flood(t, threeCells, 0)
 	under := flood(t, threeCells, 80)
@@ -189,11 +190,11 @@
 	t.Logf("figure doubled_writes=%d", under.counts.Doubled+quiet.counts.Doubled)
 	t.Logf("figure stale_reads=%d", under.counts.Stale+quiet.counts.Stale)
 	if under.lost > 0 || share < 0.99 || under.floodRefused == 0 || 10*quiet.served < 9*quiet.asked {
-		t.Errorf("the flood harms others: %+v, without it %+v", under, quiet)
+		t.Errorf("the flood affects other tenants: %+v, without it %+v", under, quiet)
 	}
 }
 
-// TestProofCellsBefore shows the harm that cells prevent: the same flood without them.
+// TestProofCellsBefore shows the effect that cells prevent: the same flood without cells.
 func TestProofCellsBefore(t *testing.T) {
 	quiet := flood(t, "", 0)
 	under := flood(t, "", 80)
@@ -201,16 +202,17 @@
 	t.Logf("seed %d: %d of %d served without the flood, %d of %d with it", proofSeed, quiet.served, quiet.asked, under.served, under.asked)
 	t.Logf("figure before_others_served_share=%.3f", share)
 	if share > 0.9 || 10*quiet.served < 9*quiet.asked {
-		t.Errorf("without cells the flood harms nobody: %+v, without it %+v", under, quiet)
+		t.Errorf("without cells the flood affects no tenant: %+v, without the flood %+v", under, quiet)
 	}
 }
 
-// TestTwoCellsThatShareAllButOneReplica: what both use is shared by weight, so the flood of one leaves the other its part.
+// TestTwoCellsThatShareAllButOneReplica guards against a flood of one cell taking the other's share of the
+// replicas they have in common, which are divided by weight.
 func TestTwoCellsThatShareAllButOneReplica(t *testing.T) {
 	under := flood(t, shared, 80)
 	t.Logf("seed %d: %d of %d served", proofSeed, under.served, under.asked)
 	if 100*under.served < 99*under.asked || under.floodRefused == 0 {
-		t.Errorf("the flood harms the other cell: %+v", under)
+		t.Errorf("the flood affects the other cell: %+v", under)
 	}
 }
 
@@ -218,7 +220,7 @@
   (cell "coast") (cell "hills") (tenant "apollo" (cell "coast")) (tenant "medi" (cell "hills"))
   (moves (ramp 200ms) (fence %s) (warm 5s)))`
 
-// moved is a gateway before two groups, the second of which has a copy of the first's data.
+// moved is a gateway in front of two groups, the second of which has a copy of the first's data.
 type moved struct {
 	*gateway
 	ledger *rules.Ledger
@@ -236,7 +238,7 @@
 	m.socket = socket
 	m.gateway = startWith(t, nil, []string{"--operator", path}, append(m.one.Hosts(), m.two.Hosts()...)...)
 	c := m.client()
-	for group := 1; group <= 2; group++ { // who is primary is learnt from answers
+	for group := 1; group <= 2; group++ { // the primary is learned from answers
 		c.Do(clients.Request{Class: "order", Tenant: "medi", Group: group, Key: "first", Write: true, Wait: 5 * time.Second}, m.ledger)
 	}
 	return m
@@ -249,7 +251,7 @@
 	}
 }
 
-// ends waits until the last move has come to its end and gives the stage.
+// ends waits until the last move has ended and returns it.
 func (m *moved) ends() cells.Move {
 	m.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -257,7 +259,7 @@
 			return r.Ended[len(r.Ended)-1]
 		}
 	}
-	m.t.Fatalf("the move does not end: %s", m.log)
+	m.t.Fatalf("the move did not end: %s", m.log)
 	return cells.Move{}
 }
 
@@ -272,7 +274,7 @@
 		_ = k.SetDeadline(time.Time{})
 		work.Go(func() {
 			key, last, wrote := fmt.Sprint("patient-", i), []byte(nil), time.Time{}
-			sure := true // the last write's end is known
+			sure := true // the outcome of the last write is known
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -309,7 +311,7 @@
 	m.order("move", "apollo", "--from-group", "1", "--to-group", "2")
 	end := m.ends()
 	committed(m.two, 100)
-	m.order("move", "apollo", "--to", "hills") // and inside its group
+	m.order("move", "apollo", "--to", "hills") // and within its group
 	inside := m.ends()
 	committed(m.two, 200)
 	close(stop)
@@ -361,17 +363,17 @@
 	m.waitLog(`"stage":"fenced"`)
 	held := b.Do(clients.Request{Class: "order", Tenant: "apollo", Key: "k", Write: true, Wait: time.Second}, m.ledger)
 	if held.Code != pg.CodeTooMany || held.After == 0 {
-		t.Errorf("a write that waited at the fence is answered %+v", held)
+		t.Errorf("a write held by the fence is answered %+v", held)
 	}
 	if end := m.ends(); end.Stage != cells.Aborted || !strings.Contains(end.Reason, "writes are in flight") {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
 	if r := <-answers; r.Code != pg.CodeFailed {
-		t.Errorf("the write whose end is unknown is answered %+v", r)
+		t.Errorf("the write with unknown outcome is answered %+v", r)
 	}
 	old.SetHang(hosts.Awake)
 	if one, two := m.one.IDs()["hanging"], m.two.IDs()["hanging"]; one != 1 || two != 0 {
-		t.Errorf("that write was committed %d times where it was sent and %d times on the other side", one, two)
+		t.Errorf("that write was committed %d times in the old group and %d times in the new one", one, two)
 	}
 	for _, broken := range m.ledger.Broken() {
 		t.Error(broken)
@@ -402,18 +404,18 @@
 			break
 		}
 	}
-	old.Crash() // its connection breaks: the write may have run
+	old.Crash() // its connection is reset: the write was possibly executed
 	if r := <-answers; r.Code != pg.CodeFailed {
-		t.Errorf("the write that broke is answered %+v", r)
+		t.Errorf("the write whose connection was reset is answered %+v", r)
 	}
 	if r := <-answers; !r.Row {
-		t.Errorf("the write that waited is answered %+v", r)
+		t.Errorf("the held write is answered %+v", r)
 	}
 	if end := m.ends(); end.Stage != cells.Settled {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
 	if one, two := m.one.IDs(), m.two.IDs(); one["broken"] != 1 || two["broken"] != 0 || one["waiting"] != 0 || two["waiting"] != 1 {
-		t.Errorf("the one that broke ran %d and %d times, the one that waited %d and %d", one["broken"], two["broken"],
+		t.Errorf("the reset write was committed %d and %d times, the held one %d and %d", one["broken"], two["broken"],
 			one["waiting"], two["waiting"])
 	}
 	for _, broken := range m.ledger.Broken() {
@@ -423,7 +425,8 @@
 
 func TestMoveWhileTheNewPrimaryIsDead(t *testing.T) {
 	m := startMoved(t, "1s", nil)
-	// The new group's primary dies, and its probes with it, before the fence stands; nobody takes over.
+	// The new group's primary crashes, so that probes of it fail, before the writes are fenced; no host takes
+	// over.
 	m.two.Primary().Crash()
 	m.two.Promote(nil)
 	k := m.client()
@@ -539,9 +542,9 @@
 		t.Errorf("cells plan: %v, %s", err, out)
 	}
 	if out, err := command(t, "cells", "show", "--socket", socket+"x"); err == nil || !strings.Contains(out, "no gateway answers") {
-		t.Errorf("no gateway: %v, %s", err, out)
+		t.Errorf("without a gateway: %v, %s", err, out)
 	}
-	// A file with a fault has no effect in any part; one without cells takes them away; one with other cells is used.
+	// A file with an error has no effect at all; one without cells removes them; one with other cells is used.
 	hup(`(cells (cell "coast") (cell "hills") (sise 2))`, "own.sexp:1:38: cells.sise: no such entry")
 	if r := report(t, socket); len(r.Cells) != 1 {
 		t.Errorf("a bad file has an effect: %+v", r)
@@ -559,7 +562,7 @@
 	}
 	_ = g.cmd.Process.Signal(syscall.SIGUSR1)
 	g.waitLog(`"operators":2,"operators_bad":1`)
-	// At the start a fault ends the program with one line.
+	// At the start an error ends the program with one line.
 	bad, _ := operatorFile(t, "(cells)")
 	for _, cmd := range []string{"serve", "check"} {
 		out, err := command(t, cmd, "--config", g.path, "--operator", bad)
--- a/cmd/yokemast/proof_daily_test.go
+++ b/cmd/yokemast/proof_daily_test.go
@@ -18,13 +18,13 @@
 	"yokemast/internal/testbed/rules"
 )
 
-// day is a gateway in service: steady clients, and staff who work on it.
+// day is a gateway in service: steady clients, and operations such as upgrades, reloads and drains.
 type day struct {
 	t       testing.TB
 	cluster *hosts.Cluster
 	ledger  *rules.Ledger
-	now     *gateway // the process that serves
-	address string   // of all its processes
+	now     *gateway // the process that serves now
+	address string   // the client address of all processes
 	admin   string
 	stop    chan struct{}
 	work    sync.WaitGroup
@@ -33,11 +33,12 @@
 	bulkBytes, bulkCut                         atomic.Int64
 	mu                                         sync.Mutex
 	closed                                     []string        // ids of requests whose connection ended without an answer
-	large                                      map[string]bool // of them, those of large values
+	large                                      map[string]bool // the ids in closed that belong to large values
 	memory                                     int
 }
 
-// newDay starts a gateway with so many steady clients, as many that ask once and then stay, and callers that say nothing.
+// newDay starts a gateway with steady continuous clients, as many that send one query and stay idle, and 20
+// silent connections to the admin address.
 func newDay(t testing.TB, seed uint64, steady int) *day {
 	d := &day{t: t, ledger: &rules.Ledger{Limits: rules.Limits{Slack: 2 * time.Second, Grace: time.Second}}, stop: make(chan struct{}), large: map[string]bool{}}
 	c, err := hosts.NewCluster(1, "s-", 3, d.ledger, nil)
@@ -75,8 +76,8 @@
 	return d
 }
 
-// turn waits for a client's next turn, and connects where it has no connection; nil: that failed, and counts as turned back.
-// Not ok: the day is over.
+// turn waits for the pause before a client's next request, and connects if c is nil. It returns a nil client
+// if that fails, which counts as a closed connection, and false once the day is over.
 func (d *day) turn(c *clients.Client, pause time.Duration) (next *clients.Client, ok bool) {
 	select {
 	case <-d.stop:
@@ -99,7 +100,7 @@
 	return c, true
 }
 
-// client asks now and then, on one connection for as long as that stays.
+// client sends a request every 0.1 to 0.4 s and reconnects when its connection is closed.
 func (d *day) client(rng *rand.Rand) {
 	var c *clients.Client
 	for {
@@ -135,10 +136,10 @@
 	}
 }
 
-// bulkClients write and read large values all the while.
+// bulkClients is the number of clients that write large values throughout.
 const bulkClients = 4
 
-// bulk writes a large value and takes it back, again and again. What is served must be what was written, and whole.
+// bulk repeatedly writes a large value. The answer must hold exactly the written value.
 func (d *day) bulk(key string) {
 	value := bulkValue(key, 400_000)
 	var c *clients.Client
@@ -156,7 +157,7 @@
 		case reply.Row && bytes.Equal(reply.Value, value):
 			d.bulkBytes.Add(int64(len(value)))
 		case reply.Row:
-			d.bulkCut.Add(1) // not what was written
+			d.bulkCut.Add(1) // not the written value
 		case reply.Code == "":
 			d.mu.Lock()
 			d.closed = append(d.closed, r.ID)
@@ -170,7 +171,8 @@
 	}
 }
 
-// call makes a call that must not take a second, however many clients and silent callers there are.
+// call sends a request to the admin address, which must take less than a second, however many clients and
+// silent callers there are.
 func (d *day) call(method, path string, want int) {
 	d.t.Helper()
 	start := time.Now()
@@ -199,7 +201,7 @@
 	d.call("GET", "/_ready", 503)
 	if c, err := clients.Start(d.now.address, "backend", patience); err == nil {
 		if got := c.Ask(""); !strings.HasPrefix(got, "57P03") {
-			d.t.Errorf("drained, the front is told %q", got)
+			d.t.Errorf("during the drain a new client is answered %q", got)
 		}
 		c.Close()
 	}
@@ -207,11 +209,12 @@
 	d.call("POST", "/_lameduck/off", 204)
 	d.call("GET", "/_ready", 200)
 	if got := d.now.client().Ask(""); got != "empty" {
-		d.t.Errorf("back at work, the front is told %q", got)
+		d.t.Errorf("after the drain a new client is answered %q", got)
 	}
 }
 
-// finish ends the day and says how it went.
+// finish stops the clients. It returns how many connections were closed with a request that a host had
+// received, and how many with one that no host had received.
 func (d *day) finish() (cut, turnedBack int) {
 	close(d.stop)
 	d.work.Wait()
@@ -227,7 +230,7 @@
 		if asked[id] {
 			cut++
 			if d.large[id] {
-				d.bulkCut.Add(1) // a host had it: it ended in the middle of its answer, or before
+				d.bulkCut.Add(1) // a host had received it: the connection was closed before or during the answer
 			}
 		} else {
 			turnedBack++
@@ -236,8 +239,8 @@
 	return cut, turnedBack
 }
 
-// TestProofDaily puts a gateway through its staff's work, under load: upgrades, new settings (every third of them broken) and
-// drains. Replay: YOKEMAST_SEED=n go test ./cmd/yokemast -run TestProofDaily
+// TestProofDaily runs a gateway under load through upgrades, reloads of settings (every third file is
+// invalid) and drains. Replay: YOKEMAST_SEED=n go test ./cmd/yokemast -run TestProofDaily
 func TestProofDaily(t *testing.T) {
 	seed := uint64(20261202)
 	if s := os.Getenv("YOKEMAST_SEED"); s != "" {
@@ -255,13 +258,13 @@
 	for i := range reloads {
 		text := []string{two, two[:len(two)/2], string(one)}[i%3]
 		d.now.reload(text)
-		time.Sleep(120 * time.Millisecond) // the log takes ten lines of a kind in a second
+		time.Sleep(120 * time.Millisecond) // the log accepts ten lines of a kind per second
 		if i%3 != 1 {
 			taken++
 		}
 	}
 	if got := strings.Count(d.now.log.String(), "configuration read anew"); got != taken {
-		t.Errorf("%d files were taken of %d that are whole", got, taken)
+		t.Errorf("%d settings files were used, %d are valid", got, taken)
 	}
 	turnedBack := d.endedSoFar()
 	for range drains {
@@ -278,28 +281,29 @@
 		t.Errorf("a rule is broken: %s", b)
 	}
 	if cut != 0 || turnedBack != 0 || d.mixed.Load() != 0 || d.late.Load() != 0 {
-		t.Errorf("%d connections ended with a request; upgrades and settings ended %d; %d requests met mixed settings; %d calls late",
+		t.Errorf("%d connections were closed with a request; upgrades and reloads closed %d; %d requests met mixed settings; %d admin calls were late",
 			cut, turnedBack, d.mixed.Load(), d.late.Load())
 	}
 	if d.bulkCut.Load() != 0 || d.bulkBytes.Load() == 0 {
-		t.Errorf("%d bytes of large values came whole, %d values did not", d.bulkBytes.Load(), d.bulkCut.Load())
+		t.Errorf("%d bytes of large values arrived complete, %d values did not", d.bulkBytes.Load(), d.bulkCut.Load())
 	}
 	if d.served.Load() < 1000 {
 		t.Errorf("only %d requests were served", d.served.Load())
 	}
 }
 
-// endedSoFar says how many connections have ended so far without an answer.
+// endedSoFar returns how many connections have been closed so far without an answer.
 func (d *day) endedSoFar() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return int64(len(d.closed))
 }
 
-// TestProofDailyNeedsTheHandover is the proof's twin: processes that do not find each other end their clients' connections.
+// TestProofDailyNeedsTheHandover shows that TestProofDaily can fail: an old and a new process that do not
+// find each other close their clients' connections.
 func TestProofDailyNeedsTheHandover(t *testing.T) {
 	d := newDay(t, 1, 50)
-	t.Setenv("TMPDIR", t.TempDir()) // another folder: the next process finds no elder there
+	t.Setenv("TMPDIR", t.TempDir()) // another folder, where the new process does not find the old one
 	old := d.now
 	witness := old.client()
 	next, admin := old.next()
--- a/cmd/yokemast/proof_leases_test.go
+++ b/cmd/yokemast/proof_leases_test.go
@@ -19,7 +19,8 @@
 	"yokemast/internal/wire/fleet"
 )
 
-// act is what the stand-in resource saw: an act under the lease, with its token, and whether its fence admitted it.
+// act is an action under the lease that the resource received, with its token and whether the resource's
+// fence admitted it.
 type act struct {
 	at       time.Time
 	holder   uint16
@@ -27,7 +28,7 @@
 	admitted bool
 }
 
-// resource stands in for whatever a fleet-wide task acts on: it keeps a fence, unless the test takes it out.
+// resource simulates the target of a fleet-wide task. It checks tokens by its fence if on is set.
 type resource struct {
 	mu    sync.Mutex
 	fence leases.Fence
@@ -71,8 +72,8 @@
 	return append([]act(nil), r.acts...)
 }
 
-// check is the rule: among admitted acts, in the order they arrived, a token never goes back and one token is one
-// holder's. It gives the number of handoffs.
+// check verifies that among the admitted acts, in order of arrival, tokens never decrease and each token
+// belongs to one holder. It returns the number of handoffs.
 func check(acts []act) (handoffs int, err error) {
 	var newest uint64
 	by := map[uint64]uint16{}
@@ -100,13 +101,13 @@
 
 type leaseFleet struct {
 	procs map[uint16]*exec.Cmd
-	net   *faults.Layer // between voters
-	acts  *faults.Layer // from voters to the resource
+	net   *faults.Layer // links between voters
+	acts  *faults.Layer // links from voters to the resource
 	res   *resource
 }
 
-// startLeaseFleet starts n voters of the real program, each link between two of them and each link to the
-// resource through the fault layer.
+// startLeaseFleet starts n voters of the real program. The links between them and to the resource pass the
+// fault layer.
 func startLeaseFleet(t *testing.T, ctx context.Context, seed uint64, n int, fence bool) *leaseFleet {
 	f := &leaseFleet{procs: map[uint16]*exec.Cmd{}, res: &resource{on: fence},
 		net:  faults.New(seed, faults.Plan{Drop: 0.05, Dup: 0.02, Delay: time.Millisecond, Jitter: 4 * time.Millisecond}),
@@ -156,7 +157,7 @@
 	return f
 }
 
-// holder is the holder of the newest admitted act; 0 before any.
+// holder returns the holder and the token of the last admitted act, or 0 before the first.
 func (f *leaseFleet) holder() (uint16, uint64) {
 	acts := f.res.snapshot()
 	for i := len(acts) - 1; i >= 0; i-- {
@@ -179,7 +180,7 @@
 	return 0
 }
 
-// actsOf is how many acts of a holder have arrived.
+// actsOf returns how many acts of a holder have arrived.
 func (f *leaseFleet) actsOf(holder uint16) (n int) {
 	for _, a := range f.res.snapshot() {
 		if a.holder == holder {
@@ -198,8 +199,9 @@
 	}
 }
 
-// playLeases plays one seed: the holder is paused with acts of its own on their way, cut off from the voters, and
-// killed, one after another in the seed's order.
+// playLeases runs one seed: the holder is paused with acts of its own in transit, partitioned from the
+// voters, and killed, in an order drawn from the seed. It returns -1 handoffs if the check fails without the
+// fence.
 func playLeases(t *testing.T, seed uint64, fence bool) (acts []act, handoffs int, worst time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -214,7 +216,7 @@
 		var took time.Duration
 		switch play {
 		case "pause":
-			// what it sent just before the pause arrives after another's act, however long that one takes
+			// The acts sent just before the pause are delivered only after an act of the next holder.
 			f.acts.Hold(h, 0)
 			waitFor(t, "acts on their way", func() bool { return f.acts.Counts().Held >= 3 })
 			_ = f.procs[h].Process.Signal(syscall.SIGSTOP)
@@ -264,9 +266,9 @@
 	return []uint64{1, 2}
 }
 
-// TestProofLeases starts five voters of the real program with the project's fault layer between them and between
-// them and the resource, pauses, cuts off and kills the holder, and checks that the resource never admitted an act of
-// an older holder after a newer one's.
+// TestProofLeases starts five voters of the real program with the fault layer between them and between them
+// and the resource, pauses, partitions and kills the holder, and checks that the resource never admits an act
+// of an older holder after one of a newer holder.
 func TestProofLeases(t *testing.T) {
 	for _, seed := range leaseSeeds() {
 		t.Logf("seed %d; replay: YOKEMAST_LEASE_SEED=%d go test ./cmd/yokemast -run TestProofLeases", seed, seed)
@@ -278,22 +280,22 @@
 			}
 		}
 		if handoffs < 3 {
-			t.Fatalf("seed %d: the lease passed %d times for three losses of its holder", seed, handoffs)
+			t.Fatalf("seed %d: the lease was handed off %d times for three losses of its holder", seed, handoffs)
 		}
 		if refused == 0 {
-			t.Fatalf("seed %d: the paused holder's late acts were not refused: the fence was never tried", seed)
+			t.Fatalf("seed %d: the paused holder's late acts were not refused: the fence was not exercised", seed)
 		}
 		t.Logf("figure lease_handoffs=%d lease_acts=%d lease_refused_stale=%d lease_worst_handoff_ms=%d (seed %d)",
 			handoffs, len(acts), refused, worst.Milliseconds(), seed)
 	}
 }
 
-// TestProofLeasesWithoutTheFence takes the resource's fence out and wants the checker to see an older holder act
-// after a newer one: the proof above can fail.
+// TestProofLeasesWithoutTheFence shows that TestProofLeases can fail: without the resource's fence the
+// checker must find an act of an older holder after one of a newer holder.
 func TestProofLeasesWithoutTheFence(t *testing.T) {
 	seed := leaseSeeds()[0]
 	_, handoffs, _ := playLeases(t, seed, false)
 	if handoffs != -1 {
-		t.Fatalf("seed %d: without the fence the checker found nothing", seed)
+		t.Fatalf("seed %d: without the fence the checker found no violation", seed)
 	}
 }
--- a/cmd/yokemast/proof_pooling_test.go
+++ b/cmd/yokemast/proof_pooling_test.go
@@ -19,7 +19,8 @@
 	"yokemast/internal/wire/pg"
 )
 
-// pooled is a gateway whose users share host connections, before a cluster of general hosts.
+// pooled is a gateway whose users share host connections, in front of a cluster of hosts that accept general
+// SQL.
 type pooled struct {
 	*gateway
 	c      *hosts.Cluster
@@ -64,15 +65,15 @@
 	return k
 }
 
-// one asks for one text.
+// one runs a query that returns a single text value.
 func one(ctx context.Context, k *pgx.Conn, sql string, args ...any) (string, error) {
 	var s string
 	err := k.QueryRow(ctx, sql, args...).Scan(&s)
 	return s, err
 }
 
-// TestProofPooling runs 400 sessions of a real driver over 40 host connections while hosts die and drain. Replay:
-// go test ./cmd/yokemast -run TestProofPooling -v
+// TestProofPooling runs 400 sessions of a real driver over 40 host connections while hosts crash and drain.
+// Replay: go test ./cmd/yokemast -run TestProofPooling -v
 func TestProofPooling(t *testing.T) {
 	const sessions, connections, rounds = 400, 40, 6
 	p := startPooled(t, 4, fmt.Sprintf(onePool, connections), nil, func(h *hosts.Host) { h.Work = time.Millisecond })
@@ -91,7 +92,7 @@
 			defer begun()
 			mine := fmt.Sprint("session-", i)
 			var k *pgx.Conn
-			set := "" // what the session has set, as far as it was told
+			set := "" // the setting that the session was told is in effect
 			for n := 0; n < rounds && ctx.Err() == nil; n++ {
 				if k == nil || k.IsClosed() {
 					var err error
@@ -119,7 +120,7 @@
 					}
 					set = mine
 				}
-				// The same name has another text in each session.
+				// Each session prepares another text under the same name.
 				if _, err := k.Prepare(ctx, "mine", "SELECT '"+mine+"'"); !fail(err) {
 					if got, err := one(ctx, k, "mine"); !fail(err) && got != mine {
 						foreign.Add(1)
@@ -147,7 +148,7 @@
 							t.Logf("%s reads %q after it committed %q", mine, got, value)
 						}
 					}
-				case 2: // one that sets and is rolled back
+				case 2: // a transaction that changes the setting and is rolled back
 					tx, err := k.Begin(ctx)
 					if fail(err) {
 						continue
@@ -169,7 +170,8 @@
 		})
 	}
 	started.Wait()
-	// On the seed: a replica dies and comes back, another drains, then the primary dies and a replica takes over.
+	// By the seed, a replica crashes and restarts, another drains, then the primary crashes and the drained
+	// replica, listed as serving again, takes over.
 	rng := rand.New(rand.NewPCG(proofSeed, 1000))
 	all := p.c.Hosts()
 	dies, drains := 1+rng.IntN(3), 0
@@ -233,7 +235,7 @@
 			t.Errorf("%s: %v", step.sql, err)
 		}
 	}
-	// As on a connection of its own, DISCARD ALL takes the driver's prepared statements away.
+	// As on a dedicated connection, DISCARD ALL removes the driver's prepared statements.
 	if _, err := one(t.Context(), b, "SHOW app.x"); err == nil || !strings.Contains(err.Error(), "26000") || strings.Contains(err.Error(), "yk_") {
 		t.Errorf("a statement prepared before DISCARD ALL: %v", err)
 	}
@@ -249,9 +251,9 @@
 	long := strings.Repeat("0123456789abcdef", 1<<16) // 1 MiB, more than a pipeline may hold
 	for range 3 {
 		if got, err := one(ctx, k, "SELECT $1", long); got != long || err != nil {
-			t.Fatalf("%d bytes come back, %v", len(got), err)
+			t.Fatalf("%d bytes are returned, %v", len(got), err)
 		}
-		// In the middle of a pipeline, and behind an error.
+		// In the middle of a pipeline, and after an error.
 		b := &pgx.Batch{}
 		b.Queue("SELECT 'before'")
 		b.Queue("INSERT INTO kv (name, content) VALUES ($1, $2)", "k", long)
@@ -264,10 +266,10 @@
 		b.Queue("SELECT $1", long)
 		var bad *pgconn.PgError
 		if err := k.SendBatch(ctx, b).Close(); !errors.As(err, &bad) || bad.Code != "22012" {
-			t.Fatalf("behind an error: %v", err)
+			t.Fatalf("after an error: %v", err)
 		}
 		if got, err := one(ctx, k, "SELECT $1", "short"); got != "short" || err != nil {
-			t.Fatalf("after it: %.20q, %v", got, err)
+			t.Fatalf("after the pipeline: %.20q, %v", got, err)
 		}
 	}
 	if n := p.c.IDs()[long]; n != 3 {
@@ -299,16 +301,16 @@
 	}
 	ask("SELECT 'x'", pg.Flush)
 	if got := kinds(4); got != "12DC" {
-		t.Errorf("a Flush brings %q", got)
+		t.Errorf("a Flush returns %q", got)
 	}
 	ask("FAIL", pg.Flush)
 	if got := kinds(3); got != "12E" {
-		t.Errorf("a failure brings %q", got)
+		t.Errorf("a failed statement returns %q", got)
 	}
 	ask("SELECT 'skipped'", pg.Flush)
 	ask("SELECT 'skipped'", pg.Sync)
 	if got := kinds(1); got != "Z" {
-		t.Errorf("what follows it brings %q", got)
+		t.Errorf("the statements after the failure return %q", got)
 	}
 	ask("SELECT 'y'", pg.Sync)
 	if got := kinds(5); got != "12DCZ" {
--- a/cmd/yokemast/race_test.go
+++ b/cmd/yokemast/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceDetector says that memory figures are not the program's own.
+// raceDetector reports that the race detector is on, which distorts memory and time measurements.
 const raceDetector = true
--- a/cmd/yokemast/retune_test.go
+++ b/cmd/yokemast/retune_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// reload gives the gateway another configuration and waits until it has said what it makes of it.
+// reload writes another configuration, sends SIGHUP and waits until the gateway logs whether it uses the new
+// one.
 func (g *gateway) reload(text string) {
 	g.t.Helper()
 	said := func() int {
@@ -23,7 +24,7 @@
 	}
 	for end := time.Now().Add(patience); said() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("SIGHUP is not followed: %s", g.log)
+			g.t.Fatalf("SIGHUP has no effect: %s", g.log)
 		}
 	}
 }
@@ -34,23 +35,23 @@
 	c := g.client()
 	ask := func(class string) string { return c.Ask(read("k", comment(class, ""))) }
 	if got := ask("glance"); got != "42704" {
-		t.Fatalf("a class that is not there yet: %q", got)
+		t.Fatalf("a class before it is added: %q", got)
 	}
-	// own gives way to glance.
+	// The class own is replaced by glance.
 	g.reload(strings.Replace(string(old), `"name":"own"`, `"name":"glance"`, 1))
 	g.waitLog(`"settings taken"`)
 	if got := ask("glance"); !strings.HasPrefix(got, "row") {
-		t.Errorf("a class that appears: %q", got)
+		t.Errorf("an added class: %q", got)
 	}
 	if got := ask("own"); !strings.HasPrefix(got, "row") {
-		t.Errorf("a class that vanishes, in the grace: %q", got)
+		t.Errorf("a removed class, within the grace: %q", got)
 	}
 	g.waitLog(`"settings settled"`)
 	if got := ask("own"); got != "42704" {
-		t.Errorf("a class that has vanished: %q", got)
+		t.Errorf("a removed class, after the grace: %q", got)
 	}
 	if got := ask("glance"); !strings.HasPrefix(got, "row") {
-		t.Errorf("a class that has appeared: %q", got)
+		t.Errorf("an added class, after the grace: %q", got)
 	}
 }
 
@@ -60,18 +61,18 @@
 	good := strings.Replace(string(old), `"name":"own"`, `"name":"glance"`, 1)
 	c := g.client()
 	for name, text := range map[string]string{
-		"empty":            "",
-		"cut off":          good[:len(good)-10],
-		"a key lost":       strings.Replace(good, `"maxRetryAfter":1000000000,`, "", 1),
-		"a class's key":    strings.Replace(good, `"effect":"fragile",`, "", 1),
-		"no deadline":      strings.Replace(good, `"giveUp":20000000000`, `"giveUp":0`, 1),
-		"deadline a word":  strings.Replace(good, `"giveUp":20000000000`, `"giveUp":"20s"`, 1),
-		"attempts below 0": strings.Replace(good, `"maxAttempts":10`, `"maxAttempts":-1`, 1),
-		"no attempts":      strings.Replace(good, `"maxAttempts":10`, `"maxAttempts":0`, 1),
-		"unknown effect":   strings.Replace(good, `"effect":"fragile"`, `"effect":"other"`, 1),
+		"empty":                    "",
+		"cut off":                  good[:len(good)-10],
+		"a missing key":            strings.Replace(good, `"maxRetryAfter":1000000000,`, "", 1),
+		"a missing key of a class": strings.Replace(good, `"effect":"fragile",`, "", 1),
+		"no deadline":              strings.Replace(good, `"giveUp":20000000000`, `"giveUp":0`, 1),
+		"deadline is a string":     strings.Replace(good, `"giveUp":20000000000`, `"giveUp":"20s"`, 1),
+		"attempts below 0":         strings.Replace(good, `"maxAttempts":10`, `"maxAttempts":-1`, 1),
+		"no attempts":              strings.Replace(good, `"maxAttempts":10`, `"maxAttempts":0`, 1),
+		"unknown effect":           strings.Replace(good, `"effect":"fragile"`, `"effect":"other"`, 1),
 	} {
 		if text == good {
-			t.Fatalf("%s: the file is not broken", name)
+			t.Fatalf("%s: the file is not invalid", name)
 		}
 		g.reload(text)
 		if got := c.Ask(read("k", comment("glance", ""))); got != "42704" {
@@ -86,7 +87,7 @@
 	}
 }
 
-// A request that is under way keeps the class it came with, whatever becomes of that.
+// A request in flight keeps the settings of its class even if a reload removes the class.
 func TestARequestKeepsItsClass(t *testing.T) {
 	hold := make(chan struct{})
 	h := newHost(t, "h1", "leader", nil)
@@ -102,13 +103,13 @@
 	c.Send(write("k", "9f", comment("order", "")))
 	for end := time.Now().Add(patience); !asked(h, "INSERT"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the write does not reach its host")
+			t.Fatal("the write did not reach its host")
 		}
 	}
 	g.reload(strings.Replace(string(old), `"name":"order"`, `"name":"buy"`, 1))
 	g.waitLog(`"settings settled"`)
 	close(hold)
 	if got := c.Answer(); !strings.HasPrefix(got, "row") {
-		t.Errorf("a request of a class that has vanished: %q", got)
+		t.Errorf("a request of a removed class: %q", got)
 	}
 }
--- a/cmd/yokemast/serve_test.go
+++ b/cmd/yokemast/serve_test.go
@@ -13,13 +13,14 @@
 	"yokemast/internal/wire/pg"
 )
 
-// always answers every query alike; then answers the first one so and all others with their row.
+// always answers every query with the same error.
 func always(code string) func(*hosts.Host) func(int, string) []byte {
 	return func(h *hosts.Host) func(int, string) []byte {
 		return func(int, string) []byte { return h.Refuse(code) }
 	}
 }
 
+// first answers the first query as answer does and all others with their row.
 func first(answer func(*hosts.Host) []byte) func(*hosts.Host) func(int, string) []byte {
 	return func(h *hosts.Host) func(int, string) []byte {
 		return func(n int, query string) []byte {
@@ -41,7 +42,7 @@
 	hangUp := func(*hosts.Host) []byte { return nil }
 	silent := func(*hosts.Host) []byte { return []byte{} }
 	torn := func(h *hosts.Host) []byte { return h.Row(read("k", comment("view", "")))[:80] }
-	// spoilt answers the first query with what edit makes of its answer.
+	// spoilt answers the first query with its answer as changed by edit.
 	spoilt := func(edit func(h *hosts.Host, answer []byte) []byte) func(*hosts.Host) func(int, string) []byte {
 		return first(func(h *hosts.Host) []byte { return edit(h, h.Row(read("k", comment("view", "")))) })
 	}
@@ -67,33 +68,33 @@
 		{"a read is served", r, nil, "row k", 1},
 		{"a key with a quote in it", read("o''k", comment("view", "")), nil, "row o'k", 1},
 		{"a session's read", read("k", comment("own", ",after=1767225600123")), nil, "row k", 1},
-		{"fields of the comment that say nothing here", read("k", comment("view", ",k=zz,r=1")), nil, "row k", 1},
+		{"comment fields that have no effect here", read("k", comment("view", ",k=zz,r=1")), nil, "row k", 1},
 		{"a value of 64 KiB", write("k", strings.Repeat("9f", pg.SmallValue), comment("order", "")), nil, "row k", 1},
-		{"a write that was turned away goes again", w, first(refuse("53300")), "row k", 2},
-		{"a write that no primary took goes again", w, first(refuse("25006")), "row k", 2},
-		{"a write that may have run never goes again: error", w, first(refuse("XX000")), "58000", 1},
-		{"a write that may have run never goes again: fatal error", w, first(fatal), "58000", 1},
-		{"a write that may have run never goes again: reset", w, first(hangUp), "58000", 1},
-		{"a write that may have run never goes again: silence", soon(w), first(silent), "58000", 1},
-		{"a write that may have run never goes again: torn answer", soon(w), first(torn), "58000", 1},
-		{"a read goes again after an error", own, first(refuse("XX000")), "row k", 2},
-		{"a read goes again after a reset", own, first(hangUp), "row k", 2},
-		{"noise is no answer", r, spoilt(inFront([]byte("GET / HTTP/1.1\r\n"))), "row k", 2},
-		{"nor is one of 3 GB", r, spoilt(inFront([]byte{'D', 0xc0, 0, 0, 0, 0, 1})), "row k", 2},
-		{"nor one with a type of no use here", r, spoilt(inFront(message('W', "x"))), "row k", 2},
-		{"nor one with its row twice", r, spoilt(swap(dataRow, dataRow+dataRow)), "row k", 2},
-		{"nor one with its row first", r, spoilt(inFront([]byte(dataRow))), "row k", 2},
-		{"nor one without a row", r, spoilt(swap(dataRow, "")), "row k", 2},
-		{"nor one with a column longer than its row", r, spoilt(swap("\x00\x01\x00\x00\x00\x01k", "\x00\x01\x00\x00\x00\x09k")), "row k", 2},
-		{"nor one with another's tag", r, spoilt(swap("SELECT 1", "SELECT 2")), "row k", 2},
-		{"nor an error without a code", r, spoilt(inFront(message(pg.ErrorResponse, "Mno\x00\x00"))), "row k", 2},
-		{"a write with a spoilt answer never goes again", w, spoilt(inFront([]byte("noise"))), "58000", 1},
-		{"a load report that can't be read spoils nothing", w, func(h *hosts.Host) func(int, string) []byte {
+		{"a write that was refused is retried", w, first(refuse("53300")), "row k", 2},
+		{"a write that a host refused as not primary is retried", w, first(refuse("25006")), "row k", 2},
+		{"a possibly executed write is not retried: error", w, first(refuse("XX000")), "58000", 1},
+		{"a possibly executed write is not retried: fatal error", w, first(fatal), "58000", 1},
+		{"a possibly executed write is not retried: reset", w, first(hangUp), "58000", 1},
+		{"a possibly executed write is not retried: silence", soon(w), first(silent), "58000", 1},
+		{"a possibly executed write is not retried: truncated answer", soon(w), first(torn), "58000", 1},
+		{"a read is retried after an error", own, first(refuse("XX000")), "row k", 2},
+		{"a read is retried after a reset", own, first(hangUp), "row k", 2},
+		{"invalid answer: not the protocol", r, spoilt(inFront([]byte("GET / HTTP/1.1\r\n"))), "row k", 2},
+		{"invalid answer: a length of 3 GB", r, spoilt(inFront([]byte{'D', 0xc0, 0, 0, 0, 0, 1})), "row k", 2},
+		{"invalid answer: an unexpected message type", r, spoilt(inFront(message('W', "x"))), "row k", 2},
+		{"invalid answer: two rows", r, spoilt(swap(dataRow, dataRow+dataRow)), "row k", 2},
+		{"invalid answer: the row comes first", r, spoilt(inFront([]byte(dataRow))), "row k", 2},
+		{"invalid answer: no row", r, spoilt(swap(dataRow, "")), "row k", 2},
+		{"invalid answer: a column longer than its row", r, spoilt(swap("\x00\x01\x00\x00\x00\x01k", "\x00\x01\x00\x00\x00\x09k")), "row k", 2},
+		{"invalid answer: a wrong command tag", r, spoilt(swap("SELECT 1", "SELECT 2")), "row k", 2},
+		{"invalid answer: an error without a code", r, spoilt(inFront(message(pg.ErrorResponse, "Mno\x00\x00"))), "row k", 2},
+		{"a write with an invalid answer is not retried", w, spoilt(inFront([]byte("noise"))), "58000", 1},
+		{"a malformed load report is ignored", w, func(h *hosts.Host) func(int, string) []byte {
 			return func(_ int, q string) []byte {
 				return append(message(pg.ParameterStatus, "server_load\x00x0=\xff\x00\x00"), h.Row(q)...)
 			}
 		}, "row k", 1},
-		{"a read that fails everywhere is given up", own, always("XX000"), "53300 come back", 2},
+		{"a read that fails on every attempt is refused", own, always("XX000"), "53300 come back", 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -127,12 +128,12 @@
 		}
 	}
 	if len(replica.Asked()) == 0 {
-		t.Error("no read was tried on the replica")
+		t.Error("no read was sent to the replica")
 	}
 }
 
 func TestTimedOutConnectionEndsBeforeTheNextSend(t *testing.T) {
-	// The silent replica's time-out is a part of the aim, so the read comes to the primary in good time.
+	// The silent replica's timeout is a part of the latency target, so the read reaches the primary in time.
 	primary := newHost(t, "s-1", "leader", nil)
 	replica := newHost(t, "s-2", "follower", func(int, string) []byte { return []byte{} })
 	primary.Script = func(_ int, query string) []byte {
@@ -153,7 +154,7 @@
 		c.Ask(read("k", comment("view", "")))
 	}
 	if len(replica.Asked()) == 0 {
-		t.Error("no read was tried on the replica")
+		t.Error("no read was sent to the replica")
 	}
 }
 
@@ -168,7 +169,7 @@
 	select {
 	case <-h.Ended:
 	case <-time.After(patience):
-		t.Error("the attempt is still out")
+		t.Error("the attempt is still in flight")
 	}
 }
 
@@ -176,7 +177,7 @@
 	h := newHost(t, "s-1", "leader", nil)
 	h.Brief = true
 	c := start(t, nil, h).client()
-	for range 5 { // a write on a closed connection would end as a reset, and fail
+	for range 5 { // a write on a closed connection would fail with a reset
 		if got := c.Ask(write("k", "9f", comment("order", ""))); got != "row k" {
 			t.Fatalf("answered %q", got)
 		}
@@ -188,7 +189,7 @@
 	for _, late := range []bool{false, true} {
 		h := newHost(t, "s-1", "leader", nil)
 		if late {
-			h.Trail = func(query string) []byte { return h.Row(query) } // the same again, when nothing waits for it
+			h.Trail = func(query string) []byte { return h.Row(query) } // a second answer when no request waits for one
 		} else {
 			h.Script = func(_ int, query string) []byte { return append(h.Row(query), h.Row(query)...) }
 		}
@@ -219,7 +220,7 @@
 		`{"revision":42,"complete":true,"members":[{"id":"s-9","phase":"NEW","host_port":"127.0.0.1:1"}]}`} {
 		g.agent.Say(bad)
 	}
-	// Changes only: the host that is not named stays. Then a whole list, without it.
+	// In a delta a host that is not named stays; a snapshot without it removes it.
 	g.agent.Say(discovery.List(42, false, b.Entry("DRAINING")))
 	until(a)
 	g.agent.Say(discovery.List(43, true, b.Entry("SERVING")))
--- a/cmd/yokemast/signals_test.go
+++ b/cmd/yokemast/signals_test.go
@@ -38,23 +38,23 @@
 	_ = g.cmd.Process.Signal(syscall.SIGTERM)
 	g.waitLog(`"msg":"ending"`)
 	if got := idle.Ask(""); got != "empty" {
-		t.Errorf("a client that goes on using its connection gets %q", got)
+		t.Errorf("a client that keeps using its connection is answered %q", got)
 	}
 	close(release)
 	midway.Write(whole[40:])
 	if got := midway.Answer(); got != "row m" {
-		t.Errorf("what had begun to come gets %q", got)
+		t.Errorf("the partly received request is answered %q", got)
 	}
 	if got := busy.Answer(); got != "row k" {
-		t.Errorf("what was taken gets %q", got)
+		t.Errorf("the accepted request is answered %q", got)
 	}
 	for _, c := range []*clients.Client{idle, busy, midway} {
 		if got := c.Answer(); got != "closed" {
-			t.Errorf("a connection goes on with %q", got)
+			t.Errorf("a connection is answered %q, not closed", got)
 		}
 	}
 	if err := g.cmd.Wait(); err != nil {
-		t.Errorf("it ended with %v: %s", err, g.log)
+		t.Errorf("the process ended with %v: %s", err, g.log)
 	}
 	for _, want := range []string{`"requests_taken":2,"requests_served":2,`, `"requests_taken":1,"requests_served":0,`} {
 		if !strings.Contains(g.log.String(), want) {
@@ -73,7 +73,7 @@
 		return a.Row(query)
 	}
 	g := start(t, nil, a)
-	first := g.client() // no position is believed before a primary's answer has shown how the clock stands
+	first := g.client() // positions are used only once a primary's answer has bounded the clock offset
 	if got := first.Ask(write("k", "9f", comment("order", ""))); got != "row k" {
 		t.Fatalf("the first write is answered %q", got)
 	}
@@ -106,18 +106,18 @@
 	}
 	hup(strings.Replace(string(old), gjson.GetBytes(old, "discovery").Str, next.Listener.Addr().String(), 1), "read anew")
 	select {
-	case <-g.agent.Left: // at once: the old agent's call would have gone on for seconds
+	case <-g.agent.Left: // at once: the old agent's long poll would have lasted for seconds
 	case <-time.After(patience):
-		t.Error("the call to the old discovery goes on")
+		t.Error("the call to the old discovery is not canceled")
 	}
 	for len(calls) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if got := []string{<-calls, <-calls}; got[0] != "" || !strings.HasPrefix(got[1], "after=7&") {
-		t.Errorf("the new discovery is asked %q", got)
+		t.Errorf("the new discovery receives the queries %q", got)
 	}
 	c := g.client()
-	for end := time.Now().Add(patience); len(b.Asked()) == 0; { // the old primary is used until the hand-over
+	for end := time.Now().Add(patience); len(b.Asked()) == 0; { // the old primary is used until it is replaced
 		c.Send(read("k", comment("view", "")))
 		if got := c.Answer(); got != "row k" || time.Now().After(end) {
 			t.Fatalf("answered %q: %s", got, g.log)
@@ -125,12 +125,12 @@
 	}
 	close(release)
 	if got := taken.Answer(); got != "row k" {
-		t.Errorf("what was open gets %q", got)
+		t.Errorf("the request in flight is answered %q", got)
 	}
 }
 
 func TestBadConfiguration(t *testing.T) {
-	ctx, stop := context.WithTimeout(t.Context(), patience) // one that is taken for good would serve for ever
+	ctx, stop := context.WithTimeout(t.Context(), patience) // a process that accepts an invalid configuration would not exit
 	defer stop()
 	for field, edit := range map[string][2]string{
 		"listen":                              {`"listen":"127.`, `"listen":"host.`},
@@ -158,6 +158,6 @@
 		}
 	}
 	if out, err := program(ctx, "check", "--config", config(t, discovery.List(41, true), "127.0.0.1:1", nil)).CombinedOutput(); err != nil {
-		t.Errorf("a good one: %v, %s", err, out)
+		t.Errorf("a valid configuration: %v, %s", err, out)
 	}
 }
--- a/cmd/yokemast/soak_age_test.go
+++ b/cmd/yokemast/soak_age_test.go
@@ -10,19 +10,21 @@
 	"yokemast/internal/testbed/soak"
 )
 
-// What makes the messages of a soak run older than they seem: answers that are held, load reports that are not made, datagrams that
-// travel long, and gateways that start, end or are held up in that moment.
+// This file has the faults of a soak run that delay statements: delayed answers, outdated load reports, slow
+// datagrams, and gateways that start, end or stall at the same time.
 
 const (
-	// lateGossip bounds how long datagrams travel that are as old as a gateway takes them, olderGossip those that are older.
+	// lateGossip is the maximum delay of datagrams that gateways still accept, olderGossip that of datagrams
+	// too old for them.
 	lateGossip, olderGossip = 2 * time.Second, 5 * time.Second
-	// olderAnswers bounds how long answers are held that are older than they may be; one in four is.
+	// olderAnswers is the maximum delay of answers that take longer than the protocol allows; one answer in
+	// four is delayed.
 	olderAnswers = 600 * time.Millisecond
-	// stalled is the speed of a log that stands still, in seconds a second.
+	// stalled is the apply speed of a stalled log, in seconds per second.
 	stalled = 1e-9
 )
 
-// startGroup starts the hosts of the next group, the first of which is its primary.
+// startGroup starts the hosts of the next group. The first one is its primary.
 func (r *soakRun) startGroup(prefix string, count int) {
 	group := len(r.clusters) + 1
 	n := uint64(0)
@@ -45,7 +47,8 @@
 	}
 }
 
-// answerDelay draws how long each answer of a host takes from its making until it is written.
+// answerDelay returns a function that draws the delay between creating and writing an answer, or nil for no
+// delay.
 func (r *soakRun) answerDelay(seed uint64) func() time.Duration {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0x64656c6179))
@@ -63,7 +66,7 @@
 	return nil
 }
 
-// slowGossip lets datagrams travel for as long as the plan says.
+// slowGossip delays datagrams as the plan says.
 func (r *soakRun) slowGossip() {
 	switch r.plan.Ages.Gossip {
 	case soak.Allowed:
@@ -73,7 +76,8 @@
 	}
 }
 
-// playAge plays an event that makes what a group's hosts tell old, together with what happens to a gateway in that moment or later.
+// playAge plays an event that makes the statements of a group's hosts outdated, together with the gateway
+// fault that the event combines with it, at the same time or e.After later.
 func (r *soakRun) playAge(e soak.Event) {
 	n, strike := r.nodes[e.Target], func() { r.strike(e) }
 	switch {
@@ -98,7 +102,7 @@
 	c := r.clusters[e.Group]
 	old := c.Primary()
 	if old == nil {
-		return // another of these is being played
+		return // another such event is in progress
 	}
 	if e.Stalled {
 		r.stallLogs(c, e.For)
@@ -126,13 +130,13 @@
 	}
 }
 
-// stallLogs has the logs of a group's replicas stand still for a while.
+// stallLogs stalls the logs of a group's replicas for the duration long.
 func (r *soakRun) stallLogs(c *hosts.Cluster, long time.Duration) {
 	r.setApplySpeed(c, stalled)
 	time.AfterFunc(long, func() { r.setApplySpeed(c, 0) })
 }
 
-// wake lets a host that hangs go on, as the primary where nobody has taken its place.
+// wake ends a host's hang. The host becomes the primary if its group has none.
 func (r *soakRun) wake(h *hosts.Host) {
 	if c := r.clusterOf(h); c.Primary() == nil {
 		r.lead(c, h)
@@ -152,7 +156,8 @@
 	}
 }
 
-// kill ends the process at once and starts the next one; begun, if there is one, is called as that starts.
+// kill sends SIGKILL to the process and starts the next one. It calls begun, if not nil, when that one has
+// been started.
 func (r *soakRun) kill(n *soakNode, begun func()) {
 	n.restarts.Lock()
 	defer n.restarts.Unlock()
@@ -165,7 +170,7 @@
 	r.startAgain(n, begun)
 }
 
-// killedSince says whether a process of the gateway has been killed since a time.
+// killedSince reports whether a process of the gateway has been killed after at.
 func (n *soakNode) killedSince(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/cmd/yokemast/soak_group_test.go
+++ b/cmd/yokemast/soak_group_test.go
@@ -11,9 +11,10 @@
 	"yokemast/internal/testbed/soak"
 )
 
-// What happens to the groups of hosts in a soak run: who leads, how far replicas are behind, and what the list tells of it, late.
+// This file has the events of host groups in a soak run: changes of the primary, replica lag, and the
+// endpoint lists that follow them late.
 
-// entry is a host as a gateway's list tells of it by now.
+// entry returns a host's present entry on a gateway's endpoint list.
 func (r *soakRun) entry(n *soakNode, h *hosts.Host) discovery.Entry {
 	phase := r.phases[h.ID]
 	if phase == "" {
@@ -32,7 +33,7 @@
 	return e
 }
 
-// relist changes what the list tells of a host and has every agent tell it.
+// relist applies a change to a host's entry and publishes the entry at every agent.
 func (r *soakRun) relist(h *hosts.Host, change func()) {
 	r.listing.Lock()
 	defer r.listing.Unlock()
@@ -42,7 +43,7 @@
 	}
 }
 
-// hosts are those of all groups.
+// hosts returns the hosts of all groups.
 func (r *soakRun) hosts() (out []*hosts.Host) {
 	for _, c := range r.clusters {
 		out = append(out, c.Hosts()...)
@@ -50,10 +51,11 @@
 	return out
 }
 
-// clusterOf is the group that a host is in.
+// clusterOf returns the cluster of a host's group.
 func (r *soakRun) clusterOf(h *hosts.Host) *hosts.Cluster { return r.clusters[h.Group-1] }
 
-// lead lets a host of a group lead; nil: nobody does. The list tells of it late.
+// lead makes a host the primary of its group, or leaves the group without one if h is nil. With the plan's
+// RolesLate the endpoint lists show it after RoleLag.
 func (r *soakRun) lead(c *hosts.Cluster, h *hosts.Host) {
 	old := c.Primary()
 	c.Promote(h)
@@ -68,16 +70,16 @@
 	}
 }
 
-// startHost starts a host that has crashed. The list tells of it late.
+// startHost restarts a crashed host. The endpoint lists show its start after StartLag.
 func (r *soakRun) startHost(h *hosts.Host) {
 	if h.Restart() != nil {
-		return // it has been started meanwhile
+		return // it has been started in the meantime
 	}
 	started := h.Entry("SERVING")["up_since_ms"]
 	time.AfterFunc(r.plan.StartLag, func() { r.relist(h, func() { r.starts[h.ID] = started }) })
 }
 
-// next is a host that can lead in place of one that fails.
+// next returns the host of the group that replaces old as the primary.
 func (r *soakRun) next(old *hosts.Host) *hosts.Host {
 	all := r.clusterOf(old).Hosts()
 	for i, h := range all {
@@ -92,7 +94,7 @@
 	c := r.clusters[e.Group]
 	old := c.Primary()
 	if old == nil {
-		return // another of these is being played
+		return // another such event is in progress
 	}
 	switch e.Kind {
 	case soak.FailOver:
@@ -122,14 +124,14 @@
 	}
 }
 
-// takeOver lets another host lead if still nobody does.
+// takeOver makes another host the primary if the group has none.
 func (r *soakRun) takeOver(old *hosts.Host) {
 	if c := r.clusterOf(old); c.Primary() == nil {
 		r.lead(c, r.next(old))
 	}
 }
 
-// withGossip lets a gateway of a configuration tell the others what it sees.
+// withGossip turns gossip on in the configuration of gateway i.
 func (r *soakRun) withGossip(config string, i int) string {
 	var peers []string
 	for n := range r.plan.Gateways {
@@ -144,7 +146,8 @@
 		r.network.Address(), strings.Join(peers, ",")), 1)
 }
 
-// peerAddress is where a gateway of the run listens for datagrams, of its own also beside other runs of the same seed.
+// peerAddress returns the address on which gateway i listens for gossip. It differs between processes that
+// run the same seed at the same time.
 func (r *soakRun) peerAddress(i int) string {
 	pid := uint64(os.Getpid())
 	return fmt.Sprintf("127.%d.%d.%d:7946", 192+pid%32, 1+(pid/32+r.plan.Seed)%250, 1+i)
--- a/cmd/yokemast/soak_link_test.go
+++ b/cmd/yokemast/soak_link_test.go
@@ -9,7 +9,7 @@
 	"yokemast/internal/wire/pg"
 )
 
-// startLinks has a gateway of a soak run reach each host over a link.
+// startLinks puts a link that can play faults between a gateway of a soak run and each host.
 func (r *soakRun) startLinks(n *soakNode, number uint64) {
 	n.links = map[string]*linkfault.Link{}
 	for i, h := range r.hosts() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// watchLink tells the ledger what passes the link between a gateway and a host.
+// watchLink returns a watcher that records in the ledger which requests and answers pass the link.
 func (r *soakRun) watchLink(n *soakNode, h *hosts.Host) linkfault.Watcher {
 	return linkfault.Watcher{
 		Sent: func(q linkfault.Sent) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// playLink has one link of a gateway, or all of them, play a fault for a while.
+// playLink applies a fault to one link of a gateway, or to all of them, for e.For.
 func (r *soakRun) playLink(e soak.Event) {
 	for i, h := range r.hosts() {
 		if l := r.nodes[e.Target].links[h.ID]; e.Host == soak.EveryHost || e.Host == i {
--- a/cmd/yokemast/soak_test.go
+++ b/cmd/yokemast/soak_test.go
@@ -32,18 +32,20 @@
 )
 
 const (
-	// soakSeeds, in the environment, names the seeds that are played: "FIRST-LAST". Without it they are those of CI.
+	// soakSeeds is the environment variable with the seeds to run, "FIRST-LAST". If it is empty, the seeds of
+	// CI are run.
 	soakSeeds = "YOKEMAST_SOAK"
-	// soakAtOnce is how many are played side by side.
+	// soakAtOnce is the number of seeds that run concurrently.
 	soakAtOnce = 4
-	// late is how long after its time an answer still only earns nothing.
+	// late is how long after its deadline an answer still breaks no rule.
 	late = 500 * time.Millisecond
-	// unreadWithin is how long after a connection's end it may show that a request on it was not read.
+	// unreadWithin is how long after the end of a connection the reset may arrive that shows that a request
+	// was not read.
 	unreadWithin = 2 * time.Second
 )
 
-// Several gateways, hosts, discovery, clients and the rules' checker, with faults that a seed draws. A seed that failed is played
-// again with YOKEMAST_SOAK=SEED-SEED go test ./cmd/yokemast -run TestSoak.
+// TestSoak runs several gateways, hosts, discovery, clients and the checker of the rules, with faults drawn
+// from a seed. Replay a failed seed with YOKEMAST_SOAK=SEED-SEED go test ./cmd/yokemast -run TestSoak.
 func TestSoak(t *testing.T) {
 	wanted := os.Getenv(soakSeeds)
 	if wanted == "" {
@@ -55,7 +57,7 @@
 	if !ok || err != nil || err2 != nil {
 		t.Fatalf("%s=%q names no seeds", soakSeeds, wanted)
 	}
-	signal.Ignore(syscall.SIGHUP) // the processes begin with that, as by the deploy file's run
+	signal.Ignore(syscall.SIGHUP) // the processes inherit this, as with the run command of the deploy file
 	t.Cleanup(func() { signal.Reset(syscall.SIGHUP) })
 	places := make(chan struct{}, soakAtOnce)
 	t.Run("seeds", func(t *testing.T) {
@@ -70,25 +72,25 @@
 	})
 }
 
-// soakNode is one gateway of a run: its processes, one after another, and its agent.
+// soakNode is one gateway of a run: its successive processes and its discovery agent.
 type soakNode struct {
 	name, path, address string
 	agent               *discovery.Server
 	second              *httptest.Server // the agent's other address
 	log                 *logged
 	config              string
-	links               map[string]*linkfault.Link // by host; nil: it reaches the hosts themselves
+	links               map[string]*linkfault.Link // by host id; nil if it connects to the hosts directly
 
-	restarts sync.Mutex // held from a planned restart's beginning to its end
+	restarts sync.Mutex // held during a planned restart
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
-	fault    soak.Kind // of the agent; "": none
-	until    time.Time // when the fault ends
-	ended    time.Time // the last SIGTERM
-	killed   time.Time // the last SIGKILL without one
-	unheard  time.Time // until when the agent could not be reached
-	busy     bool      // the next call is turned away
+	fault    soak.Kind // the agent's fault, or "" for none
+	until    time.Time // the end of the fault
+	ended    time.Time // time of the last SIGTERM
+	killed   time.Time // time of the last SIGKILL without a SIGTERM before
+	unheard  time.Time // until when the agent is unreachable
+	busy     bool      // the next call is refused
 	atSecond bool
 }
 
@@ -96,7 +98,7 @@
 	t        *testing.T
 	plan     soak.Plan
 	ledger   *rules.Ledger
-	clusters []*hosts.Cluster // one for each group
+	clusters []*hosts.Cluster // one per group
 	nodes    []*soakNode
 	stop     chan struct{}
 	work     sync.WaitGroup
@@ -105,14 +107,14 @@
 	mu      sync.Mutex
 	changes []soakChange
 
-	network *datagrams.Network // between the gateways; nil: they tell each other nothing
-	listing sync.Mutex         // held while all agents are told of a change
-	phases  map[string]string  // as the list tells them; absent: SERVING
+	network *datagrams.Network // carries gossip between the gateways; nil without gossip
+	listing sync.Mutex         // held while a change is published at all agents
+	phases  map[string]string  // listed phases by host id; SERVING if absent
 	roles   map[string]string
 	starts  map[string]any
 }
 
-// soakChange is one host's change on the list.
+// soakChange is the revision at which a host's phase changed on the endpoint list.
 type soakChange struct {
 	host     string
 	revision int
@@ -153,7 +155,7 @@
 	if broken := r.ledger.Broken(); len(broken) > 0 {
 		t.Errorf("%+v\n%d rules broken, of them:\n%s", plan, len(broken), strings.Join(broken[:min(20, len(broken))], "\n"))
 		long, ended := stalls.Longest()
-		t.Logf("the machine held the test itself up for %s at most, until %.3f", long, float64(ended.UnixMilli())/1000)
+		t.Logf("the longest stall of the test process itself was %s, until %.3f", long, float64(ended.UnixMilli())/1000)
 		for _, n := range r.nodes {
 			t.Logf("log of %s:\n%s", n.name, n.log)
 		}
@@ -164,7 +166,7 @@
 	t.Logf("served %d, %+v; %+v, %s", r.served.Load(), r.ledger.Counts(), plan.Ages, plan.Events)
 }
 
-// soakSettings are the settings of a plan.
+// soakSettings returns the settings of a plan.
 func soakSettings(p soak.Plan) string {
 	effect, mode := `"effect":"fragile"`, "push"
 	if p.Window > 0 {
@@ -240,7 +242,7 @@
 	r.ledger.Breaks("%s is not ready within %s (its process: %s)", n.name, patience, n.state())
 }
 
-// state is the state of the gateway's process by the kernel's letter; Z: it has ended.
+// state returns the kernel's letter for the state of the gateway's process; Z means that it has ended.
 func (n *soakNode) state() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -258,7 +260,8 @@
 	_ = n.cmd.Process.Signal(s)
 }
 
-// notifiedFrom is when a process that starts now counts as notified of what its agent has: at once where that answers at once.
+// notifiedFrom returns when a process started at start counts as notified of its agent's list: at once if the
+// agent answers at once.
 func (n *soakNode) notifiedFrom(start time.Time) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -271,7 +274,7 @@
 	return start
 }
 
-// age says how long ago the last SIGTERM was.
+// age describes how long ago the last SIGTERM was sent.
 func (n *soakNode) age() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -296,7 +299,7 @@
 	}
 }
 
-// before is what the agent does with a call before it answers.
+// before applies the agent's fault to a call, and reports whether it has handled the call.
 func (n *soakNode) before(_ int, w http.ResponseWriter, q *http.Request) bool {
 	n.mu.Lock()
 	fault, busy := n.fault, n.busy
@@ -327,7 +330,7 @@
 	return false
 }
 
-// spoil begins a fault of the agent. Calls that are out are not answered any more where it can't be reached.
+// spoil starts a fault of the agent. A silent agent also leaves the calls in flight unanswered.
 func (n *soakNode) spoil(e soak.Event) {
 	n.mu.Lock()
 	n.fault, n.until = e.Kind, time.Now().Add(e.For)
@@ -344,7 +347,8 @@
 	}
 }
 
-// answered notes that an agent writes a list of a revision now: the gateway is notified of all changes up to it.
+// answered records that an agent sends a list of a revision now: the gateway is notified of all changes up to
+// it.
 func (r *soakRun) answered(n *soakNode, revision int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -355,7 +359,8 @@
 	}
 }
 
-// list changes a host's entry at every agent. A gateway counts as notified 6 s after the agent had the change and could be reached.
+// list changes a host's phase at every agent. A gateway counts as notified 6 s after its agent has the change
+// and is reachable.
 func (r *soakRun) list(h *hosts.Host, phase string) {
 	r.mu.Lock()
 	r.changes = slices.DeleteFunc(r.changes, func(c soakChange) bool { return c.host == h.ID })
@@ -382,7 +387,7 @@
 	}
 }
 
-// events plays the plan.
+// events plays the plan's events at their times.
 func (r *soakRun) events() {
 	began := time.Now()
 	for _, e := range r.plan.Events {
@@ -424,7 +429,7 @@
 	}
 }
 
-// promote lets another host lead in place of one.
+// promote replaces old by another host if it is the primary.
 func (r *soakRun) promote(old *hosts.Host) {
 	if c := r.clusterOf(old); c.Primary() == old {
 		r.lead(c, r.next(old))
@@ -454,7 +459,8 @@
 	}
 }
 
-// reloads sends SIGHUP every 0.2 s for a while, each time with the agent's other address where the event says so.
+// reloads sends SIGHUP every 0.2 s for e.For. If the event is soak.Moves, each reload switches to the agent's
+// other address.
 func (r *soakRun) reloads(n *soakNode, e soak.Event) {
 	for end := time.Now().Add(e.For); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		n.mu.Lock()
@@ -474,10 +480,10 @@
 	}
 }
 
-// restart ends the process as a planned restart does, and starts the next one; begun, if there is one, is called as that starts. With
-// series other signals come before and behind SIGTERM.
+// restart ends the process as a planned restart does, and starts the next one. It calls begun, if not nil,
+// when that one has been started. With series, other signals come before and after SIGTERM.
 func (r *soakRun) restart(n *soakNode, series bool, begun func()) {
-	n.restarts.Lock() // a planned restart begins when the one before is over
+	n.restarts.Lock() // planned restarts do not overlap
 	defer n.restarts.Unlock()
 	n.mu.Lock()
 	cmd := n.cmd
@@ -508,7 +514,7 @@
 	r.ready(n)
 }
 
-// raceExit is how much longer a process takes to end under the race detector.
+// raceExit returns how much longer a process takes to exit under the race detector.
 func raceExit() time.Duration {
 	if raceDetector {
 		return time.Second
@@ -528,7 +534,7 @@
 	}
 }
 
-// crowd holds connections on which nothing is asked, and opens them anew as they end.
+// crowd keeps up to 200 idle connections open, and replaces the oldest ones.
 func (r *soakRun) crowd(n *soakNode) {
 	var held []net.Conn
 	defer func() {
@@ -552,7 +558,7 @@
 	}
 }
 
-// client asks one request after another of a gateway, on one connection for as long as that stays.
+// client sends one request after another to a gateway, and reconnects when its connection is closed.
 func (r *soakRun) client(n *soakNode, rng *rand.Rand, eager bool) {
 	var c *clients.Client
 	defer func() {
@@ -580,7 +586,7 @@
 	}
 }
 
-// pause is how long a client waits before its next request.
+// pause draws how long a client waits before its next request.
 func pause(rng *rand.Rand, eager bool) time.Duration {
 	if eager {
 		return time.Duration(1+rng.IntN(3)) * time.Millisecond
@@ -588,7 +594,7 @@
 	return time.Duration(5+rng.IntN(20)) * time.Millisecond
 }
 
-// soakValue is what a request writes: no other writes the same, and one in eight is long, up to 64 KiB.
+// soakValue returns the value that a request writes. It is unique, and one in eight is long, up to 64 KiB.
 func soakValue(id string, drawn byte) []byte {
 	value := []byte(id)
 	if drawn%8 == 0 {
@@ -597,7 +603,7 @@
 	return value
 }
 
-// ask asks one request; false: the connection is of no more use.
+// ask sends one request and records its result. It returns false if the connection can't be used any more.
 func (r *soakRun) ask(n *soakNode, c *clients.Client, rng *rand.Rand) bool {
 	q := clients.Request{ID: clients.NewID(), Class: "view", Key: fmt.Sprint("k", rng.IntN(20)), Wait: r.plan.Deadline, Repeatable: true}
 	if len(r.clusters) > 1 {
@@ -615,7 +621,7 @@
 	_ = c.SetDeadline(time.Now().Add(q.Wait + 2*time.Second))
 	sent := time.Now()
 	c.Send(q.Statement())
-	if rng.IntN(30) == 0 { // it goes, without waiting
+	if rng.IntN(30) == 0 { // disconnect without waiting for the answer
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 		_ = c.Close()
 		r.ledger.Leaves(q.ID)
@@ -631,10 +637,11 @@
 		r.ledger.Answered(q.ID, rules.Refused)
 	case reply.Code != "":
 		r.ledger.Answered(q.ID, rules.Failed)
-	case n.killedSince(sent): // what a process holds that is killed gets no answer
+	case n.killedSince(sent): // a killed process answers none of its requests
 		r.ledger.Left(q.ID)
 	default:
-		// Between two requests a gateway may close a connection; a request that crosses that was not read, and resets it.
+		// A gateway may close a connection between two requests. A request that crosses the close is not read
+		// and causes a reset.
 		if took, read := time.Since(sent).Round(time.Millisecond), !c.IsReset(unreadWithin); read || r.ledger.Came(q.ID) {
 			r.ledger.Breaks("%s: %s ends the connection without an answer %s after the request was sent, %s (%s, read: %t, came to a host: %t)", q.ID,
 				n.name, took, n.age(), q.Class, read, r.ledger.Came(q.ID))
--- a/cmd/yokemast/stale_clock_test.go
+++ b/cmd/yokemast/stale_clock_test.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// hungFor is how long a primary has answered nothing but probes when a gateway starts.
+	// hungFor is how long a primary has answered only probes when a gateway starts.
 	hungFor = 2700 * time.Millisecond
-	// resetPause is between two resets of a primary's connections: so often it is probed.
+	// resetPause is the time between two resets of a primary's connections, and so between probes of it.
 	resetPause = 40 * time.Millisecond
-	// stoppedLog is a lag at which a log that has been applied so far is applied no further.
+	// stoppedLog is a lag so long that a replica's log is not applied any further during the test.
 	stoppedLog = time.Hour
-	// servedMany is how many requests a gateway serves easily in a second.
+	// servedMany is a number of requests that a gateway easily serves in a second.
 	servedMany = 3 * staleClients
-	// agreeingProbes are told old reports within agreeingWithin.
+	// agreeingProbes is how many old reports must be sent within agreeingWithin to agree with each other.
 	agreeingProbes = 3
 	agreeingWithin = 200 * time.Millisecond
 )
 
-// keptReport is a primary's load report, which is not made anew while the primary hangs.
+// keptReport is a primary's load report, which is not updated while the primary hangs.
 type keptReport struct {
 	mu   sync.Mutex
-	kept time.Time   // when it was made; zero: now
-	told []time.Time // when it was told and was older than agreeingWithin
+	kept time.Time   // time of the kept report; zero if each report is new
+	told []time.Time // when a report older than agreeingWithin was sent
 }
 
-// text is the report as the host tells it.
+// text returns the report as the host sends it.
 func (r *keptReport) text() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,21 +47,21 @@
 	return fmt.Sprintf("x0=%.3f,x1=1", float64(made.UnixMilli())/1000)
 }
 
-// keep has the report told as it is now from now on.
+// keep makes the host repeat its present report.
 func (r *keptReport) keep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept = time.Now()
 }
 
-// renew ends keep.
+// renew makes the host send up-to-date reports again.
 func (r *keptReport) renew() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept = time.Time{}
 }
 
-// toldOld is when it was told and was old.
+// toldOld returns when old reports were sent.
 func (r *keptReport) toldOld() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,14 +71,14 @@
 // stoppedBench is a staleBench whose primaries can be made to hang.
 type stoppedBench struct {
 	*staleBench
-	reports []*keptReport // of the groups' primaries
+	reports []*keptReport // one per group, of its primary
 }
 
 func newStoppedHosts(t *testing.T, groups int) *stoppedBench {
 	t.Helper()
 	b := &stoppedBench{}
 	b.staleBench = newStaleHosts(t, groups, func(h *hosts.Host) {
-		if h.Group > len(b.reports) { // the first of its group, which leads it
+		if h.Group > len(b.reports) { // the first host of its group, its primary
 			report := &keptReport{}
 			h.Report = report.text
 			b.reports = append(b.reports, report)
@@ -87,10 +87,11 @@
 	return b
 }
 
-// hang lets all primaries hang for all but probes. Their reports, and their replicas' logs, stand still from this moment.
+// hang makes all primaries answer only probes. Their reports and their replicas' logs stall from this moment
+// on.
 func (b *stoppedBench) hang() {
 	for i, c := range b.clusters {
-		c.Promote(c.Primary()) // which notes how far each log has been applied
+		c.Promote(c.Primary()) // records how far each log has been applied
 		for _, h := range c.Hosts()[1:] {
 			h.SetLag(stoppedLog)
 		}
@@ -110,19 +111,19 @@
 	}
 }
 
-// waitServed waits until a second has gone by in which the gateway served many requests.
+// waitServed waits for at least a second, until the gateway has served servedMany more requests.
 func (b *stoppedBench) waitServed() {
 	b.t.Helper()
 	wanted := b.ledger.Counts().Served + servedMany
 	time.Sleep(time.Second)
 	for end := time.Now().Add(patience); b.ledger.Counts().Served < wanted; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("few requests are served: %+v\n%s", b.ledger.Counts(), b.log)
+			b.t.Fatalf("too few requests are served: %+v\n%s", b.ledger.Counts(), b.log)
 		}
 	}
 }
 
-// checkClock is check, and logs what the gateway took the clock for.
+// checkClock runs check and prints the gateway's log lines about the fleet's clock.
 func (b *stoppedBench) checkClock() {
 	b.t.Helper()
 	b.check()
@@ -133,12 +134,13 @@
 	}
 }
 
-// waitAgreeing waits until the old reports have been told as the test means them to be, and for so long that reads go by it.
+// waitAgreeing waits until enough old reports have been sent in a short time to agree with each other, and 2
+// s longer so that reads would be routed by them. It calls meanwhile repeatedly.
 func (b *stoppedBench) waitAgreeing(meanwhile func()) {
 	b.t.Helper()
 	for end := time.Now().Add(patience); !b.agreeing(); time.Sleep(resetPause) {
 		if time.Now().After(end) {
-			b.t.Fatalf("old reports are not told %d times within %s\n%s", agreeingProbes, agreeingWithin, b.log)
+			b.t.Fatalf("old reports are not sent %d times within %s\n%s", agreeingProbes, agreeingWithin, b.log)
 		}
 		meanwhile()
 	}
@@ -147,7 +149,7 @@
 	}
 }
 
-// agreeing says whether old reports were told so often in so short a time that they agree with each other.
+// agreeing reports whether agreeingProbes old reports were sent within agreeingWithin.
 func (b *stoppedBench) agreeing() bool {
 	var told []time.Time
 	for _, r := range b.reports {
@@ -162,24 +164,26 @@
 	return false
 }
 
-// A gateway starts while the primary answers probes alone, with a report that is as old as the replicas' logs.
+// A gateway starts while the primary answers only probes, with a report as old as the replicas' logs. If that
+// report set the clock, stale replicas would look fresh.
 func TestAnOldReportOfAPrimaryThatHangsDoesNotSetTheClockAtAStart(t *testing.T) {
 	t.Parallel()
 	b := newStoppedHosts(t, 1)
 	b.hang()
 	time.Sleep(hungFor)
 	b.serve(t)
-	b.waitAgreeing(func() { b.cluster.Primary().Reset() }) // each attempt that is lost with its connection has the primary probed
+	b.waitAgreeing(func() { b.cluster.Primary().Reset() }) // each attempt that fails with its connection causes a probe of the primary
 	b.wake()
 	b.waitServed()
 	b.checkClock()
 }
 
-// A gateway that knows the clock is told the same old reports again and again while nobody else says how the clock stands.
+// A gateway that knows the clock offset repeatedly receives the same old reports, and no other evidence about
+// the clock. If they replaced the clock, stale replicas would look fresh.
 func TestAnOldReportToldAgainAndAgainDoesNotReplaceTheClock(t *testing.T) {
 	for name, c := range map[string]struct {
 		groups int
-		breaks bool // each attempt that is lost with its connection has the primary probed
+		breaks bool // each attempt that fails with its connection causes a probe of the primary
 	}{
 		"a primary whose connections break": {1, true},
 		"the primaries of three groups":     {3, false},
--- a/cmd/yokemast/stale_reads_test.go
+++ b/cmd/yokemast/stale_reads_test.go
@@ -16,25 +16,28 @@
 )
 
 const (
-	staleBound = 500 * time.Millisecond // of settingsJSON
-	// knownAfter is when what an answer told counts as known after it was written, by the platform's protocol.
+	staleBound = 500 * time.Millisecond // oldestData in settingsJSON
+	// knownAfter is how long after an answer was written its statements count as known to the gateway, by the
+	// platform's protocol.
 	knownAfter = 100 * time.Millisecond
-	// holdUp is how long the process may be held up at any moment.
+	// holdUp is the longest stall of the process that the platform allows at any moment.
 	holdUp = 150 * time.Millisecond
-	// staleClients ask without pause, so that some read is asked in every moment in which one could go wrong.
+	// staleClients is the number of clients that send continuously, so that some read is sent in every short
+	// moment in which one could be stale.
 	staleClients = 64
 )
 
-// staleBench is a running gateway before groups of a primary and two replicas each, with clients that never pause.
+// staleBench is a running gateway in front of groups of a primary and two replicas each, with clients that
+// send continuously.
 type staleBench struct {
 	*gateway
-	cluster  *hosts.Cluster // of the first group
+	cluster  *hosts.Cluster // the first group's
 	clusters []*hosts.Cluster
 	ledger   *rules.Ledger
 	skew     time.Duration
 }
 
-// newStaleBench runs a gateway before one group whose replicas lag too far for bounded reads.
+// newStaleBench runs a gateway in front of one group whose replicas lag too far for bounded reads.
 func newStaleBench(t *testing.T, lag, skew time.Duration) *staleBench {
 	t.Helper()
 	b := newStaleHosts(t, 1, func(h *hosts.Host) { h.Skew = skew })
@@ -46,7 +49,7 @@
 	return b
 }
 
-// newStaleHosts makes the groups of hosts, before which no gateway runs yet.
+// newStaleHosts starts the groups of hosts without a gateway.
 func newStaleHosts(t *testing.T, groups int, set func(*hosts.Host)) *staleBench {
 	t.Helper()
 	b := &staleBench{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 50 * time.Millisecond, KnownAfter: knownAfter}}}
@@ -132,15 +135,16 @@
 	b.t.Logf("%+v", counts)
 }
 
-// entry is a host as discovery lists it, with the role that the list names, late as it is.
+// entry returns a host's entry on the endpoint list with a role that may be outdated.
 func (b *staleBench) entry(h *hosts.Host, role string) map[string]any {
 	e := h.Entry("SERVING")
 	e["role"] = role
 	return e
 }
 
-// failOver lets the primary crash and come back as a follower that stands where it stood. The list tells its start while it still
-// names it the leader, and names the next one long after that has taken over.
+// failOver crashes the primary and restarts it as a follower whose log is where it was. The list shows its
+// new start while it still names it the leader, and names the next primary shortly before that one takes
+// over.
 func (b *staleBench) failOver(old, next *hosts.Host) {
 	b.cluster.Promote(nil)
 	old.Crash()
@@ -158,9 +162,10 @@
 	time.Sleep(700 * time.Millisecond)
 }
 
-// The list tells the start of a host that has already said, since that start, that it follows, and still names it the primary.
+// A host has answered as a follower since its restart. Then the list shows that restart and still names the
+// host the primary: the older role must not replace the answer.
 func TestStartListedAfterAnAnswerLeavesAFollowerAFollower(t *testing.T) {
-	for name, heldUp := range map[string]bool{"running": false, "held up again and again": true} {
+	for name, heldUp := range map[string]bool{"running": false, "stalled repeatedly": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newStaleBench(t, 3*time.Second, 0)
@@ -177,7 +182,7 @@
 	}
 }
 
-// holdUps stops the process for 0.14 s again and again until the test ends.
+// holdUps repeatedly stops the process for 0.14 s until the test ends.
 func (b *staleBench) holdUps() {
 	b.ledger.Limits.KnownAfter = knownAfter + holdUp
 	stop := make(chan struct{})
@@ -197,7 +202,8 @@
 	b.t.Cleanup(func() { close(stop); held.Wait() })
 }
 
-// The gateway's machine is behind the fleet's clock by less than a read's bound: replicas look fresher by as much.
+// The gateway's clock differs from the fleet's by less than a read's staleness bound, so replicas may look
+// fresher by as much.
 func TestAClockThatIsSlightlyOff(t *testing.T) {
 	for _, skew := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond, -300 * time.Millisecond} {
 		t.Run(skew.String(), func(t *testing.T) {
--- a/cmd/yokemast/start_signal_test.go
+++ b/cmd/yokemast/start_signal_test.go
@@ -15,7 +15,8 @@
 	"yokemast/internal/testbed/discovery"
 )
 
-// SIGHUPs in series from the moment in which the command line of the deploy file has become the program, before it can follow them.
+// SIGHUP may arrive from the moment in which the run command of the deploy file has executed the program,
+// before the program can install its handler. It must not end the process.
 func TestReloadSignalsFromAProcesssFirstMomentDoNotEndIt(t *testing.T) {
 	agent := discovery.New(newHost(t, "h1", "leader", nil).Entry("SERVING"))
 	t.Cleanup(agent.Close)
@@ -52,7 +53,7 @@
 			}
 		}
 		if !answered {
-			t.Errorf("the process answers nobody: %s", log)
+			t.Errorf("the process does not answer: %s", log)
 		}
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
--- a/cmd/yokemast/upgrade_test.go
+++ b/cmd/yokemast/upgrade_test.go
@@ -19,14 +19,15 @@
 	"yokemast/internal/wire/pg"
 )
 
-// upgradable starts a gateway with a second address, in a folder that its next processes share.
+// upgradable starts a gateway with an admin address, in a temporary folder that its new processes share.
 func upgradable(t testing.TB, all ...*hosts.Host) (g *gateway, admin string) {
 	t.Setenv("TMPDIR", t.TempDir())
 	edit := withAdmin(&admin)
 	return start(t, edit, all...), admin
 }
 
-// next starts another process of the gateway, with a second address of its own; env stands over what it is told else.
+// next starts a new process of the gateway, with an admin address of its own. The variables in env override
+// the environment.
 func (g *gateway) next(env ...string) (n *gateway, admin string) {
 	g.t.Helper()
 	admin = strings.Replace(ownAddress(), ":5432", ":8081", 1)
@@ -41,13 +42,13 @@
 		_ = n.cmd.Process.Kill()
 		_ = n.cmd.Wait()
 		if s := n.log.String(); strings.Contains(s, "DATA RACE") || strings.Contains(s, "panicked") {
-			g.t.Errorf("the next process: %s", s)
+			g.t.Errorf("the new process: %s", s)
 		}
 	})
 	return n, admin
 }
 
-// waitReady waits until the process says yes at its second address.
+// waitReady waits until the process reports at its admin address that it is ready.
 func (g *gateway) waitReady(admin string) {
 	g.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(2 * time.Millisecond) {
@@ -58,12 +59,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			g.t.Fatalf("it does not become ready: %s", g.log)
+			g.t.Fatalf("the process does not become ready: %s", g.log)
 		}
 	}
 }
 
-// ended waits for the end of a process, which must be one by itself.
+// ended waits until the process exits by itself, with status 0.
 func (g *gateway) ended() {
 	g.t.Helper()
 	done := make(chan error, 1)
@@ -74,12 +75,12 @@
 			g.t.Fatalf("%v: %s", err, g.log)
 		}
 	case <-time.After(patience):
-		g.t.Fatalf("it does not end: %s", g.log)
+		g.t.Fatalf("the process does not exit: %s", g.log)
 	}
 }
 
-// reasons gives what the processes logged of requests that were not served. They must have ended: a line is written some time
-// after the answer that it explains.
+// reasons returns the log lines that explain why requests were not served. The processes must have exited, as
+// a line is written some time after the answer that it explains.
 func reasons(all ...*gateway) string {
 	var out strings.Builder
 	for i, g := range all {
@@ -101,7 +102,7 @@
 	return false
 }
 
-// A host that holds reads of "slow" until it is told.
+// holding starts a host that does not answer requests of the key "slow" until release is called.
 func holding(t testing.TB) (h *hosts.Host, release func()) {
 	hold := make(chan struct{})
 	h = newHost(t, "h1", "leader", nil)
@@ -121,12 +122,12 @@
 	for range 40 {
 		idle = append(idle, old.client())
 	}
-	fresh := old.dial() // connected, and has said nothing yet
+	fresh := old.dial() // connected, but has not sent its startup
 	busy := old.client()
 	busy.Send(write("slow", "9f", comment("order", "")))
 	for end := time.Now().Add(patience); !asked(h, "slow"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the write does not reach its host")
+			t.Fatal("the write did not reach its host")
 		}
 	}
 	heir, admin := old.next()
@@ -145,21 +146,21 @@
 	}
 	release()
 	if got := busy.Answer(); got != "row slow" {
-		t.Errorf("a write under way is answered %q", got)
+		t.Errorf("a write in flight is answered %q", got)
 	}
 	_, _ = fresh.Write(startup())
 	if got := fresh.Answer(); got != "ready" {
-		t.Errorf("a client that had connected is answered %q", got)
+		t.Errorf("a client that had not sent its startup is answered %q", got)
 	}
 	if got := fresh.Ask(read("f", comment("view", ""))); got != "row f" {
-		t.Errorf("a client that had connected is answered %q", got)
+		t.Errorf("a client that had not sent its startup is answered %q", got)
 	}
 	old.ended()
 	heir.waitLog(`"elder gone"`)
 	if got := busy.Ask(read("b", comment("view", ""))); got != "row b" {
-		t.Errorf("the one that had been busy is answered %q", got)
+		t.Errorf("the client of the write is answered %q", got)
 	}
-	// And once more: the heir has an heir.
+	// A second upgrade: the new process hands over as well.
 	third, admin := heir.next()
 	third.waitReady(admin)
 	heir.waitLog(`"heir ready"`)
@@ -168,7 +169,8 @@
 	}
 }
 
-// The platform starts an heir with the environment of the first start. Since then SIGHUP may have moved discovery.
+// The platform starts a new process with the environment of the first start. Since then a reload may have
+// moved discovery, and the new process must follow.
 func TestAnHeirAsksTheDiscoveryThatSIGHUPMovedTo(t *testing.T) {
 	h := newHost(t, "h1", "leader", nil)
 	old, _ := upgradable(t, h)
@@ -181,12 +183,12 @@
 	heir.waitReady(admin)
 	heir.waitLog(`"agent":"`)
 	if strings.Contains(heir.log.String(), `"agent":"`+old.agent.Listener.Addr().String()+`"`) {
-		t.Errorf("the heir asks the discovery of before: %s", heir.log)
+		t.Errorf("the new process calls the previous discovery: %s", heir.log)
 	}
 }
 
 func TestUpgradesThatGoWrong(t *testing.T) {
-	t.Run("the heir dies once it serves", func(t *testing.T) {
+	t.Run("the new process dies once it serves", func(t *testing.T) {
 		old, _ := upgradable(t, newHost(t, "h1", "leader", nil))
 		heir, admin := old.next()
 		heir.waitReady(admin)
@@ -199,12 +201,12 @@
 		again, admin := old.next()
 		again.waitReady(admin)
 		if got := old.client().Ask(read("k", comment("view", ""))); got != "row k" {
-			t.Errorf("the next heir answers %q", got)
+			t.Errorf("the next new process answers %q", got)
 		}
 	})
-	t.Run("the heir dies before it is ready", func(t *testing.T) {
+	t.Run("the new process dies before it is ready", func(t *testing.T) {
 		old, admin := upgradable(t, newHost(t, "h1", "leader", nil))
-		mute, err := net.Listen("tcp", "127.0.0.1:0") // a discovery that says nothing: the heir waits for it
+		mute, err := net.Listen("tcp", "127.0.0.1:0") // a silent discovery, for which the new process waits
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -215,19 +217,19 @@
 		_ = heir.cmd.Process.Kill()
 		old.waitLog(`"heir lost"`)
 		if got := c.Ask(read("k", comment("view", ""))); got != "row k" {
-			t.Errorf("a client of the old one is answered %q", got)
+			t.Errorf("a client of the old process is answered %q", got)
 		}
 		if got := call(t, "GET", admin, "/_ready"); got != 200 {
-			t.Errorf("the old one says %d", got)
+			t.Errorf("the old process's readiness is %d", got)
 		}
 		again, admin := old.next()
 		again.waitReady(admin)
 		if got := c.Ask(read("k", comment("view", ""))); got != "row k" {
-			t.Errorf("the next heir answers %q", got)
+			t.Errorf("the next new process answers %q", got)
 		}
 	})
 	t.Run("another version of the handover", func(t *testing.T) {
-		other := []byte{'y', 'm', 9, 1, 0, 0, 0, 0} // of a version that there is not
+		other := []byte{'y', 'm', 9, 1, 0, 0, 0, 0} // a version that does not exist
 		old, _ := upgradable(t, newHost(t, "h1", "leader", nil))
 		left, _ := filepath.Glob(filepath.Join(os.Getenv("TMPDIR"), "yokemast-*.sock"))
 		if len(left) != 1 {
@@ -240,7 +242,7 @@
 		_, _ = stranger.Write(other)
 		old.waitLog(`"no heir"`)
 		_ = stranger.Close()
-		heir, admin := old.next() // the stranger has not taken its place
+		heir, admin := old.next() // the stranger does not count as the new process
 		heir.waitReady(admin)
 		heir.waitLog(`"took over"`)
 		for _, g := range []*gateway{old, heir} {
@@ -263,36 +265,36 @@
 			}
 		}()
 		alone, admin := old.next()
-		alone.waitReady(admin) // by an address of its own
+		alone.waitReady(admin) // with a listener of its own
 		alone.waitLog(`"no handover"`)
 		if got := old.client().Ask(read("k", comment("view", ""))); got != "row k" {
 			t.Errorf("the process that found another version answers %q", got)
 		}
 	})
-	t.Run("the old one dies in the middle", func(t *testing.T) {
+	t.Run("the old process dies during the upgrade", func(t *testing.T) {
 		old, _ := upgradable(t, newHost(t, "h1", "leader", nil))
 		heir, admin := old.next()
 		heir.waitReady(admin)
 		_ = old.cmd.Process.Kill()
 		heir.waitLog(`"elder gone"`)
 		if got := old.client().Ask(read("k", comment("view", ""))); got != "row k" {
-			t.Errorf("the heir answers %q", got)
+			t.Errorf("the new process answers %q", got)
 		}
 	})
-	t.Run("the old one hangs", func(t *testing.T) {
+	t.Run("the old process hangs", func(t *testing.T) {
 		old, _ := upgradable(t, newHost(t, "h1", "leader", nil))
 		if err := old.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
 		heir, admin := old.next()
-		heir.waitReady(admin) // by an address of its own
+		heir.waitReady(admin) // with a listener of its own
 		heir.waitLog(`"no handover"`)
 		_ = old.cmd.Process.Kill()
 		heir.waitLog(`"elder gone"`)
 		if got := old.client().Ask(read("k", comment("view", ""))); got != "row k" {
-			t.Errorf("the heir answers %q", got)
+			t.Errorf("the new process answers %q", got)
 		}
-		third, admin := heir.next() // it has found its place
+		third, admin := heir.next() // it listens for new processes by now
 		third.waitReady(admin)
 		third.waitLog(`"took over"`)
 	})
@@ -303,7 +305,7 @@
 		busy.Send(read("slow", comment("view", "")))
 		for end := time.Now().Add(patience); !asked(h, "slow"); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the read does not reach its host")
+				t.Fatal("the read did not reach its host")
 			}
 		}
 		heir, admin := old.next()
@@ -317,14 +319,14 @@
 		_ = old.cmd.Process.Signal(syscall.SIGTERM)
 		release()
 		if got := busy.Answer(); got != "row slow" {
-			t.Errorf("a read under way is answered %q", got)
+			t.Errorf("a read in flight is answered %q", got)
 		}
 		old.ended()
 		third.waitReady(admin)
 		third.waitLog(`"took over"`)
 		heir.waitLog(`"heir ready"`)
 	})
-	t.Run("SIGTERM comes before the heir is ready", func(t *testing.T) {
+	t.Run("SIGTERM comes before the new process is ready", func(t *testing.T) {
 		old, _ := upgradable(t, newHost(t, "h1", "leader", nil))
 		c := old.client()
 		if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -341,11 +343,11 @@
 		if got != "row k" {
 			_ = heir.cmd.Process.Signal(syscall.SIGTERM)
 			heir.ended()
-			t.Errorf("a client of the old one is answered %q; the heir was started %s and ready %s after SIGTERM: %s", got, started, ready,
+			t.Errorf("a client of the old process is answered %q; the new process was started %s and ready %s after SIGTERM: %s", got, started, ready,
 				reasons(old, heir))
 		}
 	})
-	t.Run("what is left is no socket", func(t *testing.T) {
+	t.Run("the leftover file is not a socket", func(t *testing.T) {
 		dir := t.TempDir()
 		t.Setenv("TMPDIR", dir)
 		var admin string
@@ -355,7 +357,7 @@
 		_, _ = g.cmd.Process.Wait()
 		left, _ := filepath.Glob(filepath.Join(dir, "yokemast-*"))
 		if len(left) != 2 {
-			t.Fatalf("%q is left", left)
+			t.Fatalf("the leftover files are %q", left)
 		}
 		for _, f := range left {
 			if strings.HasSuffix(f, ".sock") {
