--- a/cmd/yokemast/event_order_test.go
+++ b/cmd/yokemast/event_order_test.go
@@ -110,7 +110,7 @@
 			all = pg.AppendQuery(all, read("k", comment("own", "")))
 		}
 		shortComment := strings.Replace(comment("own", ""), "d=15000", "d=600", 1)
-		all = pg.AppendQuery(all, read("late", shortComment))
+		all = pg.AppendQuery(all, read("brief", shortComment))
 		_, _ = c.Write(all)
 		waitReceived(t, h, 1)
 		time.Sleep(700 * time.Millisecond) // the last request's deadline has passed
@@ -457,13 +457,13 @@
 // Idle clients use up the connection limit while discovery is unreachable. When discovery returns, the list
 // arrives and new clients are served.
 func TestDiscoveryReturnsAtConnectionLimit(t *testing.T) {
-	var away atomic.Bool
+	var unreachable atomic.Bool
 	h := newHost(t, "s-1", "leader", nil)
 	edit := func(s string) string { return strings.Replace(s, `"sockets":1024`, `"sockets":256`, 1) }
 	g := startBehind(t, edit, func(_ int, w http.ResponseWriter, r *http.Request) bool {
-		return away.Load() && agentFaults["resets"](w, r)
+		return unreachable.Load() && agentFaults["resets"](w, r)
 	}, nil, h)
-	away.Store(true)
+	unreachable.Store(true)
 	g.agent.CloseClientConnections()
 	g.waitLog(`"discovery failed"`)
 	for range 400 { // more than the connection limit
@@ -476,10 +476,10 @@
 	}
 	g.waitCounter("clients_accepted", 402)
 	g.agent.Set(newHost(t, "s-2", "leader", nil).Entry("SERVING"))
-	away.Store(false)
-	back := time.Now()
+	unreachable.Store(false)
+	returnedAt := time.Now()
 	g.waitLog(`"discovery answers again"`)
-	if took := time.Since(back); took > 5*time.Second {
+	if took := time.Since(returnedAt); took > 5*time.Second {
 		t.Errorf("the list arrived after %s", took)
 	}
 	for end := time.Now().Add(testTimeout); ; {
--- a/cmd/yokemast/peers_test.go
+++ b/cmd/yokemast/peers_test.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard, err := state.Receive(time.Duration(time.Now().UnixNano()), gossip.Offsets{Bounded: true}, b[:n], nil)
-	if err != nil || len(heard) != 1 || heard[0].Server != "s-1" || heard[0].Class != "order" || heard[0].Role != balance.Primary {
-		t.Errorf("received the gossip entries %+v, %v", heard, err)
+	received, err := state.Receive(time.Duration(time.Now().UnixNano()), gossip.Offsets{Bounded: true}, b[:n], nil)
+	if err != nil || len(received) != 1 || received[0].Server != "s-1" || received[0].Class != "order" || received[0].Role != balance.Primary {
+		t.Errorf("received the gossip entries %+v, %v", received, err)
 	}
 	to, err := net.ResolveUDPAddr("udp4", own)
 	if err != nil {
--- a/cmd/yokemast/pooling_limits_test.go
+++ b/cmd/yokemast/pooling_limits_test.go
@@ -20,7 +20,7 @@
 )
 
 // A session that listens for notifications keeps its host connection, and other sessions use another one.
-func TestPinnedSessionsKeepTheirConnection(t *testing.T) {
+func TestPinnedSessionsKeepConnection(t *testing.T) {
 	p := startPooled(t, 1, fmt.Sprintf(onePool, 2), nil, nil)
 	a, b := p.mustConnect(t), p.mustConnect(t)
 	if _, err := a.Exec(t.Context(), "LISTEN orders"); err != nil {
--- a/cmd/yokemast/proof_cells_test.go
+++ b/cmd/yokemast/proof_cells_test.go
@@ -230,7 +230,7 @@
 	socket   string
 }
 
-func startMoved(t *testing.T, fence string, set func(*hosts.Host)) *moveTest {
+func startMoveTest(t *testing.T, fence string, set func(*hosts.Host)) *moveTest {
 	t.Helper()
 	m := &moveTest{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond}}}
 	m.oldGroup, m.newGroup = cluster(t, 1, "one-", 4, m.ledger, set), cluster(t, 2, "two-", 4, m.ledger, set)
@@ -267,7 +267,7 @@
 // TestProofCellsMove shows that a tenant is moved under load, between groups and within one, without a lost,
 // doubled or stale result.
 func TestProofCellsMove(t *testing.T) {
-	m := startMoved(t, "15s", func(h *hosts.Host) { h.Work = 2 * time.Millisecond })
+	m := startMoveTest(t, "15s", func(h *hosts.Host) { h.Work = 2 * time.Millisecond })
 	stop := make(chan struct{})
 	var work sync.WaitGroup
 	var mu sync.Mutex
@@ -350,7 +350,7 @@
 
 // A write that hangs for longer than the fence lasts aborts the move, and is not sent to the new group.
 func TestMoveAbortsOnHangingWrite(t *testing.T) {
-	m := startMoved(t, "1s", nil)
+	m := startMoveTest(t, "1s", nil)
 	old := m.oldGroup.Primary()
 	old.SetHang(hosts.AfterCommit)
 	before := m.oldGroup.Commits()
@@ -387,7 +387,7 @@
 // A write that fails while the move is fenced must not be sent again to the new group, while a held write is
 // sent there.
 func TestMoveWithFailedWrite(t *testing.T) {
-	m := startMoved(t, "15s", nil)
+	m := startMoveTest(t, "15s", nil)
 	old := m.oldGroup.Primary()
 	old.SetHang(hosts.AfterCommit)
 	before := m.oldGroup.Commits()
@@ -431,7 +431,7 @@
 
 // A move to a group without a primary must abort, and the old group serves the tenant's writes again.
 func TestMoveAbortsWithoutNewPrimary(t *testing.T) {
-	m := startMoved(t, "1s", nil)
+	m := startMoveTest(t, "1s", nil)
 	// The new group's primary crashes, so that probes of it fail, before the writes are fenced; no host takes
 	// over.
 	m.newGroup.Primary().Crash()
--- a/cmd/yokemast/proof_daily_test.go
+++ b/cmd/yokemast/proof_daily_test.go
@@ -29,17 +29,17 @@
 	stop    chan struct{}
 	work    sync.WaitGroup
 
-	served, refused, unanswered, mixed, lateCalls, adminCalls atomic.Int64
-	bulkBytes, bulkCut                                        atomic.Int64
-	mu                                                        sync.Mutex
-	closed                                                    []string        // ids of requests whose connection ended without an answer
-	large                                                     map[string]bool // the ids in closed that belong to large values
-	memory                                                    int
+	served, refused, unanswered, mixedSettings, lateCalls, adminCalls atomic.Int64
+	bulkBytes, bulkCut                                                atomic.Int64
+	mu                                                                sync.Mutex
+	closed                                                            []string        // ids of requests whose connection ended without an answer
+	large                                                             map[string]bool // the ids in closed that belong to large values
+	memory                                                            int
 }
 
-// newDay starts a gateway with steady continuous clients, as many that send one query and stay idle, and 20
+// newDailyRun starts a gateway with steady continuous clients, as many that send one query and stay idle, and 20
 // silent connections to the admin address.
-func newDay(t testing.TB, seed uint64, steady int) *dailyRun {
+func newDailyRun(t testing.TB, seed uint64, steady int) *dailyRun {
 	d := &dailyRun{t: t, ledger: &rules.Ledger{Limits: rules.Limits{Slack: 2 * time.Second, Grace: time.Second}}, stop: make(chan struct{}), large: map[string]bool{}}
 	c, err := hosts.NewCluster(1, "s-", 3, d.ledger, nil)
 	if err != nil {
@@ -120,7 +120,7 @@
 		case reply.Row:
 			d.served.Add(1)
 		case reply.Code == "42704":
-			d.mixed.Add(1) // both versions have these classes
+			d.mixedSettings.Add(1) // both versions have these classes
 		case reply.Code != "":
 			d.refused.Add(1)
 		default:
@@ -248,15 +248,15 @@
 	}
 	t.Logf("YOKEMAST_SEED=%d go test ./cmd/yokemast -run TestProofDaily", seed)
 	const upgrades, reloads, drains = 20, 51, 20
-	d := newDay(t, seed, 200)
-	one, _ := os.ReadFile(d.current.path)
-	two := strings.Replace(string(one), `"name":"own"`, `"name":"glance"`, 1)
+	d := newDailyRun(t, seed, 200)
+	original, _ := os.ReadFile(d.current.path)
+	changed := strings.Replace(string(original), `"name":"own"`, `"name":"glance"`, 1)
 	for range upgrades {
 		d.upgrade()
 	}
 	used := 0
 	for i := range reloads {
-		text := []string{two, two[:len(two)/2], string(one)}[i%3]
+		text := []string{changed, changed[:len(changed)/2], string(original)}[i%3]
 		d.current.reload(text)
 		time.Sleep(120 * time.Millisecond) // the log accepts ten lines of a kind per second
 		if i%3 != 1 {
@@ -273,16 +273,16 @@
 	cut, _ := d.finish()
 	for name, value := range map[string]int64{"upgrades": upgrades, "reloads": reloads, "drains": drains, "served": d.served.Load(),
 		"refused": d.refused.Load(), "lost": int64(len(d.ledger.Broken())), "cut_with_request": int64(cut), "turned_back_unheard": turnedBack,
-		"mixed_settings": d.mixed.Load(), "admin_calls": d.adminCalls.Load(), "admin_late": d.lateCalls.Load(), "memory_most_mb": int64(d.memory),
+		"mixed_settings": d.mixedSettings.Load(), "admin_calls": d.adminCalls.Load(), "admin_late": d.lateCalls.Load(), "memory_most_mb": int64(d.memory),
 		"bulk_bytes": d.bulkBytes.Load(), "bulk_cut": d.bulkCut.Load()} {
 		t.Logf("figure %s=%d", name, value)
 	}
 	for _, b := range d.ledger.Broken() {
 		t.Errorf("a rule is broken: %s", b)
 	}
-	if cut != 0 || turnedBack != 0 || d.mixed.Load() != 0 || d.lateCalls.Load() != 0 {
+	if cut != 0 || turnedBack != 0 || d.mixedSettings.Load() != 0 || d.lateCalls.Load() != 0 {
 		t.Errorf("%d connections were closed with a request; upgrades and reloads closed %d; %d requests met mixed settings; %d admin calls were late",
-			cut, turnedBack, d.mixed.Load(), d.lateCalls.Load())
+			cut, turnedBack, d.mixedSettings.Load(), d.lateCalls.Load())
 	}
 	if d.bulkCut.Load() != 0 || d.bulkBytes.Load() == 0 {
 		t.Errorf("%d bytes of large values arrived complete, %d values did not", d.bulkBytes.Load(), d.bulkCut.Load())
@@ -302,7 +302,7 @@
 // TestProofDailyNeedsTheHandover shows that TestProofDaily can fail: an old and a new process that do not
 // find each other close their clients' connections.
 func TestProofDailyNeedsTheHandover(t *testing.T) {
-	d := newDay(t, 1, 50)
+	d := newDailyRun(t, 1, 50)
 	t.Setenv("TMPDIR", t.TempDir()) // another folder, where the new process does not find the old one
 	old := d.current
 	witness := old.client()
--- a/cmd/yokemast/proof_leases_test.go
+++ b/cmd/yokemast/proof_leases_test.go
@@ -168,7 +168,7 @@
 	return 0, 0
 }
 
-func (f *leaseFleet) waitNewer(t *testing.T, token uint64, within time.Duration) time.Duration {
+func (f *leaseFleet) waitNewerToken(t *testing.T, token uint64, within time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < within {
 		if _, tok := f.holder(); tok > token {
@@ -206,7 +206,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f := startLeaseFleet(t, ctx, seed, 5, fence)
-	f.waitNewer(t, 0, testTimeout)
+	f.waitNewerToken(t, 0, testTimeout)
 	rng := rand.New(rand.NewPCG(seed, 11))
 	faultKinds := []string{"pause", "cut", "kill"}
 	rng.Shuffle(len(faultKinds), func(i, j int) { faultKinds[i], faultKinds[j] = faultKinds[j], faultKinds[i] })
@@ -220,7 +220,7 @@
 			f.acts.Hold(h, 0)
 			waitFor(t, "acts on their way", func() bool { return f.acts.Counts().Held >= 3 })
 			_ = f.procs[h].Process.Signal(syscall.SIGSTOP)
-			took = f.waitNewer(t, tok, testTimeout)
+			took = f.waitNewerToken(t, tok, testTimeout)
 			before := f.actsOf(h)
 			f.acts.Release(h, 0)
 			waitFor(t, "late acts", func() bool { return f.actsOf(h) >= before+3 })
@@ -233,12 +233,12 @@
 				}
 			}
 			f.net.Partition([]uint16{h}, rest)
-			took = f.waitNewer(t, tok, testTimeout)
+			took = f.waitNewerToken(t, tok, testTimeout)
 			time.Sleep(time.Duration(500+rng.IntN(500)) * time.Millisecond)
 			f.net.Heal()
 		case "kill":
 			_ = f.procs[h].Process.Kill()
-			took = f.waitNewer(t, tok, testTimeout)
+			took = f.waitNewerToken(t, tok, testTimeout)
 		}
 		t.Logf("seed %d: %s of holder %d: a newer token acted after %v", seed, fault, h, took.Round(time.Millisecond))
 		if took > worst {
--- a/cmd/yokemast/proof_pooling_test.go
+++ b/cmd/yokemast/proof_pooling_test.go
@@ -88,8 +88,8 @@
 	for i := range sessions {
 		rng := rand.New(rand.NewPCG(proofSeed, uint64(i)))
 		work.Go(func() {
-			begun := sync.OnceFunc(started.Done)
-			defer begun()
+			markStarted := sync.OnceFunc(started.Done)
+			defer markStarted()
 			name := fmt.Sprint("session-", i)
 			var k *pgx.Conn
 			set := "" // the setting that the session was told is in effect
@@ -105,7 +105,7 @@
 					set = ""
 					defer k.Close(context.Background())
 				}
-				begun()
+				markStarted()
 				fail := func(err error) bool {
 					if err == nil {
 						served.Add(1)
--- a/cmd/yokemast/serve_test.go
+++ b/cmd/yokemast/serve_test.go
@@ -39,7 +39,7 @@
 	fatal := func(h *hosts.Host) []byte {
 		return pg.AppendError(nil, &pg.Error{Code: "XX000", Message: "no", Fatal: true})
 	}
-	hangUp := func(*hosts.Host) []byte { return nil }
+	closeConn := func(*hosts.Host) []byte { return nil }
 	silent := func(*hosts.Host) []byte { return []byte{} }
 	truncated := func(h *hosts.Host) []byte { return h.Row(read("k", comment("view", "")))[:80] }
 	// modified answers the first query with its answer as changed by edit.
@@ -74,11 +74,11 @@
 		{"a write that a host refused as not primary is retried", w, firstAnswer(refuse("25006")), "row k", 2},
 		{"a possibly executed write is not retried: error", w, firstAnswer(refuse("XX000")), "58000", 1},
 		{"a possibly executed write is not retried: fatal error", w, firstAnswer(fatal), "58000", 1},
-		{"a possibly executed write is not retried: reset", w, firstAnswer(hangUp), "58000", 1},
+		{"a possibly executed write is not retried: reset", w, firstAnswer(closeConn), "58000", 1},
 		{"a possibly executed write is not retried: silence", withShortDeadline(w), firstAnswer(silent), "58000", 1},
 		{"a possibly executed write is not retried: truncated answer", withShortDeadline(w), firstAnswer(truncated), "58000", 1},
 		{"a read is retried after an error", own, firstAnswer(refuse("XX000")), "row k", 2},
-		{"a read is retried after a reset", own, firstAnswer(hangUp), "row k", 2},
+		{"a read is retried after a reset", own, firstAnswer(closeConn), "row k", 2},
 		{"invalid answer: not the protocol", r, modified(prefixed([]byte("GET / HTTP/1.1\r\n"))), "row k", 2},
 		{"invalid answer: a length of 3 GB", r, modified(prefixed([]byte{'D', 0xc0, 0, 0, 0, 0, 1})), "row k", 2},
 		{"invalid answer: an unexpected message type", r, modified(prefixed(message('W', "x"))), "row k", 2},
--- a/cmd/yokemast/shutdown_stall_test.go
+++ b/cmd/yokemast/shutdown_stall_test.go
@@ -9,8 +9,8 @@
 	"yokemast/internal/testbed/clients"
 )
 
-// The process answers its open requests last 3.55 s after SIGTERM. A stall of 0.15 s over that moment must
-// not leave any of them without an answer.
+// The process sends its final answers 3.55 s after SIGTERM. A stall of 0.15 s over that moment must not leave any
+// request without an answer.
 func TestStallBeforeFinalAnswersLosesNoRequest(t *testing.T) {
 	h := newHost(t, "s-1", "leader", nil)
 	h.Script = func(int, string) []byte { return []byte{} } // silent
--- a/cmd/yokemast/soak_age_test.go
+++ b/cmd/yokemast/soak_age_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// stallLogs stalls the logs of a group's replicas for the duration long.
+// stallLogs stalls the logs of a group's replicas for the given duration.
 func (r *soakRun) stallLogs(c *hosts.Cluster, duration time.Duration) {
 	r.setApplySpeed(c, stalled)
 	time.AfterFunc(duration, func() { r.setApplySpeed(c, 0) })
@@ -156,9 +156,9 @@
 	}
 }
 
-// kill sends SIGKILL to the process and starts the next one. It calls begun, if not nil, when that one has
+// kill sends SIGKILL to the process and starts the next one. It calls onStart, if not nil, when that one has
 // been started.
-func (r *soakRun) kill(n *soakNode, begun func()) {
+func (r *soakRun) kill(n *soakNode, onStart func()) {
 	n.restartMu.Lock()
 	defer n.restartMu.Unlock()
 	n.mu.Lock()
@@ -167,7 +167,7 @@
 	_ = cmd.Process.Signal(syscall.SIGKILL)
 	n.mu.Unlock()
 	_ = cmd.Wait()
-	r.startNextProcess(n, begun)
+	r.startNextProcess(n, onStart)
 }
 
 // killedSince reports whether a process of the gateway has been killed after at.
--- a/cmd/yokemast/soak_test.go
+++ b/cmd/yokemast/soak_test.go
@@ -441,7 +441,7 @@
 	case soak.Reload:
 		n.signal(syscall.SIGHUP)
 	case soak.Reloads, soak.Moves:
-		r.work.Go(func() { r.reloads(n, e) })
+		r.work.Go(func() { r.sendReloads(n, e) })
 	case soak.HoldUp:
 		n.signal(syscall.SIGSTOP)
 		time.AfterFunc(140*time.Millisecond, func() { n.signal(syscall.SIGCONT) })
@@ -459,9 +459,9 @@
 	}
 }
 
-// reloads sends SIGHUP every 0.2 s for e.For. If the event is soak.Moves, each reload switches to the agent's
+// sendReloads sends SIGHUP every 0.2 s for e.For. If the event is soak.Moves, each reload switches to the agent's
 // other address.
-func (r *soakRun) reloads(n *soakNode, e soak.Event) {
+func (r *soakRun) sendReloads(n *soakNode, e soak.Event) {
 	for end := time.Now().Add(e.For); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		n.mu.Lock()
 		if e.Kind == soak.Moves {
@@ -480,9 +480,9 @@
 	}
 }
 
-// restart ends the process as a planned restart does, and starts the next one. It calls begun, if not nil,
+// restart ends the process as a planned restart does, and starts the next one. It calls onStart, if not nil,
 // when that one has been started. With series, other signals come before and after SIGTERM.
-func (r *soakRun) restart(n *soakNode, series bool, begun func()) {
+func (r *soakRun) restart(n *soakNode, series bool, onStart func()) {
 	n.restartMu.Lock() // planned restarts do not overlap
 	defer n.restartMu.Unlock()
 	n.mu.Lock()
@@ -501,15 +501,15 @@
 	})
 	_ = cmd.Wait()
 	kill.Stop()
-	r.startNextProcess(n, begun)
+	r.startNextProcess(n, onStart)
 }
 
 // startNextProcess starts the gateway's next process after one has ended.
-func (r *soakRun) startNextProcess(n *soakNode, begun func()) {
+func (r *soakRun) startNextProcess(n *soakNode, onStart func()) {
 	r.ledger.Restarted(n.name, n.notifiedFrom(time.Now()))
 	r.start(n)
-	if begun != nil {
-		begun()
+	if onStart != nil {
+		onStart()
 	}
 	r.waitReady(n)
 }
--- a/cmd/yokemast/stale_clock_test.go
+++ b/cmd/yokemast/stale_clock_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkClock runs check and prints the gateway's log lines about the fleet's clock.
+// checkClock runs checkReads and prints the gateway's log lines about the fleet's clock.
 func (b *hangBench) checkClock() {
 	b.t.Helper()
 	b.checkReads()
@@ -138,7 +138,7 @@
 // for 2 s so that reads would be routed by them. It calls meanwhile repeatedly.
 func (b *hangBench) waitAgreeing(meanwhile func()) {
 	b.t.Helper()
-	for end := time.Now().Add(testTimeout); !b.agreeing(); time.Sleep(resetPause) {
+	for end := time.Now().Add(testTimeout); !b.reportsAgree(); time.Sleep(resetPause) {
 		if time.Now().After(end) {
 			b.t.Fatalf("old reports are not sent %d times within %s\n%s", agreeingProbes, agreeingWithin, b.log)
 		}
@@ -149,8 +149,8 @@
 	}
 }
 
-// agreeing reports whether agreeingProbes old reports were sent within agreeingWithin.
-func (b *hangBench) agreeing() bool {
+// reportsAgree reports whether agreeingProbes old reports were sent within agreeingWithin.
+func (b *hangBench) reportsAgree() bool {
 	var sent []time.Time
 	for _, r := range b.reports {
 		sent = append(sent, r.oldReportTimes()...)
