--- a/cmd/yokemast/proof_leases_test.go
+++ b/cmd/yokemast/proof_leases_test.go
@@ -28,7 +28,7 @@
 	admitted bool
 }
 
-// resource simulates the target of a fleet-wide task. It checks tokens by its fence if on is set.
+// resource simulates the target of a fleet-wide task. If checkFence is set, it refuses acts by their token.
 type resource struct {
 	mu         sync.Mutex
 	fence      leases.Fence
