--- a/cmd/yokemast/admin_test.go
+++ b/cmd/yokemast/admin_test.go
@@ -143,7 +143,7 @@
 }
 
 func hostReceived(h *hosts.Host, text string) bool {
-	for _, q := range h.Asked() {
+	for _, q := range h.Queries() {
 		if strings.Contains(q, text) {
 			return true
 		}
--- a/cmd/yokemast/bulk_test.go
+++ b/cmd/yokemast/bulk_test.go
@@ -179,7 +179,7 @@
 					mu.Lock()
 					refused++
 					mu.Unlock()
-					time.Sleep(r.After)
+					time.Sleep(r.RetryAfter)
 					continue
 				}
 				if r.Closed || !bytes.Equal(r.Value, v) {
--- a/cmd/yokemast/drain_grace_test.go
+++ b/cmd/yokemast/drain_grace_test.go
@@ -76,8 +76,8 @@
 // gateway as notified 6 s later.
 func (b *drainBench) drainPrimary() {
 	primary := b.cluster.Primary()
-	b.agent.Set(primary.Entry("DRAINING"))
-	time.AfterFunc(notifiedWithin, func() { b.ledger.Told(primary.ID, false) })
+	b.agent.Set(primary.ListEntry("DRAINING"))
+	time.AfterFunc(notifiedWithin, func() { b.ledger.DrainAnnounced(primary.ID, false) })
 }
 
 // A draining host receives no new request after the drain grace, whatever discovery answers and however often
--- a/cmd/yokemast/event_order_test.go
+++ b/cmd/yokemast/event_order_test.go
@@ -34,9 +34,9 @@
 // waitReceived waits until a host has received n queries.
 func waitReceived(t testing.TB, h *hosts.Host, n int) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); len(h.Asked()) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(h.Queries()) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the host received %d queries, want %d", len(h.Asked()), n)
+			t.Fatalf("the host received %d queries, want %d", len(h.Queries()), n)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	}{
 		{"a write at a host that hangs", func(h *hosts.Host) { h.Script = silent }, write("k", "9f", comment("order", "")), "58000"},
 		{"a write that every host refuses as not primary", func(h *hosts.Host) { h.Script = alwaysError("25006")(h) }, write("k", "9f", comment("order", "")), "53300 come back"},
-		{"a write whose host connection is not established", func(h *hosts.Host) { h.Admit = func(int) { time.Sleep(testTimeout) } },
+		{"a write whose host connection is not established", func(h *hosts.Host) { h.OnSession = func(int) { time.Sleep(testTimeout) } },
 			write("k", "9f", comment("order", "")), "53300 come back"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 		if got := c.Answer(); got != "53300 come back" {
 			t.Errorf("after %d commands: the request past its deadline is answered %q", before, got)
 		}
-		if n := len(h.Asked()); n != before {
+		if n := len(h.Queries()); n != before {
 			t.Errorf("after %d commands: %d queries were sent", before, n)
 		}
 	}
@@ -166,7 +166,7 @@
 				t.Fatal("the attempt is still in flight")
 			}
 			g.waitCounter("clients_open", 0)
-			if n := len(h.Asked()); n != 1 {
+			if n := len(h.Queries()); n != 1 {
 				t.Errorf("%d queries were sent", n)
 			}
 		})
@@ -181,7 +181,7 @@
 			t.Parallel()
 			connecting, admit := make(chan struct{}, 1), make(chan struct{})
 			h := newHost(t, "s-1", "leader", nil)
-			h.Admit = func(n int) {
+			h.OnSession = func(n int) {
 				if n == 0 {
 					connecting <- struct{}{}
 					<-admit
@@ -197,7 +197,7 @@
 			if got := g.client().Ask(write("stays", "9f", comment("order", ""))); got != "row stays" {
 				t.Fatalf("answered %q", got)
 			}
-			for _, q := range h.Asked() {
+			for _, q := range h.Queries() {
 				if strings.Contains(q, "'left'") {
 					t.Errorf("sent to a host after its client had disconnected: %s", q)
 				}
@@ -212,7 +212,7 @@
 	connecting, admit := make(chan struct{}, 1000), make(chan struct{})
 	var firstFailed atomic.Bool // set when the first attempt fails: later connections are established late
 	h := newHost(t, "s-1", "leader", func(int, string) []byte { firstFailed.Store(true); return nil })
-	h.Admit = func(int) {
+	h.OnSession = func(int) {
 		if firstFailed.Load() {
 			connecting <- struct{}{}
 			<-admit
@@ -233,7 +233,7 @@
 	if got := c.Answer(); !strings.HasPrefix(got, "53300") {
 		t.Errorf("answered %q", got)
 	}
-	if n := len(h.Asked()); n != 1 {
+	if n := len(h.Queries()); n != 1 {
 		t.Errorf("%d attempts were sent", n)
 	}
 }
@@ -246,7 +246,7 @@
 			t.Parallel()
 			connecting, admit := make(chan struct{}, 1000), make(chan struct{})
 			h := newHost(t, "s-1", "leader", nil)
-			h.Admit = func(int) {
+			h.OnSession = func(int) {
 				connecting <- struct{}{}
 				<-admit
 			}
@@ -257,9 +257,9 @@
 			c.Send(write("k", "9f", strings.Replace(comment("order", ""), "d=15000", "d=4000", 1)))
 			<-connecting
 			if how == "not listed" {
-				g.agent.Drop(h.ID)
+				g.agent.Remove(h.ID)
 			} else {
-				g.agent.Set(h.Entry(how))
+				g.agent.Set(h.ListEntry(how))
 			}
 			g.waitLog(`"msg":"hosts listed"`)
 			notifiedAt := time.Now()
@@ -268,7 +268,7 @@
 			if got := c.Answer(); !strings.HasPrefix(got, "53300") {
 				t.Errorf("answered %q", got)
 			}
-			if received := h.Asked(); len(received) > 0 {
+			if received := h.Queries(); len(received) > 0 {
 				t.Errorf("sent to a host that is %s: %s", how, received)
 			}
 		})
@@ -387,7 +387,7 @@
 				return trouble(w, r)
 			}, nil, h, newHost(t, "s-2", "follower", nil))
 			at := <-began
-			g.agent.Set(h.Entry("DRAINING"))
+			g.agent.Set(h.ListEntry("DRAINING"))
 			g.waitLog(`"msg":"hosts listed"`)
 			if took := time.Since(at); took > 6*time.Second {
 				t.Errorf("the drain took effect after %s", took)
@@ -404,10 +404,10 @@
 func TestFirstListCountsFromProcessStart(t *testing.T) {
 	const reading = 300 * time.Millisecond
 	h := newHost(t, "s-1", "leader", nil)
-	agent := discovery.New(h.Entry("SERVING"))
+	agent := discovery.New(h.ListEntry("SERVING"))
 	t.Cleanup(agent.Close)
-	path := config(t, agent.Known(), agent.Listener.Addr().String(), nil)
-	agent.Set(h.Entry("DRAINING"))
+	path := config(t, agent.Snapshot(), agent.Listener.Addr().String(), nil)
+	agent.Set(h.ListEntry("DRAINING"))
 	text, _ := os.ReadFile(path)
 	pipe := path + ".pipe"
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
@@ -475,7 +475,7 @@
 		_, _ = n.Write(pg.AppendStartup(nil, "backend", "store"))
 	}
 	g.waitCounter("clients_accepted", 402)
-	g.agent.Set(newHost(t, "s-2", "leader", nil).Entry("SERVING"))
+	g.agent.Set(newHost(t, "s-2", "leader", nil).ListEntry("SERVING"))
 	unreachable.Store(false)
 	returnedAt := time.Now()
 	g.waitLog(`"discovery answers again"`)
@@ -535,7 +535,7 @@
 	t.Run("SIGTERM before it is ready", func(t *testing.T) {
 		t.Parallel()
 		h := newHost(t, "s-1", "leader", nil)
-		cmd := program(t.Context(), "serve", "--config", config(t, discovery.List(41, true, h.Entry("SERVING")), "127.0.0.1:1", nil))
+		cmd := program(t.Context(), "serve", "--config", config(t, discovery.List(41, true, h.ListEntry("SERVING")), "127.0.0.1:1", nil))
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/yokemast/pooling_failures_test.go
+++ b/cmd/yokemast/pooling_failures_test.go
@@ -62,8 +62,8 @@
 			if _, err := next.Exec(t.Context(), "INSERT INTO kv (name, content) VALUES ('k', 'next')"); err != nil {
 				t.Error(err)
 			}
-			if ids := p.cluster.IDs(); ids["left"] != 0 || ids["next"] != 1 || p.cluster.Peak() != 1 {
-				t.Errorf("committed: %v, over %d connections", ids, p.cluster.Peak())
+			if ids := p.cluster.CommitsByID(); ids["left"] != 0 || ids["next"] != 1 || p.cluster.PeakConns() != 1 {
+				t.Errorf("committed: %v, over %d connections", ids, p.cluster.PeakConns())
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 	if _, err := p.mustConnect(t).Exec(t.Context(), "INSERT INTO kv (name, content) VALUES ('k', 'next')"); err != nil {
 		t.Error(err)
 	}
-	if ids := p.cluster.IDs(); ids["left"] != 0 || ids["next"] != 1 {
+	if ids := p.cluster.CommitsByID(); ids["left"] != 0 || ids["next"] != 1 {
 		t.Errorf("committed: %v", ids)
 	}
 }
@@ -207,7 +207,7 @@
 		if err := run(name); err == nil {
 			t.Errorf("%s: the client got no error", name)
 		}
-		if n := p.cluster.IDs()[name]; n != 1 {
+		if n := p.cluster.CommitsByID()[name]; n != 1 {
 			t.Errorf("%s: committed %d times", name, n)
 		}
 	}
--- a/cmd/yokemast/pooling_limits_test.go
+++ b/cmd/yokemast/pooling_limits_test.go
@@ -33,8 +33,8 @@
 			}
 		}
 	}
-	if p.cluster.Peak() != 2 {
-		t.Errorf("%d connections", p.cluster.Peak())
+	if p.cluster.PeakConns() != 2 {
+		t.Errorf("%d connections", p.cluster.PeakConns())
 	}
 	out, err := command(t, "pools", "--socket", p.socket)
 	if err != nil || !strings.Contains(out, "listen:1") || !strings.HasPrefix(out, "POOL") || !strings.Contains(out, "s-0") {
@@ -127,8 +127,8 @@
 	if served.Load() != 400 {
 		t.Errorf("%d of 400 clients were served, %d attempts were refused", served.Load(), refused.Load())
 	}
-	if peak := p.peakConnections(t); peak > 8 || p.cluster.Peak() > 2*8 { // a host may count a closing connection beside its successor
-		t.Errorf("%d host connections, hosts counted %d", peak, p.cluster.Peak())
+	if peak := p.peakConnections(t); peak > 8 || p.cluster.PeakConns() > 2*8 { // a host may count a closing connection beside its successor
+		t.Errorf("%d host connections, hosts counted %d", peak, p.cluster.PeakConns())
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGUSR1)
 	p.waitLog(`"panics":0`)
--- a/cmd/yokemast/serve_test.go
+++ b/cmd/yokemast/serve_test.go
@@ -106,7 +106,7 @@
 				t.Errorf("answered %q, want %q", got, c.want)
 			}
 			d := regexp.MustCompile(`d=\d+`)
-			asked := h.Asked()
+			asked := h.Queries()
 			if len(asked) != c.sends {
 				t.Fatalf("sent %d times, want %d: %.200q", len(asked), c.sends, asked)
 			}
@@ -122,12 +122,12 @@
 	replica := newHost(t, "s-2", "follower", func(int, string) []byte { return nil })
 	g := start(t, nil, primary, replica)
 	c := g.client()
-	for i := 0; len(replica.Asked()) == 0 && i < 200; i++ {
+	for i := 0; len(replica.Queries()) == 0 && i < 200; i++ {
 		if got := c.Ask(read("k", comment("view", ""))); got != "row k" {
 			t.Fatalf("answered %q", got)
 		}
 	}
-	if len(replica.Asked()) == 0 {
+	if len(replica.Queries()) == 0 {
 		t.Error("no read was sent to the replica")
 	}
 }
@@ -138,7 +138,7 @@
 	primary := newHost(t, "s-1", "leader", nil)
 	replica := newHost(t, "s-2", "follower", func(int, string) []byte { return []byte{} })
 	primary.Script = func(_ int, query string) []byte {
-		if n := len(replica.Asked()); n > 0 {
+		if n := len(replica.Queries()); n > 0 {
 			for range n {
 				select {
 				case <-replica.Ended:
@@ -151,10 +151,10 @@
 	}
 	edit := func(c string) string { return strings.ReplaceAll(c, `"onTime":10000000000`, `"onTime":1000000000`) }
 	c := start(t, edit, primary, replica).client()
-	for i := 0; len(replica.Asked()) == 0 && i < 200; i++ {
+	for i := 0; len(replica.Queries()) == 0 && i < 200; i++ {
 		c.Ask(read("k", comment("view", "")))
 	}
-	if len(replica.Asked()) == 0 {
+	if len(replica.Queries()) == 0 {
 		t.Error("no read was sent to the replica")
 	}
 }
@@ -163,7 +163,7 @@
 	h := newHost(t, "s-1", "leader", func(int, string) []byte { return []byte{} })
 	c := start(t, nil, h).client()
 	c.Send(read("k", comment("own", "")))
-	for end := time.Now().Add(testTimeout); len(h.Asked()) == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); len(h.Queries()) == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	c.Close()
@@ -177,7 +177,7 @@
 // A connection that the host has closed after an answer must not be used for the next write, which would fail.
 func TestConnectionClosedByHostIsNotReused(t *testing.T) {
 	h := newHost(t, "s-1", "leader", nil)
-	h.Brief = true
+	h.CloseAfterAnswer = true
 	c := start(t, nil, h).client()
 	for range 5 { // a write on a closed connection would fail with a reset
 		if got := c.Ask(write("k", "9f", comment("order", ""))); got != "row k" {
@@ -193,7 +193,7 @@
 	for _, late := range []bool{false, true} {
 		h := newHost(t, "s-1", "leader", nil)
 		if late {
-			h.Trail = func(query string) []byte { return h.Row(query) } // a second answer when no request waits for one
+			h.TrailingBytes = func(query string) []byte { return h.Row(query) } // a second answer when no request waits for one
 		} else {
 			h.Script = func(_ int, query string) []byte { return append(h.Row(query), h.Row(query)...) }
 		}
@@ -213,8 +213,8 @@
 	c := g.client()
 	until := func(h *hosts.Host) {
 		t.Helper()
-		before := len(h.Asked())
-		for end := time.Now().Add(testTimeout); len(h.Asked()) == before; {
+		before := len(h.Queries())
+		for end := time.Now().Add(testTimeout); len(h.Queries()) == before; {
 			if got := c.Ask(write("k", "9f", comment("order", ""))); got != "row k" || time.Now().After(end) {
 				t.Fatalf("answered %q", got)
 			}
@@ -223,13 +223,13 @@
 	until(a)
 	for _, bad := range []string{`{`, `[]`, `{"revision":"x"}`, `{"revision":42,"complete":true,"members":[{}]}`,
 		`{"revision":42,"complete":true,"members":[{"id":"s-9","phase":"NEW","host_port":"127.0.0.1:1"}]}`} {
-		g.agent.Say(bad)
+		g.agent.AnswerWith(bad)
 	}
 	// In a delta a host that is not named stays; a snapshot without it removes it.
-	g.agent.Say(discovery.List(42, false, b.Entry("DRAINING")))
+	g.agent.AnswerWith(discovery.List(42, false, b.ListEntry("DRAINING")))
 	until(a)
-	g.agent.Say(discovery.List(43, true, b.Entry("SERVING")))
+	g.agent.AnswerWith(discovery.List(43, true, b.ListEntry("SERVING")))
 	until(b)
-	g.agent.Say(discovery.List(44, false, b.Entry("DELETED"), a.Entry("SERVING")))
+	g.agent.AnswerWith(discovery.List(44, false, b.ListEntry("DELETED"), a.ListEntry("SERVING")))
 	until(a)
 }
--- a/cmd/yokemast/soak_age_test.go
+++ b/cmd/yokemast/soak_age_test.go
@@ -117,7 +117,7 @@
 		time.AfterFunc(e.For, func() { r.wake(old) })
 	case soak.HeldAnswers:
 		old.SetHang(hosts.AfterCommit)
-		time.AfterFunc(e.For, func() { old.SetHang(hosts.Awake) })
+		time.AfterFunc(e.For, func() { old.SetHang(hosts.NotHung) })
 	case soak.ReportsStop:
 		r.stopReports(c, true)
 		time.AfterFunc(e.For, func() { r.stopReports(c, false) })
@@ -141,7 +141,7 @@
 	if c := r.clusterOf(h); c.Primary() == nil {
 		r.setPrimary(c, h)
 	}
-	h.SetHang(hosts.Awake)
+	h.SetHang(hosts.NotHung)
 }
 
 func (r *soakRun) stopReports(c *hosts.Cluster, stopped bool) {
--- a/cmd/yokemast/soak_group_test.go
+++ b/cmd/yokemast/soak_group_test.go
@@ -20,7 +20,7 @@
 	if phase == "" {
 		phase = "SERVING"
 	}
-	e := h.Entry(phase)
+	e := h.ListEntry(phase)
 	if l := n.links[h.ID]; l != nil {
 		e["host_port"] = l.Address()
 	}
@@ -75,7 +75,7 @@
 	if h.Restart() != nil {
 		return // it has been started in the meantime
 	}
-	started := h.Entry("SERVING")["up_since_ms"]
+	started := h.ListEntry("SERVING")["up_since_ms"]
 	time.AfterFunc(r.plan.StartLag, func() { r.updateEntry(h, func() { r.starts[h.ID] = started }) })
 }
 
@@ -107,7 +107,7 @@
 		old.SetHang(hosts.BeforeCommit)
 		r.setPrimary(c, nil)
 		time.AfterFunc(e.For/2, func() { r.promoteSuccessor(old) })
-		time.AfterFunc(e.For, func() { old.SetHang(hosts.Awake) })
+		time.AfterFunc(e.For, func() { old.SetHang(hosts.NotHung) })
 	case soak.HandOver:
 		r.setPrimary(c, r.successor(old))
 		time.AfterFunc(e.For, func() { r.setPrimary(c, old) })
--- a/cmd/yokemast/soak_test.go
+++ b/cmd/yokemast/soak_test.go
@@ -123,10 +123,10 @@
 func runSoak(t *testing.T, plan soak.Plan) {
 	r := &soakRun{t: t, plan: plan, stop: make(chan struct{}), phases: map[string]string{}, roles: map[string]string{},
 		starts: map[string]any{}, ledger: &rules.Ledger{Limits: rules.Limits{Grace: plan.Grace, Slack: 50 * time.Millisecond,
-			Window: plan.Window, Leave: 100 * time.Millisecond, KnownAfter: knownAfter + maxStall}}}
+			Window: plan.Window, DisconnectGrace: 100 * time.Millisecond, KnownWithin: knownAfter + maxStall}}}
 	stalls := stall.Start()
 	defer stalls.Stop()
-	r.ledger.Stalls = stalls.Lately
+	r.ledger.Stalls = stalls.Recent
 	r.startGroup("s-", plan.Hosts)
 	if plan.SecondGroup > 0 {
 		r.startGroup("t-", plan.SecondGroup)
@@ -152,7 +152,7 @@
 	r.playEvents()
 	close(r.stop)
 	r.work.Wait()
-	if broken := r.ledger.Broken(); len(broken) > 0 {
+	if broken := r.ledger.Violations(); len(broken) > 0 {
 		t.Errorf("%+v\n%d rules broken, of them:\n%s", plan, len(broken), strings.Join(broken[:min(20, len(broken))], "\n"))
 		longest, ended := stalls.Longest()
 		t.Logf("the longest stall of the test process itself was %s, until %.3f", longest, float64(ended.UnixMilli())/1000)
@@ -172,7 +172,7 @@
 	if p.Window > 0 {
 		effect = fmt.Sprintf(`"effect":"dedup","keyTtl":%d`, p.Window)
 	}
-	if p.Ask {
+	if p.Poll {
 		mode = "ask"
 	}
 	read := fmt.Sprintf(`"effect":"retryable","group":"all","onTime":%d,"giveUp":%d,"credit":1`, p.Deadline/2, p.Deadline)
@@ -183,7 +183,7 @@
 			"mayCancel":true,"probes":true,"retryAfter":true},
 		"profiles":[{"name":"view",%s},{"name":"own",%s},
 			{"name":"order",%s,"group":"all","onTime":%d,"giveUp":%d,"credit":3,"lateWorth":0.7}],
-		"report":{"columns":["x0","x1"],"how":"piggyback"}}`, p.Gateways, mode, p.Grace, read, read, effect, p.Longest/2, p.Longest)
+		"report":{"columns":["x0","x1"],"how":"piggyback"}}`, p.Gateways, mode, p.Grace, read, read, effect, p.MaxDeadline/2, p.MaxDeadline)
 }
 
 func (r *soakRun) startNode(i int) {
@@ -199,7 +199,7 @@
 	n.agent.Before = n.beforeAnswer
 	n.agent.Answered = func(revision int) { r.recordAnswered(n, revision) }
 	n.secondServer = httptest.NewServer(n.agent)
-	n.path = config(r.t, n.agent.Known(), n.agent.Listener.Addr().String(), func(s string) string {
+	n.path = config(r.t, n.agent.Snapshot(), n.agent.Listener.Addr().String(), func(s string) string {
 		s = strings.Replace(s, settingsJSON, soakSettings(r.plan), 1)
 		if r.network != nil {
 			s = r.withGossip(s, i)
@@ -239,7 +239,7 @@
 			}
 		}
 	}
-	r.ledger.Breaks("%s is not ready within %s (its process: %s)", n.name, testTimeout, n.state())
+	r.ledger.AddViolation("%s is not ready within %s (its process: %s)", n.name, testTimeout, n.state())
 }
 
 // state returns the kernel's letter for the state of the gateway's process; Z means that it has ended.
@@ -343,7 +343,7 @@
 	}
 	n.mu.Unlock()
 	if e.Kind == soak.AgentSilent {
-		n.agent.Silence()
+		n.agent.DropCalls()
 	}
 }
 
@@ -411,7 +411,7 @@
 		r.setPhase(all[e.Target], "SERVING")
 	case soak.Hang:
 		all[e.Target].SetHang(hosts.BeforeCommit)
-		time.AfterFunc(e.For, func() { all[e.Target].SetHang(hosts.Awake) })
+		time.AfterFunc(e.For, func() { all[e.Target].SetHang(hosts.NotHung) })
 	case soak.Crash:
 		all[e.Target].Crash()
 		r.replacePrimary(all[e.Target])
@@ -496,7 +496,7 @@
 	for _, s := range append(append(before, syscall.SIGTERM), after...) {
 		_ = cmd.Process.Signal(s)
 	}
-	kill := time.AfterFunc(min(max(r.plan.Longest, r.plan.Deadline), 3*time.Second)+700*time.Millisecond+raceExit(), func() {
+	kill := time.AfterFunc(min(max(r.plan.MaxDeadline, r.plan.Deadline), 3*time.Second)+700*time.Millisecond+raceExit(), func() {
 		_ = cmd.Process.Signal(syscall.SIGKILL)
 	})
 	_ = cmd.Wait()
@@ -524,7 +524,7 @@
 
 func (r *soakRun) runClients() {
 	for i, n := range r.nodes {
-		for c := range r.plan.Clients + r.plan.Eager {
+		for c := range r.plan.Clients + r.plan.EagerClients {
 			rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(1000*i+c)))
 			r.work.Go(func() { r.runClient(n, rng, c >= r.plan.Clients) })
 		}
@@ -612,12 +612,12 @@
 	}
 	switch rng.IntN(4) {
 	case 0:
-		q.Class, q.Write, q.Wait, q.Value = "order", true, r.plan.Longest, soakValue(q.ID, byte(rng.IntN(256)))
+		q.Class, q.Write, q.Wait, q.Value = "order", true, r.plan.MaxDeadline, soakValue(q.ID, byte(rng.IntN(256)))
 		q.Repeatable = r.plan.Window > 0
 	case 1:
 		q.Class, q.After = "own", time.Now().Add(r.plan.Skew-time.Duration(rng.IntN(300))*time.Millisecond)
 	}
-	r.ledger.Via(q.ID, n.name)
+	r.ledger.SentVia(q.ID, n.name)
 	r.ledger.Asked(q.ID, q.Write, q.Repeatable, time.Now().Add(q.Wait+lateTolerance))
 	_ = c.SetDeadline(time.Now().Add(q.Wait + 2*time.Second))
 	sent := time.Now()
@@ -625,7 +625,7 @@
 	if rng.IntN(30) == 0 { // disconnect without waiting for the answer
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 		_ = c.Close()
-		r.ledger.Leaves(q.ID)
+		r.ledger.Disconnected(q.ID)
 		return false
 	}
 	reply := c.ReadReply()
@@ -639,15 +639,15 @@
 	case reply.Code != "":
 		r.ledger.Answered(q.ID, rules.Failed)
 	case n.killedSince(sent): // a killed process answers none of its requests
-		r.ledger.Left(q.ID)
+		r.ledger.Unanswered(q.ID)
 	default:
 		// A gateway may close a connection between two requests. A request that crosses the close is not read
 		// and causes a reset.
-		if took, read := time.Since(sent).Round(time.Millisecond), !c.IsReset(unreadWithin); read || r.ledger.Came(q.ID) {
-			r.ledger.Breaks("%s: %s ends the connection without an answer %s after the request was sent, %s (%s, read: %t, received by a host: %t)", q.ID,
-				n.name, took, n.sinceSIGTERM(), q.Class, read, r.ledger.Came(q.ID))
+		if took, read := time.Since(sent).Round(time.Millisecond), !c.IsReset(unreadWithin); read || r.ledger.ReachedHost(q.ID) {
+			r.ledger.AddViolation("%s: %s ends the connection without an answer %s after the request was sent, %s (%s, read: %t, received by a host: %t)", q.ID,
+				n.name, took, n.sinceSIGTERM(), q.Class, read, r.ledger.ReachedHost(q.ID))
 		}
-		r.ledger.Left(q.ID)
+		r.ledger.Unanswered(q.ID)
 	}
 	return !reply.Closed
 }
--- a/cmd/yokemast/stale_reads_test.go
+++ b/cmd/yokemast/stale_reads_test.go
@@ -52,10 +52,10 @@
 // newStaleHosts starts the groups of hosts without a gateway.
 func newStaleHosts(t *testing.T, groups int, set func(*hosts.Host)) *staleBench {
 	t.Helper()
-	b := &staleBench{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 50 * time.Millisecond, KnownAfter: knownAfter}}}
+	b := &staleBench{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 50 * time.Millisecond, KnownWithin: knownAfter}}}
 	stalls := stall.Start()
 	t.Cleanup(stalls.Stop)
-	b.ledger.Stalls = stalls.Lately
+	b.ledger.Stalls = stalls.Recent
 	for i := range groups {
 		cluster, err := hosts.NewCluster(i+1, fmt.Sprintf("s%d-", i+1), 3, b.ledger, func(h *hosts.Host) {
 			h.Work = 2 * time.Millisecond
@@ -122,7 +122,7 @@
 	b.t.Helper()
 	counts := b.ledger.Counts()
 	if counts.Stale > 0 {
-		for _, line := range b.ledger.Broken() {
+		for _, line := range b.ledger.Violations() {
 			if strings.Contains(line, "too old") {
 				b.t.Errorf("%d reads were served from data older than their class allows, the first: %s\n%s", counts.Stale, line, b.log)
 				break
@@ -137,7 +137,7 @@
 
 // entry returns a host's entry on the endpoint list with a role that may be outdated.
 func (b *staleBench) entry(h *hosts.Host, role string) map[string]any {
-	e := h.Entry("SERVING")
+	e := h.ListEntry("SERVING")
 	e["role"] = role
 	return e
 }
@@ -184,7 +184,7 @@
 
 // stallRepeatedly repeatedly stops the process for 0.14 s until the test ends.
 func (b *staleBench) stallRepeatedly() {
-	b.ledger.Limits.KnownAfter = knownAfter + maxStall
+	b.ledger.Limits.KnownWithin = knownAfter + maxStall
 	stop := make(chan struct{})
 	var held sync.WaitGroup
 	held.Go(func() {
--- a/cmd/yokemast/start_signal_test.go
+++ b/cmd/yokemast/start_signal_test.go
@@ -18,10 +18,10 @@
 // SIGHUP may arrive from the moment in which the run command of the deploy file has executed the program,
 // before the program can install its handler. It must not end the process.
 func TestSIGHUPDuringStartDoesNotEndProcess(t *testing.T) {
-	agent := discovery.New(newHost(t, "h1", "leader", nil).Entry("SERVING"))
+	agent := discovery.New(newHost(t, "h1", "leader", nil).ListEntry("SERVING"))
 	t.Cleanup(agent.Close)
 	for range 10 {
-		path := config(t, agent.Known(), agent.Listener.Addr().String(), nil)
+		path := config(t, agent.Snapshot(), agent.Listener.Addr().String(), nil)
 		text, err := os.ReadFile("../../deploy/balancer.toml")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/yokemast/upgrade_test.go
+++ b/cmd/yokemast/upgrade_test.go
@@ -175,7 +175,7 @@
 func TestNewProcessUsesReloadedDiscoveryAddress(t *testing.T) {
 	h := newHost(t, "h1", "leader", nil)
 	old, _ := startUpgradable(t, h)
-	moved := discovery.New(h.Entry("SERVING"))
+	moved := discovery.New(h.ListEntry("SERVING"))
 	t.Cleanup(moved.Close)
 	text, _ := os.ReadFile(old.path)
 	old.reload(strings.Replace(string(text), gjson.GetBytes(text, "discovery").Str, moved.Listener.Addr().String(), 1))
