--- a/cmd/yokemast/harness_test.go
+++ b/cmd/yokemast/harness_test.go
@@ -22,7 +22,8 @@
 	"yokemast/internal/testbed/hosts"
 )
 
-// The tests start the real program: this test's own binary, which runs main where it is told to.
+// TestMain runs main instead of the tests if YOKEMAST_TEST_MAIN is set: the tests start their own binary as
+// the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("YOKEMAST_TEST_MAIN") != "" {
 		main()
@@ -31,9 +32,9 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second // nothing here takes nearly as long: what is waited for is lost if it runs out
+const testTimeout = 20 * time.Second // far longer than any step of the tests takes
 
-// newHost starts a scripted host that ends with the test.
+// newHost starts a scripted host that is closed at the end of the test.
 func newHost(t testing.TB, id, role string, script func(n int, query string) []byte) *hosts.Host {
 	t.Helper()
 	h, err := hosts.New(id, role, script)
@@ -44,13 +45,13 @@
 	return h
 }
 
-// gateway is a running program.
+// gateway is a running process of the program.
 type gateway struct {
 	t       testing.TB
 	cmd     *exec.Cmd
 	address string
 	path    string // of the configuration
-	log     *logged
+	log     *logBuffer
 	agent   *discovery.Server
 }
 
@@ -68,7 +69,7 @@
 
 var gateways atomic.Int64
 
-// ownAddress is a loopback address that no other gateway of the tests has, whatever ports others are given.
+// ownAddress returns a loopback address that no other gateway of the tests uses.
 func ownAddress() string {
 	pid, n := os.Getpid(), int(gateways.Add(1))
 	return fmt.Sprintf("127.%d.%d.%d:5432", 64+pid%128, (pid/128+64*(n/250))%256, 1+n%250)
@@ -94,51 +95,51 @@
 	return cmd
 }
 
-// logged is what a running program logs.
-type logged struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// logBuffer collects the log of a running program.
+type logBuffer struct {
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(b)
+	return l.buf.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buf.String()
 }
 
-// waitLog waits until the log holds the text.
+// waitLog waits until the log contains the text.
 func (g *gateway) waitLog(text string) {
 	g.t.Helper()
-	for end := time.Now().Add(patience); !strings.Contains(g.log.String(), text); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(g.log.String(), text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			g.t.Fatalf("no %s in the log: %s", text, g.log)
 		}
 	}
 }
 
-// start runs a gateway that knows the hosts and waits until it is ready.
+// start runs a gateway configured with the hosts and waits until it is ready.
 func start(t testing.TB, edit func(string) string, all ...*hosts.Host) *gateway {
 	t.Helper()
 	return startWith(t, edit, nil, all...)
 }
 
-// startWith does the same with more arguments of the command line.
+// startWith is start with additional command-line arguments.
 func startWith(t testing.TB, edit func(string) string, args []string, all ...*hosts.Host) *gateway {
 	t.Helper()
 	return startBehind(t, edit, nil, args, all...)
 }
 
-// startBehind does the same with an agent that answers as before says.
+// startBehind is startWith with a discovery agent that calls before, if it is not nil, ahead of each answer.
 func startBehind(t testing.TB, edit func(string) string, before func(int, http.ResponseWriter, *http.Request) bool, args []string,
 	all ...*hosts.Host) *gateway {
 	t.Helper()
-	g := &gateway{t: t, log: &logged{}}
+	g := &gateway{t: t, log: &logBuffer{}}
 	var entries []discovery.Entry
 	for _, h := range all {
 		entries = append(entries, h.ListEntry("SERVING"))
@@ -164,13 +165,13 @@
 		}
 		g.agent.Close()
 	})
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", g.address); err == nil {
 			c.Close()
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the gateway does not listen: %s", g.log)
+			t.Fatalf("the gateway is not listening: %s", g.log)
 		}
 	}
 	c := g.client()
@@ -183,7 +184,7 @@
 
 func (g *gateway) dial() *clients.Client {
 	g.t.Helper()
-	c, err := clients.Dial(g.address, patience)
+	c, err := clients.Dial(g.address, testTimeout)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -191,10 +192,10 @@
 	return c
 }
 
-// client is a client's connection, with its startup done.
+// client returns a client connection that has completed its startup.
 func (g *gateway) client() *clients.Client {
 	g.t.Helper()
-	c, err := clients.Start(g.address, "backend", patience)
+	c, err := clients.Start(g.address, "backend", testTimeout)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -202,7 +203,7 @@
 	return c
 }
 
-// comment makes a comment with a new id.
+// comment returns a statement's comment with a new request id.
 func comment(class string, more string) string {
 	return fmt.Sprintf("/* id=%s,c=%s,d=15000,cluster=1%s */", clients.NewID(), class, more)
 }
--- a/cmd/yokemast/proof_cells_test.go
+++ b/cmd/yokemast/proof_cells_test.go
@@ -21,10 +21,10 @@
 	"yokemast/internal/wire/pg"
 )
 
-// proofSeed draws keys and classes of the calm clients; it is printed with every figure.
+// proofSeed seeds the keys and classes of the calm tenants' clients. It is printed with every figure.
 const proofSeed = 20261201
 
-// cluster starts a group's hosts and closes them with the test.
+// cluster starts a group's hosts and closes them at the end of the test.
 func cluster(t *testing.T, group int, prefix string, n int, l *rules.Ledger, set func(*hosts.Host)) *hosts.Cluster {
 	t.Helper()
 	c, err := hosts.NewCluster(group, prefix, n, l, set)
@@ -39,7 +39,7 @@
 	return c
 }
 
-// operatorFile writes an operator's file with a control socket and gives its path and the socket's.
+// operatorFile writes an operator's file with a control socket and returns the paths of both.
 func operatorFile(t testing.TB, text string) (path, socket string) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "yk") // a socket's path must be short
@@ -55,14 +55,14 @@
 	return path, socket
 }
 
-// command runs a sub-command of the program and gives what it prints.
+// command runs a subcommand of the program and returns its output.
 func command(t testing.TB, args ...string) (string, error) {
 	t.Helper()
 	out, err := program(t.Context(), args...).CombinedOutput()
 	return string(out), err
 }
 
-func report(t testing.TB, socket string) (r cells.Report) {
+func cellsReport(t testing.TB, socket string) (r cells.Report) {
 	t.Helper()
 	out, err := command(t, "cells", "show", "--json", "--socket", socket)
 	if err == nil {
@@ -78,37 +78,38 @@
   (cell "coast" (concurrency 8)) (cell "hills") (cell "city")
   (tenant "flooder" (cell "coast")) (tenant "calm-1" (cell "hills")) (tenant "calm-2" (cell "city")))`
 
-// brisk gives reads an aim of 0.6 s: by far more than they take here, and little against what a flood makes of them.
-func brisk(c string) string {
+// withShortReadTarget sets the latency target of reads to 0.6 s: far more than they take here, and little
+// compared with their latency under a flood.
+func withShortReadTarget(c string) string {
 	return strings.ReplaceAll(c, `"onTime":10000000000,"giveUp":20000000000`, `"onTime":600000000,"giveUp":2000000000`)
 }
 
-// flooded is what two calm tenants get while a third is as it is.
-type flooded struct {
+// floodResult counts the results of two calm tenants while a third floods the gateway.
+type floodResult struct {
 	asked, served, lost int
 	floodRefused        int64
 	counts              rules.Counts
 }
 
-// shared has two cells with three replicas each, of which they share two.
-const shared = `(cells (claims yes) (size 3) (overlap 2) (queue 1) (floor 8)
+// sharedReplicas configures two cells with three replicas each, two of which they have in common.
+const sharedReplicas = `(cells (claims yes) (size 3) (overlap 2) (queue 1) (floor 8)
   (cell "coast" (concurrency 8) (pin "s-1" "s-2" "s-3")) (cell "hills" (pin "s-2" "s-3" "s-4"))
   (tenant "flooder" (cell "coast")) (tenant "calm-1" (cell "hills")) (tenant "calm-2" (cell "hills")))`
 
-// flood runs the calm tenants' requests, the same for the same seed, with so many connections of a third tenant that ask
-// without a pause and come again the moment they are turned away.
-func flood(t *testing.T, own string, flooders int) (out flooded) {
+// flood runs the calm tenants' requests, the same for the same seed, beside flooders connections of a third
+// tenant that send continuously and retry at once when they are refused.
+func flood(t *testing.T, operatorText string, flooders int) (out floodResult) {
 	t.Helper()
 	l := &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond}}
-	// Each host runs one request of 40 ms at a time: what the calm ones need fits their share, and nothing depends on how
-	// fast this machine is.
+	// Each host runs one request of 40 ms at a time: the calm tenants' load fits their share, and the result
+	// does not depend on the speed of the machine.
 	c := cluster(t, 1, "s-", 7, l, func(h *hosts.Host) { h.Slots, h.MaxQueue, h.Work = 1, 3, 40*time.Millisecond })
 	var args []string
-	if own != "" {
-		path, _ := operatorFile(t, own)
+	if operatorText != "" {
+		path, _ := operatorFile(t, operatorText)
 		args = []string{"--operator", path}
 	}
-	g := startWith(t, brisk, args, c.Hosts()...)
+	g := startWith(t, withShortReadTarget, args, c.Hosts()...)
 	stop := make(chan struct{})
 	var flooding, calm sync.WaitGroup
 	var refused atomic.Int64
@@ -170,47 +171,49 @@
 	close(stop)
 	flooding.Wait()
 	for _, b := range l.Violations() {
-		t.Errorf("cells %v, %d flooders, seed %d: %s", own != "", flooders, proofSeed, b)
+		t.Errorf("cells %v, %d flooders, seed %d: %s", operatorText != "", flooders, proofSeed, b)
 	}
 	out.floodRefused, out.counts = refused.Load(), l.Counts()
 	return out
 }
 
-// TestProofCells shows that a flooded cell harms no other, and that a tenant is moved under load without losing or doubling
-// a write. Replay: go test ./cmd/yokemast -run TestProofCells -v
+// TestProofCells shows that a flooded cell does not affect the tenants of other cells. Replay:
+//
+//	go test ./cmd/yokemast -run TestProofCells -v
 func TestProofCells(t *testing.T) {
-	quiet := flood(t, threeCells, 0)
-	under := flood(t, threeCells, 80)
-	share := float64(under.served) / float64(quiet.served)
-	t.Logf("seed %d: %d of %d served without the flood, %d of %d with it", proofSeed, quiet.served, quiet.asked, under.served, under.asked)
-	t.Logf("figure others_lost=%d", under.lost)
+	baseline := flood(t, threeCells, 0)
+	loaded := flood(t, threeCells, 80)
+	share := float64(loaded.served) / float64(baseline.served)
+	t.Logf("seed %d: %d of %d served without the flood, %d of %d with it", proofSeed, baseline.served, baseline.asked, loaded.served, loaded.asked)
+	t.Logf("figure others_lost=%d", loaded.lost)
 	t.Logf("figure others_served_share=%.3f", share)
-	t.Logf("figure flood_refused=%d", under.floodRefused)
-	t.Logf("figure doubled_writes=%d", under.counts.Doubled+quiet.counts.Doubled)
-	t.Logf("figure stale_reads=%d", under.counts.Stale+quiet.counts.Stale)
-	if under.lost > 0 || share < 0.99 || under.floodRefused == 0 || 10*quiet.served < 9*quiet.asked {
-		t.Errorf("the flood harms others: %+v, without it %+v", under, quiet)
+	t.Logf("figure flood_refused=%d", loaded.floodRefused)
+	t.Logf("figure doubled_writes=%d", loaded.counts.Doubled+baseline.counts.Doubled)
+	t.Logf("figure stale_reads=%d", loaded.counts.Stale+baseline.counts.Stale)
+	if loaded.lost > 0 || share < 0.99 || loaded.floodRefused == 0 || 10*baseline.served < 9*baseline.asked {
+		t.Errorf("the flood affects other tenants: %+v, without it %+v", loaded, baseline)
 	}
 }
 
-// TestProofCellsBefore shows the harm that cells prevent: the same flood without them.
+// TestProofCellsBefore shows the effect that cells prevent: the same flood without cells.
 func TestProofCellsBefore(t *testing.T) {
-	quiet := flood(t, "", 0)
-	under := flood(t, "", 80)
-	share := float64(under.served) / float64(quiet.served)
-	t.Logf("seed %d: %d of %d served without the flood, %d of %d with it", proofSeed, quiet.served, quiet.asked, under.served, under.asked)
+	baseline := flood(t, "", 0)
+	loaded := flood(t, "", 80)
+	share := float64(loaded.served) / float64(baseline.served)
+	t.Logf("seed %d: %d of %d served without the flood, %d of %d with it", proofSeed, baseline.served, baseline.asked, loaded.served, loaded.asked)
 	t.Logf("figure before_others_served_share=%.3f", share)
-	if share > 0.9 || 10*quiet.served < 9*quiet.asked {
-		t.Errorf("without cells the flood harms nobody: %+v, without it %+v", under, quiet)
+	if share > 0.9 || 10*baseline.served < 9*baseline.asked {
+		t.Errorf("without cells the flood affects no tenant: %+v, without the flood %+v", loaded, baseline)
 	}
 }
 
-// TestTwoCellsThatShareAllButOneReplica: what both use is shared by weight, so the flood of one leaves the other its part.
-func TestTwoCellsThatShareAllButOneReplica(t *testing.T) {
-	under := flood(t, shared, 80)
-	t.Logf("seed %d: %d of %d served", proofSeed, under.served, under.asked)
-	if 100*under.served < 99*under.asked || under.floodRefused == 0 {
-		t.Errorf("the flood harms the other cell: %+v", under)
+// TestCellsSharingReplicas guards against a flood of one cell taking the other's share of the
+// replicas they have in common, which are divided by weight.
+func TestCellsSharingReplicas(t *testing.T) {
+	loaded := flood(t, sharedReplicas, 80)
+	t.Logf("seed %d: %d of %d served", proofSeed, loaded.served, loaded.asked)
+	if 100*loaded.served < 99*loaded.asked || loaded.floodRefused == 0 {
+		t.Errorf("the flood affects the other cell: %+v", loaded)
 	}
 }
 
@@ -218,51 +221,53 @@
   (cell "coast") (cell "hills") (tenant "apollo" (cell "coast")) (tenant "medi" (cell "hills"))
   (moves (ramp 200ms) (fence %s) (warm 5s)))`
 
-// moved is a gateway before two groups, the second of which has a copy of the first's data.
-type moved struct {
+// moveTest is a gateway in front of two groups, the second of which has a copy of the first's data.
+type moveTest struct {
 	*gateway
-	ledger *rules.Ledger
-	one    *hosts.Cluster
-	two    *hosts.Cluster
-	socket string
+	ledger   *rules.Ledger
+	oldGroup *hosts.Cluster
+	newGroup *hosts.Cluster
+	socket   string
 }
 
-func startMoved(t *testing.T, fence string, set func(*hosts.Host)) *moved {
+func startMoveTest(t *testing.T, fence string, set func(*hosts.Host)) *moveTest {
 	t.Helper()
-	m := &moved{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond}}}
-	m.one, m.two = cluster(t, 1, "one-", 4, m.ledger, set), cluster(t, 2, "two-", 4, m.ledger, set)
-	m.one.CopyTo(m.two)
+	m := &moveTest{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond}}}
+	m.oldGroup, m.newGroup = cluster(t, 1, "one-", 4, m.ledger, set), cluster(t, 2, "two-", 4, m.ledger, set)
+	m.oldGroup.CopyTo(m.newGroup)
 	path, socket := operatorFile(t, fmt.Sprintf(oneTenant, fence))
 	m.socket = socket
-	m.gateway = startWith(t, nil, []string{"--operator", path}, append(m.one.Hosts(), m.two.Hosts()...)...)
+	m.gateway = startWith(t, nil, []string{"--operator", path}, append(m.oldGroup.Hosts(), m.newGroup.Hosts()...)...)
 	c := m.client()
-	for group := 1; group <= 2; group++ { // who is primary is learnt from answers
+	for group := 1; group <= 2; group++ { // the primary is learned from answers
 		c.Do(clients.Request{Class: "order", Tenant: "medi", Group: group, Key: "first", Write: true, Wait: 5 * time.Second}, m.ledger)
 	}
 	return m
 }
 
-func (m *moved) order(args ...string) {
+func (m *moveTest) runCells(args ...string) {
 	m.t.Helper()
 	if out, err := command(m.t, append(append([]string{"cells"}, args...), "--socket", m.socket)...); err != nil {
 		m.t.Fatalf("%v: %s", err, out)
 	}
 }
 
-// ends waits until the last move has come to its end and gives the stage.
-func (m *moved) ends() cells.Move {
+// waitMoveEnded waits until the last move has ended and returns it.
+func (m *moveTest) waitMoveEnded() cells.Move {
 	m.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if r := report(m.t, m.socket); len(r.Moves) == 0 && len(r.Ended) > 0 {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if r := cellsReport(m.t, m.socket); len(r.Moves) == 0 && len(r.Ended) > 0 {
 			return r.Ended[len(r.Ended)-1]
 		}
 	}
-	m.t.Fatalf("the move does not end: %s", m.log)
+	m.t.Fatalf("the move did not end: %s", m.log)
 	return cells.Move{}
 }
 
+// TestProofCellsMove shows that a tenant is moved under load, between groups and within one, without a lost,
+// doubled or stale result.
 func TestProofCellsMove(t *testing.T) {
-	m := startMoved(t, "15s", func(h *hosts.Host) { h.Work = 2 * time.Millisecond })
+	m := startMoveTest(t, "15s", func(h *hosts.Host) { h.Work = 2 * time.Millisecond })
 	stop := make(chan struct{})
 	var work sync.WaitGroup
 	var mu sync.Mutex
@@ -272,7 +277,7 @@
 		_ = k.SetDeadline(time.Time{})
 		work.Go(func() {
 			key, last, wrote := fmt.Sprint("patient-", i), []byte(nil), time.Time{}
-			sure := true // the last write's end is known
+			outcomeKnown := true // the outcome of the last write is known
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -286,12 +291,12 @@
 					mu.Lock()
 					acked[q.ID] = true
 					mu.Unlock()
-					last, wrote, sure = q.Value, time.Now(), true
+					last, wrote, outcomeKnown = q.Value, time.Now(), true
 				case r.Code != pg.CodeTooMany:
-					sure = false
+					outcomeKnown = false
 				}
 				q = clients.Request{Class: "own", Tenant: "apollo", Key: key, After: wrote, Wait: 4 * time.Second, Repeatable: true}
-				if r := k.Do(q, m.ledger); r.Row && sure && !bytes.Equal(r.Value, last) {
+				if r := k.Do(q, m.ledger); r.Row && outcomeKnown && !bytes.Equal(r.Value, last) {
 					mu.Lock()
 					stale++
 					t.Logf("client %d reads %q after it wrote %q", i, r.Value, last)
@@ -301,21 +306,21 @@
 		})
 	}
 	committed := func(c *hosts.Cluster, n int) {
-		for end := time.Now().Add(patience); c.Commits() < n && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); c.Commits() < n && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	committed(m.one, 100)
-	m.order("move", "apollo", "--from-group", "1", "--to-group", "2")
-	end := m.ends()
-	committed(m.two, 100)
-	m.order("move", "apollo", "--to", "hills") // and inside its group
-	inside := m.ends()
-	committed(m.two, 200)
+	committed(m.oldGroup, 100)
+	m.runCells("move", "apollo", "--from-group", "1", "--to-group", "2")
+	end := m.waitMoveEnded()
+	committed(m.newGroup, 100)
+	m.runCells("move", "apollo", "--to", "hills") // and within its group
+	inside := m.waitMoveEnded()
+	committed(m.newGroup, 200)
 	close(stop)
 	work.Wait()
 	lost, doubled := 0, 0
-	one, two := m.one.CommitsByID(), m.two.CommitsByID()
+	one, two := m.oldGroup.CommitsByID(), m.newGroup.CommitsByID()
 	for id := range acked {
 		switch one[id] + two[id] {
 		case 0:
@@ -334,86 +339,89 @@
 	t.Logf("figure move_doubled=%d", doubled)
 	t.Logf("figure move_lost=%d", lost)
 	t.Logf("figure move_stale=%d", stale)
-	if lost+doubled+stale > 0 || end.Stage != cells.Settled || inside.Stage != cells.Settled || m.two.Commits() < 200 {
+	if lost+doubled+stale > 0 || end.Stage != cells.Settled || inside.Stage != cells.Settled || m.newGroup.Commits() < 200 {
 		t.Errorf("the moves end %s (%s) and %s (%s), %d writes in the new group", end.Stage, end.Reason, inside.Stage,
-			inside.Reason, m.two.Commits())
+			inside.Reason, m.newGroup.Commits())
 	}
 	for _, b := range m.ledger.Violations() {
 		t.Error(b)
 	}
 }
 
-func TestMoveWithAWriteThatHangsPastTheFence(t *testing.T) {
-	m := startMoved(t, "1s", nil)
-	old := m.one.Primary()
+// A write that hangs for longer than the fence lasts aborts the move, and is not sent to the new group.
+func TestMoveAbortsOnHangingWrite(t *testing.T) {
+	m := startMoveTest(t, "1s", nil)
+	old := m.oldGroup.Primary()
 	old.SetHang(hosts.AfterCommit)
-	before := m.one.Commits()
+	before := m.oldGroup.Commits()
 	a, b := m.client(), m.client()
 	answers := make(chan clients.Reply, 2)
 	go func() {
 		answers <- a.Do(clients.Request{ID: "hanging", Class: "order", Tenant: "apollo", Key: "k", Write: true,
 			Wait: 3 * time.Second}, m.ledger)
 	}()
-	for m.one.Commits() == before {
+	for m.oldGroup.Commits() == before {
 		time.Sleep(time.Millisecond)
 	}
-	m.order("move", "apollo", "--from-group", "1", "--to-group", "2")
+	m.runCells("move", "apollo", "--from-group", "1", "--to-group", "2")
 	m.waitLog(`"stage":"fenced"`)
 	held := b.Do(clients.Request{Class: "order", Tenant: "apollo", Key: "k", Write: true, Wait: time.Second}, m.ledger)
 	if held.Code != pg.CodeTooMany || held.RetryAfter == 0 {
-		t.Errorf("a write that waited at the fence is answered %+v", held)
+		t.Errorf("a write held by the fence is answered %+v", held)
 	}
-	if end := m.ends(); end.Stage != cells.Aborted || !strings.Contains(end.Reason, "writes are in flight") {
+	if end := m.waitMoveEnded(); end.Stage != cells.Aborted || !strings.Contains(end.Reason, "writes are in flight") {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
 	if r := <-answers; r.Code != pg.CodeFailed {
-		t.Errorf("the write whose end is unknown is answered %+v", r)
+		t.Errorf("the write with unknown outcome is answered %+v", r)
 	}
 	old.SetHang(hosts.NotHung)
-	if one, two := m.one.CommitsByID()["hanging"], m.two.CommitsByID()["hanging"]; one != 1 || two != 0 {
-		t.Errorf("that write was committed %d times where it was sent and %d times on the other side", one, two)
+	if one, two := m.oldGroup.CommitsByID()["hanging"], m.newGroup.CommitsByID()["hanging"]; one != 1 || two != 0 {
+		t.Errorf("that write was committed %d times in the old group and %d times in the new one", one, two)
 	}
 	for _, broken := range m.ledger.Violations() {
 		t.Error(broken)
 	}
 }
 
-func TestMoveWithAWriteThatFails(t *testing.T) {
-	m := startMoved(t, "15s", nil)
-	old := m.one.Primary()
+// A write that fails while the move is fenced must not be sent again to the new group, while a held write is
+// sent there.
+func TestMoveWithFailedWrite(t *testing.T) {
+	m := startMoveTest(t, "15s", nil)
+	old := m.oldGroup.Primary()
 	old.SetHang(hosts.AfterCommit)
-	before := m.one.Commits()
+	before := m.oldGroup.Commits()
 	a, b := m.client(), m.client()
 	answers := make(chan clients.Reply, 2)
 	ask := func(c *clients.Client, id string) {
 		answers <- c.Do(clients.Request{ID: id, Class: "order", Tenant: "apollo", Key: "k", Write: true, Wait: 10 * time.Second}, m.ledger)
 	}
 	go ask(a, "broken")
-	for m.one.Commits() == before {
+	for m.oldGroup.Commits() == before {
 		time.Sleep(time.Millisecond)
 	}
-	m.order("move", "apollo", "--from-group", "1", "--to-group", "2")
+	m.runCells("move", "apollo", "--from-group", "1", "--to-group", "2")
 	m.waitLog(`"stage":"fenced"`)
 	go ask(b, "waiting")
 	for {
-		if r := report(t, m.socket); len(r.Moves) != 1 {
+		if r := cellsReport(t, m.socket); len(r.Moves) != 1 {
 			t.Fatalf("the move has ended before the write: %+v", r.Ended)
 		} else if r.Moves[0].Held > 0 {
 			break
 		}
 	}
-	old.Crash() // its connection breaks: the write may have run
+	old.Crash() // its connection is reset: the write was possibly executed
 	if r := <-answers; r.Code != pg.CodeFailed {
-		t.Errorf("the write that broke is answered %+v", r)
+		t.Errorf("the write whose connection was reset is answered %+v", r)
 	}
 	if r := <-answers; !r.Row {
-		t.Errorf("the write that waited is answered %+v", r)
+		t.Errorf("the held write is answered %+v", r)
 	}
-	if end := m.ends(); end.Stage != cells.Settled {
+	if end := m.waitMoveEnded(); end.Stage != cells.Settled {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
-	if one, two := m.one.CommitsByID(), m.two.CommitsByID(); one["broken"] != 1 || two["broken"] != 0 || one["waiting"] != 0 || two["waiting"] != 1 {
-		t.Errorf("the one that broke ran %d and %d times, the one that waited %d and %d", one["broken"], two["broken"],
+	if one, two := m.oldGroup.CommitsByID(), m.newGroup.CommitsByID(); one["broken"] != 1 || two["broken"] != 0 || one["waiting"] != 0 || two["waiting"] != 1 {
+		t.Errorf("the reset write was committed %d and %d times, the held one %d and %d", one["broken"], two["broken"],
 			one["waiting"], two["waiting"])
 	}
 	for _, broken := range m.ledger.Violations() {
@@ -421,19 +429,21 @@
 	}
 }
 
-func TestMoveWhileTheNewPrimaryIsDead(t *testing.T) {
-	m := startMoved(t, "1s", nil)
-	// The new group's primary dies, and its probes with it, before the fence stands; nobody takes over.
-	m.two.Primary().Crash()
-	m.two.Promote(nil)
+// A move to a group without a primary must abort, and the old group serves the tenant's writes again.
+func TestMoveAbortsWithoutNewPrimary(t *testing.T) {
+	m := startMoveTest(t, "1s", nil)
+	// The new group's primary crashes, so that probes of it fail, before the writes are fenced; no host takes
+	// over.
+	m.newGroup.Primary().Crash()
+	m.newGroup.Promote(nil)
 	k := m.client()
 	k.Do(clients.Request{Class: "order", Tenant: "medi", Group: 2, Key: "x", Write: true, Wait: time.Second}, m.ledger)
-	m.order("move", "apollo", "--from-group", "1", "--to-group", "2")
-	if end := m.ends(); end.Stage != cells.Aborted {
+	m.runCells("move", "apollo", "--from-group", "1", "--to-group", "2")
+	if end := m.waitMoveEnded(); end.Stage != cells.Aborted {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
 	if r := k.Do(clients.Request{ID: "after", Class: "order", Tenant: "apollo", Key: "k", Write: true, Wait: 5 * time.Second}, m.ledger); !r.Row ||
-		m.one.CommitsByID()["after"] != 1 {
+		m.oldGroup.CommitsByID()["after"] != 1 {
 		t.Errorf("after the abort a write is answered %+v", r)
 	}
 	for _, broken := range m.ledger.Violations() {
@@ -441,6 +451,7 @@
 	}
 }
 
+// A move to a cell of cold hosts aborts instead of sending them most of the reads.
 func TestMoveIntoColdHosts(t *testing.T) {
 	l := &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond, Overload: 4, OverloadIn: 1500 * time.Millisecond}}
 	c := cluster(t, 1, "s-", 5, l, func(h *hosts.Host) {
@@ -452,8 +463,8 @@
 	for _, h := range c.Hosts()[3:] {
 		h.StartCold()
 	}
-	g := startWith(t, brisk, []string{"--operator", path}, c.Hosts()...)
-	m := &moved{gateway: g, socket: socket}
+	g := startWith(t, withShortReadTarget, []string{"--operator", path}, c.Hosts()...)
+	m := &moveTest{gateway: g, socket: socket}
 	stop := make(chan struct{})
 	var work sync.WaitGroup
 	for i := range 12 {
@@ -470,8 +481,8 @@
 			}
 		})
 	}
-	m.order("move", "apollo", "--to", "hills")
-	if end := m.ends(); end.Stage != cells.Aborted || !strings.Contains(end.Reason, "cold") {
+	m.runCells("move", "apollo", "--to", "hills")
+	if end := m.waitMoveEnded(); end.Stage != cells.Aborted || !strings.Contains(end.Reason, "cold") {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
 	close(stop)
@@ -485,7 +496,8 @@
 	}
 }
 
-func TestOperatorsFile(t *testing.T) {
+// TestOperatorFile covers claims, the cells commands and their error lines, and reloads of the operator's file.
+func TestOperatorFile(t *testing.T) {
 	h := newHost(t, "s-1", hosts.Leader, nil)
 	path, socket := operatorFile(t, `(cells (claims yes) (cell "coast") (tenant "apollo") (user "apollo-app" (tenants "apollo")))`)
 	g := startWith(t, nil, []string{"--operator", path}, h)
@@ -499,7 +511,7 @@
 	}
 	claim := func(user, tenant string) string {
 		t.Helper()
-		c, err := clients.Start(g.address, user, patience)
+		c, err := clients.Start(g.address, user, testTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -539,11 +551,11 @@
 		t.Errorf("cells plan: %v, %s", err, out)
 	}
 	if out, err := command(t, "cells", "show", "--socket", socket+"x"); err == nil || !strings.Contains(out, "no gateway answers") {
-		t.Errorf("no gateway: %v, %s", err, out)
+		t.Errorf("without a gateway: %v, %s", err, out)
 	}
-	// A file with a fault has no effect in any part; one without cells takes them away; one with other cells is used.
+	// A file with an error has no effect at all; one without cells removes them; one with other cells is used.
 	hup(`(cells (cell "coast") (cell "hills") (sise 2))`, "own.sexp:1:38: cells.sise: no such entry")
-	if r := report(t, socket); len(r.Cells) != 1 {
+	if r := cellsReport(t, socket); len(r.Cells) != 1 {
 		t.Errorf("a bad file has an effect: %+v", r)
 	}
 	hup("; nothing", `"cells":false`)
@@ -554,12 +566,12 @@
 		t.Errorf("without cells a claim is answered %q", got)
 	}
 	hup(`(cells (cell "coast") (cell "hills"))`, `"cells":true`)
-	if r := report(t, socket); len(r.Cells) != 2 {
+	if r := cellsReport(t, socket); len(r.Cells) != 2 {
 		t.Errorf("the new file is not used: %+v", r)
 	}
 	_ = g.cmd.Process.Signal(syscall.SIGUSR1)
 	g.waitLog(`"operators":2,"operators_bad":1`)
-	// At the start a fault ends the program with one line.
+	// At the start an error ends the program with one line.
 	bad, _ := operatorFile(t, "(cells)")
 	for _, cmd := range []string{"serve", "check"} {
 		out, err := command(t, cmd, "--config", g.path, "--operator", bad)
--- a/cmd/yokemast/proof_pooling_test.go
+++ b/cmd/yokemast/proof_pooling_test.go
@@ -19,14 +19,15 @@
 	"yokemast/internal/wire/pg"
 )
 
-// pooled is a gateway whose users share host connections, before a cluster of general hosts.
+// pooled is a gateway whose users share host connections, in front of a cluster of hosts that accept general
+// SQL.
 type pooled struct {
 	*gateway
-	c      *hosts.Cluster
-	socket string
+	cluster *hosts.Cluster
+	socket  string
 }
 
-func startPooled(t testing.TB, n int, own string, edit func(string) string, set func(*hosts.Host)) *pooled {
+func startPooled(t testing.TB, n int, operatorText string, edit func(string) string, set func(*hosts.Host)) *pooled {
 	t.Helper()
 	c, err := hosts.NewCluster(1, "s-", n, nil, func(h *hosts.Host) {
 		h.General = true
@@ -41,7 +42,7 @@
 	for _, h := range c.Hosts() {
 		h.SetLag(5 * time.Millisecond)
 	}
-	path, socket := operatorFile(t, own)
+	path, socket := operatorFile(t, operatorText)
 	return &pooled{startWith(t, edit, []string{"--operator", path}, c.Hosts()...), c, socket}
 }
 
@@ -52,9 +53,9 @@
 	return pgx.Connect(ctx, fmt.Sprintf("host=%s port=%s user=app dbname=store sslmode=disable", host, port))
 }
 
-func (p *pooled) must(t testing.TB) *pgx.Conn {
+func (p *pooled) mustConnect(t testing.TB) *pgx.Conn {
 	t.Helper()
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	k, err := p.connect(ctx)
 	if err != nil {
@@ -64,15 +65,15 @@
 	return k
 }
 
-// one asks for one text.
-func one(ctx context.Context, k *pgx.Conn, sql string, args ...any) (string, error) {
+// queryText runs a query that returns a single text value.
+func queryText(ctx context.Context, k *pgx.Conn, sql string, args ...any) (string, error) {
 	var s string
 	err := k.QueryRow(ctx, sql, args...).Scan(&s)
 	return s, err
 }
 
-// TestProofPooling runs 400 sessions of a real driver over 40 host connections while hosts die and drain. Replay:
-// go test ./cmd/yokemast -run TestProofPooling -v
+// TestProofPooling runs 400 sessions of a real driver over 40 host connections while hosts crash and drain.
+// Replay: go test ./cmd/yokemast -run TestProofPooling -v
 func TestProofPooling(t *testing.T) {
 	const sessions, connections, rounds = 400, 40, 6
 	p := startPooled(t, 4, fmt.Sprintf(onePool, connections), nil, func(h *hosts.Host) { h.Work = time.Millisecond })
@@ -87,11 +88,11 @@
 	for i := range sessions {
 		rng := rand.New(rand.NewPCG(proofSeed, uint64(i)))
 		work.Go(func() {
-			begun := sync.OnceFunc(started.Done)
-			defer begun()
-			mine := fmt.Sprint("session-", i)
+			markStarted := sync.OnceFunc(started.Done)
+			defer markStarted()
+			name := fmt.Sprint("session-", i)
 			var k *pgx.Conn
-			set := "" // what the session has set, as far as it was told
+			set := "" // the setting that the session was told is in effect
 			for n := 0; n < rounds && ctx.Err() == nil; n++ {
 				if k == nil || k.IsClosed() {
 					var err error
@@ -104,7 +105,7 @@
 					set = ""
 					defer k.Close(context.Background())
 				}
-				begun()
+				markStarted()
 				fail := func(err error) bool {
 					if err == nil {
 						served.Add(1)
@@ -114,25 +115,25 @@
 					return true
 				}
 				if set == "" {
-					if _, err := k.Exec(ctx, "SET app.session = '"+mine+"'"); fail(err) {
+					if _, err := k.Exec(ctx, "SET app.session = '"+name+"'"); fail(err) {
 						continue
 					}
-					set = mine
+					set = name
 				}
-				// The same name has another text in each session.
-				if _, err := k.Prepare(ctx, "mine", "SELECT '"+mine+"'"); !fail(err) {
-					if got, err := one(ctx, k, "mine"); !fail(err) && got != mine {
+				// Each session prepares another text under the same name.
+				if _, err := k.Prepare(ctx, "mine", "SELECT '"+name+"'"); !fail(err) {
+					if got, err := queryText(ctx, k, "mine"); !fail(err) && got != name {
 						foreign.Add(1)
 					}
 				}
-				value := fmt.Sprintf("%s-%d", mine, n)
+				value := fmt.Sprintf("%s-%d", name, n)
 				switch rng.IntN(4) {
 				case 0, 1: // a transaction that commits
 					tx, err := k.Begin(ctx)
 					if fail(err) {
 						continue
 					}
-					_, err = tx.Exec(ctx, "INSERT INTO kv (name, content) VALUES ($1, $2)", mine, value)
+					_, err = tx.Exec(ctx, "INSERT INTO kv (name, content) VALUES ($1, $2)", name, value)
 					if err == nil {
 						err = tx.Commit(ctx)
 					} else {
@@ -142,12 +143,12 @@
 						mu.Lock()
 						acked[value] = true
 						mu.Unlock()
-						if got, err := one(ctx, k, "SELECT content FROM kv WHERE name = $1", mine); !fail(err) && got != value {
+						if got, err := queryText(ctx, k, "SELECT content FROM kv WHERE name = $1", name); !fail(err) && got != value {
 							wrong.Add(1)
-							t.Logf("%s reads %q after it committed %q", mine, got, value)
+							t.Logf("%s reads %q after it committed %q", name, got, value)
 						}
 					}
-				case 2: // one that sets and is rolled back
+				case 2: // a transaction that changes the setting and is rolled back
 					tx, err := k.Begin(ctx)
 					if fail(err) {
 						continue
@@ -157,21 +158,22 @@
 						continue
 					}
 				case 3:
-					if got, err := one(ctx, k, "SELECT $1", value); !fail(err) && got != value {
+					if got, err := queryText(ctx, k, "SELECT $1", value); !fail(err) && got != value {
 						wrong.Add(1)
 					}
 				}
-				if got, err := one(ctx, k, "SHOW app.session"); !fail(err) && got != set {
+				if got, err := queryText(ctx, k, "SHOW app.session"); !fail(err) && got != set {
 					leaked.Add(1)
-					t.Logf("%s has the setting %q", mine, got)
+					t.Logf("%s has the setting %q", name, got)
 				}
 			}
 		})
 	}
 	started.Wait()
-	// On the seed: a replica dies and comes back, another drains, then the primary dies and a replica takes over.
+	// By the seed, a replica crashes and restarts, another drains, then the primary crashes and the drained
+	// replica, listed as serving again, takes over.
 	rng := rand.New(rand.NewPCG(proofSeed, 1000))
-	all := p.c.Hosts()
+	all := p.cluster.Hosts()
 	dies, drains := 1+rng.IntN(3), 0
 	for drains = 1 + rng.IntN(3); drains == dies; drains = 1 + rng.IntN(3) {
 	}
@@ -183,11 +185,11 @@
 	}
 	p.agent.Set(all[drains].ListEntry("SERVING"))
 	all[0].Crash()
-	p.c.Promote(all[drains])
+	p.cluster.Promote(all[drains])
 	p.agent.Set(all[0].ListEntry("DELETED"), all[drains].ListEntry("SERVING"))
 	work.Wait()
 	doubled, missing := 0, 0
-	ids := p.c.CommitsByID()
+	ids := p.cluster.CommitsByID()
 	for id, n := range ids {
 		if n > 1 {
 			doubled++
@@ -201,22 +203,23 @@
 	}
 	t.Logf("seed %d: %d steps served, %d ended with an error, %d connections refused", proofSeed, served.Load(), lost.Load(), refused.Load())
 	t.Logf("figure sessions=%d", sessions)
-	most := p.peak(t)
-	t.Logf("figure host_connections_most=%d", most)
-	t.Logf("figure host_connections_most_seen_by_hosts=%d", p.c.PeakConns())
+	peak := p.peakConnections(t)
+	t.Logf("figure host_connections_most=%d", peak)
+	t.Logf("figure host_connections_most_seen_by_hosts=%d", p.cluster.PeakConns())
 	t.Logf("figure leaked_settings=%d", leaked.Load())
 	t.Logf("figure foreign_statements=%d", foreign.Load())
 	t.Logf("figure wrong_results=%d", wrong.Load())
 	t.Logf("figure doubled_commits=%d", doubled)
 	t.Logf("figure lost_commits=%d", missing)
-	if leaked.Load()+foreign.Load()+wrong.Load() > 0 || doubled+missing > 0 || most > connections || p.c.PeakConns() > connections*5/4 || served.Load() < 10*lost.Load() {
+	if leaked.Load()+foreign.Load()+wrong.Load() > 0 || doubled+missing > 0 || peak > connections || p.cluster.PeakConns() > connections*5/4 || served.Load() < 10*lost.Load() {
 		t.Errorf("%d commits were acknowledged", len(acked))
 	}
 }
 
+// Two sessions that share one host connection keep their own settings.
 func TestSessionsKeepTheirSettings(t *testing.T) {
 	p := startPooled(t, 1, fmt.Sprintf(onePool, 1), nil, nil)
-	a, b := p.must(t), p.must(t)
+	a, b := p.mustConnect(t), p.mustConnect(t)
 	for _, step := range []struct {
 		k         *pgx.Conn
 		sql, want string
@@ -226,18 +229,18 @@
 		{b, "DISCARD ALL", ""},
 	} {
 		if strings.HasPrefix(step.sql, "SHOW") {
-			if got, err := one(t.Context(), step.k, step.sql); got != step.want || err != nil {
+			if got, err := queryText(t.Context(), step.k, step.sql); got != step.want || err != nil {
 				t.Errorf("%s: %q, %v, want %q", step.sql, got, err, step.want)
 			}
 		} else if _, err := step.k.PgConn().Exec(t.Context(), step.sql).ReadAll(); err != nil {
 			t.Errorf("%s: %v", step.sql, err)
 		}
 	}
-	// As on a connection of its own, DISCARD ALL takes the driver's prepared statements away.
-	if _, err := one(t.Context(), b, "SHOW app.x"); err == nil || !strings.Contains(err.Error(), "26000") || strings.Contains(err.Error(), "yk_") {
+	// As on a dedicated connection, DISCARD ALL removes the driver's prepared statements.
+	if _, err := queryText(t.Context(), b, "SHOW app.x"); err == nil || !strings.Contains(err.Error(), "26000") || strings.Contains(err.Error(), "yk_") {
 		t.Errorf("a statement prepared before DISCARD ALL: %v", err)
 	}
-	if got, err := one(t.Context(), b, "SHOW app.x", pgx.QueryExecModeSimpleProtocol); got != "" || err != nil {
+	if got, err := queryText(t.Context(), b, "SHOW app.x", pgx.QueryExecModeSimpleProtocol); got != "" || err != nil {
 		t.Errorf("after DISCARD ALL: %q, %v", got, err)
 	}
 }
@@ -245,13 +248,13 @@
 func TestLongValuesAreStreamed(t *testing.T) {
 	small := func(c string) string { return strings.Replace(c, `"memory_mb":192`, `"memory_mb":32`, 1) }
 	p := startPooled(t, 1, fmt.Sprintf(onePool, 4), small, nil)
-	k, ctx := p.must(t), t.Context()
+	k, ctx := p.mustConnect(t), t.Context()
 	long := strings.Repeat("0123456789abcdef", 1<<16) // 1 MiB, more than a pipeline may hold
 	for range 3 {
-		if got, err := one(ctx, k, "SELECT $1", long); got != long || err != nil {
-			t.Fatalf("%d bytes come back, %v", len(got), err)
+		if got, err := queryText(ctx, k, "SELECT $1", long); got != long || err != nil {
+			t.Fatalf("%d bytes are returned, %v", len(got), err)
 		}
-		// In the middle of a pipeline, and behind an error.
+		// In the middle of a pipeline, and after an error.
 		b := &pgx.Batch{}
 		b.Queue("SELECT 'before'")
 		b.Queue("INSERT INTO kv (name, content) VALUES ($1, $2)", "k", long)
@@ -264,20 +267,21 @@
 		b.Queue("SELECT $1", long)
 		var bad *pgconn.PgError
 		if err := k.SendBatch(ctx, b).Close(); !errors.As(err, &bad) || bad.Code != "22012" {
-			t.Fatalf("behind an error: %v", err)
+			t.Fatalf("after an error: %v", err)
 		}
-		if got, err := one(ctx, k, "SELECT $1", "short"); got != "short" || err != nil {
-			t.Fatalf("after it: %.20q, %v", got, err)
+		if got, err := queryText(ctx, k, "SELECT $1", "short"); got != "short" || err != nil {
+			t.Fatalf("after the pipeline: %.20q, %v", got, err)
 		}
 	}
-	if n := p.c.CommitsByID()[long]; n != 3 {
+	if n := p.cluster.CommitsByID()[long]; n != 3 {
 		t.Errorf("the long value is committed %d times", n)
 	}
 }
 
-func TestFlushGivesWhatThereIs(t *testing.T) {
+// A Flush returns the answers so far, and statements after a failed one are skipped until the Sync.
+func TestFlushReturnsPendingAnswers(t *testing.T) {
 	p := startPooled(t, 1, fmt.Sprintf(onePool, 1), nil, nil)
-	c, err := clients.Start(p.address, "app", patience)
+	c, err := clients.Start(p.address, "app", testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,16 +303,16 @@
 	}
 	ask("SELECT 'x'", pg.Flush)
 	if got := kinds(4); got != "12DC" {
-		t.Errorf("a Flush brings %q", got)
+		t.Errorf("a Flush returns %q", got)
 	}
 	ask("FAIL", pg.Flush)
 	if got := kinds(3); got != "12E" {
-		t.Errorf("a failure brings %q", got)
+		t.Errorf("a failed statement returns %q", got)
 	}
 	ask("SELECT 'skipped'", pg.Flush)
 	ask("SELECT 'skipped'", pg.Sync)
 	if got := kinds(1); got != "Z" {
-		t.Errorf("what follows it brings %q", got)
+		t.Errorf("the statements after the failure return %q", got)
 	}
 	ask("SELECT 'y'", pg.Sync)
 	if got := kinds(5); got != "12DCZ" {
