--- a/balance/admission.go
+++ b/balance/admission.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// adjustLimit adapts the limit of attempts in flight at m, as requests that wait here can still be refused,
-// and the fraction of bad ends there, unless the cell is not to blame for them.
+// adjustLimit adapts the limit of attempts in flight at m to its answers: requests beyond the limit wait in
+// this router, where they can still be refused. It also updates the cell's fraction of attempts that ended
+// badly, in which a bad end counts only if blamed is set.
 func (r *Router) adjustLimit(m *member, c *cell, cls *class, result Result, took time.Duration, blamed bool) {
 	reduction, answered := 0.0, result == OK || result == TimedOut
 	if result == OK {
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -129,10 +129,10 @@
 			l := list()
 			g.handle(Members{Snapshot: true, List: l})
 			g.r.now = g.now
-			g.r.blacklist(g.r.members["p"], false)
-			g.r.members["p"].blacklistedUntil = g.now + time.Hour
+			g.r.eject(g.r.members["p"], false)
+			g.r.members["p"].ejectedUntil = g.now + time.Hour
 			for _, s := range []string{"a", "b"} {
-				g.r.members[s].blacklistedUntil = g.now + time.Hour
+				g.r.members[s].ejectedUntil = g.now + time.Hour
 			}
 			g.request("save", 0)
 			g.advance(c.outage)
@@ -140,7 +140,7 @@
 				l[0].Started = g.now
 				g.handle(Members{List: l[:1]})
 			}
-			g.r.members["p"].blacklistedUntil = 0
+			g.r.members["p"].ejectedUntil = 0
 			n += len(sends(g.advance(2 * queueInterval)))
 		}
 		if n > c.maxSent*hundreds || n == 0 || c.maxSent == 100 && n < 100*hundreds {
--- a/balance/api.go
+++ b/balance/api.go
@@ -57,7 +57,7 @@
 	Effect Effect
 	Scope  Scope         // used by Keyed requests only
 	KeyTTL time.Duration // used by Keyed requests only
-	// LatencyTarget is the latency target; Deadline is the time after which the request is given up.
+	// LatencyTarget is the response time wanted; Deadline is the time after which the request is given up.
 	LatencyTarget, Deadline time.Duration
 	// Worth is the value of an answer within the latency target. LateWorth is the value of a late answer, as
 	// a fraction of Worth.
@@ -79,22 +79,23 @@
 	Tick            time.Duration // minimum time between two events; 0 means 1 ms
 	Classes         []Class
 	Tenants         []Tenant
-	OverShareWorth  float64 // factor on the worth of requests over their quota
+	OverShareWorth  float64 // factor on the worth of requests of tenants over their quota
 	Checks          Checks
-	TokensCarried   bool          // session reads carry the age of the session's last write
+	TokensCarried   bool          // session reads carry the position or age of the last write; else the router remembers it
 	SubscribeToList bool          // the list sends changes only after a Watch action
 	Probes, Cancel  bool          // whether the router may probe members and cancel attempts
 	RetryAfter      bool          // whether refusals may tell clients when to retry
 	MaxRetryAfter   time.Duration // 0 if RetryAfter is false
 	MaxAttempts     int           // 0 means 6
-	DrainGrace      time.Duration // how long a draining member may still get writes after the notification
+	DrainGrace      time.Duration // time after a drain notification; see Member.SendUntil
 	MaxSendDelay    time.Duration // maximum delay between a decision and its send; time windows end earlier by this
-	OverloadFactor  float64       // how many times its minimum capacity a cold member withstands; 0 if unknown
-	ColdShare       float64       // fraction of its capacity that a member has when it starts
-	ColdTime        time.Duration // time from the start until the full capacity
+	OverloadFactor  float64       // maximum load of a cold member, as a multiple of its capacity at the time; 0 if unknown
+	ColdShare       float64       // fraction of its full capacity that a member has when it starts, 0 to 1
+	ColdTime        time.Duration // time from the start to the full capacity, which grows linearly; 0 means no slow start
 	DroppedStayOpen bool          // a member removed from the list without having been drained may still be used
 	Restarted       bool          // a previous router knew members that this router does not know
-	// Used without TokensCarried: sessions may have written through a previous process until this time.
+	// Floor is the highest log position that sessions may have written through a previous process whose
+	// memory of their writes is lost; 0 if there is none. It is not needed with TokensCarried.
 	Floor time.Duration
 }
 
@@ -168,8 +169,8 @@
 	// Incarnation is the start time as the list states it: a different value means a different process. If
 	// it is 0, Started is used instead.
 	Incarnation time.Duration
-	// SendUntil is the time until which new requests may be sent to a draining member, before the router
-	// subtracts its own margin. If it is 0, DrainGrace counts from the time at which the router was
+	// SendUntil is the time until which new requests that need the primary may be sent to a draining member,
+	// before the router subtracts its own margin. If it is 0, the time ends DrainGrace after the router was
 	// notified.
 	SendUntil time.Duration
 }
@@ -181,8 +182,8 @@
 	List     []Member
 }
 
-// ListUnavailable reports that a call for the list failed or that the subscription ended. The previous list stays
-// in force.
+// ListUnavailable reports that a call for the list failed or that the subscription ended. The previous list
+// stays in force.
 type ListUnavailable struct{}
 
 // Cell is a subset of the clients and the members that they may use. Cells that may use the same member
@@ -195,8 +196,8 @@
 	Servers map[string]bool
 }
 
-// SettingsUpdate replaces the settings, which must be as Checked returns them. An open request keeps its class, but
-// new limits, such as the maximum number of attempts, apply to it.
+// SettingsUpdate replaces the settings, which must be as Checked returns them. An open request keeps its
+// class, but new limits, such as the maximum number of attempts, apply to it.
 type SettingsUpdate struct{ Settings Settings }
 
 // Cells replaces the set of all cells. Requests that are queued or in flight keep the cell that they arrived
@@ -208,7 +209,7 @@
 	ID, Class, Tenant, Session string
 	Group, Cell                int
 	Deadline                   time.Duration
-	Elapsed                    time.Duration // time that the client spent on earlier tries; 0 if unknown
+	Elapsed                    time.Duration // time that the client spent on earlier attempts; 0 if unknown
 	Retry                      bool
 	// With carried tokens: the position that the session must see; 0 means that WriteAge states it.
 	SessionPosition time.Duration
@@ -220,7 +221,7 @@
 	QuotaRetryAfter time.Duration
 	// Checkout means that the attempt keeps the host connection until the client is finished, as a transaction
 	// does. It then has no timeout except the deadline, and is never retried once it was possibly executed.
-	// Patience is the maximum time that it may wait for its first send; 0 means half of the time until its
+	// MaxWait is the maximum time that it may wait for its first send; 0 means half of the time until its
 	// deadline, as for any other request.
 	Checkout bool
 	MaxWait  time.Duration
@@ -318,7 +319,7 @@
 type PriorEvidence struct {
 	Server                                      string
 	PrimaryNotBefore, ReplicaNotAfter, Position time.Duration // as in MemberView
-	Alive                                       bool          // the earlier router had not blacklisted it
+	Alive                                       bool          // the earlier router had not ejected it
 }
 
 // ClockBounds bounds the offset between this router's clock and the clock of log positions.
@@ -353,7 +354,7 @@
 	Limit        float64 // maximum number of attempts in flight
 	InFlight     int     // attempts in flight
 	WarmUpWeight float64 // minimum fraction of its capacity that is available during slow start, 0 to 1
-	Usable       bool    // accepts reads and is not blacklisted
+	Usable       bool    // accepts reads and is not ejected
 	// Primary means that the router takes the member for the primary. Known means that a position of it is
 	// known.
 	Primary, Known   bool
@@ -385,15 +386,16 @@
 )
 
 // String returns the name of the reason as it appears in logs and reports.
-func (w Reason) String() string {
-	return [...]string{"unknown class", "thinned", "too late", "no attempt left", "fails everywhere", "overdue"}[w]
+func (reason Reason) String() string {
+	return [...]string{"unknown class", "thinned", "too late", "no attempt left", "fails everywhere", "overdue"}[reason]
 }
 
-func (w Reason) unless(condition bool, alternative Reason) Reason {
+// unless returns the alternative if the condition holds, else the reason itself.
+func (reason Reason) unless(condition bool, alternative Reason) Reason {
 	if condition {
 		return alternative
 	}
-	return w
+	return reason
 }
 
 // Refuse is a final answer: the request was not executed, or may be repeated without harm. Bad is the
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// finish closes a request. Its record is kept while an attempt is in flight.
+// finish closes a request. An attempt still in flight is canceled unless it is a write, and the record is kept
+// until it ends.
 func (r *Router) finish(q *request) {
 	q.done = true
 	delete(r.requestsBySeq, q.seq)
@@ -70,7 +71,8 @@
 	}
 }
 
-// giveUp ends a request at once: with Refuse if that promise holds, otherwise with Fail.
+// giveUp ends a request at once: with Refuse if it was not executed or may be repeated without harm, otherwise
+// with Fail.
 func (r *Router) giveUp(q *request, reason Reason) {
 	c, bad := q.class, q.cell.badAttempts(q.group).replicas
 	if q.member == nil && q.possiblyExecutedAt == 0 || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
@@ -170,27 +172,27 @@
 	switch e.Result {
 	case OK:
 		for _, f := range q.failed {
-			if f != m && f != primary && r.canBlacklist(f) {
+			if f != m && f != primary && r.canEject(f) {
 				// The request failed there and succeeded here, so that the error was that member's.
-				r.blacklist(f, f.failures >= maxFailures)
+				r.eject(f, f.failures >= maxFailures)
 			}
 		}
-		m.blacklistedUntil, m.suspect, m.timeouts, m.failures = 0, false, 0, 0
+		m.ejectedUntil, m.suspect, m.timeouts, m.failures = 0, false, 0, 0
 		if q.class.Need == Write && q.Session != "" && !r.settings.TokensCarried {
 			r.rememberWrite(q.Session, e.Position)
 		}
 	// A single connection may break for its own reasons: a probe shows whether the process is dead.
 	case NoConnection, Reset:
 		if m.suspect = true; !r.probe(m) {
-			r.blacklist(m, false)
+			r.eject(m, false)
 		}
 	case Failed:
 		q.failed = append(q.failed, m)
 		m.failures++
 	case TimedOut:
 		// A timeout is blamed on the member only if it has answered nothing since the send.
-		if q.timeout > 0 && m.silentSince <= q.sentAt && m != primary && r.canBlacklist(m) {
-			r.blacklist(m, true)
+		if q.timeout > 0 && m.silentSince <= q.sentAt && m != primary && r.canEject(m) {
+			r.eject(m, true)
 		}
 	}
 	switch e.Result {
--- a/balance/cells_test.go
+++ b/balance/cells_test.go
@@ -200,9 +200,10 @@
 	want(t, "the next read", sends(acts), []string{"d"})
 }
 
-// TestPropertyNoCellBelowItsReserve floods one primary from three cells in any order.
-// Whenever a write of a cell is sent beyond its fair share, no other cell may have a write waiting that fits
-// in its reserve. A failure prints the seed: go test ./balance -run PropertyNoCell -rapid.seed=SEED
+// TestPropertyNoCellBelowItsReserve floods one primary from three cells in any order. Whenever a write of a cell
+// is sent beyond its fair share, no other cell may have a write waiting that fits in its reserve. The numbers
+// of attempts per cell must add up to those in flight. A failure prints the seed: go test ./balance -run
+// PropertyNoCell -rapid.seed=SEED
 func TestPropertyNoCellBelowItsReserve(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := newCellRig(t, nil)
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -76,8 +76,10 @@
 	return nil
 }
 
-// primaryFor returns the primary for q, or nil while q has to wait. If the primary is unknown, only writes
-// are sent to the members in turn, as a member that is not the primary refuses them without executing them.
+// primaryFor returns the primary for q, or nil while q has to wait. The parameter fraction is the part of the
+// primary's limit that q may fill, share the part of a cold primary's budget that requests like q may
+// use. If the primary is unknown, only writes are sent to the members in turn, as a member that
+// is not the primary refuses them without executing them.
 func (r *Router) primaryFor(q *request, fraction, share float64) *member {
 	g := q.group
 	p := r.primaryOf(g)
--- a/balance/elapsed_test.go
+++ b/balance/elapsed_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// When a client has spent more than the latency target on earlier tries, an answer without late worth has no
+// When a client has spent more than the latency target on earlier attempts, an answer without late worth has no
 // value: the request is refused at once instead of being sent to a host. A late answer that still has value
 // is given.
 func TestWorthlessRequestIsNotSent(t *testing.T) {
--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -134,20 +134,20 @@
 }
 
 // StatedPrimary records that a complete answer named the member as the primary.
-func (w *RoleStatements) StatedPrimary() { w.statedPrimary = true }
+func (s *RoleStatements) StatedPrimary() { s.statedPrimary = true }
 
 // StatedReplica records the member's statement that it is not the primary. It reports whether that is new: the
 // first such statement, or the first one since a statement to the contrary.
-func (w *RoleStatements) StatedReplica(now time.Duration) (isNew bool) {
-	isNew = w.statedPrimary || w.replicaAt == 0
-	w.replicaAt, w.statedPrimary = now, false
+func (s *RoleStatements) StatedReplica(now time.Duration) (isNew bool) {
+	isNew = s.statedPrimary || s.replicaAt == 0
+	s.replicaAt, s.statedPrimary = now, false
 	return isNew
 }
 
 // Refute reports whether the member has stated, since the decision to send an attempt, that it is not the
 // primary, and the attempt needs the primary.
-func (w *RoleStatements) Refute(g Grounds) bool {
-	return g.NeedsPrimary() && w.replicaAt > 0 && w.replicaAt >= g.PrimaryNotBefore
+func (s *RoleStatements) Refute(g Grounds) bool {
+	return g.NeedsPrimary() && s.replicaAt > 0 && s.replicaAt >= g.PrimaryNotBefore
 }
 
 // NeedsPrimary reports whether the grounds end with a statement of the member that it is a replica.
@@ -171,8 +171,8 @@
 	r.updatePrimary(m, FromList, before)
 }
 
-// updatePrimary updates the primary of the group after evidence about m has changed, and records a change of the
-// primary.
+// updatePrimary updates the primary of the group after evidence about m has changed, and records a change of
+// the primary.
 func (r *Router) updatePrimary(m *member, source Source, before evidence) {
 	after := m.evidence
 	if after.primaryNotBefore == before.primaryNotBefore && after.replicaNotAfter == before.replicaNotAfter && after.started == before.started {
@@ -198,7 +198,7 @@
 // unreachablePosition is a position that no log reaches.
 const unreachablePosition = time.Duration(math.MaxInt64 / 2)
 
-// maxChanges is the maximum number of changes kept for Changes, which the simulator never calls.
+// maxChanges is the maximum number of changes kept for PrimaryChanges, which the simulator never calls.
 const maxChanges = 100
 
 // PrimaryChanges returns the changes of primaries since the last call.
@@ -281,10 +281,10 @@
 }
 
 // addReport records a load report, which states its own age.
-func (r *Router) addReport(m *member, made TimeBounds, report Report) {
+func (r *Router) addReport(m *member, statedAt TimeBounds, report Report) {
 	if report.Valid {
-		made.NotBefore = report.NotBefore
-		r.addStatement(m, Statement{Source: FromReport, Role: report.Role, Position: report.Position, StatedAt: made})
+		statedAt.NotBefore = report.NotBefore
+		r.addStatement(m, Statement{Source: FromReport, Role: report.Role, Position: report.Position, StatedAt: statedAt})
 	}
 }
 
--- a/balance/evidence_test.go
+++ b/balance/evidence_test.go
@@ -38,10 +38,10 @@
 
 func TestPrimaryStatementMustBeCertainlyNewer(t *testing.T) {
 	const now = origin
-	follows := func(from, to time.Duration) Statement {
+	statedReplica := func(from, to time.Duration) Statement {
 		return Statement{Role: Replica, StatedAt: TimeBounds{NotBefore: now + from, NotAfter: now + to}}
 	}
-	leads := func(from, to time.Duration) Statement {
+	statedPrimary := func(from, to time.Duration) Statement {
 		return Statement{Role: Primary, StatedAt: TimeBounds{NotBefore: now + from, NotAfter: now + to}}
 	}
 	for name, c := range map[string]struct {
@@ -50,17 +50,17 @@
 		leading    bool
 	}{
 		"nothing":                            {nil, 0, false},
-		"stated as the primary":              {[]Statement{leads(1, 2)}, 0, true},
-		"it was a replica before":            {[]Statement{follows(1, 2), leads(3, 4)}, 0, true},
-		"received in the other order":        {[]Statement{leads(3, 4), follows(1, 2)}, 0, true},
-		"it is a replica since":              {[]Statement{leads(1, 2), follows(3, 4)}, 0, false},
-		"an older statement, received later": {[]Statement{follows(3, 4), leads(1, 2)}, 0, false},
-		"the order is unknown":               {[]Statement{leads(2, 5), follows(3, 4)}, 0, false},
-		"the order is unknown, although the query was sent before": {[]Statement{leads(2, 5), follows(1, 4)}, 0, false},
-		"a replica's statement without a latest time":              {[]Statement{leads(2, 5), {Role: Replica}}, 0, false},
-		"it started since":            {[]Statement{leads(1, 2)}, 3, false},
-		"it started before":           {[]Statement{leads(4, 5)}, 3, true},
-		"a statement from the future": {[]Statement{leads(2*time.Hour, 3*time.Hour), follows(time.Minute, time.Minute)}, 0, false},
+		"stated as the primary":              {[]Statement{statedPrimary(1, 2)}, 0, true},
+		"it was a replica before":            {[]Statement{statedReplica(1, 2), statedPrimary(3, 4)}, 0, true},
+		"received in the other order":        {[]Statement{statedPrimary(3, 4), statedReplica(1, 2)}, 0, true},
+		"it is a replica since":              {[]Statement{statedPrimary(1, 2), statedReplica(3, 4)}, 0, false},
+		"an older statement, received later": {[]Statement{statedReplica(3, 4), statedPrimary(1, 2)}, 0, false},
+		"the order is unknown":               {[]Statement{statedPrimary(2, 5), statedReplica(3, 4)}, 0, false},
+		"the order is unknown, although the query was sent before": {[]Statement{statedPrimary(2, 5), statedReplica(1, 4)}, 0, false},
+		"a replica's statement without a latest time":              {[]Statement{statedPrimary(2, 5), {Role: Replica}}, 0, false},
+		"it started since":            {[]Statement{statedPrimary(1, 2)}, 3, false},
+		"it started before":           {[]Statement{statedPrimary(4, 5)}, 3, true},
+		"a statement from the future": {[]Statement{statedPrimary(2*time.Hour, 3*time.Hour), statedReplica(time.Minute, time.Minute)}, 0, false},
 	} {
 		var e evidence
 		for _, s := range c.statements {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -8,7 +8,7 @@
 )
 
 // An application passes each event to the router as it happens and carries out the returned actions: Send by
-// passing the request on, Probe by asking a server for its state, After by starting a timer, and so on.
+// passing the request on, Probe by asking a server for its state, StartTimer by starting a timer, and so on.
 func Example() {
 	router, err := balance.New(balance.Settings{
 		Routers: 2, Tick: time.Millisecond, TokensCarried: true, Cancel: true, RetryAfter: true,
--- a/balance/freshness.go
+++ b/balance/freshness.go
@@ -41,7 +41,7 @@
 }
 
 // keepsUp reports whether m's last known lag was small and the log of its group has moved recently. The
-// known position of m is then old only because m has not been heard from lately.
+// known position of m is then old only because m has not stated a newer one lately.
 func (r *Router) keepsUp(q *request, m *member) bool {
 	lag := m.evidence.positionNotAfter + r.clock.AgeOffset - m.evidence.position
 	return lag <= q.class.Bound/lagDivisor && r.age(m.group.newestPosition) <= q.class.Bound-slack-r.sendDelayMargin(q.class)
@@ -136,8 +136,8 @@
 	return remembered
 }
 
-// rememberWrite records a session's last write. When the memory is full it is cleared, and the floor is set above
-// all forgotten writes.
+// rememberWrite records a session's last write. When the memory is full it is cleared, and writeFloor is
+// raised to the newest of the forgotten writes.
 func (r *Router) rememberWrite(key string, commit time.Duration) {
 	commit = cmp.Or(commit, r.latestPosition(r.now))
 	r.sessionWrites[key], r.newestWrite = max(commit, r.sessionWrites[key]), max(commit, r.newestWrite)
--- a/balance/health.go
+++ b/balance/health.go
@@ -1,6 +1,7 @@
 package balance
 
-// Health: which members are blacklisted, and the probes that end a blacklisting.
+// Health: which members are ejected, so that they get no requests after errors, and the probes that end an
+// ejection.
 
 import "cmp"
 
@@ -19,14 +20,14 @@
 	return m.probing
 }
 
-// blacklist excludes m for a while and cancels attempts that may be retried elsewhere. A good probe ends the
-// blacklisting, but not one after a timeout: members that accept requests and never answer them do answer
-// probes. Those stay blacklisted for longer each time.
-func (r *Router) blacklist(m *member, timedOut bool) {
-	m.blacklistedUntil, m.suspect = r.now+blacklistDuration, true
-	if timedOut {
+// eject excludes m for a while and cancels attempts that may be retried elsewhere. A good probe ends the
+// ejection unless ignoreProbes is set, as it is after a timeout or repeated errors: members that accept
+// requests and never answer them, or fail them all, do answer probes. Those stay ejected for longer each time.
+func (r *Router) eject(m *member, ignoreProbes bool) {
+	m.ejectedUntil, m.suspect = r.now+ejectionDuration, true
+	if ignoreProbes {
 		m.timeouts = min(m.timeouts+1, 3)
-		m.blacklistedUntil = r.now + blacklistDuration<<(m.timeouts-1)
+		m.ejectedUntil = r.now + ejectionDuration<<(m.timeouts-1)
 	}
 	for _, q := range m.inFlight {
 		if !q.done && q.class.Effect != Unsafe {
@@ -35,16 +36,16 @@
 	}
 }
 
-// reinstate ends a blacklisting, except after a timeout.
+// reinstate ends an ejection, unless eject was called with ignoreProbes.
 func (m *member) reinstate() {
 	if m.timeouts == 0 {
-		m.blacklistedUntil = 0
+		m.ejectedUntil = 0
 	}
 }
 
-// canBlacklist reports whether at least half of the other replicas are available. A fault that shows on most
+// canEject reports whether at least half of the other replicas are available. A fault that shows on most
 // replicas is not the fault of one member.
-func (r *Router) canBlacklist(m *member) bool {
+func (r *Router) canEject(m *member) bool {
 	others, usable, primary := 0, 0, r.primaryOf(m.group)
 	for _, o := range m.group.members {
 		if o == m || o == primary || !r.accepts(o, false) {
@@ -71,13 +72,14 @@
 		m.reinstate()
 	} else if e.Result != NotSent { // this router itself lacked a connection
 		m.dead = true
-		r.blacklist(m, false)
+		r.eject(m, false)
 	}
 	r.sendQueued(m.group)
 }
 
-// onRemoteOutcome handles an outcome that another router reported. It concerns a member, not a request. It does not
-// revive a member that was seen dead: only contact with this router shows that such a member has started.
+// onRemoteOutcome handles an outcome that another router reported. It concerns a member, not a request. It
+// does not revive a member that was seen dead: only an answer to this router shows that such a member has
+// started, as the outcome may be older than the failed probe.
 func (r *Router) onRemoteOutcome(e RemoteOutcome) {
 	m := r.members[e.Server]
 	if m == nil {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-func TestTimeoutBlacklistsOnlySilentMember(t *testing.T) {
-	// A busy replica that still answers others must not be blacklisted; a silent one must.
+func TestTimeoutEjectsOnlySilentMember(t *testing.T) {
+	// A busy replica that still answers others must not be ejected; a silent one must.
 	for _, answers := range []bool{false, true} {
 		g := newRig(t, nil)
 		g.r.members["b"].State = Removed
@@ -43,13 +43,13 @@
 	}
 }
 
-func TestLastReplicaIsNotBlacklisted(t *testing.T) {
+func TestLastReplicaIsNotEjected(t *testing.T) {
 	g := newRig(t, nil)
 	g.handle(Members{Snapshot: true, List: list()[:2]})
 	id, _ := g.request("any", 0)
 	g.answer(id, "a", 0, Failed, Replica)
 	if !g.r.available(g.r.members["a"]) {
-		t.Error("the only replica was blacklisted for one error")
+		t.Error("the only replica was ejected for one error")
 	}
 }
 
@@ -71,12 +71,12 @@
 }
 
 func TestRequestErrorsAreNotBlamedOnMembers(t *testing.T) {
-	// Requests that fail on every member used up six attempts each and had every replica blacklisted.
+	// Requests that fail on every member used up six attempts each and had every replica ejected.
 	for _, c := range []struct {
 		name   string
 		second Result
 		sends  int
-		down   bool // whether the first member is blacklisted
+		down   bool // whether the first member is ejected
 	}{{"fails on every member", Failed, 2, false}, {"succeeds on another member", OK, 2, true}} {
 		g := newRig(t, nil)
 		g.handle(Members{List: append(list(), Member{Server: "c", Weight: 1})})
@@ -95,7 +95,7 @@
 		}
 		for s, m := range g.r.members {
 			if down := !g.r.available(m); down != (c.down && s == first) {
-				t.Errorf("%s: %s blacklisted %v", c.name, s, down)
+				t.Errorf("%s: %s ejected %v", c.name, s, down)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestProbeKeepsBlacklistingAfterErrors(t *testing.T) {
+func TestProbeKeepsEjectionAfterErrors(t *testing.T) {
 	// A replica that failed every request at once answered its probes and was in use again every half
 	// second.
 	for n, back := range map[int]bool{maxFailures - 1: true, maxFailures: false} {
@@ -161,21 +161,21 @@
 	}
 }
 
-func TestProbeKeepsBlacklistingAfterTimeouts(t *testing.T) {
+func TestProbeKeepsEjectionAfterTimeouts(t *testing.T) {
 	// Members that crawl or never answer requests do answer probes: every router used them again at once.
 	for _, c := range []struct {
 		timeouts int
 		after    time.Duration
 		back     bool
-	}{{0, 0, true}, {1, 0, false}, {1, blacklistDuration, true}, {2, blacklistDuration, false}, {2, 2 * blacklistDuration, true}} {
+	}{{0, 0, true}, {1, 0, false}, {1, ejectionDuration, true}, {2, ejectionDuration, false}, {2, 2 * ejectionDuration, true}} {
 		g := newRig(t, nil)
 		m := g.r.members["a"]
 		g.r.now = g.now
 		for range c.timeouts {
-			g.r.blacklist(m, true)
+			g.r.eject(m, true)
 		}
 		if c.timeouts == 0 {
-			g.r.blacklist(m, false)
+			g.r.eject(m, false)
 		}
 		g.now += c.after
 		g.handle(ProbeResult{Server: "a", Result: OK})
@@ -185,25 +185,25 @@
 	}
 }
 
-func TestMostReplicasAreNotBlacklisted(t *testing.T) {
+func TestMostReplicasAreNotEjected(t *testing.T) {
 	g := newRig(t, nil)
 	for _, s := range []string{"c", "d"} {
 		g.handle(Members{List: []Member{{Server: s, Weight: 1}}})
 	}
 	n := 0
 	for _, s := range []string{"a", "b", "c", "d"} {
-		if g.r.canBlacklist(g.r.members[s]) {
-			g.r.blacklist(g.r.members[s], true)
+		if g.r.canEject(g.r.members[s]) {
+			g.r.eject(g.r.members[s], true)
 			n++
 		}
 	}
 	if n != 2 && n != 3 {
-		t.Errorf("%d of 4 replicas blacklisted for timeouts, want about half", n)
+		t.Errorf("%d of 4 replicas ejected for timeouts, want about half", n)
 	}
 }
 
 func TestRouterStallBlamesNoMember(t *testing.T) {
-	// A router that had been stalled saw timeouts and silence everywhere and blacklisted every member.
+	// A router that had been stalled saw timeouts and silence everywhere and ejected every member.
 	for _, c := range []struct {
 		stalledFor time.Duration
 		blame      bool
@@ -221,7 +221,7 @@
 		g.answer(id, to, 0, TimedOut, Unknown)
 		m := g.r.members[to]
 		if blame := !g.r.available(m); blame != c.blame {
-			t.Errorf("stalled for %v: blacklisted %v", c.stalledFor, blame)
+			t.Errorf("stalled for %v: ejected %v", c.stalledFor, blame)
 		}
 		if !c.blame && m.limit != initialLimit {
 			t.Errorf("limit reduced to %v after a stall", m.limit)
--- a/balance/hold_up_test.go
+++ b/balance/hold_up_test.go
@@ -9,7 +9,7 @@
 func TestReadAfterSendDelayIsInBoundOrRejected(t *testing.T) {
 	const sendDelay, slackOnSockets = 150 * ms, 50 * ms
 	for _, c := range []struct {
-		class      string // "own": a session's reads with a bound as well, while old and new settings are both in use
+		class      string // "own" is a session class with a bound, as two versions of the settings combine to
 		bound      time.Duration
 		sinceWrite time.Duration // time since the session's write; 0 if it has not written
 	}{{"browse", 500 * ms, 0}, {"browse", 200 * ms, 0}, {"own", 500 * ms, 0}, {"own", 200 * ms, 0}, {"own", 500 * ms, time.Second}} {
--- a/balance/look.go
+++ b/balance/look.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Views calls see with the router's view of each member.
+// Views calls visit with the router's view of each member at the time now.
 func (r *Router) Views(now time.Duration, visit func(MemberView)) {
 	r.now = now
 	for _, m := range r.members {
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -12,22 +12,24 @@
 // member is a member on the list, or one removed recently, and what the router knows about it.
 type member struct {
 	Member
-	group              *group
-	notifiedAt         time.Duration // when this router was notified that it drains or is removed
-	wasDraining        bool          // it was listed as draining
-	evidence           evidence
-	mayHaveStatedRole  bool          // it may have stated its role before it was forgotten
-	limitCutAt         time.Duration // time of the last reduction of its limit
-	aliveAt            time.Duration // last sign of life
-	restartedAt        time.Duration // first sign of life after it was seen dead: a start that is not listed yet
-	inFlight           []*request    // attempts in flight, oldest first
-	inFlightByCell     map[*cell]int // number of attempts in flight per cell
-	silentSince        time.Duration // start of the present silence while attempts are in flight
-	blacklistedUntil   time.Duration // end of the blacklisting; 0 if there is none
-	timeouts, failures int           // since its last answer
+	group             *group
+	notifiedAt        time.Duration // when this router was notified that it drains or is removed
+	wasDraining       bool          // it was listed as draining
+	evidence          evidence
+	mayHaveStatedRole bool          // it may have stated its role before it was forgotten
+	limitCutAt        time.Duration // time of the last reduction of its limit
+	aliveAt           time.Duration // last sign of life
+	restartedAt       time.Duration // first sign of life after it was seen dead: a start that is not listed yet
+	inFlight          []*request    // attempts in flight, oldest first
+	inFlightByCell    map[*cell]int // number of attempts in flight per cell
+	silentSince       time.Duration // start of the present silence while attempts are in flight
+	ejectedUntil      time.Duration // end of the ejection; 0 if there is none
+	// timeouts counts ejections that a good probe does not end, up to 3; failures counts errors. Both are reset
+	// by a successful answer.
+	timeouts, failures int
 	probedAt           time.Duration
-	// probing: a probe is in flight. suspect: blacklisted, without a sign of life since. dead: a probe
-	// failed, without a sign of life since.
+	// probing: a probe is in flight. suspect: it was ejected or a connection to it failed, and nothing has
+	// succeeded since; it is probed before it gets reads. dead: a probe failed, without a sign of life since.
 	probing, suspect, dead bool
 	latencyRatio           float64 // smoothed answer time as a fraction of the latency target
 	limit                  float64 // maximum number of attempts in flight from this router
@@ -57,7 +59,7 @@
 			g.members = slices.Insert(g.members, i, m) // in the same order at every router
 		} else if entry.incarnation() != m.incarnation() && entry.Started > m.aliveAt {
 			// A new process, which has not answered yet.
-			m.blacklistedUntil, m.suspect, m.failures, m.limit, m.latencyRatio = 0, false, 0, initialLimit, 0
+			m.ejectedUntil, m.suspect, m.failures, m.limit, m.latencyRatio = 0, false, 0, initialLimit, 0
 		}
 		r.setState(m, entry.State)
 		m.Member = entry
@@ -112,9 +114,9 @@
 	}
 }
 
-// accepts reports whether the list allows anything new to be sent to m. A draining primary takes writes
-// until it hands over, so that with grace it may be used for a part of the drain grace; reads have other
-// members to go to.
+// accepts reports whether the list allows anything new to be sent to m. With grace, a draining member may be
+// used for a part of the drain grace, as a draining primary takes writes until it hands over. Callers that
+// choose a replica pass no grace, as reads have other replicas to go to.
 func (r *Router) accepts(m *member, grace bool) bool {
 	if m.State == Draining {
 		return grace && r.now < cmp.Or(m.SendUntil, m.notifiedAt+r.settings.DrainGrace)-2*r.settings.Tick-queueInterval
@@ -131,8 +133,8 @@
 	}
 }
 
-// available reports whether m is not blacklisted.
-func (r *Router) available(m *member) bool { return r.now >= m.blacklistedUntil }
+// available reports whether m is not ejected.
+func (r *Router) available(m *member) bool { return r.now >= m.ejectedUntil }
 
-// canServe reports whether p is a member that the list allows to be used and that is not blacklisted.
+// canServe reports whether p is a member that the list allows to be used and that is not ejected.
 func (r *Router) canServe(p *member) bool { return p != nil && r.accepts(p, true) && r.available(p) }
--- a/balance/membership_test.go
+++ b/balance/membership_test.go
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestRestartEndsBlacklisting(t *testing.T) {
+func TestRestartEndsEjection(t *testing.T) {
 	g := newRig(t, nil)
-	g.r.blacklist(g.r.members["a"], false)
+	g.r.eject(g.r.members["a"], false)
 	l := list()
 	l[1].Started = g.now
 	g.handle(Members{List: l[1:2]})
 	if !g.r.available(g.r.members["a"]) {
-		t.Error("a new process is still blacklisted for the failures of the old one")
+		t.Error("a new process is still ejected for the failures of the old one")
 	}
 }
 
--- a/balance/router.go
+++ b/balance/router.go
@@ -3,7 +3,7 @@
 // The router: its state and Handle, the single entry point for events. The interface is declared in api.go;
 // each kind of decision has a file of its own. The common path: writes, and a session's reads for a while
 // after its writes, go to the primary. Other reads go to a weighted random choice among the replicas that
-// are fresh enough, or else to the primary. Members that fail are blacklisted for a while. docs/design.md
+// are fresh enough, or else to the primary. Members that fail are ejected for a while. docs/design.md
 // describes the rest.
 
 import (
@@ -16,8 +16,8 @@
 const (
 	ms = time.Millisecond
 
-	pinWindow         = 300 * ms // a session's reads go to the primary for this long after a write
-	blacklistDuration = 5 * time.Second
+	pinWindow        = 300 * ms // a session's reads go to the primary for this long after a write
+	ejectionDuration = 5 * time.Second
 	// queueInterval is the interval at which queued requests are tried again, also while they wait for a
 	// position.
 	queueInterval = 20 * ms
@@ -26,7 +26,7 @@
 	retryDelay             = 50 * ms
 	minSilence             = 100 * ms // a primary with attempts in flight that is silent for longer is probed
 	limitCutInterval       = 100 * ms // minimum time between two reductions of a limit
-	probeInterval          = 500 * ms // minimum time between probes of a blacklisted member
+	probeInterval          = 500 * ms // minimum time between probes of an ejected member
 	probeIntervalPerRouter = 10 * ms  // the same per router of the fleet, where that is longer
 	// refusedRetryAfter is the retryAfter of refused requests: an earlier retry adds load and gains little.
 	refusedRetryAfter = time.Second
@@ -56,10 +56,12 @@
 	latencyWindow    = 16.0 // number of answers that the smoothed answer time averages over
 	estimateWindow   = 64   // number of answers after which the initial estimate weighs less than 2 %
 	// badWindow is the number of attempts that the fraction of bad ends averages over. After maxFailures
-	// errors in a row, a good probe does not end a blacklisting.
+	// errors in a row, a good probe does not end an ejection.
 	badWindow, maxFailures = 10.0, 3
 
-	fleetLimitFactor = 2.0 // all routers together may fill the limits of about this many at a group
+	// fleetLimitFactor limits the attempts of the whole fleet at a group's primary, and at its replicas, to
+	// the sum of about this many routers' limits.
+	fleetLimitFactor = 2.0
 	// initialLimit is the limit of attempts in flight at a new member; minLimit is kept however slow all
 	// answers are.
 	initialLimit, minLimit = 8, 4
@@ -162,7 +164,7 @@
 	newestWrite, writeFloor time.Duration
 	queueTimerSet, watching bool // the timer of the queue is running; the list is being watched
 	actions                 []Action
-	changes                 []PrimaryChange // not yet fetched by Changes
+	changes                 []PrimaryChange // not yet returned by PrimaryChanges
 }
 
 // New returns a router with the given settings. The error is that of Settings.Checked.
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -12,10 +12,10 @@
 	return r.settings.ColdShare + (1-r.settings.ColdShare)*float64(age)/float64(r.settings.ColdTime)
 }
 
-// admitCold enforces the budget of a cold member. Of the requests that choose m with the given chance, it admits
-// so many that m's share of the group's traffic is its fraction of the capacity, times a margin. As every
-// router does so, the sum holds as well. Each request draws its random number once, so that asking again
-// gives it no further chance.
+// admitCold enforces the budget of a cold member. The parameter chance is the probability with which q was
+// assigned to m, share is m's share of the group's traffic when it is warm. It admits so many requests that
+// m's share is reduced to its fraction of the capacity, times coldFactor. As every router does so, the sum
+// holds as well. Each request draws its random number once, so that asking again gives it no further chance.
 func (r *Router) admitCold(q *request, m *member, chance, share float64) bool {
 	w := r.warmUpWeight(m)
 	if w == 1 {
--- a/internal/control/draining/draining.go
+++ b/internal/control/draining/draining.go
@@ -15,7 +15,8 @@
 
 import "time"
 
-// MaxSendDelay is the maximum time between reading the clock and acting on the reading, as guaranteed by the platform.
+// MaxSendDelay is the maximum time between reading the clock and acting on the reading, as guaranteed by the
+// platform.
 const MaxSendDelay = 150 * time.Millisecond
 
 // State is the state of a host in the endpoint list.
@@ -49,7 +50,7 @@
 
 // Rules are the settings for hosts that drain or were removed.
 type Rules struct {
-	Grace time.Duration // since the notification
+	Grace time.Duration // time after the notification in which requests may be sent, before send delays are subtracted
 	// DroppedStayOpen excludes hosts that were removed without having been listed as draining from the time
 	// limit.
 	DroppedStayOpen bool
@@ -81,10 +82,10 @@
 	started     time.Duration // latest start time that was stated, on the fleet's clock
 }
 
-// drainEndedBy reports whether w, a statement that the host serves, is newer than the notification of the
+// drainEndedBy reports whether n, a statement that the host serves, is newer than the notification of the
 // drain.
-func (h host) drainEndedBy(w Notification) bool {
-	return w.Agent != "" && (w.Agent == h.agent && w.Revision >= h.revision || w.Started > h.started)
+func (h host) drainEndedBy(n Notification) bool {
+	return n.Agent != "" && (n.Agent == h.agent && n.Revision >= h.revision || n.Started > h.started)
 }
 
 // Tracker holds the state of all hosts that drain or were removed. It is not safe for concurrent use.
@@ -97,26 +98,26 @@
 func New(rules Rules) *Tracker { return &Tracker{rules: rules, hosts: map[string]host{}} }
 
 // Set handles the statement of an endpoint list about a host and returns the time limit for the host.
-func (t *Tracker) Set(w Notification) Bound {
-	h, known := t.hosts[w.Server]
-	if w.State == Serving {
-		if !known || h.drainEndedBy(w) {
-			delete(t.hosts, w.Server)
+func (t *Tracker) Set(n Notification) Bound {
+	h, known := t.hosts[n.Server]
+	if n.State == Serving {
+		if !known || h.drainEndedBy(n) {
+			delete(t.hosts, n.Server)
 		}
-		return Bound{Server: w.Server, SendUntil: t.Until(w.Server)}
+		return Bound{Server: n.Server, SendUntil: t.Until(n.Server)}
 	}
 	if !known {
-		h.notifiedAt = w.At
+		h.notifiedAt = n.At
 	}
-	if w.NotifiedAt > 0 {
-		h.notifiedAt = min(h.notifiedAt, w.NotifiedAt)
+	if n.NotifiedAt > 0 {
+		h.notifiedAt = min(h.notifiedAt, n.NotifiedAt)
 	}
-	if !known || !w.Unlisted {
-		h.agent, h.revision = w.Agent, w.Revision
+	if !known || !n.Unlisted {
+		h.agent, h.revision = n.Agent, n.Revision
 	}
-	h.state, h.wasDraining, h.started = w.State, h.wasDraining || w.State == Draining, max(h.started, w.Started)
-	t.hosts[w.Server] = h
-	return Bound{Server: w.Server, SendUntil: t.sendUntil(h)}
+	h.state, h.wasDraining, h.started = n.State, h.wasDraining || n.State == Draining, max(h.started, n.Started)
+	t.hosts[n.Server] = h
+	return Bound{Server: n.Server, SendUntil: t.sendUntil(h)}
 }
 
 // State returns the current state of a host.
--- a/internal/control/fleetclock/fleetclock.go
+++ b/internal/control/fleetclock/fleetclock.go
@@ -81,8 +81,8 @@
 type Observation struct {
 	Host     string
 	Position time.Duration // highest position in the answer, on the fleet's clock, or 0 if there is none
-	// PrimaryPosition is the position that a primary stated together with its role in the answer to a query that it
-	// executed, or 0 if the answer has none.
+	// PrimaryPosition is the position that a primary stated together with its role in the answer to a query
+	// that it executed, or 0 if the answer has none.
 	PrimaryPosition time.Duration
 	Sent, Received  time.Duration // when the query was sent and the answer was read, on the local clock
 }
@@ -260,9 +260,9 @@
 // Width returns the length of the interval without the drift since the last change.
 func (b Bounds) Width() time.Duration { return b.upper - b.lower }
 
-// AgeOffset returns the correction to add to the age of a position that was computed with the local clock. No data
-// is then older than its computed age by more than AgeSlack. The result is meaningful only if there is an
-// upper bound.
+// AgeOffset returns the correction to add to the age of a position that was computed with the local clock. No
+// data is then older than its computed age by more than AgeSlack. The result is meaningful only if there is
+// an upper bound.
 func (b Bounds) AgeOffset(now time.Duration) time.Duration {
 	i := b.At(now)
 	return max(i.Min, i.Max-AgeSlack)
--- a/internal/control/listwatch/listwatch.go
+++ b/internal/control/listwatch/listwatch.go
@@ -28,7 +28,7 @@
 	"time"
 )
 
-// NoRevision is the revision of a gateway that has no list yet. A call with it asks for a snapshot of the list.
+// NoRevision is the revision of a gateway that has no list yet. A call with it asks for a snapshot.
 const NoRevision = -1
 
 const (
@@ -145,15 +145,15 @@
 // Broken reports whether a call to the current address has failed or become silent since the last answer.
 func (w *Watch) Broken() bool { return w.broken }
 
-// RevisionResets returns how often an agent was assumed to have reset its revisions, because two of its lists had a
-// lower revision than an earlier one. It is also possible that these lists were outdated.
+// RevisionResets returns how often an agent was assumed to have reset its revisions, because two of its lists
+// had a lower revision than an earlier one. It is also possible that these lists were outdated.
 func (w *Watch) RevisionResets() int { return w.revisionResets }
 
 // Latency returns the latency of recent answers, without the wait of their calls.
 func (w *Watch) Latency() time.Duration { return w.latency }
 
-// SetAddress changes the address of discovery. It does nothing if the address is the current one. Calls in flight
-// to other addresses continue, and their answers are used until the new address has answered, so that a
+// SetAddress changes the address of discovery. It does nothing if the address is the current one. Calls in
+// flight to other addresses continue, and their answers are used until the new address has answered, so that a
 // series of changes of the address cannot prevent the gateway from receiving a list.
 func (w *Watch) SetAddress(now time.Duration, address string) {
 	if address == w.address {
--- a/internal/control/reload/reload.go
+++ b/internal/control/reload/reload.go
@@ -67,7 +67,7 @@
 	s.ColdTime = max(old.ColdTime, s.ColdTime)
 	s.Probes, s.Cancel = old.Probes && s.Probes, old.Cancel && s.Cancel
 	s.DroppedStayOpen = old.DroppedStayOpen && s.DroppedStayOpen
-	s.TokensCarried = old.TokensCarried && s.TokensCarried // without tokens the gateway keeps the positions of sessions' writes
+	s.TokensCarried = old.TokensCarried && s.TokensCarried // unless both have tokens, the router remembers the sessions' writes
 	if old.Checks == balance.ChecksNone {
 		s.Checks = balance.ChecksNone // do not rely on members to check reads if they did not before
 	}
@@ -108,7 +108,7 @@
 	switch {
 	case old.Need == balance.Bounded && c.Need == balance.Bounded:
 		return balance.Bounded, bound
-	case bound == 0: // a session read with bound 0 has no bound at all, so only Latest is as strict
+	case bound == 0: // a bounded read of age 0; Session cannot express that, as its bound 0 means none
 		return balance.Latest, 0
 	case bound == unbounded:
 		return balance.Session, 0
--- a/internal/control/reload/reload_test.go
+++ b/internal/control/reload/reload_test.go
@@ -89,19 +89,19 @@
 			}
 			return s
 		}
-		type told struct {
+		type update struct {
 			at time.Duration
 			s  balance.Settings
 		}
 		first := draw("first")
-		history, now, v := []told{{-grace, first}}, time.Duration(0), New(first, grace)
+		history, now, v := []update{{-grace, first}}, time.Duration(0), New(first, grace)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 15).Draw(t, "pause")) * 100 * ms
 			v.Settle(now)
 			if rapid.Bool().Draw(t, "reload") {
 				s := draw("next")
 				v.Update(now, s)
-				history = append(history, told{now, s})
+				history = append(history, update{now, s})
 			}
 			newest := len(history) - 1
 			for i, h := range history {
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -1,11 +1,11 @@
-// Package service is the state machine for the lifecycle of a gateway process: whether the process reports
-// ready to the load balancer in front of it, keeps the connections of its clients, passes them to a new
-// process, and when it exits. All events that affect these (start, drain and resume, SIGTERM, hot restart)
+// Package service is the state machine for the lifecycle of a gateway process. It decides whether the process
+// reports ready to the load balancer in front of it, whether it keeps the connections of its clients, closes
+// them or passes them to a new process, and when it exits. All events that affect these (start, drain and resume, SIGTERM, hot restart)
 // are handled here, so that all parts of the process act on the same state. The package does no I/O and does
 // not read a clock: its inputs are events and the time, its output is a View.
 //
 //	          Ready           Drain             Terminate
-//	Starting -------> Serving <-----> Draining -----------> Ending
+//	Starting -------> Serving <-----> Draining -----------> ShuttingDown
 //	                            Resume          (from any)
 //
 // In a hot restart, a new process of the same gateway is started to replace this one, the old process. The
@@ -68,10 +68,10 @@
 // Times are the time limits that the platform sets, as durations since the event that each refers to. All are
 // above 0.
 type Times struct {
-	// LoadBalancerDelay is how long after the process stops reporting ready the load balancer still opens connections
-	// to it: 0.2 s, plus the tenth of a second between two of its readiness probes.
+	// LoadBalancerDelay is how long after the process stops reporting ready the load balancer still opens
+	// connections to it: 0.2 s, plus the tenth of a second between two of its readiness probes.
 	LoadBalancerDelay time.Duration
-	// CloseConnections, LastAnswer and End are durations since SIGTERM, in this order: when to close connections between
+	// CloseConnections, AnswersDue and Exit are durations since SIGTERM, in this order: when to close connections between
 	// requests, when the last answer is due, and when the process must have exited.
 	CloseConnections, AnswersDue, Exit time.Duration
 	// Accept is the minimum time after SIGTERM for which new connections are accepted. Clients keep connecting
@@ -97,8 +97,9 @@
 	NextChange       time.Duration // when the view changes without an event, or 0 if it does not
 }
 
-// ErrShuttingDown is returned if a process that shuts down is to resume service.
-var ErrShuttingDown = errors.New("the process is shutting down")
+// ErrShuttingDown is returned if a process that shuts down is to resume service. Its text is sent to operators
+// in HTTP answers.
+var ErrShuttingDown = errors.New("the process is ending")
 
 // State is the lifecycle state of one process. It is not safe for concurrent use.
 type State struct {
@@ -213,9 +214,9 @@
 		// their existing connections, and readiness probes are answered as before.
 		v.Ready = s.ready && !s.wasDraining
 		v.AnswersDue = s.terminatedAt + s.times.AnswersDue
-		shed := next(s.terminatedAt + s.times.CloseConnections)
-		v.CloseConnections = shed || s.wasDraining && next(s.drainStart+s.times.LoadBalancerDelay)
-		v.Accept = !shed || !next(s.terminatedAt+s.times.Accept)
+		closing := next(s.terminatedAt + s.times.CloseConnections)
+		v.CloseConnections = closing || s.wasDraining && next(s.drainStart+s.times.LoadBalancerDelay)
+		v.Accept = !closing || !next(s.terminatedAt+s.times.Accept)
 		v.ExitWhenIdle = !v.Accept
 		v.ExitNow = next(s.terminatedAt + s.times.Exit)
 	}
--- a/internal/control/waits/waits.go
+++ b/internal/control/waits/waits.go
@@ -52,14 +52,14 @@
 // Observe records an attempt of a class, whose client waits for the given time, and returns how long the client
 // has already spent on earlier attempts. It returns 0 for a first attempt and where the time cannot be
 // derived. deadline is that of the class.
-func (w *Estimator) Observe(class string, deadline, wait time.Duration) time.Duration {
+func (e *Estimator) Observe(class string, deadline, wait time.Duration) time.Duration {
 	if wait <= 0 || deadline <= 0 {
 		return 0
 	}
-	h := w.classes[class]
+	h := e.classes[class]
 	if h == nil || h.deadline != deadline { // new class, or new deadline after a settings update
 		h = &histogram{deadline: deadline}
-		w.classes[class] = h
+		e.classes[class] = h
 	}
 	i := 1 + int(min(wait, deadline-1)*buckets/deadline)
 	h.add(i)
@@ -78,8 +78,8 @@
 // Unserved records that an attempt of a class has ended without being served: refused, failed, or canceled by
 // the client. It must not be called for an attempt that was classified as a client retry, since the retries
 // of that client are already counted.
-func (w *Estimator) Unserved(class string) {
-	if h := w.classes[class]; h != nil {
+func (e *Estimator) Unserved(class string) {
+	if h := e.classes[class]; h != nil {
 		h.expectedRetries = min(h.expectedRetries+maxRetries, maxExpectedRetries)
 	}
 }
