--- a/balance/cells_test.go
+++ b/balance/cells_test.go
@@ -253,7 +253,7 @@
 					}
 				}
 			},
-			"beat": func(*rapid.T) { check(g.advance(queueInterval)) },
+			"queue timer": func(*rapid.T) { check(g.advance(queueInterval)) },
 			"": func(rt *rapid.T) {
 				p := g.r.members["p"]
 				total := 0
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -26,7 +26,7 @@
 	// busyUntil is the time until which each core of a host is busy, by host. If nil, hosts answer after the mean
 	// work, whatever their load.
 	busyUntil map[string][]time.Duration
-	dead      map[string]bool // hosts that answer nothing; used only with busy
+	dead      map[string]bool // hosts that answer nothing; used only with busyUntil
 	// loadBefore is the load until the host starts, as a fraction of the group's capacity; 0 means the load of
 	// the whole run.
 	loadBefore float64
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -104,8 +104,8 @@
 }
 
 // answer ends an attempt.
-func (g *rig) answer(id, server string, try int, res Result, role Role) []Action {
-	return g.handle(Outcome{ID: id, Server: server, Attempt: try, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
+func (g *rig) answer(id, server string, attempt int, res Result, role Role) []Action {
+	return g.handle(Outcome{ID: id, Server: server, Attempt: attempt, Result: res, Role: role, Took: 10 * ms, Final: res == OK})
 }
 
 // sends returns the servers of the Send actions.
--- a/balance/model_gateway_test.go
+++ b/balance/model_gateway_test.go
@@ -33,14 +33,14 @@
 
 // modelRequest is a request of the client.
 type modelRequest struct {
-	id       string
-	class    string
-	after    time.Duration // commit that it must see, by the fleet's clock
-	bound    time.Duration
-	deadline time.Duration
-	attempt  *modelAttempt
-	attempts int
-	done     bool
+	id          string
+	class       string
+	minPosition time.Duration // commit that it must see, by the fleet's clock
+	bound       time.Duration
+	deadline    time.Duration
+	attempt     *modelAttempt
+	attempts    int
+	done        bool
 }
 
 // modelGateway is one gateway with its successive processes.
@@ -291,11 +291,11 @@
 	q.bound = g.settings.Classes[0].Bound
 	switch q.class {
 	case "own":
-		if q.after = w.lastWrite; w.chance(0.3) {
-			q.after = w.now - w.between(0, time.Second) // a commit that was made through another gateway
+		if q.minPosition = w.lastWrite; w.chance(0.3) {
+			q.minPosition = w.now - w.between(0, time.Second) // a commit that was made through another gateway
 		}
-		if q.after > 0 {
-			r.SessionPosition = q.after
+		if q.minPosition > 0 {
+			r.SessionPosition = q.minPosition
 		}
 	}
 	for _, c := range g.settings.Classes {
@@ -602,7 +602,7 @@
 	case "view":
 		bound = attempt.written - q.bound
 	case "own":
-		bound, slack = q.after, 0 // the position is stated exactly
+		bound, slack = q.minPosition, 0 // the position is stated exactly
 	default:
 		return
 	}
--- a/balance/model_world_test.go
+++ b/balance/model_world_test.go
@@ -91,7 +91,7 @@
 	trace        []string
 }
 
-// between returns a random duration from least up to most.
+// between returns a random duration of at least lower and below upper, or lower if upper is not above it.
 func (w *world) between(lower, upper time.Duration) time.Duration {
 	if upper <= lower {
 		return lower
@@ -187,15 +187,15 @@
 }
 
 // listRole lets the list report a change of role, with a delay.
-func (w *world) listRole(h *modelHost, leads bool) {
+func (w *world) listRole(h *modelHost, isPrimary bool) {
 	if w.listedRoles != "late" {
 		return
 	}
 	lag := w.roleLag
-	if w.twoPrimaries && !leads {
+	if w.twoPrimaries && !isPrimary {
 		lag += w.between(0, time.Second)
 	}
-	w.after(lag, func() { h.list.Primary = leads; w.sendList(h) })
+	w.after(lag, func() { h.list.Primary = isPrimary; w.sendList(h) })
 }
 
 // sendList sends the entries of hosts to the gateway as a delta of the list.
--- a/internal/control/fleetclock/fleetclock_test.go
+++ b/internal/control/fleetclock/fleetclock_test.go
@@ -22,23 +22,23 @@
 func newSimulation(offset time.Duration) *simulation { return &simulation{New(start), start, offset} }
 
 // present observes an answer that a primary made in the middle of a round trip of 10 ms.
-func (p *simulation) present(host string) Change {
-	p.now += minSeparation + 10*ms
-	return p.Observe(Observation{Host: host, PrimaryPosition: p.now - 5*ms + p.offset, Sent: p.now - 10*ms, Received: p.now})
+func (s *simulation) present(host string) Change {
+	s.now += minSeparation + 10*ms
+	return s.Observe(Observation{Host: host, PrimaryPosition: s.now - 5*ms + s.offset, Sent: s.now - 10*ms, Received: s.now})
 }
 
 // position observes an answer of a host whose replay position lags. A negative lag is a position in the
 // future.
-func (p *simulation) position(host string, lag time.Duration) Change {
-	p.now += minSeparation + 10*ms
-	return p.Observe(Observation{Host: host, Position: p.now - lag + p.offset, Sent: p.now - 10*ms, Received: p.now})
+func (s *simulation) position(host string, lag time.Duration) Change {
+	s.now += minSeparation + 10*ms
+	return s.Observe(Observation{Host: host, Position: s.now - lag + s.offset, Sent: s.now - 10*ms, Received: s.now})
 }
 
-func (p *simulation) check(t *testing.T, what string, bounded bool) {
+func (s *simulation) check(t *testing.T, what string, bounded bool) {
 	t.Helper()
-	b := p.Bounds()
-	if i := b.At(p.now); b.HasMax != bounded || b.HasMin && i.Min > p.offset || bounded && i.Max < p.offset {
-		t.Errorf("%s: offset %s, bounds %v, bounded %t, want %t", what, p.offset, i, b.HasMax, bounded)
+	b := s.Bounds()
+	if i := b.At(s.now); b.HasMax != bounded || b.HasMin && i.Min > s.offset || bounded && i.Max < s.offset {
+		t.Errorf("%s: offset %s, bounds %v, bounded %t, want %t", what, s.offset, i, b.HasMax, bounded)
 	}
 }
 
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -84,7 +84,7 @@
 func TestNoMoreRetriesThanPossible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, allowed, retries := New(), 0, 0
-		for range rapid.IntRange(1, 400).Draw(t, "tries") {
+		for range rapid.IntRange(1, 400).Draw(t, "attempts") {
 			wait := time.Duration(rapid.IntRange(-10, 900).Draw(t, "wait")) * ms
 			got := w.Observe("view", 750*ms, wait)
 			switch {
