--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -149,8 +149,7 @@
 	}
 }
 
-// Deadlines may be as short as the interval of the queue timer: each request is tried all the
-// same.
+// Deadlines may be as short as the interval of the queue timer: each request is sent all the same.
 func TestShortAndLongDeadlinesAreSent(t *testing.T) {
 	for _, deadline := range []time.Duration{20 * ms, 50 * ms, 95 * ms, 20 * time.Second} {
 		g := newRig(t, func(s *Settings) {
--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// simulate simulates n clients of a program whose first attempts wait for the time first. If again returns a
+// simulate simulates n clients of a program whose first attempts wait for the time first. If retryAfter returns a
 // time above 0 for a client, the client retries after it with the rest of the deadline.
 func simulate(w *Estimator, n int, first time.Duration, retryAfter func(i int) time.Duration) (estimates []time.Duration) {
 	for i := range n {
