--- a/internal/control/waits/waits_test.go
+++ b/internal/control/waits/waits_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// simulate simulates n clients of a program whose first attempts wait for the time first. If again returns a
+// simulate simulates n clients of a program whose first attempts wait for the time first. If retryAfter returns a
 // time above 0 for a client, the client retries after it with the rest of the deadline.
 func simulate(w *Estimator, n int, first time.Duration, retryAfter func(i int) time.Duration) (estimates []time.Duration) {
 	for i := range n {
@@ -84,7 +84,7 @@
 func TestNoMoreRetriesThanPossible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, allowed, retries := New(), 0, 0
-		for range rapid.IntRange(1, 400).Draw(t, "tries") {
+		for range rapid.IntRange(1, 400).Draw(t, "attempts") {
 			wait := time.Duration(rapid.IntRange(-10, 900).Draw(t, "wait")) * ms
 			got := w.Observe("view", 750*ms, wait)
 			switch {
