--- a/internal/testbed/ci/judge_test.go
+++ b/internal/testbed/ci/judge_test.go
@@ -1,4 +1,4 @@
-// Package ci tests what the project's own CI makes of a run of the tests.
+// Package ci tests the script with which the project's CI evaluates a test run.
 package ci
 
 import (
@@ -20,20 +20,20 @@
 	}{
 		{"all pass", green, "", "0", true, ""},
 		{"one fails", red, "", "1", false, "ci: failed: TestB"},
-		{"one fails that is listed", red, "TestB: it hangs, issue 31\n", "1", true, "known red: TestB: it hangs, issue 31"},
+		{"a listed one fails", red, "TestB: it hangs, issue 31\n", "1", true, "known red: TestB: it hangs, issue 31"},
 		{"another fails", two, "TestB: it hangs, issue 31\n", "1", false, "ci: failed: TestA"},
 		{"a listed one passes", green, "TestB: it hangs, issue 31\n", "0", true, "it passes; take it off the list: TestB"},
 		{"a listed one fails in one of two runs", green + red, "TestB: it hangs, issue 31\n", "1", true, "known red: TestB"},
 		{"a listed one does not exist", green, "TestC: gone, issue 31\n", "0", false, "names a test that did not run: TestC"},
-		{"three lines", two, "TestA: x, issue 1\nTestB: y, issue 2\n\n", "1", true, "known red: TestA"},
-		{"more than three lines", green, "TestA: 1\nTestB: 1\nTestC: 1\nTestD: 1\n", "0", false, "has 4 lines"},
+		{"three listed lines", two, "TestA: x, issue 1\nTestB: y, issue 2\n\n", "1", true, "known red: TestA"},
+		{"more than three listed lines", green, "TestA: 1\nTestB: 1\nTestC: 1\nTestD: 1\n", "0", false, "has 4 lines"},
 		{"a build fails", red + "FAIL\tq [build failed]\n", "TestB: it hangs, issue 31\n", "1", false, "does not build: q"},
-		{"a build fails beside none", green + "FAIL\tq [setup failed]\n", "", "1", false, "does not build: q"},
+		{"a package setup fails", green + "FAIL\tq [setup failed]\n", "", "1", false, "does not build: q"},
 		{"a data race", "WARNING: DATA RACE\n" + red, "TestB: it hangs, issue 31\n", "1", false, "a data race"},
 		{"a panic", red + "panic: no\n", "TestB: it hangs, issue 31\n", "1", false, "a panic"},
-		{"a test that never ends", red + "panic: test timed out after 5m0s\n", "TestB: it hangs, issue 31\n", "1", false, "never ended"},
-		{"a package that fails with no test", green + "FAIL\tq\t0.1s\n", "TestB: it hangs, issue 31\n", "1", false, "no test of it: q"},
-		{"an exit without a word", green, "", "2", false, "exited with 2"},
+		{"a test times out", red + "panic: test timed out after 5m0s\n", "TestB: it hangs, issue 31\n", "1", false, "never ended"},
+		{"a package fails without a failed test", green + "FAIL\tq\t0.1s\n", "TestB: it hangs, issue 31\n", "1", false, "no test of it: q"},
+		{"a nonzero exit without output", green, "", "2", false, "exited with 2"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -1,5 +1,5 @@
-// Package clients has clients that talk to a gateway in PostgreSQL's protocol, as an application's driver would, and put
-// what they are told in a word or two.
+// Package clients provides clients that talk to a gateway in PostgreSQL's protocol, as an application's driver does, and
+// summarize the answers in short texts.
 package clients
 
 import (
@@ -19,15 +19,15 @@
 	"yokemast/internal/wire/pg"
 )
 
-// Client is a client's connection.
+// Client is a connection of a client.
 type Client struct {
 	net.Conn
 	In *bufio.Reader
 
-	reset bool // a call has shown that the other end reset the connection
+	reset bool // a read or write has failed because the peer reset the connection
 }
 
-// Dial connects and says nothing yet. Everything on the connection must be over within the time.
+// Dial connects without sending anything. All reads and writes on the connection fail after within.
 func Dial(address string, within time.Duration) (*Client, error) {
 	n, err := net.Dial("tcp", address)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return &Client{Conn: n, In: bufio.NewReader(n)}, nil
 }
 
-// Start connects as a user and goes through the startup.
+// Start connects as a user and completes the startup.
 func Start(address, user string, within time.Duration) (*Client, error) {
 	c, err := Dial(address, within)
 	if err != nil {
@@ -46,22 +46,22 @@
 	_, _ = c.Write(pg.AppendStartup(nil, user, "store"))
 	if got := c.Answer(); got != "ready" {
 		c.Close()
-		return nil, fmt.Errorf("the startup is answered %q", got)
+		return nil, fmt.Errorf("startup answered with %q", got)
 	}
 	return c, nil
 }
 
-// Reply is an answer.
+// Reply is the answer to a query.
 type Reply struct {
 	Value  []byte
-	Code   string        // of an error
-	After  time.Duration // of a refusal: when to come again
-	Empty  bool
-	Row    bool
-	Closed bool // the connection has ended behind it, or instead of it
+	Code   string        // SQLSTATE of an error
+	After  time.Duration // of a refusal: when the client may retry
+	Empty  bool          // the query was empty
+	Row    bool          // a row was received
+	Closed bool          // the connection ended after the answer, or without one
 }
 
-// ReadReply reads up to ReadyForQuery or the end of the connection.
+// ReadReply reads an answer up to ReadyForQuery or the end of the connection.
 func (c *Client) ReadReply() (out Reply) {
 	for {
 		kind, body, err := pg.Read(c.In, pg.MaxLarge)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Answer is the next answer in a word or two.
+// Answer reads the next answer and returns its summary.
 func (c *Client) Answer() string {
 	r := c.ReadReply()
 	said := "ready"
@@ -114,7 +114,8 @@
 	return said
 }
 
-// IsReset says whether the other end resets the connection within a time, as it does where something that was sent stays unread.
+// IsReset reports whether the peer resets the connection within the given time, as it does if it closes the connection with
+// unread input.
 func (c *Client) IsReset(within time.Duration) bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -142,7 +143,7 @@
 	c.reset = c.reset || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Ask writes a query and gives its answer in a word or two.
+// Ask writes a query and returns the summary of its answer.
 func (c *Client) Ask(query string) string {
 	c.Send(query)
 	return c.Answer()
@@ -150,21 +151,21 @@
 
 var ids atomic.Int64
 
-// NewID gives an id that no other request has.
+// NewID returns a unique request ID.
 func NewID() string { return fmt.Sprintf("%016x", ids.Add(1)) }
 
-// Request is one request in the platform's form.
+// Request is one request in the platform's format.
 type Request struct {
-	ID, Class, Key, Tenant string // ID "": a new one
-	Group                  int    // 0: group 1
-	Wait                   time.Duration
-	After                  time.Time // that a read must see; zero: none
+	ID, Class, Key, Tenant string        // an empty ID means a new one
+	Group                  int           // 0 means group 1
+	Wait                   time.Duration // the client's deadline
+	After                  time.Time     // position that a read must see, or zero
 	Write                  bool
 	Value                  []byte
 	Repeatable             bool
 }
 
-// Statement writes the request as a statement with its comment.
+// Statement returns the request as a statement with its comment.
 func (r Request) Statement() string {
 	more := ""
 	if !r.After.IsZero() {
@@ -181,7 +182,7 @@
 	return fmt.Sprintf("SELECT content FROM kv WHERE name = '%s' %s", key, comment)
 }
 
-// Do asks for a request and tells the ledger, which may be nil.
+// Do sends a request, reads its answer and records both in the ledger, which may be nil.
 func (c *Client) Do(r Request, ledger *rules.Ledger) Reply {
 	if r.ID == "" {
 		r.ID = NewID()
--- a/internal/testbed/datagrams/datagrams.go
+++ b/internal/testbed/datagrams/datagrams.go
@@ -1,5 +1,5 @@
-// Package datagrams has a stand-in for the network between the gateways of a tier: what one sends to the address of all comes to
-// each of the others, late, or never.
+// Package datagrams provides a stand-in for the network between the gateways of a tier. A datagram that one gateway sends to the
+// shared address is forwarded to each of the others with a random delay, or lost.
 package datagrams
 
 import (
@@ -10,14 +10,14 @@
 )
 
 const (
-	// leastDelay and mostDelay bound how long a datagram travels where nothing else was set.
+	// leastDelay and mostDelay bound the delay of a datagram unless SetDelay was called.
 	leastDelay, mostDelay = time.Millisecond, 40 * time.Millisecond
-	// lossPart is one in how many datagrams that never arrive.
+	// lossPart makes one in so many datagrams get lost.
 	lossPart = 20
 	maxBytes = 2048
 )
 
-// Network is the address of all gateways of a tier.
+// Network forwards datagrams between all gateways of a tier.
 type Network struct {
 	conn *net.UDPConn
 
@@ -28,7 +28,7 @@
 	most    time.Duration
 }
 
-// New opens a network on loopback; delays and losses come from the seed.
+// New opens a network on loopback. Delays and losses are drawn from the seed.
 func New(seed uint64) (*Network, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -39,10 +39,10 @@
 	return n, nil
 }
 
-// Address is the address of all.
+// Address returns the shared address to which the gateways send.
 func (n *Network) Address() string { return n.conn.LocalAddr().String() }
 
-// Join adds a gateway, which listens and sends at an address.
+// Join adds a gateway that sends and receives at an address.
 func (n *Network) Join(address string) error {
 	to, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// SetDelay sets how long datagrams travel from now on.
+// SetDelay sets the bounds of the delay of later datagrams.
 func (n *Network) SetDelay(least, most time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.least, n.most = least, most
 }
 
-// Close ends the network.
+// Close closes the network.
 func (n *Network) Close() { _ = n.conn.Close() }
 
 func (n *Network) run() {
@@ -75,7 +75,7 @@
 	}
 }
 
-// pass sends a datagram on to all but who it is from.
+// pass forwards a datagram to all members except its sender.
 func (n *Network) pass(datagram []byte, from string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery has a stand-in for the agent that tells a gateway the list of hosts: it keeps a list and its revision,
-// serves it whole and by watches, and can be made to answer anything.
+// Package discovery provides a stand-in for the discovery agent. It keeps an endpoint list with its revision, serves it as
+// snapshots and, to watches, as deltas, and can be made to answer any text.
 package discovery
 
 import (
@@ -13,34 +13,34 @@
 	"time"
 )
 
-// Entry is one host as the list has it.
+// Entry is the entry of one host in the endpoint list.
 type Entry = map[string]any
 
 // Server is the agent.
 type Server struct {
 	*httptest.Server
-	Left chan struct{} // gets one for each call that the gateway ended, while there is room
-	// Before, if set, is asked first at each call, of which n came before; true: it has answered, or has ended the call.
-	// It is set before the first call.
+	Left chan struct{} // receives a value for each call that the gateway canceled, unless the channel is full
+	// Before, if set, is called first for the call with index n. It returns true if it has answered or ended the call. It must be
+	// set before the first call.
 	Before func(n int, w http.ResponseWriter, r *http.Request) bool
-	// Answered, if set, is told the revision of each list as it is about to be written to a caller that is still there. It is set before
-	// the first call.
+	// Answered, if set, is called with the revision of each list before it is written to a caller that has not canceled. It must
+	// be set before the first call.
 	Answered func(revision int)
 
 	mu       sync.Mutex
 	calls    int
 	revision int
-	wholeAt  int // who has an earlier revision is given the whole list
+	wholeAt  int // callers with an earlier revision receive a snapshot
 	entries  map[string]Entry
 	order    []string
-	changed  map[string]int // the revision that an entry changed with
-	wake     chan struct{}
-	raw      chan string
-	silences int // calls that began before the last one are never answered
+	changed  map[string]int // by ID, the revision of the last change
+	wake     chan struct{}  // closed and replaced at each change
+	raw      chan string    // texts that answer a watch as they are
+	silences int            // number of calls of Silence; earlier calls of the gateway are never answered
 	stop     chan struct{}
 }
 
-// New starts an agent on loopback with a first list, of revision 41.
+// New starts an agent on loopback with a first list of revision 41.
 func New(entries ...Entry) *Server {
 	s := &Server{Left: make(chan struct{}, 1000), revision: 41, entries: map[string]Entry{}, changed: map[string]int{},
 		wake: make(chan struct{}), raw: make(chan string, 10), stop: make(chan struct{})}
@@ -49,7 +49,7 @@
 	return s
 }
 
-// Close ends the agent and the calls that wait.
+// Close stops the agent and ends the waiting calls.
 func (s *Server) Close() {
 	close(s.stop)
 	s.Server.Close()
@@ -65,7 +65,7 @@
 	}
 }
 
-// Set changes entries, or adds them, and tells those that watch.
+// Set changes or adds entries and notifies the watches.
 func (s *Server) Set(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	s.wake = make(chan struct{})
 }
 
-// Drop takes hosts off the list without a word on them: those that watch are given a whole list.
+// Drop removes hosts from the list without an entry that says so: the watches receive a snapshot.
 func (s *Server) Drop(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,14 +89,14 @@
 	s.wake = make(chan struct{})
 }
 
-// Silence lets all calls that are out go unanswered for ever, as when their connections have died unnoticed.
+// Silence leaves all calls in flight unanswered forever, as if their connections had been lost without notice.
 func (s *Server) Silence() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silences++
 }
 
-// answer writes a list, unless the call has fallen silent since it began.
+// answer writes a list, unless Silence was called since the call began.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, silences, revision int, list string) {
 	s.mu.Lock()
 	silent := s.silences != silences
@@ -111,10 +111,10 @@
 	fmt.Fprint(w, list)
 }
 
-// Say answers the next watch, or the one that waits, with this text.
+// Say answers the waiting watch, or else the next one, with the given text.
 func (s *Server) Say(text string) { s.raw <- text }
 
-// List writes a list in discovery's form.
+// List encodes a list in discovery's format.
 func List(revision int, complete bool, entries ...Entry) string {
 	if entries == nil {
 		entries = []Entry{}
@@ -126,14 +126,14 @@
 	return string(b)
 }
 
-// Revision is that of the list as it stands.
+// Revision returns the revision of the current list.
 func (s *Server) Revision() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Known is the list as it stands, whole.
+// Known returns a snapshot of the current list.
 func (s *Server) Known() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	return List(s.revision, complete, out...)
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP answers a call for a snapshot or a watch.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.Before != nil {
 		s.mu.Lock()
--- a/internal/testbed/discovery/discovery_test.go
+++ b/internal/testbed/discovery/discovery_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-func TestAListForACallerThatIsGoneCountsAsUnanswered(t *testing.T) {
+// Counting a list as answered after its caller canceled would make a test believe that the gateway knows the list.
+func TestListForCanceledCallIsNotAnswered(t *testing.T) {
 	s := New()
 	defer s.Close()
 	begun, gone, answered := make(chan bool, 2), make(chan bool), make(chan int, 2)
@@ -38,14 +39,14 @@
 	select {
 	case revision := <-answered:
 		if revision != s.Revision() {
-			t.Errorf("revision %d was answered", revision)
+			t.Errorf("the caller was answered with revision %d", revision)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("a caller that stayed was not answered")
+		t.Fatal("the waiting caller was not answered")
 	}
 	select {
 	case <-answered:
-		t.Error("the caller that was gone counts as answered")
+		t.Error("the canceled call counts as answered")
 	case <-time.After(50 * time.Millisecond):
 	}
 }
--- a/internal/testbed/faults/faults.go
+++ b/internal/testbed/faults/faults.go
@@ -1,8 +1,8 @@
-// Package faults is the fault layer that tests put between processes of the gateway on loopback: every link from one
-// member to another runs through a proxy that reads the fleet's frames (package fleet) and drops, delays, duplicates
-// and reorders them, cuts a link one way, partitions the members into sides, and heals. Decisions for a link come from
-// its own generator, seeded from the layer's seed, the link and the number of the connection, so that one link's
-// faults replay alike whatever the others do.
+// Package faults provides a fault layer that tests put between gateway processes on loopback. Every link from one member to
+// another runs through a proxy that reads the fleet's frames (package fleet) and drops, delays, duplicates and reorders them.
+// It can cut a link in one direction, partition the members and heal the links. The decisions for a link come from its own
+// random generator, seeded with the layer's seed, the link and the index of the connection, so that the faults of one link
+// are reproducible whatever happens on the others.
 package faults
 
 import (
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// Plan is what happens to frames on a link that is not cut. Probabilities are per frame, within [0, 1].
+// Plan defines the faults of frames on a link that is not cut. Drop and Dup are probabilities per frame, within [0, 1].
 type Plan struct {
 	Drop   float64
 	Dup    float64
-	Delay  time.Duration // every frame waits this long
-	Jitter time.Duration // and up to this much more, at random: frames overtake each other
+	Delay  time.Duration // added to every frame
+	Jitter time.Duration // maximum of a further random delay, by which frames are reordered
 }
 
-// Counts is what the layer did, for a test's figures.
+// Counts are the numbers of frames by what the layer did with them.
 type Counts struct {
 	Passed, Dropped, Duplicated, Cut uint64
-	Held                             uint64 // kept on their way by Hold, released or not
+	Held                             uint64 // delayed by Hold, released or not
 }
 
-// Layer holds the links' state. Its methods are safe for concurrent use.
+// Layer is the state of all links. Its methods are safe for concurrent use.
 type Layer struct {
 	seed uint64
 
@@ -39,11 +39,11 @@
 	plan  Plan
 	cut   map[[2]uint16]bool // from, to
 	conns map[[2]uint16]uint64
-	held  map[[2]uint16]chan struct{} // closed at the release
+	held  map[[2]uint16]chan struct{} // closed by Release
 	n     Counts
 }
 
-// New makes a layer with its seed and a plan for all links.
+// New returns a layer with a seed and a plan for all links.
 func New(seed uint64, plan Plan) *Layer {
 	return &Layer{seed: seed, plan: plan, cut: map[[2]uint16]bool{}, conns: map[[2]uint16]uint64{},
 		held: map[[2]uint16]chan struct{}{}}
@@ -52,10 +52,10 @@
 // SetPlan changes the plan of all links from now on.
 func (l *Layer) SetPlan(p Plan) { l.mu.Lock(); l.plan = p; l.mu.Unlock() }
 
-// Cut stops frames from one member to another; the other way stays open.
+// Cut drops all frames from one member to another; the opposite direction stays open.
 func (l *Layer) Cut(from, to uint16) { l.mu.Lock(); l.cut[[2]uint16{from, to}] = true; l.mu.Unlock() }
 
-// Partition cuts every link between members of different sides, both ways.
+// Partition cuts every link between members of different sides, in both directions.
 func (l *Layer) Partition(sides ...[]uint16) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,8 +73,8 @@
 	}
 }
 
-// Hold keeps every frame from one member to another on its way, from now on, until Release: they arrive then, however long
-// that takes, so that what a test wants to come late comes after what it waits for, on a slow machine as well.
+// Hold delays every later frame from one member to another until Release. Unlike a fixed delay, this keeps the order of events
+// that a test needs on a slow machine as well.
 func (l *Layer) Hold(from, to uint16) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// Release lets what Hold kept arrive, and what comes from now on.
+// Release delivers the frames delayed by Hold and ends the delay.
 func (l *Layer) Release(from, to uint16) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,14 +93,14 @@
 	}
 }
 
-// Heal opens every link.
+// Heal ends all cuts.
 func (l *Layer) Heal() { l.mu.Lock(); l.cut = map[[2]uint16]bool{}; l.mu.Unlock() }
 
-// Counts is what the layer did so far.
+// Counts returns the numbers so far.
 func (l *Layer) Counts() Counts { l.mu.Lock(); defer l.mu.Unlock(); return l.n }
 
-// Serve accepts connections on ln that member from opens to member to, dials target for each, and carries frames
-// both ways through the faults until ctx ends.
+// Serve accepts connections on ln that member from opens to member to, dials target for each, and forwards frames in both
+// directions with the layer's faults until ctx ends.
 func (l *Layer) Serve(ctx context.Context, ln net.Listener, from, to uint16, target string) error {
 	go func() { <-ctx.Done(); ln.Close() }()
 	for {
@@ -136,7 +136,7 @@
 	}
 }
 
-// pipe carries frames from src to dst with the faults of link from->to.
+// pipe forwards frames from src to dst with the faults of the link from->to.
 func (l *Layer) pipe(src io.Reader, dst net.Conn, from, to uint16, n uint64) {
 	rng := rand.New(rand.NewPCG(l.seed, uint64(from)<<48|uint64(to)<<32|n))
 	var wmu sync.Mutex
@@ -171,11 +171,11 @@
 	}
 }
 
-// maxFrame is the longest frame that is carried, in bytes.
+// maxFrame is the maximum size of a frame in bytes.
 const maxFrame = 1 << 21
 
-// errNoFrame says that what came is no frame: the layer does not make up what it cannot read.
-var errNoFrame = errors.New("no frame")
+// errNoFrame reports that the data is not a valid frame; the layer does not forward it.
+var errNoFrame = errors.New("frame longer than the maximum")
 
 func readFrame(src io.Reader) ([]byte, error) {
 	var h [4]byte
@@ -192,14 +192,14 @@
 	return frame, err
 }
 
-// fate is what becomes of one frame.
+// fate is the decision on one frame.
 type fate struct {
-	copies int // 0: it is lost
+	copies int // 0 if the frame is lost
 	wait   time.Duration
-	held   chan struct{} // it arrives when this is closed; nil: it is not held
+	held   chan struct{} // the frame is delivered when this is closed; nil if it is not held
 }
 
-// draw draws what becomes of the next frame on a link, and counts it.
+// draw decides on the next frame of a link and counts it.
 func (l *Layer) draw(rng *rand.Rand, link [2]uint16) fate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,7 +227,7 @@
 	return f
 }
 
-// ErrNoFreePort is what Listen says when loopback has no port to give.
+// ErrNoFreePort reports that Listen found no free port on loopback.
 var ErrNoFreePort = errors.New("no free port on loopback")
 
 // Listen opens a listener on a free loopback port for a link's proxy.
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -11,8 +11,8 @@
 
 func all(uint16) bool { return true }
 
-// link starts a proxy from 1 to 2 before an echo-less sink and returns a connection through it and the frames that
-// reach the sink.
+// link starts a proxy from member 1 to member 2 in front of a sink. It returns a connection through the proxy and the frames
+// that reach the sink.
 func link(t *testing.T, l *Layer) (net.Conn, <-chan fleet.Frame) {
 	t.Helper()
 	sink, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -81,10 +81,10 @@
 	}
 	a, b := run(), run()
 	if string(a) != string(b) {
-		t.Fatalf("the same seed gave other faults:\n%v\n%v", a, b)
+		t.Fatalf("the same seed gave different faults:\n%v\n%v", a, b)
 	}
 	if len(a) == 100 || len(a) == 0 {
-		t.Fatalf("%d of 100 frames came: the plan did nothing", len(a))
+		t.Fatalf("%d of 100 frames arrived, want some but not all", len(a))
 	}
 }
 
@@ -94,12 +94,12 @@
 	l.Cut(1, 2)
 	send(t, c, 5)
 	if n := len(collect(got, 100*time.Millisecond)); n != 0 {
-		t.Fatalf("%d frames crossed a cut", n)
+		t.Fatalf("%d frames passed a cut link", n)
 	}
 	l.Heal()
 	send(t, c, 5)
 	if n := len(collect(got, 100*time.Millisecond)); n != 5 {
-		t.Fatalf("%d of 5 frames after healing", n)
+		t.Fatalf("%d of 5 frames arrived after Heal", n)
 	}
 	if k := l.Counts(); k.Cut != 5 || k.Passed != 5 {
 		t.Fatalf("counts %+v", k)
@@ -112,7 +112,7 @@
 	send(t, c, 50)
 	out := collect(got, 300*time.Millisecond)
 	if len(out) != 50 {
-		t.Fatalf("%d of 50 frames", len(out))
+		t.Fatalf("%d of 50 frames arrived", len(out))
 	}
 	inOrder := true
 	for i := range out {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestHeldFramesComeAtTheRelease(t *testing.T) {
+func TestHeldFramesArriveOnRelease(t *testing.T) {
 	l := New(1, Plan{})
 	c, got := link(t, l)
 	l.Hold(1, 2)
@@ -135,7 +135,7 @@
 	}
 	select {
 	case f := <-got:
-		t.Fatalf("frame %d came before the release", f.Payload[0])
+		t.Fatalf("frame %d arrived before Release", f.Payload[0])
 	default:
 	}
 	l.Release(1, 2)
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -15,32 +15,32 @@
 	"yokemast/internal/wire/pg"
 )
 
-// Hang is how a host that hangs swallows requests.
+// Hang is the way in which a host hangs.
 type Hang int
 
-// Ways to hang. Work that was begun goes on when the host comes back, whether anybody waits for it or not.
+// Ways to hang. Work in progress continues when the host resumes, whether or not its client still waits.
 const (
 	Awake        Hang = iota
-	BeforeCommit      // nothing is run until it comes back
-	AfterCommit       // it runs what comes, and answers nothing
-	ButProbes         // nothing is run until it comes back; probes are answered with the load report that it kept
+	BeforeCommit      // nothing is executed until the host resumes
+	AfterCommit       // requests are executed but not answered
+	ButProbes         // as BeforeCommit, but probes are answered with the last load report
 )
 
-// Cluster is a primary and its replicas, which hold the same data. A replica shows what was committed up to its lag ago.
+// Cluster is a primary and its replicas, which hold the same data. A replica shows all commits that are older than its lag.
 type Cluster struct {
 	Group int
-	Bound time.Duration // reads of classes but own may be as old as this; 0: their age is not checked
-	Own   string        // the class whose reads must see the position that they name
+	Bound time.Duration // maximum age of data for reads of classes other than Own; 0 disables the check
+	Own   string        // the class whose reads must see the position that they state
 
 	mu      sync.Mutex
 	hosts   []*Host
 	primary *Host
-	logEnd  time.Time // while there is no primary
+	logEnd  time.Time // end of the log while there is no primary
 	commits map[string][]commit
 	copies  []*Cluster
 	count   int
-	open    int // connections of general hosts
-	peak    int
+	open    int // open connections of general hosts
+	peak    int // maximum of open
 }
 
 type commit struct {
@@ -50,8 +50,8 @@
 	copied bool // from another cluster
 }
 
-// NewCluster makes a cluster of hosts that listen on loopback, the first of which is the primary. Their names are the
-// prefix and a number.
+// NewCluster starts a cluster of n hosts that listen on loopback, the first of which is the primary. The name of a host is the
+// prefix and its index. set, if not nil, is called to configure each host before it starts.
 func NewCluster(group int, prefix string, n int, ledger *rules.Ledger, set func(*Host)) (*Cluster, error) {
 	c := &Cluster{Group: group, commits: map[string][]commit{}}
 	for i := range n {
@@ -77,24 +77,24 @@
 	return c, nil
 }
 
-// Close ends all hosts.
+// Close stops all hosts.
 func (c *Cluster) Close() {
 	for _, h := range c.hosts {
 		h.Crash()
 	}
 }
 
-// Hosts gives the hosts in their order.
+// Hosts returns the hosts in the order of their indexes.
 func (c *Cluster) Hosts() []*Host { return c.hosts }
 
-// Primary gives the primary; nil while there is none.
+// Primary returns the primary, or nil if there is none.
 func (c *Cluster) Primary() *Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.primary
 }
 
-// CopyTo copies all data to another cluster, and from now on each commit before it is answered.
+// CopyTo copies all data to another cluster now, and every later commit before it is answered.
 func (c *Cluster) CopyTo(other *Cluster) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,7 @@
 	c.commits[key] = append(c.commits[key], x)
 }
 
-// Last gives the value of a key that was committed last, also by copying; nil: there is none.
+// Last returns the last committed value of a key, including copied commits, or nil if there is none.
 func (c *Cluster) Last(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,21 +123,21 @@
 	return nil
 }
 
-// Peak is how many connections general hosts had at most, all together.
+// Peak returns the maximum number of connections that all general hosts together had open.
 func (c *Cluster) Peak() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peak
 }
 
-// Commits is how many writes were committed here; those copied do not count.
+// Commits returns the number of writes committed in this cluster, without copied ones.
 func (c *Cluster) Commits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count
 }
 
-// IDs gives how often the write of each request was committed here; those copied do not count.
+// IDs returns, by request, the number of commits of its write in this cluster, without copied ones.
 func (c *Cluster) IDs() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +152,7 @@
 	return out
 }
 
-// SetHang lets the host hang, or wakes it.
+// SetHang makes the host hang in the given way, or resumes it.
 func (h *Host) SetHang(how Hang) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,7 +164,7 @@
 	h.hung = how
 }
 
-// probeHangs waits while the host hangs for probes too; it says whether the process has died meanwhile.
+// probeHangs waits while the host does not answer probes. It reports whether the process has died meanwhile.
 func (h *Host) probeHangs() (died bool) {
 	h.mu.Lock()
 	how := h.hung
@@ -172,7 +172,8 @@
 	return how != ButProbes && h.hang(nil)
 }
 
-// hang waits while the host hangs; it says whether the process has died meanwhile.
+// hang waits while the host hangs and reports whether the process has died meanwhile. If after is not nil, it stores the way to
+// hang there and does not wait for AfterCommit.
 func (h *Host) hang(after *Hang) (died bool) {
 	h.mu.Lock()
 	how, released, life := h.hung, h.released, h.life
@@ -189,10 +190,10 @@
 	return h.life != life
 }
 
-// Crash ends the process: connections are reset, new ones refused, what waited or ran is gone.
+// Crash ends the process: connections are reset, new ones are refused, and requests that wait or run are lost.
 func (h *Host) Crash() {
 	h.SetHang(Awake)
-	h.cluster.standing(h) // it goes on from here
+	h.cluster.standing(h) // the log is applied up to now; a restart continues from this position
 	h.Listener.Close()
 	h.mu.Lock()
 	h.life++
@@ -213,7 +214,7 @@
 	}
 }
 
-// Restart starts a crashed host again at its old address, cold.
+// Restart starts a crashed host again, cold and at its previous address.
 func (h *Host) Restart() error {
 	l, err := net.Listen("tcp", h.Address)
 	if err != nil {
@@ -222,14 +223,14 @@
 	h.Chill()
 	h.mu.Lock()
 	h.Listener = l
-	h.log.appliedAt = time.Now() // nothing was applied while it was down
+	h.log.appliedAt = time.Now() // the log was not applied while the host was down
 	h.startReportsLocked()
 	h.mu.Unlock()
 	go h.accept(l)
 	return nil
 }
 
-// Chill makes the host cold from now on, as after a start.
+// Chill makes the host cold now, as after a start.
 func (h *Host) Chill() {
 	h.mu.Lock()
 	h.started = time.Now()
@@ -239,7 +240,7 @@
 	}
 }
 
-// Warmth is the part of its capacity that the host has.
+// Warmth returns the fraction of its full capacity that the host has at a time.
 func (h *Host) Warmth(now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -250,7 +251,8 @@
 	return h.ColdFrom + (1-h.ColdFrom)*float64(age)/float64(h.ColdTime)
 }
 
-// run serves a query from the cluster's data; nil closes the connection. The connection's end stops nothing.
+// run answers a query from the cluster's data. A nil answer closes the connection. A query that was begun is executed even if
+// the connection ends.
 func (h *Host) run(c net.Conn, in *bufio.Reader, query string) []byte {
 	s, bad := pg.ParseStatement([]byte(query))
 	if bad != nil {
@@ -259,7 +261,7 @@
 	arrived := time.Now()
 	over := func() {}
 	if !isOpen(c) {
-		return nil // the host has reset it meanwhile: its process never got the request
+		return nil // the host has reset the connection meanwhile: its process never received the request
 	}
 	if h.Ledger != nil {
 		h.Ledger.ArrivedOn(h.ID, s.ID, h.Work, func() bool { return isOpen(c) })
@@ -267,7 +269,7 @@
 	}
 	result := make(chan []byte, 1)
 	go func() { result <- h.work(s, arrived) }()
-	// A gateway gives an attempt up by closing: from then on it is no longer out.
+	// A gateway abandons an attempt by closing the connection; from then on it is not in flight.
 	gone := make(chan struct{})
 	stop := make(chan struct{})
 	go func() {
@@ -338,7 +340,7 @@
 	return answer
 }
 
-// apply runs a statement.
+// apply executes a statement.
 func (h *Host) apply(s *pg.Statement, arrived time.Time) []byte {
 	c := h.cluster
 	c.mu.Lock()
@@ -352,7 +354,7 @@
 		h.Ledger.Ran(h.ID, s.ID, s.Write)
 	}
 	if h.Log != nil {
-		h.Log("%s (%s) runs %s", h.ID, h.Role(), s.Text)
+		h.Log("%s (%s) executes %s", h.ID, h.Role(), s.Text)
 	}
 	if s.Write {
 		at, value := time.Now(), literal(s.Text)
@@ -368,7 +370,7 @@
 		if h.Ledger != nil {
 			h.Ledger.Made(s.ID, value)
 		}
-		// Commits are told rounded up: a millisecond later nothing of this one is missing.
+		// Positions are stated in whole milliseconds. Rounding up ensures that the stated position includes this commit.
 		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), standing{Leader, at.Add(time.Millisecond)})
 	}
 	now := h.standing()
@@ -401,7 +403,7 @@
 	}
 }
 
-// isOpen says whether the other end has neither closed nor reset a connection.
+// isOpen reports whether the peer has neither closed nor reset a connection.
 func isOpen(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -419,7 +421,7 @@
 	return err == nil && open
 }
 
-// literal reads the value of an INSERT.
+// literal decodes the value of an INSERT.
 func literal(text []byte) []byte {
 	_, rest, _ := bytes.Cut(text, []byte(`, '\x`))
 	digits, _, _ := strings.Cut(string(rest), "'")
--- a/internal/testbed/hosts/general.go
+++ b/internal/testbed/hosts/general.go
@@ -12,31 +12,31 @@
 	"yokemast/internal/wire/pg"
 )
 
-// A host whose General is set serves a small SQL to simple and extended queries, with settings, prepared statements,
-// transactions and cancels on each connection as PostgreSQL has them:
+// A host with General set serves a small SQL dialect over the simple and extended query protocols, with settings, prepared
+// statements, transactions and cancels per connection as in PostgreSQL:
 //
 //	SELECT content FROM kv WHERE name = X        INSERT INTO kv (name, content) VALUES (X, Y)
 //	SELECT 'text'        SELECT $1        SELECT pg_sleep(SECONDS)        SHOW name
 //	SET, RESET, DISCARD ALL, DEALLOCATE ALL, BEGIN, COMMIT, ROLLBACK, SAVEPOINT, LISTEN, FAIL
 //
-// X and Y are constants or parameters; all values are text. A write is committed under its value as its id.
+// X and Y are constants or parameters; all values are text. A write is committed with its value as its request ID.
 
-// seat is one connection's session at a general host.
+// seat is the session of one connection at a general host.
 type seat struct {
 	h        *Host
 	c        net.Conn
 	key      pg.Key
 	own      map[string]string // settings of the session
-	now      map[string]string // those in force
-	saved    []saved
-	failed   bool
-	writes   []write // of the open transaction
+	now      map[string]string // settings in force, including those local to the transaction
+	saved    []saved           // states at BEGIN and at each savepoint; empty outside a transaction
+	failed   bool              // the open transaction is aborted
+	writes   []write           // of the open transaction
 	prepared map[string]string
 	portals  map[string]portal
 	canceled chan struct{}
 	mu       sync.Mutex
 	running  bool
-	wrote    time.Time
+	wrote    time.Time // position of the last commit
 }
 
 var seats struct {
@@ -100,7 +100,7 @@
 	}
 }
 
-// cancel ends what the session of a key runs, if it runs anything.
+// cancel cancels the running statement of the session with a key, if any.
 func (h *Host) cancel(key pg.Key) {
 	h.mu.Lock()
 	s := h.seats()[key]
@@ -116,7 +116,7 @@
 	}
 }
 
-// take begins a session on a connection.
+// take starts a session on a connection.
 func (h *Host) take(c net.Conn) *seat {
 	seats.Lock()
 	seats.next++
@@ -165,7 +165,7 @@
 
 func (s *seat) fail() { s.failed = len(s.saved) > 0 }
 
-// query runs a simple query: outside a transaction all its statements are one.
+// query runs a simple query. Outside a transaction its statements form one transaction.
 func (s *seat) query(out []byte, text string) []byte {
 	if text == "SHOW server_load" {
 		return pg.AppendRow(out, pg.Value{Data: []byte(s.h.toldLoad())}, "SHOW")
@@ -195,7 +195,7 @@
 	return out
 }
 
-// textType is PostgreSQL's number of the type text.
+// textType is the OID of PostgreSQL's type text.
 const textType = 25
 
 func describe(out []byte) []byte {
@@ -203,7 +203,7 @@
 	return pg.Append(out, pg.RowDescription, append(d, 0, 0, 0, 0, 0, 0, 0, 0, 0, textType, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0))
 }
 
-// append writes the rows, and that the statement is complete.
+// append appends the rows and CommandComplete.
 func (r result) append(out []byte) []byte {
 	for _, value := range r.rows {
 		out = row(out, value)
@@ -215,7 +215,7 @@
 	return pg.Append(out, pg.DataRow, binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value))), []byte(value))
 }
 
-// extended answers one message of the extended query protocol.
+// extended handles one message of the extended query protocol.
 func (s *seat) extended(out []byte, kind byte, body []byte) ([]byte, *pg.Error) {
 	switch kind {
 	case pg.Parse:
@@ -240,7 +240,7 @@
 	case pg.Flush:
 		return out, nil
 	}
-	return out, &pg.Error{Code: "0A000", Message: "not spoken here"}
+	return out, &pg.Error{Code: "0A000", Message: "message type not supported"}
 }
 
 func protocolError(err error) *pg.Error { return &pg.Error{Code: "08P01", Message: err.Error()} }
@@ -269,7 +269,7 @@
 	}
 	values, ok := bound(rest)
 	if !ok {
-		return out, &pg.Error{Code: "08P01", Message: "a Bind that can't be read"}
+		return out, &pg.Error{Code: "08P01", Message: "invalid Bind message"}
 	}
 	s.portals[name] = portal{text, values}
 	return pg.Append(out, pg.BindComplete), nil
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -1,5 +1,5 @@
-// Package hosts has stand-ins for database hosts that speak PostgreSQL's protocol on loopback: scripted ones that answer as a
-// test says, and clusters of a primary and replicas that hold data, fall behind, hang, crash and start cold.
+// Package hosts provides stand-ins for database hosts that speak PostgreSQL's protocol on loopback: scripted hosts whose answers
+// a test defines, and clusters of a primary and replicas that hold data, lag, hang, crash and start cold.
 package hosts
 
 import (
@@ -16,63 +16,63 @@
 	"yokemast/internal/wire/pg"
 )
 
-// Roles, as a host tells them of itself.
+// Roles, as a host states them.
 const (
 	Leader   = "leader"
 	Follower = "follower"
 )
 
-// Host is one database host. The fields are set before the first connection comes, but for Script.
+// Host is one database host. All fields except Script must be set before the first connection.
 type Host struct {
 	net.Listener
 	ID      string
-	Address string // where it listens; of a cluster's host, where it shall
+	Address string // where it listens, or, for a host of a cluster that is not started yet, where it will
 	Group   int
-	// Script answers a query; n counts from 0. nil closes the connection, empty stays silent. Without a script a host of a
-	// cluster serves its data, any other the query's own key as the row.
+	// Script answers the query with index n. A nil answer closes the connection, an empty one sends nothing. Without a script, a
+	// host of a cluster serves its data, and any other returns the query's key as the row.
 	Script func(n int, query string) []byte
-	Admit  func(n int)                          // is called before a session is welcomed, which waits for it; n counts them from 0
-	Brief  bool                                 // closes after each answer
-	Trail  func(query string) []byte            // sent a moment after each answer
-	Raw    func(c io.Writer, query string) bool // writes the answer itself, in its own time; false: the connection ends
-	Ended  chan struct{}                        // gets one for each connection that has ended, while there is room
+	Admit  func(n int)                          // called before the session with index n is accepted, which waits for it
+	Brief  bool                                 // closes the connection after each answer
+	Trail  func(query string) []byte            // bytes sent shortly after each answer
+	Raw    func(c io.Writer, query string) bool // writes the answer itself; the connection is closed if it returns false
+	Ended  chan struct{}                        // receives a value for each connection that ended, unless the channel is full
 	Log    func(format string, args ...any)
-	// General hosts of a cluster serve SQL of their own on connections that carry settings, statements and transactions.
+	// General makes a host of a cluster serve a small SQL dialect with settings, prepared statements and transactions.
 	General     bool
-	AfterCommit func() bool   // is asked after each commit of a general host: true closes the connection without an answer
-	Ledger      *rules.Ledger // is told what comes; nil: nobody is
-	Skew        time.Duration // that the clock by which it tells times is ahead
-	// Report gives the load report that is told to probes and with every answer. nil: it is made anew for each probe, and answers
-	// tell none.
+	AfterCommit func() bool   // called after each commit of a general host; true closes the connection without an answer
+	Ledger      *rules.Ledger // receives what the host observes, or nil
+	Skew        time.Duration // offset of the host's clock, by which it states times
+	// Report returns the load report for probes and for every answer. If nil, each probe gets a new report and answers carry
+	// none.
 	Report func() string
-	// Delay gives how long an answer takes from its making until it is written; nil: no time. General hosts do not heed it.
+	// Delay returns the time between making and writing an answer; nil means none. General hosts ignore it.
 	Delay func() time.Duration
 
-	// Of a host in a cluster: what it can do.
-	Slots    int           // requests that it runs at a time; 0: any number
-	Room     int           // requests that wait for a slot; more are turned away
-	Work     time.Duration // that a request takes when the host is warm
-	ColdFrom float64       // part of its capacity that it has when it starts cold
-	ColdTime time.Duration
+	// Capacity of a host in a cluster.
+	Slots    int           // requests that it executes at a time; 0 means no limit
+	Room     int           // maximum number of requests that wait for a slot; more are rejected
+	Work     time.Duration // execution time of a request on a warm host
+	ColdFrom float64       // fraction of its capacity directly after a cold start
+	ColdTime time.Duration // until it has its full capacity after a cold start
 
 	mu       sync.Mutex
-	role     string // of a host that is in no cluster
+	role     string // of a host outside a cluster
 	queries  []string
-	begun    int // sessions
+	begun    int // number of sessions begun
 	conns    map[net.Conn]bool
 	cluster  *Cluster
 	log      replication
-	started  time.Time // cold since; zero: warm
+	started  time.Time // time of the cold start, or zero if the host has always been warm
 	hung     Hang
 	released chan struct{} // closed when a hang ends
 	slots    chan struct{}
 	waiting  int
 	seated   map[pg.Key]*seat
-	life     int // counts starts: what a dead process held is gone
+	life     int // number of the process; work of an earlier process is lost
 	reports  *reporter
 }
 
-// New makes a scripted host that listens on loopback.
+// New starts a scripted host that listens on loopback.
 func New(id, role string, script func(n int, query string) []byte) (*Host, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Role is the host's role now.
+// Role returns the host's current role.
 func (h *Host) Role() string {
 	if h.cluster != nil && h.cluster.Primary() == h {
 		return Leader
@@ -123,14 +123,14 @@
 	return h.role
 }
 
-// SetRole gives a scripted host another role.
+// SetRole changes the role of a scripted host.
 func (h *Host) SetRole(role string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.role = role
 }
 
-// Asked gives all queries so far but probes.
+// Asked returns all queries received so far, without probes.
 func (h *Host) Asked() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +156,7 @@
 	if _, err := c.Write(pg.AppendWelcome(nil, pg.StartSession)); err != nil {
 		return
 	}
-	asked := "" // the last request on this connection
+	asked := "" // ID of the last request on this connection
 	for {
 		_, body, err := pg.Read(in, pg.MaxLarge)
 		if err != nil {
@@ -173,7 +173,7 @@
 	}
 }
 
-// answerProbe answers the question for the load report.
+// answerProbe answers a probe with the load report.
 func (h *Host) answerProbe(c net.Conn, asked string) {
 	load := h.toldLoad()
 	h.delay()
@@ -183,7 +183,7 @@
 	}
 }
 
-// answerQuery answers anything else, and notes its id as the last one asked; false: the connection ends.
+// answerQuery answers any other query and stores its ID in asked. It returns false if the connection must be closed.
 func (h *Host) answerQuery(c net.Conn, in *bufio.Reader, query string, asked *string) bool {
 	h.mu.Lock()
 	n, script := len(h.queries), h.Script
@@ -212,19 +212,19 @@
 	}
 	if h.Trail != nil {
 		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.Trail(query)) })
-		time.Sleep(4 * time.Millisecond) // what was written behind the query waits as long
+		time.Sleep(4 * time.Millisecond) // delay the next query until the trailing bytes were sent
 	}
 	return !h.Brief
 }
 
-// tellFollower tells the ledger that the gateway which asked for a request has been answered, just now, by a follower.
+// tellFollower records in the ledger that the gateway that sent a request has just been answered by a follower.
 func (h *Host) tellFollower(c net.Conn, id string) {
 	if h.Ledger != nil && isOpen(c) {
 		h.Ledger.AnsweredAsFollower(h.ID, id)
 	}
 }
 
-// standing is the host's role, and up to when it has applied every commit.
+// standing returns the host's role and position.
 func (h *Host) standing() standing {
 	if h.cluster != nil {
 		return h.cluster.standing(h)
@@ -232,7 +232,7 @@
 	return standing{h.Role(), time.Now()}
 }
 
-// toldLoad is the load report as the host tells it now.
+// toldLoad returns the load report that the host sends now.
 func (h *Host) toldLoad() string {
 	if h.Report != nil {
 		return h.Report()
@@ -240,14 +240,14 @@
 	return h.load()
 }
 
-// delay waits for as long as an answer takes from its making until it is written.
+// delay waits for the configured delay of an answer.
 func (h *Host) delay() {
 	if h.Delay != nil {
 		time.Sleep(h.Delay())
 	}
 }
 
-// load is a load report made now.
+// load returns a new load report.
 func (h *Host) load() string {
 	now, primary := h.standing(), 0
 	if now.role == Leader {
@@ -256,7 +256,7 @@
 	return fmt.Sprintf("x0=%.3f,x1=%d", float64(now.position.Add(h.Skew).UnixMilli())/1000, primary)
 }
 
-// notes are what a host says of itself with an answer.
+// notes returns the statements about itself that a host sends with an answer.
 func (h *Host) notes(now standing) []byte {
 	out := pg.Append(nil, pg.ParameterStatus, []byte("node_role\x00"+now.role+"\x00"))
 	if h.Report != nil {
@@ -265,7 +265,7 @@
 	return pg.Append(out, pg.ParameterStatus, fmt.Appendf(nil, "replay_position\x00%d\x00", now.position.Add(h.Skew).UnixMilli()))
 }
 
-// Row is the answer of a query served with its own key as the value.
+// Row returns the answer to a query with the query's key as the value.
 func (h *Host) Row(query string) []byte {
 	s, err := pg.ParseStatement([]byte(query))
 	if err != nil {
@@ -278,12 +278,12 @@
 	return pg.AppendReady(append(h.notes(now), pg.AppendRow(nil, v, tag)...))
 }
 
-// Refuse is the answer with an error of that code.
+// Refuse returns an answer with an error of the given code.
 func (h *Host) Refuse(code string) []byte {
 	return pg.AppendReady(append(h.notes(h.standing()), pg.AppendError(nil, &pg.Error{Code: code, Message: "no"})...))
 }
 
-// Entry is the host as discovery lists it, in a phase.
+// Entry returns the host's entry in the endpoint list, with the given phase.
 func (h *Host) Entry(phase string) map[string]any {
 	h.mu.Lock()
 	started := int64(0)
--- a/internal/testbed/hosts/replication.go
+++ b/internal/testbed/hosts/replication.go
@@ -6,17 +6,17 @@
 	"yokemast/internal/testbed/rules"
 )
 
-// replication is how far a host of a cluster has applied the log. It never goes back: a host that restarts, or that is deposed,
-// goes on from where it stood.
+// replication is the state of a host's replay of its cluster's log. The position never decreases: a host that restarts or is
+// deposed continues from its last position.
 type replication struct {
-	applied   time.Time // all commits up to here
-	appliedAt time.Time // when that was looked at last
-	lag       time.Duration
-	speed     float64 // seconds of the log that it applies in a second; 0: it keeps up with any lag
-	led       bool    // it has been the primary
+	applied   time.Time     // position: all commits up to this time are applied
+	appliedAt time.Time     // when applied was last updated
+	lag       time.Duration // behind the end of the log
+	speed     float64       // seconds of the log applied per second; 0 means no limit
+	led       bool          // the host has been the primary
 }
 
-// advance applies the log up to what the host has by now; end is where the log ends.
+// advance applies the log, which ends at end, as far as lag and speed allow by now.
 func (r *replication) advance(now, end time.Time) {
 	target := end.Add(-r.lag)
 	if r.applied.IsZero() {
@@ -32,13 +32,13 @@
 	r.appliedAt = now
 }
 
-// standing is a host's role and position at one moment.
+// standing is a host's role and position at one time.
 type standing struct {
 	role     string
 	position time.Time
 }
 
-// standing says which role a host has now and how far it has applied the log.
+// standing returns a host's current role and position.
 func (c *Cluster) standing(h *Host) standing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,12 +61,12 @@
 	return standing{Follower, h.log.applied}
 }
 
-// Promote makes a host the primary; nil: there is none, and the log ends here until there is one.
+// Promote makes a host the primary. With nil there is no primary, and the log ends now until there is one.
 func (c *Cluster) Promote(h *Host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.primary != nil {
-		c.standingLocked(c.primary) // it goes on from here
+		c.standingLocked(c.primary) // apply the log up to now; the host continues from this position
 		if c.primary != h {
 			c.tell(c.primary, rules.Deposed)
 		}
@@ -87,14 +87,14 @@
 	}
 }
 
-// SetLag lets a replica show what was committed that long ago. What it has shown already it goes on showing.
+// SetLag sets the lag of a replica. Commits that it has already applied stay visible.
 func (h *Host) SetLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.log.lag = lag
 }
 
-// SetApplySpeed bounds how many seconds of the log a replica applies in a second; 0: any number.
+// SetApplySpeed limits the seconds of the log that a replica applies per second; 0 means no limit.
 func (h *Host) SetApplySpeed(speed float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// unmadeReport is what a host tells before it has made its first load report.
+// unmadeReport is the load report of a host that has not made one yet.
 const unmadeReport = "x0=0.000,x1=0"
 
-// reporter keeps the newest load report of a host's process between two makings. It is guarded by its host's mutex.
+// reporter makes the load reports of a host's process and keeps the newest. It is guarded by its host's mutex.
 type reporter struct {
 	rng         *rand.Rand
 	least, most time.Duration
@@ -21,9 +21,9 @@
 	return r.least + time.Duration(r.rng.Int64N(int64(r.most-r.least)+1))
 }
 
-// KeepReports has a host of a cluster make a load report after each pause from least to most, drawn from the seed, and tell the
-// newest with every answer and to probes until the next is made. None is made while the host hangs. It is called before the first
-// connection comes.
+// KeepReports makes a host of a cluster produce load reports at random intervals between the two bounds, drawn from the seed,
+// and send the newest with every answer and to probes. No report is made while the host hangs. It must be called before the
+// first connection.
 func (h *Host) KeepReports(seed uint64, least, most time.Duration) {
 	h.Report = h.keptReport
 	h.mu.Lock()
@@ -32,7 +32,7 @@
 	h.startReportsLocked()
 }
 
-// StopReports has a host go on telling its newest load report without making another, or ends that.
+// StopReports makes a host keep sending its newest load report without making another, or ends that.
 func (h *Host) StopReports(stopped bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,7 +47,7 @@
 	return h.reports.text
 }
 
-// startReportsLocked begins the reports of a process that starts.
+// startReportsLocked starts the reports of a new process.
 func (h *Host) startReportsLocked() {
 	if h.reports == nil {
 		return
@@ -57,14 +57,14 @@
 	h.reports.next = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
 }
 
-// stopReportsLocked ends the reports of a process that dies.
+// stopReportsLocked stops the reports of a process that ends.
 func (h *Host) stopReportsLocked() {
 	if h.reports != nil {
 		h.reports.next.Stop()
 	}
 }
 
-// makeReport makes the next load report of the process that has a number, and sees to the one after it.
+// makeReport makes a load report of the process with the given number and schedules the next one.
 func (h *Host) makeReport(life int) {
 	text := h.load()
 	h.mu.Lock()
--- a/internal/testbed/hosts/report_test.go
+++ b/internal/testbed/hosts/report_test.go
@@ -14,7 +14,7 @@
 
 const reportLeast, reportMost = 59 * time.Millisecond, 190 * time.Millisecond
 
-// newReporting gives the primary of a cluster that listens nowhere, with reports.
+// newReporting returns the primary of a cluster without listeners that makes load reports.
 func newReporting(least, most time.Duration) *Host {
 	h := &Host{ID: "s-0", cluster: &Cluster{Group: 1}}
 	h.cluster.hosts, h.cluster.primary = []*Host{h, {ID: "s-1", cluster: h.cluster}}, h
@@ -22,7 +22,7 @@
 	return h
 }
 
-// age is how old the load report is that the host tells.
+// age returns the age of the load report that the host sends.
 func (h *Host) age(t *testing.T) time.Duration {
 	t.Helper()
 	var x0 float64
@@ -33,11 +33,11 @@
 	return time.Since(time.UnixMilli(int64(x0*1000 + 0.5)))
 }
 
-func TestALoadReportIsKeptUntilTheNextIsMade(t *testing.T) {
+func TestLoadReportIsKeptUntilNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newReporting(reportLeast, reportMost)
 		if got := h.toldLoad(); got != unmadeReport {
-			t.Errorf("before the first is made it tells %q", got)
+			t.Errorf("report before the first is made: %q", got)
 		}
 		time.Sleep(reportMost)
 		oldest, made := time.Duration(0), map[string]bool{}
@@ -47,7 +47,7 @@
 			made[h.toldLoad()] = true
 		}
 		if oldest < reportLeast || oldest > reportMost+time.Millisecond {
-			t.Errorf("the oldest report told was %s old", oldest)
+			t.Errorf("the oldest report sent was %s old", oldest)
 		}
 		if len(made) < int(10*time.Second/reportMost) || len(made) > int(10*time.Second/reportLeast)+1 {
 			t.Errorf("%d reports were made in 10 s", len(made))
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestNoLoadReportIsMadeWhileAHostHangs(t *testing.T) {
+func TestHungHostMakesNoLoadReport(t *testing.T) {
 	for _, how := range []Hang{BeforeCommit, AfterCommit, ButProbes} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newReporting(reportLeast, reportMost)
@@ -67,18 +67,18 @@
 			h.cluster.Promote(h.cluster.hosts[1])
 			h.SetHang(Awake)
 			if got := h.toldLoad(); got != before || !strings.HasSuffix(got, "x1=1") {
-				t.Errorf("woken it tells %q, before it told %q", got, before)
+				t.Errorf("report after the hang: %q, before it: %q", got, before)
 			}
 			time.Sleep(reportMost)
 			if got := h.toldLoad(); !strings.HasSuffix(got, "x1=0") {
-				t.Errorf("after the next was made it tells %q", got)
+				t.Errorf("report after the next was made: %q", got)
 			}
 			h.stopReportsLocked()
 		})
 	}
 }
 
-func TestStoppedLoadReportsNameARoleThatIsNoLongerTrue(t *testing.T) {
+func TestStoppedLoadReportsKeepOldRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newReporting(reportLeast, reportMost)
 		time.Sleep(time.Second)
@@ -88,7 +88,7 @@
 		notes := string(h.notes(h.standing()))
 		if !strings.Contains(notes, "node_role\x00follower\x00") || !strings.Contains(notes, "server_load\x00x0=") ||
 			!strings.Contains(notes, ",x1=1\x00") {
-			t.Errorf("an answer tells %q", notes)
+			t.Errorf("statements with an answer: %q", notes)
 		}
 		if age := h.age(t); age < time.Second {
 			t.Errorf("the report is %s old", age)
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestAHostThatHangsButForProbesAnswersThem(t *testing.T) {
+func TestHungHostAnswersProbes(t *testing.T) {
 	c, err := NewCluster(1, "s-", 1, nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 			}
 		}
 	}
-	rows() // the welcome has none
+	rows() // the start of the session returns no rows
 	if got := rows(); len(got) != 1 || !strings.HasSuffix(got[0], "x0=1.000,x1=1") {
 		t.Errorf("the probe is answered %q", got)
 	}
@@ -144,6 +144,6 @@
 	}
 	h.SetHang(Awake)
 	if got := <-answered; len(got) != 1 {
-		t.Errorf("the statement is answered %q after the host was woken", got)
+		t.Errorf("the statement is answered %q after the host resumed", got)
 	}
 }
--- a/internal/testbed/hosts/sql.go
+++ b/internal/testbed/hosts/sql.go
@@ -11,6 +11,7 @@
 	"yokemast/internal/wire/pg"
 )
 
+// saved is the state of a session at the start of a transaction or at a savepoint.
 type saved struct {
 	name     string
 	own, now map[string]string
@@ -39,7 +40,7 @@
 	return strings.HasPrefix(text, "select") || strings.HasPrefix(text, "show") || strings.Contains(text, " returning ")
 }
 
-// bound reads the values of a Bind, all of which are text.
+// bound decodes the values of a Bind, all of which are text.
 func bound(rest []byte) (out arguments, ok bool) {
 	n := int(binary.BigEndian.Uint16(rest))
 	if len(rest) < 4+2*n {
@@ -65,7 +66,7 @@
 	return out, true
 }
 
-// result is what one statement gives: rows (nil: none are described), and its tag or an error.
+// result is the result of one statement: its rows, or nil if it returns none, and its command tag or an error.
 type result struct {
 	rows []string
 	tag  string
@@ -83,7 +84,7 @@
 // arguments are the values of a statement's parameters.
 type arguments []string
 
-// value is what a constant or a parameter stands for.
+// value returns the value of a constant or a parameter.
 func (a arguments) value(x string) string {
 	if !strings.HasPrefix(x, "$") {
 		return strings.Trim(x, "'")
@@ -96,7 +97,7 @@
 	return ""
 }
 
-// run runs one statement.
+// run executes one statement.
 func (s *seat) run(text string, values arguments) result {
 	words := strings.Fields(strings.ToLower(text))
 	if s.failed && words[0] != "rollback" && words[0] != "commit" {
@@ -126,7 +127,8 @@
 	return fault("42601", "syntax error at "+text)
 }
 
-// control runs the statements on transactions and on the session that their first words tell; not ok: it is none of them.
+// control executes the statements for transactions and session state, which are recognized by their first words. It reports
+// whether the statement is one of them.
 func (s *seat) control(text string, words []string) (out result, ok bool) {
 	switch first := words[0]; {
 	case first == "begin" || first == "start":
@@ -221,7 +223,7 @@
 	return selected("")
 }
 
-// read gives a key's value as the open transaction has written it, or as the host has it.
+// read returns the value of a key as written by the open transaction, or else as visible on the host.
 func (s *seat) read(key string) result {
 	for i := len(s.writes) - 1; i >= 0; i-- {
 		if s.writes[i].key == key {
@@ -252,7 +254,7 @@
 	return out
 }
 
-// commit commits what the transaction wrote. A host that hangs after a commit answers nothing.
+// commit commits the writes of the transaction. The connection is closed without an answer if the host's AfterCommit says so.
 func (s *seat) commit() *pg.Error {
 	writes := s.writes
 	s.writes = nil
@@ -260,7 +262,7 @@
 		return nil
 	}
 	if s.h.Role() != Leader {
-		return &pg.Error{Code: pg.CodeReadOnly, Message: "this is no primary any more"}
+		return &pg.Error{Code: pg.CodeReadOnly, Message: "the host is no longer the primary"}
 	}
 	at := time.Now()
 	for _, w := range writes {
@@ -280,7 +282,7 @@
 	c.count++
 }
 
-// read gives a key's value as the host has it.
+// read returns the value of a key as visible on a host.
 func (c *Cluster) read(h *Host, key string) (value string, ok bool) {
 	position := c.standing(h).position
 	c.mu.Lock()
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -11,33 +11,33 @@
 	"yokemast/internal/wire/socket"
 )
 
-// queued is how many reads from one end wait to go on to the other.
+// queued is the maximum number of reads from one end that wait to be forwarded.
 const queued = 4096
 
-// conn is a connection of the gateway and the one to the host that it goes on to.
+// conn is a connection of the gateway with the connection to the host to which it is forwarded.
 type conn struct {
 	link    *Link
 	gateway *net.TCPConn
-	done    chan struct{} // closed once both are
+	done    chan struct{} // closed once both connections are
 
 	mu      sync.Mutex
-	host    *net.TCPConn // nil: not yet
+	host    *net.TCPConn // nil until connected
 	ended   bool
-	asked   string // the query that is out; "": none
-	idle    *time.Timer
-	lost    bool // it has been forgotten
+	asked   string      // text of the query in flight, or empty
+	idle    *time.Timer // runs while no query is in flight
+	lost    bool        // ForgetsIdle has struck: data of the gateway is dropped
 	queries framer
 	answers framer
-	answer  Answer // the one that is coming
+	answer  Answer // the answer that is being received
 }
 
-// chunk is what was read at once from one end.
+// chunk is the result of one read from one end.
 type chunk struct {
 	data    []byte
 	at      time.Time
-	err     error    // what the reading ended with
-	query   bool     // it ends a query
-	answers []Answer // that it ends
+	err     error    // with which reading ended, or nil
+	query   bool     // the chunk ends a query
+	answers []Answer // answers that end in the chunk
 }
 
 func (c *conn) setHost(host *net.TCPConn) {
@@ -49,10 +49,10 @@
 	}
 }
 
-// reset resets both ends.
+// reset resets both connections.
 func (c *conn) reset() { c.end(true) }
 
-// end closes both ends.
+// end closes or resets both connections.
 func (c *conn) end(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	c.Close()
 }
 
-// open says whether the gateway still waits on the connection.
+// open reports whether the gateway still waits for answers on the connection.
 func (c *conn) open() bool {
 	c.mu.Lock()
 	ended := c.ended
@@ -85,7 +85,7 @@
 	return !ended && socket.Quiet(c.gateway)
 }
 
-// wait waits for a time, and until a channel that is not nil is closed; false: the connection has ended.
+// wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
 func (c *conn) wait(long time.Duration, over <-chan struct{}) bool {
 	timer := time.NewTimer(long)
 	defer timer.Stop()
@@ -104,7 +104,7 @@
 	return true
 }
 
-// run carries both ways until both are over.
+// run forwards both directions until both have ended.
 func (c *conn) run() {
 	var ways sync.WaitGroup
 	ways.Go(func() { c.pass(c.gateway, c.host, c.readQueries, c.passQuery) })
@@ -113,7 +113,7 @@
 	c.end(false)
 }
 
-// pass carries what comes from one end on to the other, in order; the reading does not wait for what has to be passed on.
+// pass forwards data from one end to the other in order. Reading does not wait for the forwarding.
 func (c *conn) pass(from, to *net.TCPConn, read func(*chunk), pass func(chunk, Fault) bool) {
 	chunks := make(chan chunk, queued)
 	go func() {
@@ -130,7 +130,7 @@
 	}()
 	defer func() {
 		go func() {
-			for range chunks { // what is read is looked at to the end
+			for range chunks { // all reads are parsed, up to the end
 			}
 		}()
 	}()
@@ -151,7 +151,7 @@
 	}
 }
 
-// hold keeps a chunk for as long as the fault says; false: the connection has ended meanwhile.
+// hold delays a chunk as the fault requires. It returns false if the connection ended meanwhile.
 func (c *conn) hold(k chunk, f Fault, over <-chan struct{}, to *net.TCPConn) bool {
 	toGateway := to == c.gateway
 	switch {
@@ -163,7 +163,7 @@
 	return true
 }
 
-// readQueries looks at what the gateway has sent.
+// readQueries parses data of the gateway and reports complete queries to the watcher.
 func (c *conn) readQueries(k *chunk) {
 	c.mu.Lock()
 	whole := c.queries.add(k.data, k.at)
@@ -181,7 +181,7 @@
 	}
 }
 
-// readAnswers looks at what the host has sent.
+// readAnswers parses data of the host and stores complete answers in the chunk.
 func (c *conn) readAnswers(k *chunk) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,10 +203,10 @@
 	}
 }
 
-// unmade is the report of a host that has made none yet.
+// unmade is the load report of a host that has not made one yet.
 const unmade = "x0=0.000,x1=0"
 
-// passQuery writes to the host what the gateway sent; false: nothing more is passed on.
+// passQuery writes data of the gateway to the host. It returns false if no more data must be forwarded.
 func (c *conn) passQuery(k chunk, f Fault) bool {
 	c.mu.Lock()
 	lost := c.lost
@@ -228,7 +228,7 @@
 	return c.write(c.host, k.data, f, nil)
 }
 
-// passAnswer writes to the gateway what the host sent; false: nothing more is passed on.
+// passAnswer writes data of the host to the gateway. It returns false if no more data must be forwarded.
 func (c *conn) passAnswer(k chunk, f Fault) bool {
 	if len(k.answers) > 0 && c.link.draw(oneIn) == 0 {
 		switch f.Kind {
@@ -239,7 +239,7 @@
 		case HalfCloses:
 			_, _ = c.gateway.Write(k.data[:c.link.draw(int64(len(k.data)))])
 			_ = c.gateway.CloseWrite()
-			return false // what the gateway still sends goes on
+			return false // the gateway's data is still forwarded
 		}
 	}
 	tell := func(told func(Answer)) {
@@ -259,7 +259,7 @@
 	return true
 }
 
-// write writes to one end, in pieces where the fault says so, and calls last before the last of it.
+// write writes to one end, in pieces if the fault requires it, and calls last before the last write.
 func (c *conn) write(to *net.TCPConn, data []byte, f Fault, last func()) bool {
 	for f.Kind == Pieces && len(data) > longestPiece {
 		n := 1 + c.link.draw(longestPiece)
@@ -275,7 +275,7 @@
 	return err == nil
 }
 
-// rest closes or forgets the connection once it has idled for long enough, where the fault says so.
+// rest starts the timer of a fault that closes or forgets idle connections.
 func (c *conn) rest(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/linkfault/framer.go
+++ b/internal/testbed/linkfault/framer.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// framer finds the messages of PostgreSQL's protocol in bytes that come in any pieces.
+// framer splits a byte stream into messages of PostgreSQL's protocol.
 type framer struct {
-	startup bool // the next message is the one that opens a session, which has no type
-	rest    []byte
-	first   time.Time // when the first byte of rest came
+	startup bool      // the next message is the startup message, which has no type byte
+	rest    []byte    // bytes of an incomplete message
+	first   time.Time // when the first byte of rest was received
 }
 
 type message struct {
-	kind  byte // 0: startup
+	kind  byte // 0 for the startup message
 	body  []byte
 	first time.Time
 }
 
-// add takes bytes that came at a time and gives the messages that they complete.
+// add adds bytes received at a time and returns the messages that they complete.
 func (f *framer) add(data []byte, at time.Time) (whole []message) {
 	if len(f.rest) == 0 {
 		f.first = at
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -1,5 +1,5 @@
-// Package linkfault puts faults on the connections between one gateway and one database host: a link is a TCP proxy on loopback that
-// delays, cuts up, holds, resets and half-closes what it carries, and that can fall silent.
+// Package linkfault injects faults into the connections between one gateway and one database host. A link is a TCP proxy on
+// loopback that delays, splits, holds, resets and half-closes its traffic, or stops carrying it.
 package linkfault
 
 import (
@@ -17,63 +17,63 @@
 
 // Kinds of faults.
 const (
-	DelaysQueries Kind = "delays queries" // what the gateway sends arrives late, by up to the fault's Most
-	DelaysAnswers Kind = "delays answers" // what the host sends arrives late, by up to the fault's Most
-	Pieces        Kind = "pieces"         // bytes arrive a few at a time
-	HoldsAnswers  Kind = "holds answers"  // what the host sends arrives together at the end
-	Silent        Kind = "silent"         // nothing arrives and no connection comes up; all are reset at the end
+	DelaysQueries Kind = "delays queries" // the gateway's data arrives late, by up to the fault's bound
+	DelaysAnswers Kind = "delays answers" // the host's data arrives late, by up to the fault's bound
+	Pieces        Kind = "pieces"         // data arrives a few bytes at a time
+	HoldsAnswers  Kind = "holds answers"  // the host's data arrives all at once at the fault's end
+	Silent        Kind = "silent"         // no data arrives and no connection is established; all are reset at the fault's end
 	ResetsQuery   Kind = "resets query"   // some connections are reset in the middle of a query
-	ResetsAnswer  Kind = "resets answer"  // some are reset in the middle of an answer
-	ResetsLater   Kind = "resets later"   // some are reset up to Most after a query began
-	ClosesIdle    Kind = "closes idle"    // connections that have idled for Most are closed or reset
-	ForgetsIdle   Kind = "forgets idle"   // what is sent on connections that have idled for Most resets them, or is swallowed
-	ComesUpLate   Kind = "comes up late"  // a third of the new connections come up late, by up to Most
-	HalfCloses    Kind = "half-closes"    // the host's side of some is shut in the middle of an answer
+	ResetsAnswer  Kind = "resets answer"  // some connections are reset in the middle of an answer
+	ResetsLater   Kind = "resets later"   // some connections are reset within the fault's bound after a query
+	ClosesIdle    Kind = "closes idle"    // connections idle for the fault's bound are closed or reset
+	ForgetsIdle   Kind = "forgets idle"   // data sent on connections idle for the fault's bound is lost or resets them
+	ComesUpLate   Kind = "comes up late"  // a third of the new connections are established late, by up to the fault's bound
+	HalfCloses    Kind = "half-closes"    // the host's side of some connections is closed in the middle of an answer
 )
 
-// Kinds are all of them.
+// Kinds lists all kinds of faults.
 var Kinds = []Kind{DelaysQueries, DelaysAnswers, Pieces, HoldsAnswers, Silent, ResetsQuery, ResetsAnswer, ResetsLater, ClosesIdle,
 	ForgetsIdle, ComesUpLate, HalfCloses}
 
-// Fault is what a link does to its traffic.
+// Fault is a fault of a link.
 type Fault struct {
 	Kind Kind
-	Most time.Duration // bounds the times that its kind draws
+	Most time.Duration // upper bound of the times drawn for the fault
 }
 
 const (
-	oneIn        = 8 // messages that a fault strikes which strikes some
-	lateOneIn    = 3 // connections that come up late
-	longestPiece = 7 // bytes
-	piecePause   = 500 * time.Microsecond
-	// backlog is how many connections wait to be accepted while the link is not silent.
+	oneIn        = 8                      // one in so many messages is affected by a fault that affects some
+	lateOneIn    = 3                      // one in so many connections is established late
+	longestPiece = 7                      // bytes
+	piecePause   = 500 * time.Microsecond // longest pause between two pieces
+	// backlog is the listen backlog while the link is not silent.
 	backlog = 1024
-	// fillWithin is how long the link tries to take the place of a connection that would still come up.
+	// fillWithin limits the attempt of a silent link to occupy the one place in the backlog that remains.
 	fillWithin = 100 * time.Millisecond
 )
 
-// Sent is a query that a gateway has written whole.
+// Sent is a query that a gateway has written completely.
 type Sent struct {
 	Text        string
-	First, Last time.Time   // when its first and its last byte came
-	Open        func() bool // whether the gateway still waits for the answer: it has ended neither the connection nor its sending
+	First, Last time.Time   // when its first and last byte were received
+	Open        func() bool // reports whether the gateway has neither closed nor half-closed the connection
 }
 
-// Answer is one that a host has written whole.
+// Answer is an answer that a host has written completely.
 type Answer struct {
-	Text     string // of its query
-	Follower bool   // it names the host a follower
-	Made     time.Time
+	Text     string    // the query
+	Follower bool      // it names the host a follower
+	Made     time.Time // when the link received its last byte
 }
 
-// Watcher is told what passes a link; its functions are called at once, and none may be nil.
+// Watcher observes the traffic of a link. Its functions are called synchronously; none may be nil.
 type Watcher struct {
-	Sent       func(Sent)   // a query has come, before any of its last bytes goes on
-	Delivering func(Answer) // the last bytes of an answer are about to be written, on a connection that the gateway has not ended
-	Delivered  func(Answer) // they have been, and it has not ended it
+	Sent       func(Sent)   // a query was received, and its last bytes are not forwarded yet
+	Delivering func(Answer) // the last bytes of an answer are about to be written to a gateway that still waits
+	Delivered  func(Answer) // the last bytes were written and the gateway still waits
 }
 
-// Link is the way from one gateway to one host.
+// Link is the link between one gateway and one host.
 type Link struct {
 	target   string
 	watch    Watcher
@@ -83,7 +83,7 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	fault  Fault
-	over   chan struct{} // closed at the fault's end
+	over   chan struct{} // closed when the fault ends
 	conns  map[*conn]bool
 	closed bool
 }
@@ -100,10 +100,10 @@
 	return l, nil
 }
 
-// Address is where the gateway finds the host.
+// Address returns the address at which the gateway reaches the host.
 func (l *Link) Address() string { return l.address }
 
-// Begin begins a fault, in place of the one before; end ends it, unless another has begun since.
+// Begin starts a fault, which replaces the one before. The returned function ends it, unless another has begun since.
 func (l *Link) Begin(f Fault) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +143,7 @@
 	close(l.over)
 }
 
-// Close ends the link and its connections.
+// Close closes the link and resets its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,21 +155,21 @@
 	}
 }
 
-// listen sets how many connections come up that nobody accepts.
+// listen sets the listen backlog.
 func (l *Link) listen(backlog int) {
 	if raw, err := l.listener.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), backlog) })
 	}
 }
 
-// current is the fault that there is, and what is closed at its end.
+// current returns the current fault and the channel that is closed when it ends.
 func (l *Link) current() (Fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.over
 }
 
-// draw draws a number below n.
+// draw returns a random number below n.
 func (l *Link) draw(n int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,7 +190,7 @@
 		if fault.Kind != Silent {
 			continue
 		}
-		filler, err := net.DialTimeout("tcp4", l.address, fillWithin) // takes the one place that a backlog of 0 leaves
+		filler, err := net.DialTimeout("tcp4", l.address, fillWithin) // occupies the one place that a backlog of 0 leaves
 		<-over
 		if err == nil {
 			filler.Close()
@@ -203,7 +203,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// carry carries one connection of the gateway until both of its ends are over.
+// carry forwards the traffic of one connection of the gateway until both directions have ended.
 func (l *Link) carry(gateway *net.TCPConn) {
 	c := &conn{link: l, gateway: gateway, done: make(chan struct{}), queries: framer{startup: true}}
 	l.mu.Lock()
--- a/internal/testbed/linkfault/linkfault_test.go
+++ b/internal/testbed/linkfault/linkfault_test.go
@@ -17,12 +17,12 @@
 
 const (
 	statement = "SELECT content FROM kv WHERE name = 'a' /* id=1,c=view,d=480,cluster=1 */"
-	tries     = 200 // in which a fault that strikes some strikes once
+	tries     = 200 // connections within which a fault that affects some must occur once
 	most      = 100 * time.Millisecond
 	patience  = 10 * time.Second
 )
 
-// watched notes what a link tells.
+// watched records the events of a link.
 type watched struct {
 	mu   sync.Mutex
 	told []string
@@ -45,7 +45,7 @@
 		Delivering: func(a Answer) { w.add("delivering " + a.Text) },
 		Delivered: func(a Answer) {
 			if w.add("delivered " + a.Text); !a.Follower {
-				t.Errorf("the answer names no follower")
+				t.Errorf("the answer does not name the host a follower")
 			}
 		},
 	})
@@ -56,7 +56,7 @@
 	return l, h, w
 }
 
-// open opens a session over a link.
+// open starts a session over a link.
 func open(t *testing.T, l *Link) net.Conn {
 	c, err := net.Dial("tcp4", l.Address())
 	if err != nil {
@@ -72,7 +72,8 @@
 	return c
 }
 
-// ask asks a query and gives what came back, up to a whole answer, and how the first read and the whole ended.
+// ask sends a query and reads a whole answer. It returns the bytes read, the size of the first read and the error that ended
+// reading.
 func ask(c net.Conn) (all []byte, first int, err error) {
 	_, _ = c.Write(pg.AppendQuery(nil, statement))
 	for buffer := make([]byte, 4<<10); !bytes.HasSuffix(all, pg.AppendReady(nil)); {
@@ -87,7 +88,7 @@
 	return all, first, nil
 }
 
-func TestALinkTellsWhatItPassesOn(t *testing.T) {
+func TestWatcherSeesQueriesAndAnswers(t *testing.T) {
 	l, _, w := start(t, nil)
 	c := open(t, l)
 	if _, _, err := ask(c); err != nil {
@@ -96,18 +97,18 @@
 	want := []string{"sent " + statement, "delivering " + statement, "delivered " + statement}
 	for end := time.Now().Add(patience); !slices.Equal(w.all(), want); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("told %q", w.all())
+			t.Fatalf("events %q", w.all())
 		}
 	}
 	if !w.sent.Open() {
-		t.Error("the connection counts as ended")
+		t.Error("the connection counts as closed")
 	}
 	if c.(*net.TCPConn).CloseWrite(); w.sent.Open() {
-		t.Error("a connection whose sending has ended counts as open")
+		t.Error("a half-closed connection counts as open")
 	}
 }
 
-func TestEachFaultStrikes(t *testing.T) {
+func TestEachFaultOccurs(t *testing.T) {
 	reset := func(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 	type seen struct {
 		answer []byte
@@ -115,8 +116,8 @@
 		err    error
 		up     time.Duration // until the session was open
 		asked  time.Duration // until the query was answered
-		rested error         // what comes on the connection later
-		again  error         // what then becomes of another query
+		rested error         // error of a read on the idle connection
+		again  error         // error of a second query
 	}
 	for kind, strikes := range map[Kind]func(seen) bool{
 		DelaysQueries: func(s seen) bool { return s.asked >= most/2 },
@@ -154,12 +155,12 @@
 					return
 				}
 			}
-			t.Errorf("nothing was seen of it in %d connections", tries)
+			t.Errorf("the fault did not occur in %d connections", tries)
 		})
 	}
 }
 
-func TestHeldAnswersArriveTogetherAtTheEnd(t *testing.T) {
+func TestHeldAnswersArriveAtFaultEnd(t *testing.T) {
 	l, h, w := start(t, nil)
 	one, two := open(t, l), open(t, l)
 	end := l.Begin(Fault{Kind: HoldsAnswers})
@@ -169,11 +170,11 @@
 	}
 	for until := time.Now().Add(patience); len(h.Asked()) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the queries do not arrive")
+			t.Fatal("the queries do not reach the host")
 		}
 	}
 	if told := w.all(); slices.Contains(told, "delivering "+statement) {
-		t.Errorf("an answer that is held counts as delivered: %q", told)
+		t.Errorf("a held answer counts as delivered: %q", told)
 	}
 	end()
 	for range 2 {
@@ -183,7 +184,7 @@
 	}
 }
 
-func TestASilentLinkResetsAllAtItsReturn(t *testing.T) {
+func TestSilentLinkResetsConnectionsAtFaultEnd(t *testing.T) {
 	l, h, w := start(t, nil)
 	c := open(t, l)
 	end := l.Begin(Fault{Kind: Silent})
@@ -191,22 +192,22 @@
 	go func() { _, _, err := ask(c); answer <- err }()
 	for until := time.Now().Add(patience); len(w.all()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the ledger is not told what a gateway writes to a silent link")
+			t.Fatal("the watcher does not see a query written to a silent link")
 		}
 	}
 	time.Sleep(2 * fillWithin)
 	if c, err := net.DialTimeout("tcp4", l.Address(), fillWithin); err == nil {
 		c.Close()
-		t.Error("a connection comes up")
+		t.Error("a connection is established")
 	}
 	end()
 	if err := <-answer; !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection ended with %v", err)
 	}
 	if asked := h.Asked(); len(asked) > 0 {
-		t.Errorf("the host was asked %q", asked)
+		t.Errorf("the host received %q", asked)
 	}
 	if _, _, err := ask(open(t, l)); err != nil {
-		t.Errorf("after the return: %v", err)
+		t.Errorf("query after the fault: %v", err)
 	}
 }
--- a/internal/testbed/rules/freshness.go
+++ b/internal/testbed/rules/freshness.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Leadership is a change of who is the primary.
+// Leadership is a change of a host's role as the primary.
 type Leadership int
 
 // Changes of a host's leadership.
@@ -11,13 +11,13 @@
 	Deposed
 )
 
-// leadership is when a host was the primary last.
+// leadership records when a host was last the primary.
 type leadership struct {
 	now   bool
-	until time.Time // of a host that was deposed
+	until time.Time // when it was deposed, unless now is set
 }
 
-// Leadership says that a host is the primary from now on, or is none any more.
+// Leadership records that a host becomes the primary now, or no longer is.
 func (l *Ledger) Leadership(host string, e Leadership) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -27,12 +27,12 @@
 	l.led[host] = leadership{now: e == Leads, until: time.Now()}
 }
 
-// followsKept is how many answers of a host as a follower are remembered for each gateway. Only those of the last moments may not
-// be known yet.
+// followsKept is the number of answers of a host as a follower that are remembered for each gateway. Only a gateway's
+// knowledge of the most recent ones is in doubt.
 const followsKept = 1000
 
-// AnsweredAsFollower says that a host has just written an answer that names it a follower, to the gateway that a request was asked
-// of.
+// AnsweredAsFollower records that a host has just written an answer that names it a follower, to the gateway to which the
+// request was sent.
 func (l *Ledger) AnsweredAsFollower(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// followerWord is an answer that names its host a follower.
+// followerWord records when an answer that names its host a follower was made and when it was written to the gateway.
 type followerWord struct{ made, told time.Time }
 
 func (l *Ledger) followsLocked(n notice, made time.Time) {
@@ -53,8 +53,8 @@
 	}
 }
 
-// excusedLocked says whether a read that a gateway sent to a host at a time is excused for its data's age: the host has been the
-// primary, and no answer that the gateway knew had told it that the host is none any more.
+// excusedLocked reports whether a stale read is excused: the host is or was the primary, and no answer that the gateway knew
+// when it sent the read had named the host a follower since.
 func (l *Ledger) excusedLocked(gateway, host string, sent time.Time) bool {
 	led, ever := l.led[host]
 	if !ever {
@@ -71,8 +71,8 @@
 	return true
 }
 
-// Read says how a bounded read that came to a host at a time was served: from data of a position, where its bound allows none that was
-// older than bound when it was sent.
+// Read checks a bounded read that reached a host at came and was served from data at position: the data must not have been
+// older than bound when the read was sent.
 func (l *Ledger) Read(host, id string, came, position time.Time, bound time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	l.readLocked(host, id, sent, position, sent.Add(-bound), l.slack())
 }
 
-// ReadOwn is Read of a session's read, which must see a position that it was told exactly.
+// ReadOwn checks a session's read, which must see at least the position after, without any slack.
 func (l *Ledger) ReadOwn(host, id string, came, position, after time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,6 +96,6 @@
 		return
 	}
 	l.counts.Stale++
-	l.breaks("%s is read at %s from data %v too old, sent by %s at %s", id, host, bound.Sub(position), l.of(id).via,
+	l.breaks("%s was read at %s from data %v too old, sent by %s at %s", id, host, bound.Sub(position), l.of(id).via,
 		sent.UTC().Format("15:04:05.000"))
 }
--- a/internal/testbed/rules/link.go
+++ b/internal/testbed/rules/link.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// A link between a gateway and a host delays and loses what it carries, which is not the gateway's doing. What a gateway sends over
-// one counts when it has written it, and what a host answers counts when it has been written to the gateway.
+// A link between a gateway and a host delays and loses traffic, for which the gateway is not responsible. With a link, an
+// attempt counts from the time the gateway wrote it, and an answer from the time it was written to the gateway.
 
-// SentTo says that a gateway has written a request whole to a link to a host: its first and its last byte came at these times. What the
-// host says later of the request's coming and of its answer does not count; Delivering and Follows say that.
+// SentTo records that a gateway has written a whole request to a link to a host; its first and last byte were received at
+// first and last. What the host reports later about arrival and answer of the request is ignored; the link reports the answer
+// to Delivering and a follower's answer to its own method below.
 func (l *Ledger) SentTo(host, id string, first, last time.Time, open func() bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -14,22 +15,22 @@
 	l.of(id).sent[host] = last
 }
 
-// Delivering says that the answer to an attempt over a link is about to be written to the gateway.
+// Delivering records that a link is about to write the answer to an attempt to the gateway.
 func (l *Ledger) Delivering(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.of(id).out, host)
 }
 
-// Follows says that an answer has just been written to a gateway by a link, which the host had made by a time, and which names it a
-// follower.
+// Follows records that a link has just written an answer to a gateway which names the host a follower, and which the host had
+// made no later than made.
 func (l *Ledger) Follows(gateway, host string, made time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.followsLocked(notice{gateway, host}, made)
 }
 
-// sentAtLocked is when an attempt that has come to a host was sent: where that is not known apart, when it came.
+// sentAtLocked returns when an attempt was sent, or when it reached the host if it was not sent over a link.
 func (l *Ledger) sentAtLocked(host, id string, came time.Time) time.Time {
 	if sent, linked := l.of(id).sent[host]; linked {
 		return sent
--- a/internal/testbed/rules/link_test.go
+++ b/internal/testbed/rules/link_test.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// What a gateway sends over a link counts when it is written, whenever it comes to the host; "": nothing is broken.
-func TestWhatALinkDelaysCountsWhereTheGatewayStands(t *testing.T) {
+// An attempt over a link counts when the gateway has written it. Checks that use its arrival at the host would blame the
+// gateway for the link's delays.
+func TestAttemptsOverLinksCountWhenWritten(t *testing.T) {
 	open, closed := func() bool { return true }, func() bool { return false }
 	send := func(l *Ledger, host string, open func() bool) { l.SentTo(host, "a", time.Now(), time.Now(), open) }
 	arrive := func(l *Ledger, host string) { time.Sleep(10 * time.Second); l.ArrivedOn(host, "a", 0, open) }
 	for name, c := range map[string]struct {
-		want string
+		want string // part of the violation, or empty for none
 		do   func(l *Ledger)
 	}{
-		"comes long after a drain": {"", func(l *Ledger) { l.Notified("n", "h", time.Now()); send(l, "h", open); arrive(l, "h") }},
-		"is sent long after a drain": {"notified that it drains", func(l *Ledger) {
+		"arrives long after a drain": {"", func(l *Ledger) { l.Notified("n", "h", time.Now()); send(l, "h", open); arrive(l, "h") }},
+		"is sent long after a drain": {"notified of the drain", func(l *Ledger) {
 			l.Notified("n", "h", time.Now().Add(-1100*time.Millisecond))
 			send(l, "h", open)
 		}},
-		"begins in time for a drain": {"", func(l *Ledger) {
+		"begins within the drain's grace": {"", func(l *Ledger) {
 			l.Notified("n", "h", time.Now())
 			l.SentTo("h", "a", time.Now(), time.Now().Add(2*time.Second), open)
 		}},
-		"comes long after its client left": {"", func(l *Ledger) { l.Leaves("a"); send(l, "h", open); arrive(l, "h") }},
-		"is sent long after its client left": {"after its client left", func(l *Ledger) {
+		"arrives long after its client disconnected": {"", func(l *Ledger) { l.Leaves("a"); send(l, "h", open); arrive(l, "h") }},
+		"is sent long after its client disconnected": {"after its client disconnected", func(l *Ledger) {
 			l.Leaves("a")
 			time.Sleep(151 * time.Millisecond)
 			send(l, "h", open)
 		}},
-		"comes again late, sent in time": {"", func(l *Ledger) { send(l, "h", closed); send(l, "i", open); arrive(l, "h"); arrive(l, "i") }},
-		"is sent again late": {"comes again to i", func(l *Ledger) {
+		"is retried within the window and arrives late": {"", func(l *Ledger) { send(l, "h", closed); send(l, "i", open); arrive(l, "h"); arrive(l, "i") }},
+		"is retried after the window": {"was retried at i", func(l *Ledger) {
 			send(l, "h", closed)
 			time.Sleep(1100 * time.Millisecond)
 			send(l, "i", open)
 		}},
-		"is out twice before it comes": {"is out at h and at i", func(l *Ledger) { send(l, "h", open); send(l, "i", open) }},
-		"is out while its answer is on its way": {"is out at h and at i", func(l *Ledger) {
+		"is in flight twice before it arrives": {"is in flight at h and at i", func(l *Ledger) { send(l, "h", open); send(l, "i", open) }},
+		"is in flight while the link carries its answer": {"is in flight at h and at i", func(l *Ledger) {
 			send(l, "h", open)
 			l.Over("h", "a")
 			send(l, "i", open)
 		}},
-		"is seen late, given up before it went again": {"", func(l *Ledger) { send(l, "h", open); send(l, "i", closed) }},
-		"is out once more after one that was seen late": {"is out at h and at j", func(l *Ledger) {
+		"is seen late and was abandoned before its retry": {"", func(l *Ledger) { send(l, "h", open); send(l, "i", closed) }},
+		"is in flight again after an attempt that was seen late": {"is in flight at h and at j", func(l *Ledger) {
 			send(l, "h", open)
 			send(l, "i", closed)
 			send(l, "j", open)
@@ -62,7 +63,7 @@
 			time.Sleep(time.Second)
 			l.Read("h", "a", time.Now(), position, 500*time.Millisecond)
 		}},
-		"knows a word that was held only once it has it": {"", func(l *Ledger) {
+		"is sent before a delayed follower statement counts as known": {"", func(l *Ledger) {
 			l.Leadership("h", Leads)
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Second)
@@ -73,7 +74,7 @@
 			send(l, "h", open)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Minute), 0)
 		}},
-		"knows a word that was held": {"data 1m0s too old", func(l *Ledger) {
+		"is sent after a delayed follower statement is known": {"data 1m0s too old", func(l *Ledger) {
 			l.Leadership("h", Leads)
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Second)
@@ -82,7 +83,7 @@
 			send(l, "h", open)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Minute), 0)
 		}},
-		"has a word from before the host led": {"", func(l *Ledger) {
+		"follows a follower statement from before the host led": {"", func(l *Ledger) {
 			made := time.Now()
 			time.Sleep(time.Second)
 			l.Leadership("h", Leads)
--- a/internal/testbed/rules/rules.go
+++ b/internal/testbed/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules checks the operating rules from outside a gateway: stand-in hosts and clients tell it what they see, and it
-// says which rule was broken, by whom and when. It is for tests and for trying things out.
+// Package rules checks the operating rules from outside a gateway: stand-in hosts and clients report what they observe, and a
+// ledger records which rule was violated, by which request and host, and when. It is meant for tests and experiments.
 package rules
 
 import (
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Limits are the figures of the rules.
+// Limits are the limits that the rules set.
 type Limits struct {
-	Window     time.Duration // in which a request that may have run may come again; 0: not checked
-	Leave      time.Duration // after its client has left nothing begins for a request; 0: not checked
-	Grace      time.Duration // nothing new to a host later than this after it was told to drain or go; 0: not checked
-	Slack      time.Duration // that every limit is longer on sockets
-	KnownAfter time.Duration // what an answer tells counts as known so long after it was written
-	Overload   float64       // times its capacity that a cold host may be sent; 0: not checked
-	OverloadIn time.Duration // over any such time
+	Window     time.Duration // in which a possibly executed write may be retried; 0 disables the check
+	Leave      time.Duration // after a client's disconnect in which attempts may still begin; 0 disables the check
+	Grace      time.Duration // after a drain notification in which attempts may still begin; 0 disables the check
+	Slack      time.Duration // added to every limit, for delays of sockets and scheduling
+	KnownAfter time.Duration // after which a gateway must know the content of an answer written to it
+	Overload   float64       // work that a cold host may be sent, as a multiple of its capacity; 0 disables the check
+	OverloadIn time.Duration // length of the sliding window for Overload
 }
 
-// Kind is how a request was answered.
+// Kind is the kind of a request's answer.
 type Kind int
 
 // Kinds of answers.
@@ -33,36 +33,37 @@
 
 type request struct {
 	write, repeatable bool
-	asked, by         time.Time
-	via               string               // the gateway that was asked
-	left              time.Time            // when its client went; zero: it has not
-	came              bool                 // it has come to a host
-	began             map[string]time.Time // when it came first to each host where it may have run
+	asked, by         time.Time            // when it was sent, and the client's deadline
+	via               string               // the gateway to which it was sent
+	left              time.Time            // when its client disconnected, or zero
+	came              bool                 // it has reached a host
+	began             map[string]time.Time // by host where it was possibly executed, when it first arrived
 	answers           int
-	ran               int                    // how often it was begun at a host
-	out               map[string]func() bool // hosts where an attempt is out, and whether its connection is open; nil: it is
+	ran               int                    // number of times that a host began to execute it
+	out               map[string]func() bool // by host with an attempt in flight: is its connection open? nil means yes
 	sent              map[string]time.Time   // by host, when the last attempt was written to a link; see SentTo
-	made              [][sha256.Size]byte    // sums of the values that hosts made for it
+	made              [][sha256.Size]byte    // checksums of the values that hosts produced for it
 }
 
-// Ledger is safe for concurrent use. Its zero value checks nothing but what needs no figures.
+// Ledger records requests, attempts and answers, and the violations of the rules. It is safe for concurrent use. The zero
+// value checks only the rules that need no limits.
 type Ledger struct {
 	Limits Limits
-	Stalls func() time.Duration // of the machine lately, which limits are longer by; nil: none
+	Stalls func() time.Duration // recent stalls of the machine, which are added to the limits; nil for none
 
 	mu       sync.Mutex
 	requests map[string]*request
-	told     map[string]time.Time // hosts that drain or are gone
-	notified map[notice]time.Time // the same, by gateway
+	told     map[string]time.Time // when discovery listed a host as draining or removed
+	notified map[notice]time.Time // when a gateway was notified of the same
 	cold     map[string]*cold
 	led      map[string]leadership
-	follows  map[notice][]followerWord // of a host to a gateway, oldest first
+	follows  map[notice][]followerWord // answers of a host as a follower to a gateway, oldest first
 	broken   []string
 	counts   Counts
 }
 
 type cold struct {
-	capacity func(time.Time) float64 // work a second
+	capacity func(time.Time) float64 // work per second
 	sent     []sent
 }
 
@@ -71,7 +72,7 @@
 	work time.Duration
 }
 
-// Counts are how often something was seen.
+// Counts are the numbers of requests, attempts and violations seen.
 type Counts struct {
 	Asked, Served, Refused, Failed, Unanswered, Late int
 	Attempts, WritesRan, Doubled, TwoOut, Stale      int
@@ -104,7 +105,8 @@
 	return r
 }
 
-// Asked says that a client has written a request, which must be answered by then. A repeatable one may run several times.
+// Asked records that a client has written a request that must be answered until by. A repeatable one may be executed several
+// times.
 func (l *Ledger) Asked(id string, write, repeatable bool, by time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,36 +115,36 @@
 	l.counts.Asked++
 }
 
-// Answered says that a client has read a request's final answer.
+// Answered records that a client has read the final answer to a request.
 func (l *Ledger) Answered(id string, k Kind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.of(id)
 	if r.answers++; r.answers > 1 {
-		l.breaks("%s is answered %d times", id, r.answers)
+		l.breaks("%s was answered %d times", id, r.answers)
 	}
 	switch k {
 	case Served:
 		l.counts.Served++
 		if r.ran == 0 {
-			l.breaks("%s is served and ran at no host", id)
+			l.breaks("%s was served but ran at no host", id)
 		}
 	case Refused:
 		l.counts.Refused++
 		if r.ran > 0 && !r.repeatable {
 			l.counts.RefusedAfterRun++
-			l.breaks("%s is refused and has run", id)
+			l.breaks("%s was refused but has run", id)
 		}
 	case Failed:
 		l.counts.Failed++
 	}
 	if !r.by.IsZero() && time.Now().After(r.by.Add(l.slack())) {
 		l.counts.Late++
-		l.breaks("%s is answered %v after its client stopped waiting", id, time.Since(r.by))
+		l.breaks("%s was answered %v after its client stopped waiting", id, time.Since(r.by))
 	}
 }
 
-// Made says that a host has made a value for a request.
+// Made records that a host has produced a value for a request.
 func (l *Ledger) Made(id string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,16 +152,16 @@
 	r.made = append(r.made, sha256.Sum256(value))
 }
 
-// ServedWith says which value a request was served with, where hosts say what they made.
+// ServedWith checks that the value with which a request was served is one that a host produced for it.
 func (l *Ledger) ServedWith(id string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !slices.Contains(l.of(id).made, sha256.Sum256(value)) {
-		l.breaks("%s is served with %d bytes that no host made for it", id, len(value))
+		l.breaks("%s was served with %d bytes that no host produced for it", id, len(value))
 	}
 }
 
-// Left says that a client has gone away, or was cut off, without an answer.
+// Left records that a client disconnected, or was cut off, without an answer.
 func (l *Ledger) Left(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,22 +169,22 @@
 	l.of(id).answers++
 }
 
-// Arrived says that a request has come whole to a host, on a connection that is open; work is what it would take warm.
+// Arrived records that a host has received a whole request on an open connection; work is its execution time on a warm host.
 func (l *Ledger) Arrived(host, id string, work time.Duration) { l.ArrivedOn(host, id, work, nil) }
 
-// ArrivedOn is Arrived with a look at the connection: an attempt is out only as long as that is open, whether its host has noticed
-// its end or not.
+// ArrivedOn is like Arrived with a function that reports whether the connection is open: an attempt is in flight only as long
+// as it is, even if the host has not noticed yet that the connection ended.
 func (l *Ledger) ArrivedOn(host, id string, work time.Duration, open func() bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	l.loadLocked(host, work, now)
-	if _, linked := l.of(id).sent[host]; !linked { // else it was checked when it was written
+	if _, linked := l.of(id).sent[host]; !linked { // otherwise it was checked when it was written to the link
 		l.sentLocked(host, id, now, now, open)
 	}
 }
 
-// sentLocked checks an attempt of which the first and the last byte came at these times.
+// sentLocked checks an attempt whose first and last byte were received at first and last.
 func (l *Ledger) sentLocked(host, id string, first, last time.Time, open func() bool) {
 	r := l.of(id)
 	l.counts.Attempts++
@@ -190,12 +192,12 @@
 	l.checkAttempt(host, id, first, last, r)
 	if told, ok := l.told[host]; ok && l.Limits.Grace > 0 && first.Sub(told) > l.Limits.Grace+l.slack() {
 		l.counts.AfterDrain++
-		l.breaks("%s comes to %s %v after it was told gone", id, host, first.Sub(told))
+		l.breaks("%s arrived at %s %v after discovery listed the host as draining or removed", id, host, first.Sub(told))
 	}
 }
 
-// checkOut checks that no other attempt is out. One that is seen only once its connection has ended has been given up, maybe before an
-// attempt that was seen already began.
+// checkOut checks that no other attempt of the request is in flight. An attempt that is seen only after its connection ended
+// was abandoned, possibly before another attempt that was seen earlier began, and is ignored.
 func (l *Ledger) checkOut(host, id string, r *request, open func() bool) {
 	if open != nil && !open() {
 		return
@@ -205,12 +207,12 @@
 			continue
 		}
 		l.counts.TwoOut++
-		l.breaks("%s is out at %s and at %s", id, other, host)
+		l.breaks("%s is in flight at %s and at %s", id, other, host)
 	}
 	r.out[host] = open
 }
 
-// loadLocked checks the work that a cold host is sent.
+// loadLocked checks the amount of work sent to a cold host.
 func (l *Ledger) loadLocked(host string, work time.Duration, now time.Time) {
 	c := l.cold[host]
 	if c == nil || l.Limits.Overload == 0 {
@@ -230,23 +232,23 @@
 	}
 }
 
-// checkAttempt checks what an attempt that comes to a host must keep to, by who asked for it and when. A drain and a client's leaving
-// bound its first byte, the window of repeats its last.
+// checkAttempt checks the time of an attempt against the drain notification of its gateway, the disconnect of its client and
+// earlier attempts. Drain and disconnect limit the time of its first byte, the window for retries that of its last byte.
 func (l *Ledger) checkAttempt(host, id string, first, last time.Time, r *request) {
 	told, notified := l.notified[notice{r.via, host}]
 	if notified && l.Limits.Grace > 0 && first.Sub(told) > l.Limits.Grace+l.slack() {
 		l.counts.AfterDrain++
-		l.breaks("%s comes from %s to %s %v after that was notified that it drains", id, r.via, host, first.Sub(told))
+		l.breaks("%s from %s arrived at %s %v after the gateway was notified of the drain", id, r.via, host, first.Sub(told))
 	}
 	if !r.left.IsZero() && l.Limits.Leave > 0 && first.Sub(r.left) > l.Limits.Leave+l.slack() {
 		l.counts.AfterLeaving++
-		l.breaks("%s comes to %s %v after its client left", id, host, first.Sub(r.left))
+		l.breaks("%s arrived at %s %v after its client disconnected", id, host, first.Sub(r.left))
 	}
 	r.came = true
 	for before, at := range r.began {
 		if l.Limits.Window > 0 && r.write && last.Sub(at) > l.Limits.Window+l.slack() {
 			l.counts.AfterWindow++
-			l.breaks("%s comes again to %s %v after it came to %s, where it may have run", id, host, last.Sub(at), before)
+			l.breaks("%s was retried at %s %v after it arrived at %s, where it was possibly executed", id, host, last.Sub(at), before)
 		}
 	}
 	if _, again := r.began[host]; !again {
@@ -254,21 +256,21 @@
 	}
 }
 
-// Unrun says that a host has turned a request away: what came to it did not run.
+// Unrun records that a host has rejected a request without executing it.
 func (l *Ledger) Unrun(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.of(id).began, host)
 }
 
-// Via says which gateway a request is asked of.
+// Via records the gateway to which a request is sent.
 func (l *Ledger) Via(id, gateway string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.of(id).via = gateway
 }
 
-// Leaves says that a request's client goes away now, without waiting for the answer.
+// Leaves records that the client of a request disconnects now, without waiting for the answer.
 func (l *Ledger) Leaves(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -276,21 +278,22 @@
 	l.of(id).answers++
 }
 
-// Came says whether a request has come to a host.
+// Came reports whether a request has reached a host.
 func (l *Ledger) Came(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.of(id).came
 }
 
-// Breaks notes a rule that somebody else has seen broken.
+// Breaks records a violation found outside the ledger.
 func (l *Ledger) Breaks(rule string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breaks(rule, args...)
 }
 
-// Notified says that one gateway counts as notified, from a time on, that a host drains or is gone; an earlier time stands.
+// Notified records that a gateway counts as notified, from a time on, that a host drains or was removed. An earlier time is
+// kept.
 func (l *Ledger) Notified(gateway, host string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -303,7 +306,8 @@
 	}
 }
 
-// Restarted says that a gateway starts anew and knows nothing of before: it counts as notified of what it was from a time on.
+// Restarted records that a gateway was started again without its former state. Notifications that it had received count from
+// the given time on.
 func (l *Ledger) Restarted(gateway string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -312,14 +316,14 @@
 			l.notified[n] = at
 		}
 	}
-	for n := range l.follows { // the new process has been told nothing
+	for n := range l.follows { // the new process has received none of these answers
 		if n.gateway == gateway {
 			delete(l.follows, n)
 		}
 	}
 }
 
-// Reopened says that a host serves again: no gateway is bound by what it was notified of before.
+// Reopened records that a host serves again, which cancels all earlier notifications.
 func (l *Ledger) Reopened(host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -330,16 +334,16 @@
 	}
 }
 
-// Over says that an attempt is no longer out: it was answered, or its connection has ended.
+// Over records that an attempt is no longer in flight: it was answered, or its connection ended.
 func (l *Ledger) Over(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.of(id); r.sent[host].IsZero() { // else it is over when the gateway has the answer
+	if r := l.of(id); r.sent[host].IsZero() { // otherwise it ends when the gateway receives the answer
 		delete(r.out, host)
 	}
 }
 
-// Ran says that a host has begun to run a request.
+// Ran records that a host has begun to execute a request.
 func (l *Ledger) Ran(host, id string, write bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -349,12 +353,12 @@
 		l.counts.WritesRan++
 		if r.ran > 1 && !r.repeatable {
 			l.counts.Doubled++
-			l.breaks("%s runs again at %s", id, host)
+			l.breaks("%s was executed again at %s", id, host)
 		}
 	}
 }
 
-// Told says that gateways were told now that a host drains or is gone; back ends that.
+// Told records that discovery now lists a host as draining or removed, or, with back set, as serving again.
 func (l *Ledger) Told(host string, back bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -368,7 +372,7 @@
 	}
 }
 
-// Cold says that a host has started cold; capacity gives the work that it can do in a second from then on.
+// Cold records that a host has started cold; capacity returns the work per second that it can do at a time.
 func (l *Ledger) Cold(host string, capacity func(time.Time) float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -378,21 +382,21 @@
 	l.cold[host] = &cold{capacity: capacity}
 }
 
-// Counts gives what was seen so far.
+// Counts returns the numbers seen so far.
 func (l *Ledger) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Broken gives the rules that were broken, and requests that were asked and never answered.
+// Broken returns the violations so far, including requests that were sent and never answered.
 func (l *Ledger) Broken() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := append([]string(nil), l.broken...)
 	for id, r := range l.requests {
 		if !r.asked.IsZero() && r.answers == 0 {
-			out = append(out, id+" is never answered")
+			out = append(out, id+" was never answered")
 		}
 	}
 	return out
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-func TestEachRuleIsNoticedWhenBroken(t *testing.T) {
+func TestLedgerDetectsViolations(t *testing.T) {
 	soon := func() time.Time { return time.Now().Add(time.Second) }
 	for want, do := range map[string]func(l *Ledger){
 		"":                    func(l *Ledger) { l.Asked("a", true, false, soon()); l.Ran("h", "a", true); l.Answered("a", Served) },
 		"never answered":      func(l *Ledger) { l.Asked("a", true, false, soon()) },
 		"answered 2 times":    func(l *Ledger) { l.Ran("h", "a", false); l.Answered("a", Served); l.Answered("a", Failed) },
 		"ran at no host":      func(l *Ledger) { l.Answered("a", Served) },
-		"runs again":          func(l *Ledger) { l.Ran("h", "a", true); l.Ran("i", "a", true) },
-		"refused and has run": func(l *Ledger) { l.Ran("h", "a", true); l.Answered("a", Refused) },
-		"is out at":           func(l *Ledger) { l.Arrived("h", "a", 0); l.Arrived("i", "a", 0) },
+		"executed again":      func(l *Ledger) { l.Ran("h", "a", true); l.Ran("i", "a", true) },
+		"refused but has run": func(l *Ledger) { l.Ran("h", "a", true); l.Answered("a", Refused) },
+		"in flight at":        func(l *Ledger) { l.Arrived("h", "a", 0); l.Arrived("i", "a", 0) },
 		"data 100ms too old":  func(l *Ledger) { l.Read("h", "a", time.Now(), time.Now().Add(-100*time.Millisecond), 0) },
 		"data 1ms too old":    func(l *Ledger) { l.ReadOwn("h", "a", time.Now(), time.Now().Add(-time.Millisecond), time.Now()) },
-		"data 1s too old": func(l *Ledger) { // the gateway has been told, for longer than it may take to know, that the host follows
+		"data 1s too old": func(l *Ledger) { // the gateway has had the follower's answer for longer than KnownAfter
 			l.Leadership("h", Leads)
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Millisecond)
@@ -27,8 +27,8 @@
 			time.Sleep(151 * time.Millisecond)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Second), 0)
 		},
-		"no host made for it": func(l *Ledger) { l.Made("a", []byte("v")); l.Made("b", []byte("w")); l.ServedWith("a", []byte("w")) },
-		"after it was told":   func(l *Ledger) { l.Told("h", false); time.Sleep(1100 * time.Millisecond); l.Arrived("h", "a", 0) },
+		"no host produced":       func(l *Ledger) { l.Made("a", []byte("v")); l.Made("b", []byte("w")); l.ServedWith("a", []byte("w")) },
+		"after discovery listed": func(l *Ledger) { l.Told("h", false); time.Sleep(1100 * time.Millisecond); l.Arrived("h", "a", 0) },
 		"client stopped waiting": func(l *Ledger) {
 			l.Asked("a", false, true, soon())
 			time.Sleep(1100 * time.Millisecond)
@@ -56,26 +56,26 @@
 		l := &Ledger{Limits: Limits{Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond}}
 		old := func(id string) { l.Read("h", id, time.Now(), time.Now().Add(-time.Second), 0) }
 		l.Leadership("h", Leads)
-		old("a") // it leads
+		old("a") // it is the primary
 		l.Leadership("h", Deposed)
-		old("a") // nobody has been told
+		old("a") // no gateway has a follower's answer
 		time.Sleep(time.Millisecond)
 		l.Via("b", "n1")
 		l.AnsweredAsFollower("h", "b")
 		time.Sleep(100 * time.Millisecond)
-		old("b") // it need not know yet
+		old("b") // within KnownAfter
 		time.Sleep(time.Second)
-		old("a") // another gateway was told
+		old("a") // only another gateway has the follower's answer
 		l.Leadership("h", Leads)
 		l.Leadership("h", Deposed)
-		old("b") // it has led since
+		old("b") // it has been the primary since
 		time.Sleep(time.Millisecond)
 		l.AnsweredAsFollower("h", "b")
 		time.Sleep(time.Second)
 		l.Restarted("n1", time.Now())
-		old("b") // the new process has been told nothing
+		old("b") // the new process has received no answer
 		if got := l.Broken(); len(got) != 0 {
-			t.Errorf("each of these reads is excused, it says %q", got)
+			t.Errorf("violations %q, want none as each of these reads is excused", got)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -89,7 +89,7 @@
 		l.Asked("b", false, true, time.Now().Add(time.Second))
 		l.Left("b")
 		if got := l.Broken(); len(got) != 0 {
-			t.Errorf("nothing is broken, it says %q", got)
+			t.Errorf("violations %q, want none", got)
 		}
 	})
 }
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -1,5 +1,5 @@
-// Package soak draws plans for runs of real gateways under faults. A plan comes from its seed alone, so that a run that broke a
-// rule can be played again; what the processes make of it still depends on the machine.
+// Package soak generates plans for runs of real gateway processes under faults. A plan depends on its seed alone, so that a run
+// that violated a rule can be repeated, although the timing of the processes still depends on the machine.
 package soak
 
 import (
@@ -11,101 +11,102 @@
 	"yokemast/internal/testbed/linkfault"
 )
 
-// FirstInCI and LastInCI are the seeds that are played where none are named.
+// FirstInCI and LastInCI bound the seeds that are run if none are given.
 const FirstInCI, LastInCI = 1, 12
 
 // Kind is a kind of event.
 type Kind string
 
-// Kinds of events. Those of a gateway and of its agent name it by Target, those of a host name the host.
+// Kinds of events. Target is the index of the gateway for events of a gateway or its discovery agent, and the index of the
+// host for events of a host.
 const (
-	AgentSilent    Kind = "agent silent"    // swallows the calls that are out, and all that come
-	AgentSlow      Kind = "agent slow"      // takes 1.5 s for each answer
-	AgentBusy      Kind = "agent busy"      // turns the next call away after 1.9 s
-	AgentResets    Kind = "agent resets"    // resets connections
-	AgentTruncates Kind = "agent truncates" // breaks off in the middle of a list
-	AgentTrickles  Kind = "agent trickles"  // begins to answer and never ends
-	Reload         Kind = "reload"          // SIGHUP, nothing changed
+	AgentSilent    Kind = "agent silent"    // the agent answers neither calls in flight nor later ones
+	AgentSlow      Kind = "agent slow"      // the agent takes 1.5 s for each answer
+	AgentBusy      Kind = "agent busy"      // the agent rejects the next call after 1.9 s
+	AgentResets    Kind = "agent resets"    // the agent resets connections
+	AgentTruncates Kind = "agent truncates" // the agent closes the connection in the middle of a list
+	AgentTrickles  Kind = "agent trickles"  // the agent begins answers and never completes them
+	Reload         Kind = "reload"          // SIGHUP with unchanged settings
 	Reloads        Kind = "reloads"         // SIGHUP every 0.2 s for a while
-	Moves          Kind = "moves"           // SIGHUP every 0.2 s for a while, each to the agent's other address
+	Moves          Kind = "moves"           // SIGHUP every 0.2 s for a while, each switching to the agent's other address
 	HoldUp         Kind = "hold up"         // the process is stopped for 0.15 s
-	Restart        Kind = "restart"         // SIGTERM, SIGKILL at the earliest, and a start
-	Drain          Kind = "drain"           // the host is listed as draining; a primary leads on for a while
-	Gone           Kind = "gone"            // the host leaves the list
+	Restart        Kind = "restart"         // SIGTERM, SIGKILL as early as allowed, and a start
+	Drain          Kind = "drain"           // the host is listed as draining; a primary keeps its role for a while
+	Gone           Kind = "gone"            // the host is removed from the list
 	Back           Kind = "back"            // the host is listed as serving
-	Hang           Kind = "hang"            // the host takes requests and answers none
-	Crash          Kind = "crash"           // the host's process dies, and starts again after a while
+	Hang           Kind = "hang"            // the host receives requests and does not answer
+	Crash          Kind = "crash"           // the host's process ends and starts again after a while
 	Resets         Kind = "resets"          // the host resets all its connections
-	FailOver       Kind = "fail over"       // the primary dies, comes back as a follower that stands where it stood, and another takes over
-	Deposed        Kind = "deposed"         // the primary hangs and is replaced; awake again it follows
-	HandOver       Kind = "hand over"       // leadership moves on, and comes back a moment later
-	Lag            Kind = "lag"             // all replicas apply the log more slowly, and are as far behind as the event's Lag
-	Burst          Kind = "burst"           // the gateway is told SIGHUP, SIGUSR1 and SIGHUP in a row, then is stopped for a moment
-	Series         Kind = "series"          // a planned restart with other signals before and behind SIGTERM
-	Kill           Kind = "kill"            // SIGKILL at once, and a start
-	HangButProbes  Kind = "hang but probes" // the group's primary answers probes alone, by the report that it kept; the group's log stands still
+	FailOver       Kind = "fail over"       // the primary crashes and restarts as a follower at its last position; another takes over
+	Deposed        Kind = "deposed"         // the primary hangs and is replaced; it resumes as a follower
+	HandOver       Kind = "hand over"       // another host becomes primary, and shortly afterwards the first one again
+	Lag            Kind = "lag"             // all replicas apply the log more slowly and lag by the event's Lag
+	Burst          Kind = "burst"           // the gateway gets SIGHUP, SIGUSR1 and SIGHUP in a row and is then stopped briefly
+	Series         Kind = "series"          // a planned restart with other signals before and after SIGTERM
+	Kill           Kind = "kill"            // SIGKILL without SIGTERM, and a start
+	HangButProbes  Kind = "hang but probes" // the group's primary answers only probes, with its last report; the log does not grow
 	ReportsStop    Kind = "reports stop"    // the group's hosts make no load reports
-	OldRole        Kind = "old role"        // the group's primary hands over, and its load report goes on to say that it leads
-	HeldAnswers    Kind = "held answers"    // the group's primary makes its answers, holds them, and gives them all together
-	LogStalls      Kind = "log stalls"      // the group's replicas, which kept up, apply nothing
+	OldRole        Kind = "old role"        // the group's primary hands over, but its load report still states that it is the primary
+	HeldAnswers    Kind = "held answers"    // the group's primary makes its answers, delays them, and sends them all together
+	LogStalls      Kind = "log stalls"      // the group's replicas, without lag before, stop applying the log
 	Link           Kind = "link"            // the gateway's links have a fault
 )
 
-// ageTroubles are the events that make what hosts tell older than it seems.
+// ageTroubles are the events that make statements of hosts older than they appear. HangButProbes is drawn twice as often.
 var ageTroubles = []Kind{HangButProbes, HangButProbes, ReportsStop, OldRole, HeldAnswers, LogStalls}
 
-// Event is one thing that happens.
+// Event is one event of a run.
 type Event struct {
-	At     time.Duration // after the beginning
-	For    time.Duration // how long it lasts; 0: it does not
+	At     time.Duration // after the start of the run
+	For    time.Duration // duration, or 0 for an event without one
 	Kind   Kind
 	Target int
 	Lag    time.Duration // of replicas
-	Group  int           // that it strikes, from 0
-	// With is what happens to the gateway named by Target in the same moment, or that long After; "": nothing. With a restart and no
-	// After the event begins when the next process starts.
+	Group  int           // index of the affected group
+	// With is an event of the gateway given by Target at the same time, or After later; empty for none. If it is a restart and
+	// After is 0, the event begins when the next process starts.
 	With    Kind
 	After   time.Duration
-	Next    bool // another host leads before the one that hangs is awake again
-	Stalled bool // the logs of the group's replicas stand still for as long
+	Next    bool // another host becomes primary before the hung one resumes
+	Stalled bool // the group's replicas apply no log for the same duration
 	Fault   linkfault.Fault
-	Host    int // the link to it has the fault; EveryHost: all links of the gateway have
+	Host    int // index of the host whose link has the fault; EveryHost for all links of the gateway
 }
 
 // EveryHost stands for all hosts.
 const EveryHost = -1
 
-// Age is how old a field is that hosts, discovery or other gateways send.
+// Age classifies the age of a field sent by hosts, discovery or other gateways.
 type Age string
 
-// Ages. Older ones are out of the pages' bounds, where those give any.
+// Ages. Older is beyond the documented bound, if there is one.
 const (
 	Usual   Age = "usual"
 	Allowed Age = "as old as allowed"
 	Older   Age = "older"
 )
 
-// Bounds of ages, by the pages.
+// Documented bounds of ages.
 const (
-	ReportLeast, ReportMost = 59 * time.Millisecond, 190 * time.Millisecond // from one load report to the next
-	KnownWithin             = 100 * time.Millisecond                        // an answer, after it was written
-	ToldWithin              = 6 * time.Second                               // a change of the list
-	RoleToldWithin          = 5 * time.Second                               // a role on the list
+	ReportLeast, ReportMost = 59 * time.Millisecond, 190 * time.Millisecond // interval between two load reports
+	KnownWithin             = 100 * time.Millisecond                        // after an answer was written
+	ToldWithin              = 6 * time.Second                               // after a change of the endpoint list
+	RoleToldWithin          = 5 * time.Second                               // after a change of a role in the endpoint list
 )
 
-// Ages are those of the fields that others send, by what carries them.
+// Ages are the ages of the received fields, by their source.
 type Ages struct {
 	Answers Age // role and position
 	Reports Age // x0 and x1
 	Starts  Age // up_since_ms
-	Roles   Age // the list's role
-	Gossip  Age // the times in datagrams
+	Roles   Age // role in the endpoint list
+	Gossip  Age // times in gossip messages
 }
 
-// Roles is how the list tells who is the primary.
+// Roles is the way in which the endpoint list states the primary.
 type Roles string
 
-// Ways to tell roles.
+// Ways to state roles.
 const (
 	RolesLate  Roles = "late"
 	RolesStart Roles = "as at the start"
@@ -135,31 +136,31 @@
 	return out
 }
 
-// Plan is a run.
+// Plan is the plan of a run.
 type Plan struct {
 	Seed              uint64
 	Gateways, Hosts   int
-	Clients           int // of each gateway
+	Clients           int // per gateway
 	Length            time.Duration
 	Grace             time.Duration    // of drains
-	Deadline, Longest time.Duration    // of reads, and of the class that waits longest
-	Window            time.Duration    // of the keyed class of writes; 0: writes must not run twice
-	Ask               bool             // lists are asked for, not pushed
-	Skew              time.Duration    // what the others' clock shows more than the machine's
-	Crowd             bool             // many more clients, that hold connections
-	Roles             Roles            // how the list tells them
-	RoleLag, StartLag time.Duration    // by which it tells roles and starts late
+	Deadline, Longest time.Duration    // of reads, and of the class with the latest deadline
+	Window            time.Duration    // for retries of the keyed class of writes; 0 if writes must not be executed twice
+	Ask               bool             // gateways subscribe to the endpoint list, which is pushed to them otherwise
+	Skew              time.Duration    // offset of the other processes' clocks
+	Crowd             bool             // many more clients that hold connections
+	Roles             Roles            // how the list states roles
+	RoleLag, StartLag time.Duration    // delay of roles and start times in the list
 	Lag               time.Duration    // of replicas
-	Gossip            bool             // gateways tell each other
-	Eager             int              // clients of each gateway that ask with hardly a pause, beside the others
-	SecondGroup       int              // hosts of a second group; 0: there is one group
-	Reports           [2]time.Duration // bounds of the time from one load report to the next
+	Gossip            bool             // gateways exchange gossip messages
+	Eager             int              // additional clients per gateway that send with hardly a pause
+	SecondGroup       int              // number of hosts of a second group; 0 for a single group
+	Reports           [2]time.Duration // bounds of the interval between two load reports
 	Ages              Ages
-	Linked            []bool // of each gateway, whether it reaches the hosts over links; nil: none does
+	Linked            []bool // by gateway, whether it reaches the hosts over links; nil if none does
 	Events            []Event
 }
 
-// New draws the plan of a seed.
+// New returns the plan for a seed.
 func New(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	between := func(least, most time.Duration) time.Duration {
@@ -180,7 +181,7 @@
 	p.RoleLag, p.StartLag = between(300*time.Millisecond, 4*time.Second), between(0, 2*time.Second)
 	p.Lag = []time.Duration{5 * time.Millisecond, 20 * time.Millisecond, 450 * time.Millisecond, 3 * time.Second}[rng.IntN(4)]
 	p.Gossip = rng.IntN(2) == 0
-	last := p.Length - 8*time.Second // what a drain near the end must keep to is still seen
+	last := p.Length - 8*time.Second // leaves time to observe the effects of a drain near the end
 	for range 4 + rng.IntN(4) {
 		kinds := []Kind{AgentSilent, AgentSlow, AgentBusy, AgentResets, AgentTruncates, AgentTrickles, Reload, Reloads, Moves, HoldUp, HoldUp, Restart, Burst}
 		e := Event{At: between(500*time.Millisecond, last), Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(p.Gateways)}
@@ -204,8 +205,8 @@
 	return p
 }
 
-// drains draws drains, some of which end in the host's leaving, or in its return. One host is never drained; the first primary
-// often is, and may lead on for long.
+// drains draws drains, some of which end with the host's removal or its return. One host is never drained. The first primary
+// often is, and may keep its role for long.
 func (p *Plan) drains(rng *rand.Rand, last time.Duration) {
 	order := rng.Perm(p.Hosts)
 	if first := slices.Index(order, 0); rng.IntN(2) == 0 {
@@ -225,8 +226,8 @@
 	}
 }
 
-// ages draws how old what others send is, and events that make it older. It has a generator of its own, so that the rest of a seed's
-// plan stays what it was before there was any of this.
+// ages draws the ages of received fields and events that increase them. It has its own random generator, so that the rest of the
+// plan of a seed is the same as before ages were added.
 func (p *Plan) ages(rng *rand.Rand, last time.Duration) {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(rng.Int64N(int64(most-least)))
@@ -275,11 +276,11 @@
 	}
 }
 
-// lateUpMost is by how much connections come up late at most, by the page on short days.
+// lateUpMost is the documented maximum delay in establishing a connection.
 const lateUpMost = 1500 * time.Millisecond
 
-// links draws which gateways reach the hosts over links, and the faults of those, in half of the plans. As ages, it has a generator of
-// its own.
+// links draws, in half of the plans, the gateways that reach the hosts over links, and the faults of the links. Like ages, it
+// has its own random generator.
 func (p *Plan) links(rng *rand.Rand, last time.Duration) {
 	if rng.IntN(2) == 0 {
 		return
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -9,7 +9,7 @@
 	"yokemast/internal/testbed/linkfault"
 )
 
-func TestAPlanComesFromItsSeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	seen := map[Kind]bool{}
 	for seed := range uint64(200) {
 		p := New(seed)
@@ -19,19 +19,19 @@
 		for _, e := range p.Events {
 			seen[e.Kind] = true
 			if e.At < 0 || e.At > p.Length {
-				t.Errorf("seed %d: %s in a run of %s", seed, e, p.Length)
+				t.Errorf("seed %d: event %s in a run of %s", seed, e, p.Length)
 			}
 		}
 	}
 	for _, k := range []Kind{AgentSilent, AgentSlow, AgentBusy, AgentResets, AgentTruncates, AgentTrickles, Reload, Reloads, Moves, HoldUp,
 		Restart, Drain, Gone, Back, Hang, Crash, Resets, HangButProbes, ReportsStop, OldRole, HeldAnswers, LogStalls} {
 		if !seen[k] {
-			t.Errorf("no plan has a %s", k)
+			t.Errorf("no plan has the event %q", k)
 		}
 	}
 }
 
-func TestCIPlaysEachFieldAsOldAsAllowedAndOlder(t *testing.T) {
+func TestCISeedsCoverAllAges(t *testing.T) {
 	seen := map[string]map[Age]bool{"answers": {}, "reports": {}, "starts": {}, "roles": {}, "gossip": {}}
 	for seed := uint64(FirstInCI); seed <= LastInCI; seed++ {
 		p := New(seed)
@@ -48,13 +48,13 @@
 	for field, ages := range seen {
 		for _, a := range []Age{Allowed, Older} {
 			if !ages[a] {
-				t.Errorf("no seed of CI has %s %s", field, a)
+				t.Errorf("no CI seed has %s of age %q", field, a)
 			}
 		}
 	}
 }
 
-func TestAgesKeepToTheirBounds(t *testing.T) {
+func TestAgesRespectBounds(t *testing.T) {
 	for seed := range uint64(500) {
 		p := New(seed)
 		for _, field := range []struct {
@@ -67,16 +67,16 @@
 			{"role", p.Ages.Roles, p.RoleLag, RoleToldWithin},
 		} {
 			if older := field.lag > field.within; older != (field.age == Older) {
-				t.Errorf("seed %d: a %s that is %s is told within %s, bound %s", seed, field.name, field.age, field.lag, field.within)
+				t.Errorf("seed %d: a %s of age %q arrives within %s, bound %s", seed, field.name, field.age, field.lag, field.within)
 			}
 		}
 		if p.Reports[0] > p.Reports[1] {
-			t.Errorf("seed %d: reports are made every %s", seed, p.Reports)
+			t.Errorf("seed %d: intervals of reports %s", seed, p.Reports)
 		}
 	}
 }
 
-func TestEachAgeTroubleComesWithEachThingAtAGateway(t *testing.T) {
+func TestPlansCombineAgeAndGatewayEvents(t *testing.T) {
 	seen := map[[2]Kind]bool{}
 	groups := map[int]bool{}
 	for seed := range uint64(1000) {
@@ -88,16 +88,16 @@
 	for _, trouble := range ageTroubles {
 		for _, with := range []Kind{"", HoldUp, Burst, Restart, Series, Kill} {
 			if !seen[[2]Kind{trouble, with}] {
-				t.Errorf("no plan has a %s with %q", trouble, with)
+				t.Errorf("no plan has the event %q with %q", trouble, with)
 			}
 		}
 	}
 	if len(groups) != 2 {
-		t.Errorf("events strike %d groups", len(groups))
+		t.Errorf("events affect %d groups, want 2", len(groups))
 	}
 }
 
-func TestCIPlaysEachFaultOfLinks(t *testing.T) {
+func TestCISeedsCoverAllLinkFaults(t *testing.T) {
 	seen := map[linkfault.Kind]bool{}
 	plans := 0
 	for seed := uint64(FirstInCI); seed <= LastInCI; seed++ {
@@ -107,16 +107,16 @@
 		}
 		for _, e := range p.Events {
 			if seen[e.Fault.Kind] = true; e.Kind == Link && !p.Linked[e.Target] {
-				t.Errorf("seed %d: %s, and gateway %d has no links", seed, e, e.Target)
+				t.Errorf("seed %d: event %s, but gateway %d has no links", seed, e, e.Target)
 			}
 		}
 	}
 	for _, k := range linkfault.Kinds {
 		if !seen[k] {
-			t.Errorf("no seed of CI has a link that %s", k)
+			t.Errorf("no CI seed has the link fault %q", k)
 		}
 	}
 	if plans < 3 {
-		t.Errorf("%d plans of CI have links", plans)
+		t.Errorf("%d plans of CI seeds have links, want at least 3", plans)
 	}
 }
--- a/internal/testbed/stall/stall.go
+++ b/internal/testbed/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall measures how long the machine itself holds processes up. Checks of times on real sockets allow for it: a rule
-// that is broken because nobody got processor time is not the gateway's doing, and on a quiet machine nothing is allowed.
+// Package stall measures stalls of the machine, in which processes get no processor time. Checks of times on real sockets add
+// the stalls to their limits, as the gateway is not responsible for them. On an idle machine nothing is added.
 package stall
 
 import (
@@ -8,35 +8,35 @@
 )
 
 const (
-	every  = time.Millisecond
-	window = 2 * time.Second
-	// least is the shortest stall that counts.
+	every  = time.Millisecond // interval of the measurements
+	window = 2 * time.Second  // in which stalls count as recent
+	// least is the minimum duration of a stall that counts.
 	least = 5 * time.Millisecond
 )
 
 type stall struct {
-	at   time.Time
+	at   time.Time // end of the stall
 	long time.Duration
 }
 
-// Monitor watches for stalls until it is stopped.
+// Monitor detects stalls until it is stopped.
 type Monitor struct {
 	stop chan struct{}
 
 	mu   sync.Mutex
 	seen []stall
 	most stall
-	last time.Time // when it looked last
+	last time.Time // time of the last measurement
 }
 
-// Start begins to watch.
+// Start starts a monitor.
 func Start() *Monitor {
 	m := &Monitor{stop: make(chan struct{}), last: time.Now()}
 	go m.watch()
 	return m
 }
 
-// Stop ends it.
+// Stop stops the monitor.
 func (m *Monitor) Stop() { close(m.stop) }
 
 func (m *Monitor) watch() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// look notes the stall that ends now, if there was one.
+// look records the stall that ends now, if there was one.
 func (m *Monitor) look(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,15 +71,15 @@
 	}
 }
 
-// Longest is the longest stall so far, and when it ended.
+// Longest returns the duration and the end of the longest stall so far.
 func (m *Monitor) Longest() (long time.Duration, ended time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.most.long, m.most.at
 }
 
-// Lately is the sum of the stalls of the last two seconds. One that still holds the monitor itself up counts: who asks may have got a
-// processor before it.
+// Lately returns the sum of the stalls of the last two seconds. A stall that still lasts for the monitor counts, as the caller
+// may have got processor time before the monitor.
 func (m *Monitor) Lately() (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbed/stall/stall_test.go
+++ b/internal/testbed/stall/stall_test.go
@@ -14,28 +14,28 @@
 	m.noteLocked(now, 20*time.Millisecond)
 	m.noteLocked(now, least/2)
 	if got := m.Lately(); got != 50*time.Millisecond {
-		t.Errorf("stalls of %s lately", got)
+		t.Errorf("recent stalls of %s", got)
 	}
 }
 
-func TestTheLongestStallIsKept(t *testing.T) {
+func TestLongestStallIsKept(t *testing.T) {
 	m := &Monitor{}
 	ended := time.Now().Add(-2 * window)
 	m.noteLocked(ended, time.Second)
 	m.noteLocked(ended.Add(2*window), 30*time.Millisecond)
 	if long, at := m.Longest(); long != time.Second || !at.Equal(ended) {
-		t.Errorf("the longest stall was of %s until %s", long, at)
+		t.Errorf("longest stall %s, ended %s", long, at)
 	}
 }
 
-func TestAStallThatGoesOnCounts(t *testing.T) {
+func TestOngoingStallCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &Monitor{last: time.Now()}
-		time.Sleep(time.Second + every) // with nobody that looks
+		time.Sleep(time.Second + every) // without a measurement
 		before := m.Lately()
 		m.look(time.Now())
 		if after := m.Lately(); before != time.Second || after != time.Second {
-			t.Errorf("stalls of %s as it goes on, %s as it is over", before, after)
+			t.Errorf("stalls of %s during the stall, %s after it", before, after)
 		}
 	})
 }
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -7,22 +7,22 @@
 	"yokemast/internal/wire/pg"
 )
 
-// expect is what the host owes for one message that was sent to it, or an answer that is known without it.
+// expect describes the host's expected answer to one message, or an answer that the gateway itself gives.
 type expect struct {
-	kind      byte               // of the message; 0: made is the answer
-	made      []byte             // for the client
-	hidden    bool               // the client did not ask for it
-	carry     bool               // it brings the connection to the session's settings
-	statement *pooling.Statement // of a Parse or Bind, as the host has it
-	of        byte               // S: of a Describe of a statement
-	name      string             // the client's for it
-	commands  []pooling.Command  // that complete in turn
+	kind      byte               // of the message, or 0 if made is the answer
+	made      []byte             // answer of the gateway itself, or nil
+	hidden    bool               // the answer is not forwarded, as the gateway sent the message on its own
+	carry     bool               // the message applies the session's settings to the connection
+	statement *pooling.Statement // of a Parse or Bind, as prepared on the host
+	of        byte               // target of a Describe: 'S' for a statement
+	name      string             // the client's name of the statement
+	commands  []pooling.Command  // commands that the answer completes, in order
 }
 
-// unknown is a name that no host connection has a statement under: the host says so itself.
+// unknown is a statement name that exists on no host connection, so that the host itself reports the error.
 const unknown = "yk_unknown"
 
-// build turns the batch into what goes to the host and what it owes for that.
+// build translates the batch into the messages for the host and the answers expected to them.
 func (x *exchangeOf) build() error {
 	link := x.h.Link()
 	if x.l.skipping {
@@ -38,7 +38,7 @@
 		x.expects = append(x.expects, expect{kind: pg.Query, hidden: true, carry: true})
 	}
 	x.portals = map[string]*pooling.Statement{}
-	if x.l.bound != nil { // a portal of a Bind that came before
+	if x.l.bound != nil { // the portal of a Bind streamed before
 		x.portals[x.l.portal], x.l.bound = x.l.bound, nil
 	}
 	add, here := x.add, x.here
@@ -54,7 +54,7 @@
 			}
 			st := pooling.NewStatement(p.Text, p.Types)
 			if !x.s.Prepare(p.Name, st) {
-				// Under a name that is taken the host would say so; it has none of the client's names.
+				// The gateway reports a duplicate name itself, as the host does not know the client's names.
 				add(expect{made: pg.AppendError(nil, &pg.Error{Code: "42P05",
 					Message: fmt.Sprintf("prepared statement %q already exists", p.Name)}), kind: pg.ErrorResponse})
 				return nil
@@ -68,7 +68,7 @@
 			}
 		case pg.Bind:
 			if m.Rest != nil {
-				continue // the last one: it follows when what stands before it has its answers
+				continue // always the last message: it is sent once the messages before it are answered
 			}
 			portal, name, rest, err := pg.ReadBind(m.Body)
 			if err != nil {
@@ -132,7 +132,7 @@
 
 func (x *exchangeOf) add(e expect) { x.expects = append(x.expects, e) }
 
-// here prepares a statement on this connection where it is not, and gives its name.
+// here prepares a statement on this connection if it is not prepared yet, and returns its name on the host.
 func (x *exchangeOf) here(st *pooling.Statement) string {
 	link := x.h.Link()
 	name, parse := link.Use(st)
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -11,22 +11,22 @@
 	"yokemast/internal/wire/pg"
 )
 
-// exchangeOf is one batch's way to the host and back.
+// exchangeOf is the exchange of one batch with a host.
 type exchangeOf struct {
 	l          *Lease
 	h          *backend.Host
 	s          *pooling.Session
 	b          *Batch
-	statements map[string]*pooling.Statement // as they were before
+	statements map[string]*pooling.Statement // the session's prepared statements before the batch
 	portals    map[string]*pooling.Statement
 	query      []byte
 	expects    []expect
 	out        []byte
-	sent       bool // something has gone to the host
-	relayed    bool // something has gone to the client
-	last       byte // kind of the last message from the host
-	read       bool // it has given a row
-	wrote      time.Duration
+	sent       bool          // something was sent to the host
+	relayed    bool          // something was sent to the client
+	last       byte          // kind of the last message from the host
+	read       bool          // the host has sent a row
+	wrote      time.Duration // as Done.Wrote
 }
 
 func (x *exchangeOf) flush() error {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// run takes the batch to the host and its answer to the client.
+// run sends the batch to the host and forwards its answer to the client.
 func (x *exchangeOf) run() error {
 	x.s.StartBatch()
 	x.h.Begin()
@@ -54,14 +54,14 @@
 		return err
 	}
 	if n := len(x.expects); n > 0 && x.expects[n-1].made != nil && x.expects[n-1].kind == pg.ErrorResponse {
-		// Found here, in the middle of a batch: what stands before it runs, and the rest up to Sync does not.
+		// The gateway found an error within the batch: the messages before it run, the rest up to Sync does not.
 		x.query = pg.Append(x.query, pg.Sync)
 		x.expects = append(x.expects, expect{kind: pg.Sync})
 	}
 	x.expects = append(x.l.owed, x.expects...)
 	x.l.owed = nil
 	if x.b.Part && len(x.expects) > 0 {
-		x.query = pg.Append(x.query, pg.Flush) // nothing may wait for us to read while we write a long message
+		x.query = pg.Append(x.query, pg.Flush) // the answers must be read before the long message is written, or both ends could block
 	}
 	var written chan error
 	if len(x.query) > 0 {
@@ -71,7 +71,7 @@
 				return err
 			}
 		} else {
-			// The host may answer the first statements of a long pipeline before it reads the last.
+			// The host may answer the first statements of a long pipeline before it reads the last ones.
 			written = make(chan error, 1)
 			go func() { written <- x.h.Write(x.query) }()
 		}
@@ -101,10 +101,10 @@
 	return x.flush()
 }
 
-// writeAhead is how much is written before answers are read: it fits into the buffers between two sockets.
+// writeAhead is the number of bytes written before answers are read; they fit into the socket buffers of both ends.
 const writeAhead = 32 << 10
 
-// stream passes a Bind on as it comes. It can't be sent again, to no other host.
+// stream forwards a Bind as it arrives. It cannot be retried, on this host or another.
 func (x *exchangeOf) stream(m Message) error {
 	if x.l.skipping {
 		m.Rest.Discard()
@@ -144,13 +144,13 @@
 	return nil
 }
 
-// errBehind says that a host which was taken for the primary is none any more, and lies behind what the session must see.
+// errBehind reports that a presumed primary no longer is one and lags behind the position that the session must see.
 var errBehind = errors.New("the host lies behind what the session has written")
 
-// errStale says that the data behind an answer proves to be older than its class allows.
+// errStale reports that the data of an answer proved to be older than its class allows.
 var errStale = errors.New("the answer is older than its class allows")
 
-// rollback ends the open transaction and says whether the connection is clean after it.
+// rollback rolls back the open transaction and reports whether the connection is clean afterwards.
 func (x *exchangeOf) rollback() bool {
 	if !x.s.InTransaction() {
 		return x.h.Quiet()
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -11,7 +11,7 @@
 	"yokemast/internal/wire/pg"
 )
 
-// receiveAll takes all that is owed.
+// receiveAll reads all expected answers and forwards them.
 func (x *exchangeOf) receiveAll() error {
 	for len(x.expects) > 0 {
 		e := &x.expects[0]
@@ -35,8 +35,9 @@
 	return nil
 }
 
-// full says that what has been gathered goes to the client. What may yet prove too old is held as long as there is room, and the
-// end of a statement in any case: an error in its place makes it one that failed.
+// full reports whether the buffered answers must be written to the client. While the age of the data is unknown, rows are
+// buffered up to holdMost bytes. The end of a statement is always buffered then, because an error in its place tells the
+// client that the statement failed.
 func (x *exchangeOf) full() bool {
 	if x.h.Untold() {
 		return len(x.out) >= holdMost && x.last == pg.DataRow
@@ -46,7 +47,7 @@
 
 func (x *exchangeOf) pop() { x.expects = x.expects[1:] }
 
-// receive takes one message from the host.
+// receive reads one message from the host.
 func (x *exchangeOf) receive(e *expect) error {
 	kind, length, err := x.h.Head()
 	if err != nil {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// pass gives a piece of a long row to the client, unless its time is over.
+// pass writes a piece of a long row to the client, unless the attempt's deadline has passed.
 func (x *exchangeOf) pass(piece []byte) error {
 	if x.h.Late() {
 		return nil
@@ -194,7 +195,7 @@
 		x.l.Pinned(fresh)
 	}
 	if c.Kind == pooling.Write || c.Kind == pooling.Commit && tag != "ROLLBACK" {
-		// When is told with the end of the batch, if at all: what the host told before lies before the commit.
+		// The commit's position comes with the end of the batch, if at all; earlier positions lie before the commit.
 		x.wrote = -1
 		x.h.ForgetPosition()
 	}
@@ -208,10 +209,10 @@
 	x.h.Link().AdoptSettings(x.s)
 }
 
-// errCarry says that the session's settings could not be brought to the connection.
+// errCarry reports that the host refused the session's settings on the connection.
 var errCarry = errors.New("the session's settings are refused")
 
-// failed takes an error of the host's. The host skips all up to the end of the batch.
+// failed handles an error response of the host, after which the host skips all messages up to the end of the batch.
 func (x *exchangeOf) failed(e *expect, body []byte) error {
 	bad := pg.ReadError(body)
 	if len(bad.Code) != 5 {
@@ -222,11 +223,11 @@
 	}
 	x.s.Failed()
 	if bad.Code == "26000" {
-		body = bytes.ReplaceAll(body, []byte(unknown), []byte(e.name)) // as its client calls it
+		body = bytes.ReplaceAll(body, []byte(unknown), []byte(e.name)) // the name that the client uses
 	}
 	x.out = pg.Append(x.out, pg.ErrorResponse, body)
 	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(bad.Message, "cached plan must not change") {
-		x.h.Link().Forget(e.statement) // prepared anew, it gives what there is now; its client is told by the error
+		x.h.Link().Forget(e.statement) // it is prepared again with the current result type; the client gets the error
 	}
 	if bad.Fatal {
 		if err := x.flush(); err != nil {
@@ -241,7 +242,7 @@
 	for len(x.expects) > 0 && x.expects[0].kind != pg.Sync {
 		skipped := &x.expects[0]
 		if skipped.kind == pg.Parse {
-			// It was never prepared: neither for this connection nor, if its client named it just now, for the session.
+			// It was never prepared on this connection, nor, if this batch introduced its name, in the session.
 			x.h.Link().Forget(skipped.statement)
 			x.h.Link().Evicted()
 			if !skipped.hidden {
@@ -251,7 +252,7 @@
 		x.pop()
 	}
 	if len(x.expects) == 0 {
-		x.l.skipping = true // a Flush and no Sync: the host skips all until the client sends one
+		x.l.skipping = true // the batch ended with a Flush: the host skips all until the client sends a Sync
 	}
 	return nil
 }
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries what a client's session asks in general SQL to a host connection and back: simple and extended
-// queries, pipelines, transactions. What has to be set up on the connection first, and what the session keeps, is decided by
-// package pooling; which host it is, by the decision module, which gave it the attempt that Converse fills.
+// Package relay forwards the general SQL of a client's session to a host connection and the answers back: simple and
+// extended queries, pipelines and transactions. Package pooling decides what has to be set up on the connection first and
+// which state the session keeps. Package balance selects the host; Converse carries out the attempt that it issued.
 package relay
 
 import (
@@ -18,37 +18,37 @@
 )
 
 const (
-	flushAt     = 16 << 10 // bytes of answers gathered before they are written
-	bodyMost    = 16 << 10 // a longer body is passed on without being held
-	holdMost    = 80 << 10 // of an answer that is held until its age is known: a value of 64 KiB and what goes with it
+	flushAt     = 16 << 10 // bytes of answers buffered before they are written to the client
+	bodyMost    = 16 << 10 // bytes; a longer body is forwarded in pieces without being buffered
+	holdMost    = 80 << 10 // bytes of an answer buffered until the age of its data is known: fits a value of 64 KiB and its overhead
 	rollbackIn  = time.Second
 	cancelIn    = time.Second
 	fatalIdle   = "25P03" // idle_in_transaction_session_timeout
 	fatalBroken = "08006" // connection_failure
 )
 
-// Message is one of a client's.
+// Message is one protocol message of a client.
 type Message struct {
 	Kind byte
-	Body []byte  // of a Bind that comes as a stream: its names, each with its zero byte
-	Rest *Stream // what follows Body; nil: nothing
+	Body []byte  // for a Bind that is streamed: portal and statement name, each with its zero byte
+	Rest *Stream // the part after Body, or nil if Body is the whole message
 }
 
-// Stream is the rest of a large message, in pieces as it comes from the client.
+// Stream is the remainder of a large message, in pieces as they arrive from the client.
 type Stream struct {
-	Length int // of the rest, in bytes
+	Length int // of the remainder, in bytes
 	pieces chan []byte
 	quit   chan struct{}
 	once   sync.Once
 }
 
-// NewStream makes a stream of so many bytes.
+// NewStream returns a stream of length bytes.
 func NewStream(length int) *Stream {
 	return &Stream{Length: length, pieces: make(chan []byte), quit: make(chan struct{})}
 }
 
-// Put hands over a piece and waits until it is taken, so that the piece's memory can be used again with the next call but one;
-// false: nobody wants any more.
+// Put hands over a piece and blocks until it is received. The memory of a piece may be reused from the second call after it
+// on. It returns false if the stream was discarded.
 func (s *Stream) Put(piece []byte) bool {
 	select {
 	case s.pieces <- piece:
@@ -58,13 +58,13 @@
 	}
 }
 
-// End says that nothing more comes: the client has gone, or all is there.
+// End marks the end of the stream: the client disconnected, or all pieces were handed over.
 func (s *Stream) End() { close(s.pieces) }
 
-// Discard says that nobody wants any more.
+// Discard tells the sender that no further pieces are needed.
 func (s *Stream) Discard() { s.once.Do(func() { close(s.quit) }) }
 
-// Discard drops what a batch still brings.
+// Discard discards the streams of all messages of the batch.
 func (b *Batch) Discard() {
 	for _, m := range b.Messages {
 		if m.Rest != nil {
@@ -73,15 +73,15 @@
 	}
 }
 
-// Batch is what a client sends before it waits: one Query, or extended messages up to a Sync or Flush.
+// Batch is what a client sends before it waits for an answer: one Query, or extended protocol messages up to a Sync or Flush.
 type Batch struct {
 	Messages []Message
-	Ends     bool // with a Query or Sync: ReadyForQuery follows
-	Part     bool // its last message comes as a stream, and more of the pipeline follows
+	Ends     bool // it ends with a Query or Sync, so that ReadyForQuery follows
+	Part     bool // its last message is streamed, and more of the pipeline follows
 	Commands []pooling.Command
 }
 
-// Writes says that the batch may change data, as far as can be seen.
+// Writes reports whether the batch contains a statement that is recognized as a write, or a commit.
 func (b *Batch) Writes() bool {
 	for _, c := range b.Commands {
 		switch c.Kind {
@@ -92,7 +92,7 @@
 	return false
 }
 
-// Begins says that the batch opens a transaction, and whether that only reads.
+// Begins reports whether the batch opens a transaction, and whether that is read-only.
 func (b *Batch) Begins() (begins, readOnly bool) {
 	for _, c := range b.Commands {
 		if c.Kind == pooling.Begin {
@@ -102,31 +102,31 @@
 	return false, false
 }
 
-// Done says how a batch ended.
+// Done is the result of a batch.
 type Done struct {
-	Keep    bool // the lease goes on: the next batch goes to it
+	Keep    bool // the checkout continues: the next batch goes to it
 	Err     error
-	Relayed bool // with Err: part of the answer has gone out
-	Unsent  bool // with Err: nothing has been sent to the host
-	Wrote   time.Duration
+	Relayed bool          // with Err: part of the answer was sent to the client
+	Unsent  bool          // with Err: nothing was sent to the host
+	Wrote   time.Duration // position after the batch's writes; 0 if it wrote nothing, -1 if the position is unknown
 }
 
-// ErrIdle says that a transaction was open for too long with nothing asked.
+// ErrIdle reports that an open transaction was idle for too long.
 var ErrIdle = errors.New("idle in transaction for too long")
 
-// Lease is a session's hold of a host connection, from a batch until nothing ties them any more. The session calls Next and
-// Close, the backend Converse.
+// Lease is a host connection that is checked out by a session, from a first batch until no transaction and no pin ties the
+// session to it. The session calls Next and Close, the backend calls Converse.
 type Lease struct {
 	Session *pooling.Session
 	Mode    pooling.Mode
-	Write   func([]byte) error // to the client
-	MustSee time.Duration      // position that a read must see; 0: none
-	Idle    time.Duration      // that a transaction may be open with nothing asked
-	Pinned  func(pooling.Pin)  // is told of new reasons to pin
-
-	skipping bool     // of the conversation: the host skips all until a Sync
-	owed     []expect // for what was sent in parts
-	portal   string   // that a Bind in parts has made
+	Write   func([]byte) error // writes to the client
+	MustSee time.Duration      // position that a read must see, or 0
+	Idle    time.Duration      // longest time that a transaction may be open and idle
+	Pinned  func(pooling.Pin)  // called with new reasons to pin
+
+	skipping bool     // the host skips all messages until a Sync
+	owed     []expect // expected answers to messages sent before a streamed one
+	portal   string   // portal created by a streamed Bind
 	bound    *pooling.Statement
 
 	first  *Batch
@@ -136,15 +136,15 @@
 	once   sync.Once
 
 	mu      sync.Mutex
-	over    bool          // it told its end; no other host gets it
-	running *backend.Host // a batch is out there
+	over    bool          // its last result was sent; it runs on no other host
+	running *backend.Host // host that runs a batch, or nil
 	cancels sync.WaitGroup
 
 	writing sync.Mutex
 	muted   bool
 }
 
-// Mute lets nothing more of the lease's reach the client: what follows is the session's own.
+// Mute stops all further output of the checkout to the client: from now on the session writes its own messages.
 func (l *Lease) Mute() {
 	l.writing.Lock()
 	defer l.writing.Unlock()
@@ -160,28 +160,28 @@
 	return l.Write(b)
 }
 
-// New makes a lease for a batch.
+// New returns a checkout for a first batch.
 func New(s *pooling.Session, mode pooling.Mode, write func([]byte) error, first *Batch) *Lease {
 	return &Lease{Session: s, Mode: mode, Write: write, Idle: time.Minute, first: first, next: make(chan *Batch, 1),
 		done: make(chan Done, 2), closed: make(chan struct{}), Pinned: func(pooling.Pin) {}}
 }
 
-// Done gives the end of each batch.
+// Done returns the channel that receives the result of each batch.
 func (l *Lease) Done() <-chan Done { return l.done }
 
-// Next asks for another batch on a lease that is kept.
+// Next submits another batch to a checkout that continues.
 func (l *Lease) Next(b *Batch) { l.next <- b }
 
-// Close ends the lease: an open transaction is rolled back.
+// Close ends the checkout; an open transaction is rolled back.
 func (l *Lease) Close() { l.once.Do(func() { close(l.closed) }) }
 
-// Cancel cancels the batch that is running, if one is. The connection serves nobody else before the host has taken the request.
+// Cancel cancels the running batch, if any. The connection is not reused before the host has received the cancel request.
 func (l *Lease) Cancel(ctx context.Context) error {
 	l.mu.Lock()
 	h := l.running
 	if h == nil {
 		l.mu.Unlock()
-		return nil // its statement has ended: it is meant for nobody
+		return nil // the statement has ended; the cancel must not reach a later one
 	}
 	l.cancels.Add(1)
 	l.mu.Unlock()
@@ -189,7 +189,7 @@
 	return h.Cancel(ctx, cancelIn)
 }
 
-// run marks a batch as running, or not. After it has ended, cancels that were under way are waited for.
+// run sets the host on which a batch runs, or nil when it has ended, and then waits for the cancels in flight.
 func (l *Lease) run(h *backend.Host) {
 	l.mu.Lock()
 	l.running = h
@@ -223,7 +223,7 @@
 			end.Result = balance.NotSent
 			return end
 		case err != nil && !x.relayed && batch == l.first:
-			// The module decides whether it goes again; for the session nothing has happened.
+			// Package balance decides whether to retry, so the session's state is restored.
 			*l.Session = saved
 			l.Session.RestorePrepared(x.statements)
 			end.Result = balance.Reset
@@ -251,7 +251,7 @@
 			return end
 		}
 		l.done <- Done{Keep: true, Wrote: x.wrote}
-		var idle <-chan time.Time // only an open transaction keeps others waiting
+		var idle <-chan time.Time // only an open transaction may block other sessions
 		if l.Session.InTransaction() {
 			idle = time.After(l.Idle)
 		}
@@ -264,14 +264,14 @@
 		case <-idle:
 			ended = ErrIdle
 		}
-		tied := l.Session.Pins() != 0 // that can't be taken off the connection
+		tied := l.Session.Pins() != 0 // pinned state cannot be removed from the connection
 		end.Result, end.Clean = balance.OK, x.rollback() && !tied
 		l.end(Done{Err: ended})
 		return end
 	}
 }
 
-// end tells the end of the lease, once.
+// end sends the last result of the checkout, once.
 func (l *Lease) end(d Done) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -281,12 +281,12 @@
 	}
 }
 
-// badAnswer says that what the host sent is no answer.
+// badAnswer reports that the host sent an invalid answer.
 type badAnswer struct{ what string }
 
 func (b *badAnswer) Error() string { return "the host's answer can't be read: " + b.what }
 
-// ErrorOf is how the end of a lease in the middle is told to its client.
+// ErrorOf returns the error message for a client whose checkout ended early because of err.
 func ErrorOf(err error) *pg.Error {
 	if errors.Is(err, ErrIdle) {
 		return &pg.Error{Code: fatalIdle, Message: err.Error(), Fatal: true}
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -21,7 +21,7 @@
 	"yokemast/internal/wire/pg"
 )
 
-const soon = 10 * time.Second // nothing here takes nearly as long
+const soon = 10 * time.Second // far longer than any step of these tests takes
 
 type outcomes chan exchange.Outcome
 
@@ -29,7 +29,7 @@
 func (outcomes) Probed(balance.ProbeResult)                                        {}
 func (outcomes) Learned(balance.RemoteOutcome, balance.TimeBounds, balance.Report) {}
 
-// host answers every query with the same bytes.
+// host starts a host that answers every message with the same bytes.
 func host(t *testing.T, answer []byte) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,13 +59,14 @@
 	return pg.Append(nil, pg.ParameterStatus, fmt.Appendf(nil, "%s\x00%v\x00", name, value))
 }
 
-// An answer tells the position of its data behind its rows. One that is older than its class allows is not served.
-func TestAConversationsAnswerThatIsTooOldIsNotServed(t *testing.T) {
+// The position of an answer's data follows its rows. A gateway that forwards the rows at once serves stale data to a class
+// that does not allow it.
+func TestStaleAnswersAreNotServed(t *testing.T) {
 	bounded, session := balance.Demand{MaxAge: time.Second}, balance.Demand{MinPosition: time.Second}
 	for name, c := range map[string]struct {
 		role   string
 		age    time.Duration // of the position
-		size   int           // of the value; 0: there is no row
+		size   int           // of the value in bytes; 0 for no row
 		demand balance.Demand
 		want   balance.Result
 	}{
@@ -104,10 +105,10 @@
 			}, &Batch{Messages: []Message{{Kind: pg.Query, Body: []byte("SELECT 1\x00")}}, Ends: true, Commands: pooling.Scan("SELECT 1")})
 			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + soon, Command: lease, Demand: c.demand})
 			if o := <-to; o.Result != c.want {
-				t.Errorf("it ends with %v, want %v", o.Result, c.want)
+				t.Errorf("outcome %v, want %v", o.Result, c.want)
 			}
 			if whole := bytes.Contains(served, complete); whole != (c.want == balance.OK) || c.want == balance.Stale && len(served) > 0 {
-				t.Errorf("its client gets %d bytes, whole: %t", len(served), whole)
+				t.Errorf("client received %d bytes, complete: %t", len(served), whole)
 			}
 		})
 	}
