--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -67,7 +67,7 @@
 		kind, body, err := pg.Read(c.In, pg.MaxLarge)
 		if err != nil {
 			out.Closed = true
-			c.noteReset(err)
+			c.recordReset(err)
 			return out
 		}
 		switch kind {
@@ -93,25 +93,25 @@
 
 // Answer reads the next answer and returns its summary.
 func (c *Client) Answer() string {
-	r := c.ReadReply()
-	said := "ready"
+	reply := c.ReadReply()
+	summary := "ready"
 	switch {
-	case r.Code != "" && r.After > 0:
-		said = r.Code + " come back"
-	case r.Code != "":
-		said = r.Code
-	case r.Row:
-		said = "row " + string(r.Value)
-	case r.Empty:
-		said = "empty"
+	case reply.Code != "" && reply.After > 0:
+		summary = reply.Code + " come back"
+	case reply.Code != "":
+		summary = reply.Code
+	case reply.Row:
+		summary = "row " + string(reply.Value)
+	case reply.Empty:
+		summary = "empty"
 	}
 	switch {
-	case r.Closed && said == "ready":
+	case reply.Closed && summary == "ready":
 		return "closed"
-	case r.Closed:
-		return said + ", closed"
+	case reply.Closed:
+		return summary + ", closed"
 	}
-	return said
+	return summary
 }
 
 // IsReset reports whether the peer resets the connection within the given time, as it does if it closes the connection with
@@ -136,10 +136,10 @@
 // Send writes a query.
 func (c *Client) Send(query string) {
 	_, err := c.Write(pg.AppendQuery(nil, query))
-	c.noteReset(err)
+	c.recordReset(err)
 }
 
-func (c *Client) noteReset(err error) {
+func (c *Client) recordReset(err error) {
 	c.reset = c.reset || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
--- a/internal/testbed/datagrams/datagrams.go
+++ b/internal/testbed/datagrams/datagrams.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// leastDelay and mostDelay bound the delay of a datagram unless SetDelay was called.
-	leastDelay, mostDelay = time.Millisecond, 40 * time.Millisecond
-	// lossPart makes one in so many datagrams get lost.
-	lossPart = 20
-	maxBytes = 2048
+	// minDelay and mostDelay bound the delay of a datagram unless SetDelay was called.
+	minDelay, maxDelay = time.Millisecond, 40 * time.Millisecond
+	// lossOneIn makes one in so many datagrams get lost.
+	lossOneIn = 20
+	maxBytes  = 2048
 )
 
 // Network forwards datagrams between all gateways of a tier.
 type Network struct {
 	conn *net.UDPConn
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	members []*net.UDPAddr
-	least   time.Duration
-	most    time.Duration
+	mu       sync.Mutex
+	rng      *rand.Rand
+	members  []*net.UDPAddr
+	minDelay time.Duration
+	maxDelay time.Duration
 }
 
 // New opens a network on loopback. Delays and losses are drawn from the seed.
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Network{conn: conn, rng: rand.New(rand.NewPCG(seed, 0x756470)), least: leastDelay, most: mostDelay}
+	n := &Network{conn: conn, rng: rand.New(rand.NewPCG(seed, 0x756470)), minDelay: minDelay, maxDelay: maxDelay}
 	go n.run()
 	return n, nil
 }
@@ -55,10 +55,10 @@
 }
 
 // SetDelay sets the bounds of the delay of later datagrams.
-func (n *Network) SetDelay(least, most time.Duration) {
+func (n *Network) SetDelay(minDelay, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.least, n.most = least, most
+	n.minDelay, n.maxDelay = minDelay, maxDelay
 }
 
 // Close closes the network.
@@ -71,18 +71,18 @@
 		if err != nil {
 			return
 		}
-		n.pass(append([]byte(nil), buffer[:size]...), from.String())
+		n.forward(append([]byte(nil), buffer[:size]...), from.String())
 	}
 }
 
-// pass forwards a datagram to all members except its sender.
-func (n *Network) pass(datagram []byte, from string) {
+// forward forwards a datagram to all members except its sender.
+func (n *Network) forward(datagram []byte, from string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, to := range n.members {
-		if to.String() == from || n.rng.IntN(lossPart) == 0 {
+		if to.String() == from || n.rng.IntN(lossOneIn) == 0 {
 			continue
 		}
-		time.AfterFunc(n.least+time.Duration(n.rng.Int64N(int64(n.most-n.least))), func() { _, _ = n.conn.WriteToUDP(datagram, to) })
+		time.AfterFunc(n.minDelay+time.Duration(n.rng.Int64N(int64(n.maxDelay-n.minDelay))), func() { _, _ = n.conn.WriteToUDP(datagram, to) })
 	}
 }
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -27,23 +27,23 @@
 	// be set before the first call.
 	Answered func(revision int)
 
-	mu       sync.Mutex
-	calls    int
-	revision int
-	wholeAt  int // callers with an earlier revision receive a snapshot
-	entries  map[string]Entry
-	order    []string
-	changed  map[string]int // by ID, the revision of the last change
-	wake     chan struct{}  // closed and replaced at each change
-	raw      chan string    // texts that answer a watch as they are
-	silences int            // number of calls of Silence; earlier calls of the gateway are never answered
-	stop     chan struct{}
+	mu               sync.Mutex
+	calls            int
+	revision         int
+	snapshotRevision int // callers with an earlier revision receive a snapshot
+	entries          map[string]Entry
+	order            []string
+	changed          map[string]int // by ID, the revision of the last change
+	changedCh        chan struct{}  // closed and replaced at each change
+	raw              chan string    // texts that answer a watch as they are
+	silences         int            // number of calls of Silence; earlier calls of the gateway are never answered
+	stop             chan struct{}
 }
 
 // New starts an agent on loopback with a first list of revision 41.
 func New(entries ...Entry) *Server {
 	s := &Server{Left: make(chan struct{}, 1000), revision: 41, entries: map[string]Entry{}, changed: map[string]int{},
-		wake: make(chan struct{}), raw: make(chan string, 10), stop: make(chan struct{})}
+		changedCh: make(chan struct{}), raw: make(chan string, 10), stop: make(chan struct{})}
 	s.put(entries)
 	s.Server = httptest.NewServer(s)
 	return s
@@ -71,8 +71,8 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.put(entries)
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changedCh)
+	s.changedCh = make(chan struct{})
 }
 
 // Drop removes hosts from the list without an entry that says so: the watches receive a snapshot.
@@ -80,13 +80,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.wholeAt = s.revision
+	s.snapshotRevision = s.revision
 	for _, id := range ids {
 		delete(s.entries, id)
 		s.order = slices.DeleteFunc(s.order, func(o string) bool { return o == id })
 	}
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changedCh)
+	s.changedCh = make(chan struct{})
 }
 
 // Silence leaves all calls in flight unanswered forever, as if their connections had been lost without notice.
@@ -141,7 +141,7 @@
 }
 
 func (s *Server) list(complete bool, after int) string {
-	complete = complete || after < s.wholeAt
+	complete = complete || after < s.snapshotRevision
 	out := []Entry{}
 	for _, id := range s.order {
 		if complete && s.entries[id]["phase"] != "DELETED" || !complete && s.changed[id] > after {
@@ -165,10 +165,10 @@
 	q := r.URL.Query()
 	after, err := strconv.Atoi(q.Get("after"))
 	s.mu.Lock()
-	silences, whole, revision := s.silences, s.list(true, 0), s.revision
+	silences, snapshot, revision := s.silences, s.list(true, 0), s.revision
 	s.mu.Unlock()
 	if err != nil {
-		s.answer(w, r, silences, revision, whole)
+		s.answer(w, r, silences, revision, snapshot)
 		return
 	}
 	ms, _ := strconv.Atoi(q.Get("wait_ms"))
@@ -176,7 +176,7 @@
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		newer, list, wake, revision := s.revision > after, s.list(false, after), s.wake, s.revision
+		newer, list, wake, revision := s.revision > after, s.list(false, after), s.changedCh, s.revision
 		s.mu.Unlock()
 		if newer || ms == 0 {
 			s.answer(w, r, silences, revision, list)
--- a/internal/testbed/faults/faults.go
+++ b/internal/testbed/faults/faults.go
@@ -35,12 +35,12 @@
 type Layer struct {
 	seed uint64
 
-	mu    sync.Mutex
-	plan  Plan
-	cut   map[[2]uint16]bool // from, to
-	conns map[[2]uint16]uint64
-	held  map[[2]uint16]chan struct{} // closed by Release
-	n     Counts
+	mu     sync.Mutex
+	plan   Plan
+	cut    map[[2]uint16]bool // from, to
+	conns  map[[2]uint16]uint64
+	held   map[[2]uint16]chan struct{} // closed by Release
+	counts Counts
 }
 
 // New returns a layer with a seed and a plan for all links.
@@ -97,7 +97,7 @@
 func (l *Layer) Heal() { l.mu.Lock(); l.cut = map[[2]uint16]bool{}; l.mu.Unlock() }
 
 // Counts returns the numbers so far.
-func (l *Layer) Counts() Counts { l.mu.Lock(); defer l.mu.Unlock(); return l.n }
+func (l *Layer) Counts() Counts { l.mu.Lock(); defer l.mu.Unlock(); return l.counts }
 
 // Serve accepts connections on ln that member from opens to member to, dials target for each, and forwards frames in both
 // directions with the layer's faults until ctx ends.
@@ -115,11 +115,11 @@
 		n := l.conns[[2]uint16{from, to}]
 		l.conns[[2]uint16{from, to}]++
 		l.mu.Unlock()
-		go l.carry(ctx, c, from, to, target, n)
+		go l.forward(ctx, c, from, to, target, n)
 	}
 }
 
-func (l *Layer) carry(ctx context.Context, c net.Conn, from, to uint16, target string, n uint64) {
+func (l *Layer) forward(ctx context.Context, c net.Conn, from, to uint16, target string, n uint64) {
 	defer c.Close()
 	var d net.Dialer
 	t, err := d.DialContext(ctx, "tcp", target)
@@ -153,7 +153,7 @@
 			dst.Close()
 			return
 		}
-		f := l.draw(rng, [2]uint16{from, to})
+		f := l.decide(rng, [2]uint16{from, to})
 		for range f.copies {
 			switch {
 			case f.held != nil:
@@ -161,11 +161,11 @@
 					<-f.held
 					write(frame)
 				})
-			case f.wait == 0:
+			case f.delay == 0:
 				write(frame)
 			default:
 				wg.Add(1)
-				time.AfterFunc(f.wait, func() { defer wg.Done(); write(frame) })
+				time.AfterFunc(f.delay, func() { defer wg.Done(); write(frame) })
 			}
 		}
 	}
@@ -174,8 +174,8 @@
 // maxFrame is the maximum size of a frame in bytes.
 const maxFrame = 1 << 21
 
-// errNoFrame reports that the data is not a valid frame; the layer does not forward it.
-var errNoFrame = errors.New("frame longer than the maximum")
+// errFrameTooLong reports that the data is not a valid frame; the layer does not forward it.
+var errFrameTooLong = errors.New("frame longer than the maximum")
 
 func readFrame(src io.Reader) ([]byte, error) {
 	var h [4]byte
@@ -184,7 +184,7 @@
 	}
 	size := binary.BigEndian.Uint32(h[:])
 	if size > maxFrame {
-		return nil, errNoFrame
+		return nil, errFrameTooLong
 	}
 	frame := make([]byte, 4+size)
 	copy(frame, h[:])
@@ -192,36 +192,36 @@
 	return frame, err
 }
 
-// fate is the decision on one frame.
-type fate struct {
+// decision is the decision on one frame.
+type decision struct {
 	copies int // 0 if the frame is lost
-	wait   time.Duration
+	delay  time.Duration
 	held   chan struct{} // the frame is delivered when this is closed; nil if it is not held
 }
 
-// draw decides on the next frame of a link and counts it.
-func (l *Layer) draw(rng *rand.Rand, link [2]uint16) fate {
+// decide decides on the next frame of a link and counts it.
+func (l *Layer) decide(rng *rand.Rand, link [2]uint16) decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	drop, dup := rng.Float64() < l.plan.Drop, rng.Float64() < l.plan.Dup
-	f := fate{copies: 1, wait: l.plan.Delay, held: l.held[link]}
+	f := decision{copies: 1, delay: l.plan.Delay, held: l.held[link]}
 	if l.plan.Jitter > 0 {
-		f.wait += time.Duration(rng.Int64N(int64(l.plan.Jitter)))
+		f.delay += time.Duration(rng.Int64N(int64(l.plan.Jitter)))
 	}
 	switch {
 	case l.cut[link]:
-		l.n.Cut++
-		return fate{}
+		l.counts.Cut++
+		return decision{}
 	case drop:
-		l.n.Dropped++
-		return fate{}
+		l.counts.Dropped++
+		return decision{}
 	}
-	l.n.Passed++
+	l.counts.Passed++
 	if f.held != nil {
-		l.n.Held++
+		l.counts.Held++
 	}
 	if dup {
-		l.n.Duplicated++
+		l.counts.Duplicated++
 		f.copies = 2
 	}
 	return f
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -32,15 +32,15 @@
 	Bound time.Duration // maximum age of data for reads of classes other than Own; 0 disables the check
 	Own   string        // the class whose reads must see the position that they state
 
-	mu      sync.Mutex
-	hosts   []*Host
-	primary *Host
-	logEnd  time.Time // end of the log while there is no primary
-	commits map[string][]commit
-	copies  []*Cluster
-	count   int
-	open    int // open connections of general hosts
-	peak    int // maximum of open
+	mu          sync.Mutex
+	hosts       []*Host
+	primary     *Host
+	logEnd      time.Time // end of the log while there is no primary
+	commits     map[string][]commit
+	copies      []*Cluster
+	commitCount int
+	openConns   int // open connections of general hosts
+	peakConns   int // maximum of openConns
 }
 
 type commit struct {
@@ -70,9 +70,9 @@
 		c.hosts = append(c.hosts, h)
 		c.primary = c.hosts[0]
 	}
-	c.tell(c.primary, rules.Leads)
+	c.recordLeadership(c.primary, rules.Leads)
 	for _, h := range c.hosts {
-		h.begin()
+		h.startAccepting()
 	}
 	return c, nil
 }
@@ -100,13 +100,13 @@
 	defer c.mu.Unlock()
 	for key, list := range c.commits {
 		for _, x := range list {
-			other.put(key, x)
+			other.addCopy(key, x)
 		}
 	}
 	c.copies = append(c.copies, other)
 }
 
-func (c *Cluster) put(key string, x commit) {
+func (c *Cluster) addCopy(key string, x commit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x.copied = true
@@ -127,14 +127,14 @@
 func (c *Cluster) Peak() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.peak
+	return c.peakConns
 }
 
 // Commits returns the number of writes committed in this cluster, without copied ones.
 func (c *Cluster) Commits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.count
+	return c.commitCount
 }
 
 // IDs returns, by request, the number of commits of its write in this cluster, without copied ones.
@@ -157,26 +157,26 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.hung == Awake && how != Awake {
-		h.released = make(chan struct{})
+		h.resumed = make(chan struct{})
 	} else if h.hung != Awake && how == Awake {
-		close(h.released)
+		close(h.resumed)
 	}
 	h.hung = how
 }
 
-// probeHangs waits while the host does not answer probes. It reports whether the process has died meanwhile.
-func (h *Host) probeHangs() (died bool) {
+// waitForProbes waits while the host does not answer probes. It reports whether the process has died meanwhile.
+func (h *Host) waitForProbes() (died bool) {
 	h.mu.Lock()
 	how := h.hung
 	h.mu.Unlock()
-	return how != ButProbes && h.hang(nil)
+	return how != ButProbes && h.waitWhileHung(nil)
 }
 
-// hang waits while the host hangs and reports whether the process has died meanwhile. If after is not nil, it stores the way to
-// hang there and does not wait for AfterCommit.
-func (h *Host) hang(after *Hang) (died bool) {
+// waitWhileHung waits while the host hangs and reports whether the process has died meanwhile. If mode is not nil, it stores
+// the way to hang there and does not wait for AfterCommit.
+func (h *Host) waitWhileHung(after *Hang) (died bool) {
 	h.mu.Lock()
-	how, released, life := h.hung, h.released, h.life
+	how, released, life := h.hung, h.resumed, h.process
 	h.mu.Unlock()
 	if after != nil {
 		*after = how
@@ -187,16 +187,16 @@
 	<-released
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.life != life
+	return h.process != life
 }
 
 // Crash ends the process: connections are reset, new ones are refused, and requests that wait or run are lost.
 func (h *Host) Crash() {
 	h.SetHang(Awake)
-	h.cluster.standing(h) // the log is applied up to now; a restart continues from this position
+	h.cluster.state(h) // the log is applied up to now; a restart continues from this position
 	h.Listener.Close()
 	h.mu.Lock()
-	h.life++
+	h.process++
 	h.stopReportsLocked()
 	h.mu.Unlock()
 	h.Reset()
@@ -223,7 +223,7 @@
 	h.Chill()
 	h.mu.Lock()
 	h.Listener = l
-	h.log.appliedAt = time.Now() // the log was not applied while the host was down
+	h.replication.updatedAt = time.Now() // the log was not applied while the host was down
 	h.startReportsLocked()
 	h.mu.Unlock()
 	go h.accept(l)
@@ -233,27 +233,27 @@
 // Chill makes the host cold now, as after a start.
 func (h *Host) Chill() {
 	h.mu.Lock()
-	h.started = time.Now()
+	h.coldSince = time.Now()
 	h.mu.Unlock()
 	if h.Ledger != nil && h.Slots > 0 {
-		h.Ledger.Cold(h.ID, func(now time.Time) float64 { return h.Warmth(now) * float64(h.Slots) })
+		h.Ledger.ColdStarted(h.ID, func(now time.Time) float64 { return h.WarmUpWeight(now) * float64(h.Slots) })
 	}
 }
 
-// Warmth returns the fraction of its full capacity that the host has at a time.
-func (h *Host) Warmth(now time.Time) float64 {
+// WarmUpWeight returns the fraction of its full capacity that the host has at a time.
+func (h *Host) WarmUpWeight(now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	age := now.Sub(h.started)
-	if h.started.IsZero() || age >= h.ColdTime {
+	age := now.Sub(h.coldSince)
+	if h.coldSince.IsZero() || age >= h.ColdTime {
 		return 1
 	}
 	return h.ColdFrom + (1-h.ColdFrom)*float64(age)/float64(h.ColdTime)
 }
 
-// run answers a query from the cluster's data. A nil answer closes the connection. A query that was begun is executed even if
-// the connection ends.
-func (h *Host) run(c net.Conn, in *bufio.Reader, query string) []byte {
+// runQuery answers a query from the cluster's data. A nil answer closes the connection. A query that was begun is executed
+// even if the connection ends.
+func (h *Host) runQuery(c net.Conn, in *bufio.Reader, query string) []byte {
 	s, bad := pg.ParseStatement([]byte(query))
 	if bad != nil {
 		return h.Refuse("08P01")
@@ -264,11 +264,11 @@
 		return nil // the host has reset the connection meanwhile: its process never received the request
 	}
 	if h.Ledger != nil {
-		h.Ledger.ArrivedOn(h.ID, s.ID, h.Work, func() bool { return isOpen(c) })
-		over = sync.OnceFunc(func() { h.Ledger.Over(h.ID, s.ID) })
+		h.Ledger.ArrivedOnConn(h.ID, s.ID, h.Work, func() bool { return isOpen(c) })
+		over = sync.OnceFunc(func() { h.Ledger.AttemptEnded(h.ID, s.ID) })
 	}
 	result := make(chan []byte, 1)
-	go func() { result <- h.work(s, arrived) }()
+	go func() { result <- h.execute(s, arrived) }()
 	// A gateway abandons an attempt by closing the connection; from then on it is not in flight.
 	gone := make(chan struct{})
 	stop := make(chan struct{})
@@ -298,16 +298,16 @@
 	return answer
 }
 
-func (h *Host) work(s *pg.Statement, arrived time.Time) []byte {
+func (h *Host) execute(s *pg.Statement, arrived time.Time) []byte {
 	h.mu.Lock()
-	life := h.life
+	life := h.process
 	full := h.slots != nil && h.waiting >= h.Room+h.Slots
 	if !full {
 		h.waiting++
 	}
 	h.mu.Unlock()
 	if full {
-		h.unrun(s)
+		h.recordNotExecuted(s)
 		return h.Refuse(pg.CodeTooMany)
 	}
 	defer func() {
@@ -320,14 +320,14 @@
 		defer func() { <-h.slots }()
 	}
 	var hung Hang
-	if h.hang(&hung) {
+	if h.waitWhileHung(&hung) {
 		return nil
 	}
 	if h.Work > 0 {
-		time.Sleep(time.Duration(float64(h.Work) / h.Warmth(time.Now())))
+		time.Sleep(time.Duration(float64(h.Work) / h.WarmUpWeight(time.Now())))
 	}
 	h.mu.Lock()
-	dead := h.life != life
+	dead := h.process != life
 	h.mu.Unlock()
 	if dead {
 		return nil
@@ -335,7 +335,7 @@
 	answer := h.apply(s, arrived)
 	h.delay()
 	if hung == AfterCommit {
-		h.hang(nil)
+		h.waitWhileHung(nil)
 	}
 	return answer
 }
@@ -347,11 +347,11 @@
 	primary := c.primary == h
 	c.mu.Unlock()
 	if s.Write && !primary {
-		h.unrun(s)
+		h.recordNotExecuted(s)
 		return h.Refuse(pg.CodeReadOnly)
 	}
 	if h.Ledger != nil {
-		h.Ledger.Ran(h.ID, s.ID, s.Write)
+		h.Ledger.Executed(h.ID, s.ID, s.Write)
 	}
 	if h.Log != nil {
 		h.Log("%s (%s) executes %s", h.ID, h.Role(), s.Text)
@@ -361,19 +361,19 @@
 		x := commit{at: at, value: value, id: s.ID}
 		c.mu.Lock()
 		c.commits[s.Key] = append(c.commits[s.Key], x)
-		c.count++
+		c.commitCount++
 		copies := c.copies
 		c.mu.Unlock()
 		for _, other := range copies {
-			other.put(s.Key, x)
+			other.addCopy(s.Key, x)
 		}
 		if h.Ledger != nil {
 			h.Ledger.Made(s.ID, value)
 		}
 		// Positions are stated in whole milliseconds. Rounding up ensures that the stated position includes this commit.
-		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), standing{Leader, at.Add(time.Millisecond)})
+		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), replicaState{Leader, at.Add(time.Millisecond)})
 	}
-	now := h.standing()
+	now := h.state()
 	position := now.position
 	if h.Ledger != nil {
 		switch {
@@ -397,9 +397,9 @@
 	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), now)
 }
 
-func (h *Host) unrun(s *pg.Statement) {
+func (h *Host) recordNotExecuted(s *pg.Statement) {
 	if h.Ledger != nil {
-		h.Ledger.Unrun(h.ID, s.ID)
+		h.Ledger.NotExecuted(h.ID, s.ID)
 	}
 }
 
--- a/internal/testbed/hosts/general.go
+++ b/internal/testbed/hosts/general.go
@@ -21,34 +21,34 @@
 //
 // X and Y are constants or parameters; all values are text. A write is committed with its value as its request ID.
 
-// seat is the session of one connection at a general host.
-type seat struct {
-	h        *Host
-	c        net.Conn
-	key      pg.Key
-	own      map[string]string // settings of the session
-	now      map[string]string // settings in force, including those local to the transaction
-	saved    []saved           // states at BEGIN and at each savepoint; empty outside a transaction
-	failed   bool              // the open transaction is aborted
-	writes   []write           // of the open transaction
-	prepared map[string]string
-	portals  map[string]portal
-	canceled chan struct{}
-	mu       sync.Mutex
-	running  bool
-	wrote    time.Time // position of the last commit
+// session is the session of one connection at a general host.
+type session struct {
+	h               *Host
+	c               net.Conn
+	key             pg.Key
+	sessionSettings map[string]string // settings at session level
+	settings        map[string]string // settings in force, including those local to the transaction
+	savepoints      []savepoint       // states at BEGIN and at each savepoint; empty outside a transaction
+	failed          bool              // the open transaction is aborted
+	writes          []write           // of the open transaction
+	prepared        map[string]string
+	portals         map[string]portal
+	canceled        chan struct{}
+	mu              sync.Mutex
+	running         bool
+	lastCommit      time.Time // position of the last commit
 }
 
-var seats struct {
+var sessionKeys struct {
 	sync.Mutex
 	next uint32
 }
 
-func (h *Host) seats() map[pg.Key]*seat {
-	if h.seated == nil {
-		h.seated = map[pg.Key]*seat{}
+func (h *Host) sessionsLocked() map[pg.Key]*session {
+	if h.sessions == nil {
+		h.sessions = map[pg.Key]*session{}
 	}
-	return h.seated
+	return h.sessions
 }
 
 // serveGeneral serves one connection.
@@ -59,8 +59,8 @@
 		}
 		return
 	}
-	s := h.take(c)
-	defer h.leave(s)
+	s := h.startSession(c)
+	defer h.endSession(s)
 	if _, err := c.Write(pg.AppendWelcomeAs(nil, pg.StartSession, pg.DefaultParameters(), s.key)); err != nil {
 		return
 	}
@@ -71,7 +71,7 @@
 		if err != nil {
 			return
 		}
-		if h.hang(nil) {
+		if h.waitWhileHung(nil) {
 			return
 		}
 		switch {
@@ -87,7 +87,7 @@
 			var bad *pg.Error
 			if out, bad = s.extended(out, kind, body); bad != nil {
 				out = pg.AppendError(out, bad)
-				s.fail()
+				s.abortTransaction()
 				skipping = true
 			}
 		}
@@ -103,7 +103,7 @@
 // cancel cancels the running statement of the session with a key, if any.
 func (h *Host) cancel(key pg.Key) {
 	h.mu.Lock()
-	s := h.seats()[key]
+	s := h.sessionsLocked()[key]
 	h.mu.Unlock()
 	if s == nil {
 		return
@@ -116,61 +116,61 @@
 	}
 }
 
-// take starts a session on a connection.
-func (h *Host) take(c net.Conn) *seat {
-	seats.Lock()
-	seats.next++
-	key := pg.Key{Process: seats.next, Secret: seats.next * 2654435761}
-	seats.Unlock()
-	s := &seat{h: h, c: c, key: key, own: map[string]string{}, now: map[string]string{}, prepared: map[string]string{},
+// startSession starts a session on a connection.
+func (h *Host) startSession(c net.Conn) *session {
+	sessionKeys.Lock()
+	sessionKeys.next++
+	key := pg.Key{Process: sessionKeys.next, Secret: sessionKeys.next * 2654435761}
+	sessionKeys.Unlock()
+	s := &session{h: h, c: c, key: key, sessionSettings: map[string]string{}, settings: map[string]string{}, prepared: map[string]string{},
 		portals: map[string]portal{}, canceled: make(chan struct{})}
 	h.mu.Lock()
-	h.seats()[key] = s
+	h.sessionsLocked()[key] = s
 	h.mu.Unlock()
 	h.cluster.mu.Lock()
-	h.cluster.open++
-	h.cluster.peak = max(h.cluster.peak, h.cluster.open)
+	h.cluster.openConns++
+	h.cluster.peakConns = max(h.cluster.peakConns, h.cluster.openConns)
 	h.cluster.mu.Unlock()
 	return s
 }
 
-// leave ends a session.
-func (h *Host) leave(s *seat) {
+// endSession ends a session.
+func (h *Host) endSession(s *session) {
 	h.cluster.mu.Lock()
-	h.cluster.open--
+	h.cluster.openConns--
 	h.cluster.mu.Unlock()
 	h.mu.Lock()
-	delete(h.seated, s.key)
+	delete(h.sessions, s.key)
 	h.mu.Unlock()
 }
 
-func (s *seat) status() byte {
+func (s *session) status() byte {
 	switch {
 	case s.failed:
 		return 'E'
-	case len(s.saved) > 0:
+	case len(s.savepoints) > 0:
 		return 'T'
 	}
 	return 'I'
 }
 
-func (s *seat) ready(out []byte) []byte {
-	now := s.h.standing()
-	if s.wrote.After(now.position) {
-		now.position = s.wrote
+func (s *session) ready(out []byte) []byte {
+	now := s.h.state()
+	if s.lastCommit.After(now.position) {
+		now.position = s.lastCommit
 	}
-	out = append(out, s.h.notes(now)...)
+	out = append(out, s.h.statements(now)...)
 	return pg.AppendReadyAs(out, s.status())
 }
 
-func (s *seat) fail() { s.failed = len(s.saved) > 0 }
+func (s *session) abortTransaction() { s.failed = len(s.savepoints) > 0 }
 
 // query runs a simple query. Outside a transaction its statements form one transaction.
-func (s *seat) query(out []byte, text string) []byte {
+func (s *session) query(out []byte, text string) []byte {
 	if text == "SHOW server_load" {
-		return pg.AppendRow(out, pg.Value{Data: []byte(s.h.toldLoad())}, "SHOW")
+		return pg.AppendRow(out, pg.Value{Data: []byte(s.h.loadReport())}, "SHOW")
 	}
-	own, now := maps.Clone(s.own), maps.Clone(s.now)
+	own, now := maps.Clone(s.sessionSettings), maps.Clone(s.settings)
 	ran := false
 	for _, part := range strings.Split(text, ";") {
 		if part = strings.TrimSpace(comments.ReplaceAllString(part, "")); part == "" {
@@ -178,11 +178,11 @@
 		}
 		ran = true
 		got := s.run(part, nil)
-		if got.bad != nil {
-			if s.fail(); !s.failed {
-				s.own, s.now = own, now
+		if got.err != nil {
+			if s.abortTransaction(); !s.failed {
+				s.sessionSettings, s.settings = own, now
 			}
-			return pg.AppendError(out, got.bad)
+			return pg.AppendError(out, got.err)
 		}
 		if got.rows != nil {
 			out = describe(out)
@@ -216,7 +216,7 @@
 }
 
 // extended handles one message of the extended query protocol.
-func (s *seat) extended(out []byte, kind byte, body []byte) ([]byte, *pg.Error) {
+func (s *session) extended(out []byte, kind byte, body []byte) ([]byte, *pg.Error) {
 	switch kind {
 	case pg.Parse:
 		return s.parse(out, body)
@@ -249,7 +249,7 @@
 	return &pg.Error{Code: "26000", Message: "prepared statement \"" + name + "\" does not exist"}
 }
 
-func (s *seat) parse(out, body []byte) ([]byte, *pg.Error) {
+func (s *session) parse(out, body []byte) ([]byte, *pg.Error) {
 	p, err := pg.ReadParse(body)
 	if err != nil {
 		return out, protocolError(err)
@@ -261,13 +261,13 @@
 	return pg.Append(out, pg.ParseComplete), nil
 }
 
-func (s *seat) bind(out, body []byte) ([]byte, *pg.Error) {
+func (s *session) bind(out, body []byte) ([]byte, *pg.Error) {
 	name, statement, rest, err := pg.ReadBind(body)
 	text, ok := s.prepared[statement]
 	if err != nil || !ok {
 		return out, notPrepared(statement)
 	}
-	values, ok := bound(rest)
+	values, ok := bindValues(rest)
 	if !ok {
 		return out, &pg.Error{Code: "08P01", Message: "invalid Bind message"}
 	}
@@ -275,7 +275,7 @@
 	return pg.Append(out, pg.BindComplete), nil
 }
 
-func (s *seat) describe(out, body []byte) ([]byte, *pg.Error) {
+func (s *session) describe(out, body []byte) ([]byte, *pg.Error) {
 	what, name, err := pg.ReadTarget(body)
 	if err != nil {
 		return out, protocolError(err)
@@ -293,13 +293,13 @@
 		}
 		out = pg.Append(out, pg.ParameterDescription, types)
 	}
-	if !returns(text) {
+	if !returnsRows(text) {
 		return pg.Append(out, pg.NoData), nil
 	}
 	return describe(out), nil
 }
 
-func (s *seat) execute(out, body []byte) ([]byte, *pg.Error) {
+func (s *session) execute(out, body []byte) ([]byte, *pg.Error) {
 	name, err := pg.ReadExecute(body)
 	p, ok := s.portals[name]
 	if err != nil || !ok {
@@ -309,8 +309,8 @@
 		return pg.Append(out, pg.EmptyQueryResponse), nil
 	}
 	got := s.run(p.text, p.values)
-	if got.bad != nil {
-		return out, got.bad
+	if got.err != nil {
+		return out, got.err
 	}
 	return got.append(out), nil
 }
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -55,21 +55,21 @@
 	ColdFrom float64       // fraction of its capacity directly after a cold start
 	ColdTime time.Duration // until it has its full capacity after a cold start
 
-	mu       sync.Mutex
-	role     string // of a host outside a cluster
-	queries  []string
-	begun    int // number of sessions begun
-	conns    map[net.Conn]bool
-	cluster  *Cluster
-	log      replication
-	started  time.Time // time of the cold start, or zero if the host has always been warm
-	hung     Hang
-	released chan struct{} // closed when a hang ends
-	slots    chan struct{}
-	waiting  int
-	seated   map[pg.Key]*seat
-	life     int // number of the process; work of an earlier process is lost
-	reports  *reporter
+	mu            sync.Mutex
+	role          string // of a host outside a cluster
+	queries       []string
+	sessionsBegun int // number of sessions begun
+	conns         map[net.Conn]bool
+	cluster       *Cluster
+	replication   replication
+	coldSince     time.Time // time of the cold start, or zero if the host has always been warm
+	hung          Hang
+	resumed       chan struct{} // closed when a hang ends
+	slots         chan struct{}
+	waiting       int
+	sessions      map[pg.Key]*session
+	process       int // number of the process; work of an earlier process is lost
+	reports       *reporter
 }
 
 // New starts a scripted host that listens on loopback.
@@ -79,11 +79,11 @@
 		return nil, err
 	}
 	h := &Host{Listener: l, ID: id, Group: 1, role: role, Script: script}
-	h.begin()
+	h.startAccepting()
 	return h, nil
 }
 
-func (h *Host) begin() {
+func (h *Host) startAccepting() {
 	h.Ended, h.conns, h.Address = make(chan struct{}, 1000), map[net.Conn]bool{}, h.Listener.Addr().String()
 	go h.accept(h.Listener)
 }
@@ -148,8 +148,8 @@
 		return
 	case h.Admit != nil:
 		h.mu.Lock()
-		n := h.begun
-		h.begun++
+		n := h.sessionsBegun
+		h.sessionsBegun++
 		h.mu.Unlock()
 		h.Admit(n)
 	}
@@ -163,7 +163,7 @@
 			return
 		}
 		if query := strings.TrimSuffix(string(body), "\x00"); query == "SHOW server_load" {
-			if h.probeHangs() {
+			if h.waitForProbes() {
 				return
 			}
 			h.answerProbe(c, asked)
@@ -175,11 +175,11 @@
 
 // answerProbe answers a probe with the load report.
 func (h *Host) answerProbe(c net.Conn, asked string) {
-	load := h.toldLoad()
+	load := h.loadReport()
 	h.delay()
 	_, err := c.Write(pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte(load)}, "SHOW")))
-	if err == nil && strings.HasSuffix(load, "x1=0") && load != unmadeReport {
-		h.tellFollower(c, asked)
+	if err == nil && strings.HasSuffix(load, "x1=0") && load != emptyReport {
+		h.recordFollowerAnswer(c, asked)
 	}
 }
 
@@ -197,7 +197,7 @@
 	case script != nil:
 		answer = script(n, query)
 	case h.cluster != nil:
-		answer = h.run(c, in, query)
+		answer = h.runQuery(c, in, query)
 	default:
 		answer = h.Row(query)
 	}
@@ -208,7 +208,7 @@
 		*asked = s.ID
 	}
 	if _, err := c.Write(answer); err == nil && bytes.Contains(answer, []byte("node_role\x00"+Follower)) {
-		h.tellFollower(c, *asked)
+		h.recordFollowerAnswer(c, *asked)
 	}
 	if h.Trail != nil {
 		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.Trail(query)) })
@@ -217,27 +217,27 @@
 	return !h.Brief
 }
 
-// tellFollower records in the ledger that the gateway that sent a request has just been answered by a follower.
-func (h *Host) tellFollower(c net.Conn, id string) {
+// recordFollowerAnswer records in the ledger that the gateway that sent a request has just been answered by a follower.
+func (h *Host) recordFollowerAnswer(c net.Conn, id string) {
 	if h.Ledger != nil && isOpen(c) {
-		h.Ledger.AnsweredAsFollower(h.ID, id)
+		h.Ledger.FollowerAnswered(h.ID, id)
 	}
 }
 
-// standing returns the host's role and position.
-func (h *Host) standing() standing {
+// state returns the host's role and position.
+func (h *Host) state() replicaState {
 	if h.cluster != nil {
-		return h.cluster.standing(h)
+		return h.cluster.state(h)
 	}
-	return standing{h.Role(), time.Now()}
+	return replicaState{h.Role(), time.Now()}
 }
 
-// toldLoad returns the load report that the host sends now.
-func (h *Host) toldLoad() string {
+// loadReport returns the load report that the host sends now.
+func (h *Host) loadReport() string {
 	if h.Report != nil {
 		return h.Report()
 	}
-	return h.load()
+	return h.newLoadReport()
 }
 
 // delay waits for the configured delay of an answer.
@@ -247,17 +247,17 @@
 	}
 }
 
-// load returns a new load report.
-func (h *Host) load() string {
-	now, primary := h.standing(), 0
+// newLoadReport returns a new load report.
+func (h *Host) newLoadReport() string {
+	now, primary := h.state(), 0
 	if now.role == Leader {
 		primary = 1
 	}
 	return fmt.Sprintf("x0=%.3f,x1=%d", float64(now.position.Add(h.Skew).UnixMilli())/1000, primary)
 }
 
-// notes returns the statements about itself that a host sends with an answer.
-func (h *Host) notes(now standing) []byte {
+// statements returns the statements about itself that a host sends with an answer.
+func (h *Host) statements(now replicaState) []byte {
 	out := pg.Append(nil, pg.ParameterStatus, []byte("node_role\x00"+now.role+"\x00"))
 	if h.Report != nil {
 		out = pg.Append(out, pg.ParameterStatus, []byte("server_load\x00"+h.Report()+"\x00"))
@@ -271,24 +271,24 @@
 	if err != nil {
 		return h.Refuse("08P01")
 	}
-	return h.answer(pg.Value{Data: []byte(s.Key), Format: 1}, s.Tag(), h.standing())
+	return h.answer(pg.Value{Data: []byte(s.Key), Format: 1}, s.Tag(), h.state())
 }
 
-func (h *Host) answer(v pg.Value, tag string, now standing) []byte {
-	return pg.AppendReady(append(h.notes(now), pg.AppendRow(nil, v, tag)...))
+func (h *Host) answer(v pg.Value, tag string, now replicaState) []byte {
+	return pg.AppendReady(append(h.statements(now), pg.AppendRow(nil, v, tag)...))
 }
 
 // Refuse returns an answer with an error of the given code.
 func (h *Host) Refuse(code string) []byte {
-	return pg.AppendReady(append(h.notes(h.standing()), pg.AppendError(nil, &pg.Error{Code: code, Message: "no"})...))
+	return pg.AppendReady(append(h.statements(h.state()), pg.AppendError(nil, &pg.Error{Code: code, Message: "no"})...))
 }
 
 // Entry returns the host's entry in the endpoint list, with the given phase.
 func (h *Host) Entry(phase string) map[string]any {
 	h.mu.Lock()
 	started := int64(0)
-	if !h.started.IsZero() {
-		started = h.started.Add(h.Skew).UnixMilli()
+	if !h.coldSince.IsZero() {
+		started = h.coldSince.Add(h.Skew).UnixMilli()
 	}
 	h.mu.Unlock()
 	return map[string]any{"id": h.ID, "host_port": h.Address, "cell": h.Group, "phase": phase, "size": 1.0,
--- a/internal/testbed/hosts/replication.go
+++ b/internal/testbed/hosts/replication.go
@@ -9,11 +9,11 @@
 // replication is the state of a host's replay of its cluster's log. The position never decreases: a host that restarts or is
 // deposed continues from its last position.
 type replication struct {
-	applied   time.Time     // position: all commits up to this time are applied
-	appliedAt time.Time     // when applied was last updated
-	lag       time.Duration // behind the end of the log
-	speed     float64       // seconds of the log applied per second; 0 means no limit
-	led       bool          // the host has been the primary
+	applied    time.Time     // position: all commits up to this time are applied
+	updatedAt  time.Time     // when applied was last updated
+	lag        time.Duration // behind the end of the log
+	speed      float64       // seconds of the log applied per second; 0 means no limit
+	wasPrimary bool          // the host has been the primary
 }
 
 // advance applies the log, which ends at end, as far as lag and speed allow by now.
@@ -22,43 +22,43 @@
 	if r.applied.IsZero() {
 		r.applied = target
 	} else if r.speed > 0 {
-		if reached := r.applied.Add(time.Duration(r.speed * float64(now.Sub(r.appliedAt)))); reached.Before(target) {
+		if reached := r.applied.Add(time.Duration(r.speed * float64(now.Sub(r.updatedAt)))); reached.Before(target) {
 			target = reached
 		}
 	}
 	if target.After(r.applied) {
 		r.applied = target
 	}
-	r.appliedAt = now
+	r.updatedAt = now
 }
 
-// standing is a host's role and position at one time.
-type standing struct {
+// replicaState is a host's role and position at one time.
+type replicaState struct {
 	role     string
 	position time.Time
 }
 
-// standing returns a host's current role and position.
-func (c *Cluster) standing(h *Host) standing {
+// state returns a host's current role and position.
+func (c *Cluster) state(h *Host) replicaState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.standingLocked(h)
+	return c.stateLocked(h)
 }
 
-func (c *Cluster) standingLocked(h *Host) standing {
+func (c *Cluster) stateLocked(h *Host) replicaState {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c.primary == h {
-		h.log.applied, h.log.appliedAt, h.log.led = now, now, true
-		return standing{Leader, now}
+		h.replication.applied, h.replication.updatedAt, h.replication.wasPrimary = now, now, true
+		return replicaState{Leader, now}
 	}
 	end := now
 	if c.primary == nil {
 		end = c.logEnd
 	}
-	h.log.advance(now, end)
-	return standing{Follower, h.log.applied}
+	h.replication.advance(now, end)
+	return replicaState{Follower, h.replication.applied}
 }
 
 // Promote makes a host the primary. With nil there is no primary, and the log ends now until there is one.
@@ -66,22 +66,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.primary != nil {
-		c.standingLocked(c.primary) // apply the log up to now; the host continues from this position
+		c.stateLocked(c.primary) // apply the log up to now; the host continues from this position
 		if c.primary != h {
-			c.tell(c.primary, rules.Deposed)
+			c.recordLeadership(c.primary, rules.Deposed)
 		}
 	}
 	if c.logEnd = time.Now(); c.primary == nil || h != nil {
 		for _, o := range c.hosts {
-			c.standingLocked(o)
+			c.stateLocked(o)
 		}
 	}
 	if c.primary = h; h != nil {
-		c.tell(h, rules.Leads)
+		c.recordLeadership(h, rules.Leads)
 	}
 }
 
-func (c *Cluster) tell(h *Host, e rules.Leadership) {
+func (c *Cluster) recordLeadership(h *Host, e rules.Leadership) {
 	if h.Ledger != nil {
 		h.Ledger.Leadership(h.ID, e)
 	}
@@ -91,12 +91,12 @@
 func (h *Host) SetLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.log.lag = lag
+	h.replication.lag = lag
 }
 
 // SetApplySpeed limits the seconds of the log that a replica applies per second; 0 means no limit.
 func (h *Host) SetApplySpeed(speed float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.log.speed = speed
+	h.replication.speed = speed
 }
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// unmadeReport is the load report of a host that has not made one yet.
-const unmadeReport = "x0=0.000,x1=0"
+// emptyReport is the load report of a host that has not made one yet.
+const emptyReport = "x0=0.000,x1=0"
 
 // reporter makes the load reports of a host's process and keeps the newest. It is guarded by its host's mutex.
 type reporter struct {
-	rng         *rand.Rand
-	least, most time.Duration
-	text        string
-	stopped     bool
-	next        *time.Timer
+	rng                *rand.Rand
+	minPause, maxPause time.Duration
+	newest             string
+	stopped            bool
+	timer              *time.Timer
 }
 
 func (r *reporter) pause() time.Duration {
-	return r.least + time.Duration(r.rng.Int64N(int64(r.most-r.least)+1))
+	return r.minPause + time.Duration(r.rng.Int64N(int64(r.maxPause-r.minPause)+1))
 }
 
 // KeepReports makes a host of a cluster produce load reports at random intervals between the two bounds, drawn from the seed,
 // and send the newest with every answer and to probes. No report is made while the host hangs. It must be called before the
 // first connection.
-func (h *Host) KeepReports(seed uint64, least, most time.Duration) {
-	h.Report = h.keptReport
+func (h *Host) KeepReports(seed uint64, minPause, maxPause time.Duration) {
+	h.Report = h.lastReport
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reports = &reporter{rng: rand.New(rand.NewPCG(seed, 0x6c6f6164)), least: least, most: most}
+	h.reports = &reporter{rng: rand.New(rand.NewPCG(seed, 0x6c6f6164)), minPause: minPause, maxPause: maxPause}
 	h.startReportsLocked()
 }
 
@@ -41,10 +41,10 @@
 	}
 }
 
-func (h *Host) keptReport() string {
+func (h *Host) lastReport() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reports.text
+	return h.reports.newest
 }
 
 // startReportsLocked starts the reports of a new process.
@@ -52,28 +52,28 @@
 	if h.reports == nil {
 		return
 	}
-	h.reports.text = unmadeReport
-	life := h.life
-	h.reports.next = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
+	h.reports.newest = emptyReport
+	life := h.process
+	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
 }
 
 // stopReportsLocked stops the reports of a process that ends.
 func (h *Host) stopReportsLocked() {
 	if h.reports != nil {
-		h.reports.next.Stop()
+		h.reports.timer.Stop()
 	}
 }
 
 // makeReport makes a load report of the process with the given number and schedules the next one.
 func (h *Host) makeReport(life int) {
-	text := h.load()
+	text := h.newLoadReport()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.life != life {
+	if h.process != life {
 		return
 	}
 	if h.hung == Awake && !h.reports.stopped {
-		h.reports.text = text
+		h.reports.newest = text
 	}
-	h.reports.next = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
+	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
 }
--- a/internal/testbed/hosts/report_test.go
+++ b/internal/testbed/hosts/report_test.go
@@ -12,44 +12,44 @@
 	"yokemast/internal/wire/pg"
 )
 
-const reportLeast, reportMost = 59 * time.Millisecond, 190 * time.Millisecond
+const minReportPause, maxReportPause = 59 * time.Millisecond, 190 * time.Millisecond
 
-// newReporting returns the primary of a cluster without listeners that makes load reports.
-func newReporting(least, most time.Duration) *Host {
+// newReportingHost returns the primary of a cluster without listeners that makes load reports.
+func newReportingHost(least, most time.Duration) *Host {
 	h := &Host{ID: "s-0", cluster: &Cluster{Group: 1}}
 	h.cluster.hosts, h.cluster.primary = []*Host{h, {ID: "s-1", cluster: h.cluster}}, h
 	h.KeepReports(1, least, most)
 	return h
 }
 
-// age returns the age of the load report that the host sends.
-func (h *Host) age(t *testing.T) time.Duration {
+// reportAge returns the age of the load report that the host sends.
+func (h *Host) reportAge(t *testing.T) time.Duration {
 	t.Helper()
 	var x0 float64
 	var x1 int
-	if _, err := fmt.Sscanf(h.toldLoad(), "x0=%f,x1=%d", &x0, &x1); err != nil {
-		t.Fatalf("%q: %v", h.toldLoad(), err)
+	if _, err := fmt.Sscanf(h.loadReport(), "x0=%f,x1=%d", &x0, &x1); err != nil {
+		t.Fatalf("%q: %v", h.loadReport(), err)
 	}
 	return time.Since(time.UnixMilli(int64(x0*1000 + 0.5)))
 }
 
 func TestLoadReportIsKeptUntilNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newReporting(reportLeast, reportMost)
-		if got := h.toldLoad(); got != unmadeReport {
+		h := newReportingHost(minReportPause, maxReportPause)
+		if got := h.loadReport(); got != emptyReport {
 			t.Errorf("report before the first is made: %q", got)
 		}
-		time.Sleep(reportMost)
+		time.Sleep(maxReportPause)
 		oldest, made := time.Duration(0), map[string]bool{}
 		for range 10000 {
 			time.Sleep(time.Millisecond)
-			oldest = max(oldest, h.age(t))
-			made[h.toldLoad()] = true
+			oldest = max(oldest, h.reportAge(t))
+			made[h.loadReport()] = true
 		}
-		if oldest < reportLeast || oldest > reportMost+time.Millisecond {
+		if oldest < minReportPause || oldest > maxReportPause+time.Millisecond {
 			t.Errorf("the oldest report sent was %s old", oldest)
 		}
-		if len(made) < int(10*time.Second/reportMost) || len(made) > int(10*time.Second/reportLeast)+1 {
+		if len(made) < int(10*time.Second/maxReportPause) || len(made) > int(10*time.Second/minReportPause)+1 {
 			t.Errorf("%d reports were made in 10 s", len(made))
 		}
 		h.stopReportsLocked()
@@ -59,18 +59,18 @@
 func TestHungHostMakesNoLoadReport(t *testing.T) {
 	for _, how := range []Hang{BeforeCommit, AfterCommit, ButProbes} {
 		synctest.Test(t, func(t *testing.T) {
-			h := newReporting(reportLeast, reportMost)
+			h := newReportingHost(minReportPause, maxReportPause)
 			time.Sleep(time.Second)
-			before := h.toldLoad()
+			before := h.loadReport()
 			h.SetHang(how)
 			time.Sleep(3 * time.Second)
 			h.cluster.Promote(h.cluster.hosts[1])
 			h.SetHang(Awake)
-			if got := h.toldLoad(); got != before || !strings.HasSuffix(got, "x1=1") {
+			if got := h.loadReport(); got != before || !strings.HasSuffix(got, "x1=1") {
 				t.Errorf("report after the hang: %q, before it: %q", got, before)
 			}
-			time.Sleep(reportMost)
-			if got := h.toldLoad(); !strings.HasSuffix(got, "x1=0") {
+			time.Sleep(maxReportPause)
+			if got := h.loadReport(); !strings.HasSuffix(got, "x1=0") {
 				t.Errorf("report after the next was made: %q", got)
 			}
 			h.stopReportsLocked()
@@ -80,17 +80,17 @@
 
 func TestStoppedLoadReportsKeepOldRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newReporting(reportLeast, reportMost)
+		h := newReportingHost(minReportPause, maxReportPause)
 		time.Sleep(time.Second)
 		h.StopReports(true)
 		h.cluster.Promote(h.cluster.hosts[1])
 		time.Sleep(time.Second)
-		notes := string(h.notes(h.standing()))
+		notes := string(h.statements(h.state()))
 		if !strings.Contains(notes, "node_role\x00follower\x00") || !strings.Contains(notes, "server_load\x00x0=") ||
 			!strings.Contains(notes, ",x1=1\x00") {
 			t.Errorf("statements with an answer: %q", notes)
 		}
-		if age := h.age(t); age < time.Second {
+		if age := h.reportAge(t); age < time.Second {
 			t.Errorf("the report is %s old", age)
 		}
 		h.stopReportsLocked()
--- a/internal/testbed/hosts/sql.go
+++ b/internal/testbed/hosts/sql.go
@@ -11,11 +11,11 @@
 	"yokemast/internal/wire/pg"
 )
 
-// saved is the state of a session at the start of a transaction or at a savepoint.
-type saved struct {
-	name     string
-	own, now map[string]string
-	writes   int
+// savepoint is the state of a session at the start of a transaction or at a savepoint.
+type savepoint struct {
+	name                      string
+	sessionSettings, settings map[string]string
+	writes                    int
 }
 
 type write struct{ key, value string }
@@ -35,13 +35,13 @@
 	comments  = regexp.MustCompile(`(?s)/\*.*?\*/`)
 )
 
-func returns(text string) bool {
+func returnsRows(text string) bool {
 	text = strings.ToLower(text)
 	return strings.HasPrefix(text, "select") || strings.HasPrefix(text, "show") || strings.Contains(text, " returning ")
 }
 
-// bound decodes the values of a Bind, all of which are text.
-func bound(rest []byte) (out arguments, ok bool) {
+// bindValues decodes the values of a Bind, all of which are text.
+func bindValues(rest []byte) (out arguments, ok bool) {
 	n := int(binary.BigEndian.Uint16(rest))
 	if len(rest) < 4+2*n {
 		return nil, false
@@ -70,12 +70,12 @@
 type result struct {
 	rows []string
 	tag  string
-	bad  *pg.Error
+	err  *pg.Error
 }
 
-func done(tag string) result { return result{tag: tag} }
+func completed(tag string) result { return result{tag: tag} }
 
-func fault(code, what string) result { return result{bad: &pg.Error{Code: code, Message: what}} }
+func failure(code, what string) result { return result{err: &pg.Error{Code: code, Message: what}} }
 
 func selected(rows ...string) result {
 	return result{rows: rows, tag: fmt.Sprintf("SELECT %d", len(rows))}
@@ -98,15 +98,15 @@
 }
 
 // run executes one statement.
-func (s *seat) run(text string, values arguments) result {
+func (s *session) run(text string, values arguments) result {
 	words := strings.Fields(strings.ToLower(text))
 	if s.failed && words[0] != "rollback" && words[0] != "commit" {
-		return fault("25P02", "current transaction is aborted")
+		return failure("25P02", "current transaction is aborted")
 	}
 	if s.h.Work > 0 {
 		time.Sleep(s.h.Work)
 	}
-	if out, ok := s.control(text, words); ok {
+	if out, ok := s.runControl(text, words); ok {
 		return out
 	}
 	if m := set.FindStringSubmatch(text); m != nil {
@@ -124,89 +124,89 @@
 	if m := insertKV.FindStringSubmatch(text); m != nil {
 		return s.insert(values.value(m[1]), values.value(m[2]), m[3] != "")
 	}
-	return fault("42601", "syntax error at "+text)
+	return failure("42601", "syntax error at "+text)
 }
 
-// control executes the statements for transactions and session state, which are recognized by their first words. It reports
+// runControl executes the statements for transactions and session state, which are recognized by their first words. It reports
 // whether the statement is one of them.
-func (s *seat) control(text string, words []string) (out result, ok bool) {
+func (s *session) runControl(text string, words []string) (out result, ok bool) {
 	switch first := words[0]; {
 	case first == "begin" || first == "start":
-		if len(s.saved) == 0 {
-			s.saved = append(s.saved, saved{"", maps.Clone(s.own), maps.Clone(s.now), 0})
+		if len(s.savepoints) == 0 {
+			s.savepoints = append(s.savepoints, savepoint{"", maps.Clone(s.sessionSettings), maps.Clone(s.settings), 0})
 		}
-		return done("BEGIN"), true
+		return completed("BEGIN"), true
 	case first == "commit" || first == "rollback" && (len(words) == 1 || words[1] != "to"):
 		return s.endTransaction(first == "rollback" || s.failed), true
 	case first == "savepoint":
-		if len(s.saved) == 0 {
-			return fault("25P01", "SAVEPOINT can only be used in transaction blocks"), true
+		if len(s.savepoints) == 0 {
+			return failure("25P01", "SAVEPOINT can only be used in transaction blocks"), true
 		}
-		s.saved = append(s.saved, saved{words[1], maps.Clone(s.own), maps.Clone(s.now), len(s.writes)})
-		return done("SAVEPOINT"), true
+		s.savepoints = append(s.savepoints, savepoint{words[1], maps.Clone(s.sessionSettings), maps.Clone(s.settings), len(s.writes)})
+		return completed("SAVEPOINT"), true
 	case first == "rollback":
 		return s.rollbackTo(words[len(words)-1]), true
 	case first == "reset" && words[1] == "all", first == "discard":
-		s.own, s.now = map[string]string{}, map[string]string{}
+		s.sessionSettings, s.settings = map[string]string{}, map[string]string{}
 		if first == "discard" {
 			s.prepared = map[string]string{}
 		}
-		return done(strings.ToUpper(text)), true
+		return completed(strings.ToUpper(text)), true
 	case first == "reset":
-		delete(s.own, words[1])
-		delete(s.now, words[1])
-		return done("RESET"), true
+		delete(s.sessionSettings, words[1])
+		delete(s.settings, words[1])
+		return completed("RESET"), true
 	case first == "deallocate":
 		s.prepared = map[string]string{}
-		return done("DEALLOCATE ALL"), true
+		return completed("DEALLOCATE ALL"), true
 	case first == "show":
-		return result{rows: []string{s.now[words[1]]}, tag: "SHOW"}, true
+		return result{rows: []string{s.settings[words[1]]}, tag: "SHOW"}, true
 	case first == "listen":
-		return done("LISTEN"), true
+		return completed("LISTEN"), true
 	case first == "fail":
-		return fault("22012", "division by zero"), true
+		return failure("22012", "division by zero"), true
 	}
 	return result{}, false
 }
 
-func (s *seat) endTransaction(rollback bool) result {
+func (s *session) endTransaction(rollback bool) result {
 	tag := "COMMIT"
 	if rollback {
 		tag = "ROLLBACK"
-		if len(s.saved) > 0 {
-			s.own = s.saved[0].own
+		if len(s.savepoints) > 0 {
+			s.sessionSettings = s.savepoints[0].sessionSettings
 		}
 		s.writes = nil
 	}
-	s.now, s.saved, s.failed = maps.Clone(s.own), nil, false
+	s.settings, s.savepoints, s.failed = maps.Clone(s.sessionSettings), nil, false
 	if bad := s.commit(); bad != nil {
-		return result{bad: bad}
+		return result{err: bad}
 	}
-	return done(tag)
+	return completed(tag)
 }
 
-func (s *seat) rollbackTo(savepoint string) result {
-	for i := len(s.saved) - 1; i > 0; i-- {
-		if x := s.saved[i]; x.name == savepoint {
-			s.own, s.now, s.writes = maps.Clone(x.own), maps.Clone(x.now), s.writes[:x.writes]
-			s.saved, s.failed = s.saved[:i+1], false
-			return done("ROLLBACK")
+func (s *session) rollbackTo(savepoint string) result {
+	for i := len(s.savepoints) - 1; i > 0; i-- {
+		if x := s.savepoints[i]; x.name == savepoint {
+			s.sessionSettings, s.settings, s.writes = maps.Clone(x.sessionSettings), maps.Clone(x.settings), s.writes[:x.writes]
+			s.savepoints, s.failed = s.savepoints[:i+1], false
+			return completed("ROLLBACK")
 		}
 	}
-	return fault("3B001", "savepoint does not exist")
+	return failure("3B001", "savepoint does not exist")
 }
 
-func (s *seat) set(name, value string, local bool) result {
-	s.now[name] = value
+func (s *session) set(name, value string, local bool) result {
+	s.settings[name] = value
 	if !local {
-		s.own[name] = value
-	} else if len(s.saved) == 0 {
-		s.now[name] = s.own[name]
+		s.sessionSettings[name] = value
+	} else if len(s.savepoints) == 0 {
+		s.settings[name] = s.sessionSettings[name]
 	}
-	return done("SET")
+	return completed("SET")
 }
 
-func (s *seat) sleep(seconds string) result {
+func (s *session) sleep(seconds string) result {
 	d, _ := time.ParseDuration(seconds + "s")
 	s.mu.Lock()
 	s.running = true
@@ -214,7 +214,7 @@
 	s.mu.Unlock()
 	select {
 	case <-canceled:
-		return fault("57014", "canceling statement due to user request")
+		return failure("57014", "canceling statement due to user request")
 	case <-time.After(d):
 	}
 	s.mu.Lock()
@@ -224,7 +224,7 @@
 }
 
 // read returns the value of a key as written by the open transaction, or else as visible on the host.
-func (s *seat) read(key string) result {
+func (s *session) read(key string) result {
 	for i := len(s.writes) - 1; i >= 0; i-- {
 		if s.writes[i].key == key {
 			return selected(s.writes[i].value)
@@ -237,17 +237,17 @@
 	return selected(value)
 }
 
-func (s *seat) insert(key, value string, returning bool) result {
+func (s *session) insert(key, value string, returning bool) result {
 	if s.h.Role() != Leader {
-		return fault(pg.CodeReadOnly, "cannot execute INSERT in a read-only transaction")
+		return failure(pg.CodeReadOnly, "cannot execute INSERT in a read-only transaction")
 	}
 	s.writes = append(s.writes, write{key, value})
-	if len(s.saved) == 0 {
+	if len(s.savepoints) == 0 {
 		if bad := s.commit(); bad != nil {
-			return result{bad: bad}
+			return result{err: bad}
 		}
 	}
-	out := done("INSERT 0 1")
+	out := completed("INSERT 0 1")
 	if returning {
 		out.rows = []string{value}
 	}
@@ -255,7 +255,7 @@
 }
 
 // commit commits the writes of the transaction. The connection is closed without an answer if the host's AfterCommit says so.
-func (s *seat) commit() *pg.Error {
+func (s *session) commit() *pg.Error {
 	writes := s.writes
 	s.writes = nil
 	if len(writes) == 0 {
@@ -268,7 +268,7 @@
 	for _, w := range writes {
 		s.h.cluster.commitGeneral(w.key, w.value, at)
 	}
-	s.wrote = at.Add(time.Millisecond)
+	s.lastCommit = at.Add(time.Millisecond)
 	if f := s.h.AfterCommit; f != nil && f() {
 		s.c.Close()
 	}
@@ -279,12 +279,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.commits[key] = append(c.commits[key], commit{at: at, value: []byte(value), id: value})
-	c.count++
+	c.commitCount++
 }
 
 // read returns the value of a key as visible on a host.
 func (c *Cluster) read(h *Host, key string) (value string, ok bool) {
-	position := c.standing(h).position
+	position := c.state(h).position
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range c.commits[key] {
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -11,8 +11,8 @@
 	"yokemast/internal/wire/socket"
 )
 
-// queued is the maximum number of reads from one end that wait to be forwarded.
-const queued = 4096
+// maxQueued is the maximum number of reads from one end that wait to be forwarded.
+const maxQueued = 4096
 
 // conn is a connection of the gateway with the connection to the host to which it is forwarded.
 type conn struct {
@@ -20,15 +20,15 @@
 	gateway *net.TCPConn
 	done    chan struct{} // closed once both connections are
 
-	mu      sync.Mutex
-	host    *net.TCPConn // nil until connected
-	ended   bool
-	asked   string      // text of the query in flight, or empty
-	idle    *time.Timer // runs while no query is in flight
-	lost    bool        // ForgetsIdle has struck: data of the gateway is dropped
-	queries framer
-	answers framer
-	answer  Answer // the answer that is being received
+	mu        sync.Mutex
+	host      *net.TCPConn // nil until connected
+	ended     bool
+	inFlight  string      // text of the query in flight, or empty
+	idle      *time.Timer // runs while no query is in flight
+	forgotten bool        // ForgetsIdle has struck: data of the gateway is dropped
+	queries   framer
+	answers   framer
+	answer    Answer // the answer that is being received
 }
 
 // chunk is the result of one read from one end.
@@ -86,8 +86,8 @@
 }
 
 // wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
-func (c *conn) wait(long time.Duration, over <-chan struct{}) bool {
-	timer := time.NewTimer(long)
+func (c *conn) wait(duration time.Duration, over <-chan struct{}) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -107,15 +107,15 @@
 // run forwards both directions until both have ended.
 func (c *conn) run() {
 	var ways sync.WaitGroup
-	ways.Go(func() { c.pass(c.gateway, c.host, c.readQueries, c.passQuery) })
-	ways.Go(func() { c.pass(c.host, c.gateway, c.readAnswers, c.passAnswer) })
+	ways.Go(func() { c.forward(c.gateway, c.host, c.readQueries, c.forwardQuery) })
+	ways.Go(func() { c.forward(c.host, c.gateway, c.readAnswers, c.forwardAnswer) })
 	ways.Wait()
 	c.end(false)
 }
 
-// pass forwards data from one end to the other in order. Reading does not wait for the forwarding.
-func (c *conn) pass(from, to *net.TCPConn, read func(*chunk), pass func(chunk, Fault) bool) {
-	chunks := make(chan chunk, queued)
+// forward forwards data from one end to the other in order. Reading does not wait for the forwarding.
+func (c *conn) forward(from, to *net.TCPConn, read func(*chunk), pass func(chunk, Fault) bool) {
+	chunks := make(chan chunk, maxQueued)
 	go func() {
 		defer close(chunks)
 		for buffer := make([]byte, 16<<10); ; {
@@ -136,7 +136,7 @@
 	}()
 	for k := range chunks {
 		fault, over := c.link.current()
-		if !c.hold(k, fault, over, to) {
+		if !c.delay(k, fault, over, to) {
 			return
 		}
 		if len(k.data) > 0 && !pass(k, fault) {
@@ -151,8 +151,8 @@
 	}
 }
 
-// hold delays a chunk as the fault requires. It returns false if the connection ended meanwhile.
-func (c *conn) hold(k chunk, f Fault, over <-chan struct{}, to *net.TCPConn) bool {
+// delay delays a chunk as the fault requires. It returns false if the connection ended meanwhile.
+func (c *conn) delay(k chunk, f Fault, over <-chan struct{}, to *net.TCPConn) bool {
 	toGateway := to == c.gateway
 	switch {
 	case f.Kind == Silent, f.Kind == HoldsAnswers && toGateway:
@@ -169,14 +169,14 @@
 	whole := c.queries.add(k.data, k.at)
 	for _, m := range whole {
 		if m.kind == 'Q' {
-			k.query, c.asked = true, strings.TrimSuffix(string(m.body), "\x00")
+			k.query, c.inFlight = true, strings.TrimSuffix(string(m.body), "\x00")
 		}
 	}
 	c.stopIdle()
 	c.mu.Unlock()
 	for _, m := range whole {
 		if m.kind == 'Q' {
-			c.link.watch.Sent(Sent{Text: strings.TrimSuffix(string(m.body), "\x00"), First: m.first, Last: k.at, Open: c.open})
+			c.link.watcher.Sent(Sent{Text: strings.TrimSuffix(string(m.body), "\x00"), First: m.firstAt, Last: k.at, Open: c.open})
 		}
 	}
 }
@@ -191,25 +191,25 @@
 			c.answer.Follower = c.answer.Follower || string(m.body) == "node_role\x00follower\x00"
 		case 'D':
 			report := string(m.body)
-			c.answer.Follower = c.answer.Follower || c.asked == "SHOW server_load" && strings.HasSuffix(report, "x1=0") &&
-				!strings.HasSuffix(report, unmade)
+			c.answer.Follower = c.answer.Follower || c.inFlight == "SHOW server_load" && strings.HasSuffix(report, "x1=0") &&
+				!strings.HasSuffix(report, emptyReport)
 		case 'Z':
-			c.answer.Text, c.answer.Made = c.asked, k.at
-			if c.asked != "" {
+			c.answer.Text, c.answer.Made = c.inFlight, k.at
+			if c.inFlight != "" {
 				k.answers = append(k.answers, c.answer)
 			}
-			c.answer, c.asked = Answer{}, ""
+			c.answer, c.inFlight = Answer{}, ""
 		}
 	}
 }
 
-// unmade is the load report of a host that has not made one yet.
-const unmade = "x0=0.000,x1=0"
+// emptyReport is the load report of a host that has not made one yet.
+const emptyReport = "x0=0.000,x1=0"
 
-// passQuery writes data of the gateway to the host. It returns false if no more data must be forwarded.
-func (c *conn) passQuery(k chunk, f Fault) bool {
+// forwardQuery writes data of the gateway to the host. It returns false if no more data must be forwarded.
+func (c *conn) forwardQuery(k chunk, f Fault) bool {
 	c.mu.Lock()
-	lost := c.lost
+	lost := c.forgotten
 	c.mu.Unlock()
 	if lost {
 		if c.link.draw(2) == 0 {
@@ -217,20 +217,20 @@
 		}
 		return true
 	}
-	if k.query && f.Kind == ResetsQuery && c.link.draw(oneIn) == 0 {
+	if k.query && f.Kind == ResetsQuery && c.link.draw(affectedOneIn) == 0 {
 		_, _ = c.host.Write(k.data[:c.link.draw(int64(len(k.data)))])
 		c.reset()
 		return false
 	}
-	if k.query && f.Kind == ResetsLater && c.link.draw(oneIn) == 0 {
+	if k.query && f.Kind == ResetsLater && c.link.draw(affectedOneIn) == 0 {
 		time.AfterFunc(time.Duration(c.link.draw(int64(f.Most))), c.reset)
 	}
 	return c.write(c.host, k.data, f, nil)
 }
 
-// passAnswer writes data of the host to the gateway. It returns false if no more data must be forwarded.
-func (c *conn) passAnswer(k chunk, f Fault) bool {
-	if len(k.answers) > 0 && c.link.draw(oneIn) == 0 {
+// forwardAnswer writes data of the host to the gateway. It returns false if no more data must be forwarded.
+func (c *conn) forwardAnswer(k chunk, f Fault) bool {
+	if len(k.answers) > 0 && c.link.draw(affectedOneIn) == 0 {
 		switch f.Kind {
 		case ResetsAnswer:
 			_, _ = c.gateway.Write(k.data[:c.link.draw(int64(len(k.data)))])
@@ -249,21 +249,21 @@
 			}
 		}
 	}
-	if !c.write(c.gateway, k.data, f, func() { tell(c.link.watch.Delivering) }) {
+	if !c.write(c.gateway, k.data, f, func() { tell(c.link.watcher.Delivering) }) {
 		return false
 	}
-	tell(c.link.watch.Delivered)
+	tell(c.link.watcher.Delivered)
 	if len(k.answers) > 0 {
-		c.rest(f)
+		c.startIdle(f)
 	}
 	return true
 }
 
 // write writes to one end, in pieces if the fault requires it, and calls last before the last write.
 func (c *conn) write(to *net.TCPConn, data []byte, f Fault, last func()) bool {
-	for f.Kind == Pieces && len(data) > longestPiece {
-		n := 1 + c.link.draw(longestPiece)
-		if _, err := to.Write(data[:n]); err != nil || !c.wait(time.Duration(c.link.draw(int64(piecePause))), nil) {
+	for f.Kind == Pieces && len(data) > maxPiece {
+		n := 1 + c.link.draw(maxPiece)
+		if _, err := to.Write(data[:n]); err != nil || !c.wait(time.Duration(c.link.draw(int64(maxPiecePause))), nil) {
 			return false
 		}
 		data = data[n:]
@@ -275,20 +275,20 @@
 	return err == nil
 }
 
-// rest starts the timer of a fault that closes or forgets idle connections.
-func (c *conn) rest(f Fault) {
+// startIdle starts the timer of a fault that closes or forgets idle connections.
+func (c *conn) startIdle(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopIdle()
 	switch {
-	case c.asked != "" || c.ended:
+	case c.inFlight != "" || c.ended:
 	case f.Kind == ClosesIdle:
 		c.idle = time.AfterFunc(f.Most, func() { c.end(c.link.draw(2) == 0) })
 	case f.Kind == ForgetsIdle:
 		c.idle = time.AfterFunc(f.Most, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.lost = c.asked == ""
+			c.forgotten = c.inFlight == ""
 		})
 	}
 }
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -42,14 +42,14 @@
 }
 
 const (
-	oneIn        = 8                      // one in so many messages is affected by a fault that affects some
-	lateOneIn    = 3                      // one in so many connections is established late
-	longestPiece = 7                      // bytes
-	piecePause   = 500 * time.Microsecond // longest pause between two pieces
+	affectedOneIn = 8                      // one in so many messages is affected by a fault that affects some
+	lateOneIn     = 3                      // one in so many connections is established late
+	maxPiece      = 7                      // bytes
+	maxPiecePause = 500 * time.Microsecond // longest pause between two pieces
 	// backlog is the listen backlog while the link is not silent.
 	backlog = 1024
-	// fillWithin limits the attempt of a silent link to occupy the one place in the backlog that remains.
-	fillWithin = 100 * time.Millisecond
+	// fillTimeout limits the attempt of a silent link to occupy the one place in the backlog that remains.
+	fillTimeout = 100 * time.Millisecond
 )
 
 // Sent is a query that a gateway has written completely.
@@ -76,16 +76,16 @@
 // Link is the link between one gateway and one host.
 type Link struct {
 	target   string
-	watch    Watcher
+	watcher  Watcher
 	listener *net.TCPListener
 	address  string
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	fault  Fault
-	over   chan struct{} // closed when the fault ends
-	conns  map[*conn]bool
-	closed bool
+	mu       sync.Mutex
+	rng      *rand.Rand
+	fault    Fault
+	faultEnd chan struct{} // closed when the fault ends
+	conns    map[*conn]bool
+	closed   bool
 }
 
 // New starts a link to a host's address.
@@ -94,8 +94,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", target, err)
 	}
-	l := &Link{target: target, watch: watch, listener: n.(*net.TCPListener), address: n.Addr().String(),
-		rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), over: make(chan struct{}), conns: map[*conn]bool{}}
+	l := &Link{target: target, watcher: watch, listener: n.(*net.TCPListener), address: n.Addr().String(),
+		rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), faultEnd: make(chan struct{}), conns: map[*conn]bool{}}
 	go l.accept()
 	return l, nil
 }
@@ -109,20 +109,20 @@
 	defer l.mu.Unlock()
 	l.endLocked()
 	over := make(chan struct{})
-	l.fault, l.over = f, over
+	l.fault, l.faultEnd = f, over
 	switch f.Kind {
 	case Silent:
 		l.listen(0)
 		_ = l.listener.SetDeadline(time.Unix(1, 0))
 	case ClosesIdle, ForgetsIdle:
 		for c := range l.conns {
-			c.rest(f)
+			c.startIdle(f)
 		}
 	}
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.over == over {
+		if l.faultEnd == over {
 			l.endLocked()
 		}
 	}
@@ -140,7 +140,7 @@
 		_ = l.listener.SetDeadline(time.Time{})
 	}
 	l.fault = Fault{}
-	close(l.over)
+	close(l.faultEnd)
 }
 
 // Close closes the link and resets its connections.
@@ -166,7 +166,7 @@
 func (l *Link) current() (Fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fault, l.over
+	return l.fault, l.faultEnd
 }
 
 // draw returns a random number below n.
@@ -180,7 +180,7 @@
 	for {
 		c, err := l.listener.AcceptTCP()
 		if err == nil {
-			go l.carry(c)
+			go l.serve(c)
 			continue
 		}
 		if !errors.Is(err, syscall.ETIMEDOUT) && !isTimeout(err) {
@@ -190,7 +190,7 @@
 		if fault.Kind != Silent {
 			continue
 		}
-		filler, err := net.DialTimeout("tcp4", l.address, fillWithin) // occupies the one place that a backlog of 0 leaves
+		filler, err := net.DialTimeout("tcp4", l.address, fillTimeout) // occupies the one place that a backlog of 0 leaves
 		<-over
 		if err == nil {
 			filler.Close()
@@ -203,8 +203,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// carry forwards the traffic of one connection of the gateway until both directions have ended.
-func (l *Link) carry(gateway *net.TCPConn) {
+// serve forwards the traffic of one connection of the gateway until both directions have ended.
+func (l *Link) serve(gateway *net.TCPConn) {
 	c := &conn{link: l, gateway: gateway, done: make(chan struct{}), queries: framer{startup: true}}
 	l.mu.Lock()
 	l.conns[c] = true
--- a/internal/testbed/linkfault/linkfault_test.go
+++ b/internal/testbed/linkfault/linkfault_test.go
@@ -16,30 +16,34 @@
 )
 
 const (
-	statement = "SELECT content FROM kv WHERE name = 'a' /* id=1,c=view,d=480,cluster=1 */"
-	tries     = 200 // connections within which a fault that affects some must occur once
-	most      = 100 * time.Millisecond
-	patience  = 10 * time.Second
+	statement   = "SELECT content FROM kv WHERE name = 'a' /* id=1,c=view,d=480,cluster=1 */"
+	maxTries    = 200 // connections within which a fault that affects some must occur once
+	maxDelay    = 100 * time.Millisecond
+	testTimeout = 10 * time.Second
 )
 
-// watched records the events of a link.
-type watched struct {
-	mu   sync.Mutex
-	told []string
-	sent Sent
+// recorder records the events of a link.
+type recorder struct {
+	mu     sync.Mutex
+	events []string
+	sent   Sent
 }
 
-func (w *watched) add(what string) { w.mu.Lock(); defer w.mu.Unlock(); w.told = append(w.told, what) }
+func (w *recorder) add(what string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.events = append(w.events, what)
+}
 
-func (w *watched) all() []string { w.mu.Lock(); defer w.mu.Unlock(); return slices.Clone(w.told) }
+func (w *recorder) all() []string { w.mu.Lock(); defer w.mu.Unlock(); return slices.Clone(w.events) }
 
-func start(t *testing.T, script func(int, string) []byte) (*Link, *hosts.Host, *watched) {
+func start(t *testing.T, script func(int, string) []byte) (*Link, *hosts.Host, *recorder) {
 	h, err := hosts.New("s-0", hosts.Follower, script)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { h.Listener.Close() })
-	w := &watched{}
+	w := &recorder{}
 	l, err := New(h.Address, 1, Watcher{
 		Sent:       func(s Sent) { w.add("sent " + s.Text); w.mu.Lock(); w.sent = s; w.mu.Unlock() },
 		Delivering: func(a Answer) { w.add("delivering " + a.Text) },
@@ -63,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = c.Write(pg.AppendStartup(nil, "backend", "store"))
 	welcome := pg.AppendWelcome(nil, pg.StartSession)
 	if _, err := io.ReadFull(c, make([]byte, len(welcome))); err != nil {
@@ -95,7 +99,7 @@
 		t.Fatal(err)
 	}
 	want := []string{"sent " + statement, "delivering " + statement, "delivered " + statement}
-	for end := time.Now().Add(patience); !slices.Equal(w.all(), want); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !slices.Equal(w.all(), want); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("events %q", w.all())
 		}
@@ -120,22 +124,22 @@
 		again  error         // error of a second query
 	}
 	for kind, strikes := range map[Kind]func(seen) bool{
-		DelaysQueries: func(s seen) bool { return s.asked >= most/2 },
-		DelaysAnswers: func(s seen) bool { return s.up >= most/2 && s.asked >= most/2 },
-		Pieces:        func(s seen) bool { return s.err == nil && s.first <= longestPiece },
+		DelaysQueries: func(s seen) bool { return s.asked >= maxDelay/2 },
+		DelaysAnswers: func(s seen) bool { return s.up >= maxDelay/2 && s.asked >= maxDelay/2 },
+		Pieces:        func(s seen) bool { return s.err == nil && s.first <= maxPiece },
 		ResetsQuery:   func(s seen) bool { return reset(s.err) && len(s.answer) == 0 },
 		ResetsAnswer:  func(s seen) bool { return reset(s.err) && len(s.answer) > 0 },
 		ResetsLater:   func(s seen) bool { return reset(s.err) || reset(s.rested) },
 		ClosesIdle:    func(s seen) bool { return s.err == nil && (s.rested == io.EOF || reset(s.rested)) },
 		ForgetsIdle:   func(s seen) bool { return s.err == nil && s.rested == nil && (reset(s.again) || isTimeout(s.again)) },
-		ComesUpLate:   func(s seen) bool { return s.up >= most/4 },
+		ComesUpLate:   func(s seen) bool { return s.up >= maxDelay/4 },
 		HalfCloses:    func(s seen) bool { return s.err == io.EOF },
 	} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			l, _, _ := start(t, nil)
-			l.Begin(Fault{Kind: kind, Most: most})
-			for range tries {
+			l.Begin(Fault{Kind: kind, Most: maxDelay})
+			for range maxTries {
 				begun := time.Now()
 				c := open(t, l)
 				s := seen{up: time.Since(begun)}
@@ -143,19 +147,19 @@
 				s.answer, s.first, s.err = ask(c)
 				s.asked = time.Since(begun)
 				if s.err == nil && (kind == ClosesIdle || kind == ResetsLater) {
-					_ = c.SetReadDeadline(time.Now().Add(2 * most))
+					_ = c.SetReadDeadline(time.Now().Add(2 * maxDelay))
 					_, s.rested = c.Read(make([]byte, 1))
 				}
 				if kind == ForgetsIdle {
-					time.Sleep(2 * most)
-					_ = c.SetDeadline(time.Now().Add(most))
+					time.Sleep(2 * maxDelay)
+					_ = c.SetDeadline(time.Now().Add(maxDelay))
 					_, _, s.again = ask(c)
 				}
 				if c.Close(); strikes(s) {
 					return
 				}
 			}
-			t.Errorf("the fault did not occur in %d connections", tries)
+			t.Errorf("the fault did not occur in %d connections", maxTries)
 		})
 	}
 }
@@ -168,7 +172,7 @@
 	for _, c := range []net.Conn{one, two} {
 		go func() { _, _, err := ask(c); answers <- err }()
 	}
-	for until := time.Now().Add(patience); len(h.Asked()) < 2; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); len(h.Asked()) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the queries do not reach the host")
 		}
@@ -190,13 +194,13 @@
 	end := l.Begin(Fault{Kind: Silent})
 	answer := make(chan error, 1)
 	go func() { _, _, err := ask(c); answer <- err }()
-	for until := time.Now().Add(patience); len(w.all()) == 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); len(w.all()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the watcher does not see a query written to a silent link")
 		}
 	}
-	time.Sleep(2 * fillWithin)
-	if c, err := net.DialTimeout("tcp4", l.Address(), fillWithin); err == nil {
+	time.Sleep(2 * fillTimeout)
+	if c, err := net.DialTimeout("tcp4", l.Address(), fillTimeout); err == nil {
 		c.Close()
 		t.Error("a connection is established")
 	}
--- a/internal/testbed/rules/link.go
+++ b/internal/testbed/rules/link.go
@@ -11,15 +11,15 @@
 func (l *Ledger) SentTo(host, id string, first, last time.Time, open func() bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sentLocked(host, id, first, last, open)
-	l.of(id).sent[host] = last
+	l.checkSentLocked(host, id, first, last, open)
+	l.request(id).sent[host] = last
 }
 
 // Delivering records that a link is about to write the answer to an attempt to the gateway.
 func (l *Ledger) Delivering(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.of(id).out, host)
+	delete(l.request(id).inFlight, host)
 }
 
 // Follows records that a link has just written an answer to a gateway which names the host a follower, and which the host had
@@ -27,13 +27,13 @@
 func (l *Ledger) Follows(gateway, host string, made time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.followsLocked(notice{gateway, host}, made)
+	l.addFollowerAnswerLocked(link{gateway, host}, made)
 }
 
 // sentAtLocked returns when an attempt was sent, or when it reached the host if it was not sent over a link.
-func (l *Ledger) sentAtLocked(host, id string, came time.Time) time.Time {
-	if sent, linked := l.of(id).sent[host]; linked {
+func (l *Ledger) sentAtLocked(host, id string, arrived time.Time) time.Time {
+	if sent, linked := l.request(id).sent[host]; linked {
 		return sent
 	}
-	return came
+	return arrived
 }
--- a/internal/testbed/rules/link_test.go
+++ b/internal/testbed/rules/link_test.go
@@ -12,7 +12,7 @@
 func TestAttemptsOverLinksCountWhenWritten(t *testing.T) {
 	open, closed := func() bool { return true }, func() bool { return false }
 	send := func(l *Ledger, host string, open func() bool) { l.SentTo(host, "a", time.Now(), time.Now(), open) }
-	arrive := func(l *Ledger, host string) { time.Sleep(10 * time.Second); l.ArrivedOn(host, "a", 0, open) }
+	arrive := func(l *Ledger, host string) { time.Sleep(10 * time.Second); l.ArrivedOnConn(host, "a", 0, open) }
 	for name, c := range map[string]struct {
 		want string // part of the violation, or empty for none
 		do   func(l *Ledger)
@@ -41,7 +41,7 @@
 		"is in flight twice before it arrives": {"is in flight at h and at i", func(l *Ledger) { send(l, "h", open); send(l, "i", open) }},
 		"is in flight while the link carries its answer": {"is in flight at h and at i", func(l *Ledger) {
 			send(l, "h", open)
-			l.Over("h", "a")
+			l.AttemptEnded("h", "a")
 			send(l, "i", open)
 		}},
 		"is seen late and was abandoned before its retry": {"", func(l *Ledger) { send(l, "h", open); send(l, "i", closed) }},
@@ -68,7 +68,7 @@
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Second)
 			send(l, "h", closed)
-			l.AnsweredAsFollower("h", "a")
+			l.FollowerAnswered("h", "a")
 			time.Sleep(time.Second)
 			l.Follows("n", "h", time.Now().Add(-time.Second))
 			send(l, "h", open)
@@ -99,7 +99,7 @@
 			l := &Ledger{Limits: Limits{Grace: time.Second, Leave: 100 * time.Millisecond, Window: time.Second,
 				Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond}}
 			l.Via("a", "n")
-			l.of("a").write = true
+			l.request("a").write = true
 			c.do(l)
 			got := strings.Join(l.Broken(), "; ")
 			if c.want == "" && got != "" || !strings.Contains(got, c.want) {
--- a/internal/testbed/rules/rules.go
+++ b/internal/testbed/rules/rules.go
@@ -33,16 +33,16 @@
 
 type request struct {
 	write, repeatable bool
-	asked, by         time.Time            // when it was sent, and the client's deadline
-	via               string               // the gateway to which it was sent
-	left              time.Time            // when its client disconnected, or zero
-	came              bool                 // it has reached a host
-	began             map[string]time.Time // by host where it was possibly executed, when it first arrived
+	sentAt, deadline  time.Time            // when it was sent, and the client's deadline
+	gateway           string               // the gateway to which it was sent
+	disconnectedAt    time.Time            // when its client disconnected, or zero
+	arrived           bool                 // it has reached a host
+	arrivals          map[string]time.Time // by host where it was possibly executed, when it first arrived
 	answers           int
-	ran               int                    // number of times that a host began to execute it
-	out               map[string]func() bool // by host with an attempt in flight: is its connection open? nil means yes
+	executions        int                    // number of times that a host began to execute it
+	inFlight          map[string]func() bool // by host with an attempt in flight: is its connection open? nil means yes
 	sent              map[string]time.Time   // by host, when the last attempt was written to a link; see SentTo
-	made              [][sha256.Size]byte    // checksums of the values that hosts produced for it
+	produced          [][sha256.Size]byte    // checksums of the values that hosts produced for it
 }
 
 // Ledger records requests, attempts and answers, and the violations of the rules. It is safe for concurrent use. The zero
@@ -51,23 +51,23 @@
 	Limits Limits
 	Stalls func() time.Duration // recent stalls of the machine, which are added to the limits; nil for none
 
-	mu       sync.Mutex
-	requests map[string]*request
-	told     map[string]time.Time // when discovery listed a host as draining or removed
-	notified map[notice]time.Time // when a gateway was notified of the same
-	cold     map[string]*cold
-	led      map[string]leadership
-	follows  map[notice][]followerWord // answers of a host as a follower to a gateway, oldest first
-	broken   []string
-	counts   Counts
+	mu              sync.Mutex
+	requests        map[string]*request
+	drains          map[string]time.Time // when discovery listed a host as draining or removed
+	notified        map[link]time.Time   // when a gateway was notified of the same
+	cold            map[string]*coldHost
+	leaderships     map[string]leadershipState
+	followerAnswers map[link][]followerAnswer // answers of a host as a follower to a gateway, oldest first
+	violations      []string
+	counts          Counts
 }
 
-type cold struct {
+type coldHost struct {
 	capacity func(time.Time) float64 // work per second
-	sent     []sent
+	sent     []sentWork
 }
 
-type sent struct {
+type sentWork struct {
 	at   time.Time
 	work time.Duration
 }
@@ -80,7 +80,7 @@
 	AfterLeaving, AfterWindow, StaleExcused          int
 }
 
-type notice struct{ gateway, host string }
+type link struct{ gateway, host string }
 
 func (l *Ledger) slack() time.Duration {
 	if l.Stalls == nil {
@@ -89,29 +89,29 @@
 	return l.Limits.Slack + l.Stalls()
 }
 
-func (l *Ledger) breaks(rule string, args ...any) {
-	l.broken = append(l.broken, fmt.Sprintf(rule, args...))
+func (l *Ledger) addViolation(rule string, args ...any) {
+	l.violations = append(l.violations, fmt.Sprintf(rule, args...))
 }
 
-func (l *Ledger) of(id string) *request {
+func (l *Ledger) request(id string) *request {
 	if l.requests == nil {
 		l.requests = map[string]*request{}
 	}
 	r := l.requests[id]
 	if r == nil {
-		r = &request{out: map[string]func() bool{}, began: map[string]time.Time{}, sent: map[string]time.Time{}}
+		r = &request{inFlight: map[string]func() bool{}, arrivals: map[string]time.Time{}, sent: map[string]time.Time{}}
 		l.requests[id] = r
 	}
 	return r
 }
 
-// Asked records that a client has written a request that must be answered until by. A repeatable one may be executed several
+// Asked records that a client has written a request that must be answered by the deadline. A repeatable one may be executed several
 // times.
-func (l *Ledger) Asked(id string, write, repeatable bool, by time.Time) {
+func (l *Ledger) Asked(id string, write, repeatable bool, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.of(id)
-	r.write, r.repeatable, r.asked, r.by = write, repeatable, time.Now(), by
+	r := l.request(id)
+	r.write, r.repeatable, r.sentAt, r.deadline = write, repeatable, time.Now(), deadline
 	l.counts.Asked++
 }
 
@@ -119,28 +119,28 @@
 func (l *Ledger) Answered(id string, k Kind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.of(id)
+	r := l.request(id)
 	if r.answers++; r.answers > 1 {
-		l.breaks("%s was answered %d times", id, r.answers)
+		l.addViolation("%s was answered %d times", id, r.answers)
 	}
 	switch k {
 	case Served:
 		l.counts.Served++
-		if r.ran == 0 {
-			l.breaks("%s was served but ran at no host", id)
+		if r.executions == 0 {
+			l.addViolation("%s was served but ran at no host", id)
 		}
 	case Refused:
 		l.counts.Refused++
-		if r.ran > 0 && !r.repeatable {
+		if r.executions > 0 && !r.repeatable {
 			l.counts.RefusedAfterRun++
-			l.breaks("%s was refused but has run", id)
+			l.addViolation("%s was refused but has run", id)
 		}
 	case Failed:
 		l.counts.Failed++
 	}
-	if !r.by.IsZero() && time.Now().After(r.by.Add(l.slack())) {
+	if !r.deadline.IsZero() && time.Now().After(r.deadline.Add(l.slack())) {
 		l.counts.Late++
-		l.breaks("%s was answered %v after its client stopped waiting", id, time.Since(r.by))
+		l.addViolation("%s was answered %v after its client stopped waiting", id, time.Since(r.deadline))
 	}
 }
 
@@ -148,16 +148,16 @@
 func (l *Ledger) Made(id string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.of(id)
-	r.made = append(r.made, sha256.Sum256(value))
+	r := l.request(id)
+	r.produced = append(r.produced, sha256.Sum256(value))
 }
 
 // ServedWith checks that the value with which a request was served is one that a host produced for it.
 func (l *Ledger) ServedWith(id string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !slices.Contains(l.of(id).made, sha256.Sum256(value)) {
-		l.breaks("%s was served with %d bytes that no host produced for it", id, len(value))
+	if !slices.Contains(l.request(id).produced, sha256.Sum256(value)) {
+		l.addViolation("%s was served with %d bytes that no host produced for it", id, len(value))
 	}
 }
 
@@ -166,59 +166,59 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Unanswered++
-	l.of(id).answers++
+	l.request(id).answers++
 }
 
 // Arrived records that a host has received a whole request on an open connection; work is its execution time on a warm host.
-func (l *Ledger) Arrived(host, id string, work time.Duration) { l.ArrivedOn(host, id, work, nil) }
+func (l *Ledger) Arrived(host, id string, work time.Duration) { l.ArrivedOnConn(host, id, work, nil) }
 
-// ArrivedOn is like Arrived with a function that reports whether the connection is open: an attempt is in flight only as long
-// as it is, even if the host has not noticed yet that the connection ended.
-func (l *Ledger) ArrivedOn(host, id string, work time.Duration, open func() bool) {
+// ArrivedOnConn is like Arrived with a function that reports whether the connection is open. An attempt is in flight only as
+// long as it is, even if the host has not noticed yet that the connection ended.
+func (l *Ledger) ArrivedOnConn(host, id string, work time.Duration, open func() bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.loadLocked(host, work, now)
-	if _, linked := l.of(id).sent[host]; !linked { // otherwise it was checked when it was written to the link
-		l.sentLocked(host, id, now, now, open)
+	l.checkLoadLocked(host, work, now)
+	if _, linked := l.request(id).sent[host]; !linked { // otherwise it was checked when it was written to the link
+		l.checkSentLocked(host, id, now, now, open)
 	}
 }
 
-// sentLocked checks an attempt whose first and last byte were received at first and last.
-func (l *Ledger) sentLocked(host, id string, first, last time.Time, open func() bool) {
-	r := l.of(id)
+// checkSentLocked checks an attempt whose first and last byte were received at first and last.
+func (l *Ledger) checkSentLocked(host, id string, first, last time.Time, open func() bool) {
+	r := l.request(id)
 	l.counts.Attempts++
-	l.checkOut(host, id, r, open)
+	l.checkInFlight(host, id, r, open)
 	l.checkAttempt(host, id, first, last, r)
-	if told, ok := l.told[host]; ok && l.Limits.Grace > 0 && first.Sub(told) > l.Limits.Grace+l.slack() {
+	if listedAt, ok := l.drains[host]; ok && l.Limits.Grace > 0 && first.Sub(listedAt) > l.Limits.Grace+l.slack() {
 		l.counts.AfterDrain++
-		l.breaks("%s arrived at %s %v after discovery listed the host as draining or removed", id, host, first.Sub(told))
+		l.addViolation("%s arrived at %s %v after discovery listed the host as draining or removed", id, host, first.Sub(listedAt))
 	}
 }
 
-// checkOut checks that no other attempt of the request is in flight. An attempt that is seen only after its connection ended
-// was abandoned, possibly before another attempt that was seen earlier began, and is ignored.
-func (l *Ledger) checkOut(host, id string, r *request, open func() bool) {
+// checkInFlight checks that no other attempt of the request is in flight. An attempt that is seen only after its connection
+// ended was abandoned, possibly before another attempt that was seen earlier began, and is ignored.
+func (l *Ledger) checkInFlight(host, id string, r *request, open func() bool) {
 	if open != nil && !open() {
 		return
 	}
-	for other, open := range r.out {
+	for other, open := range r.inFlight {
 		if open != nil && !open() {
 			continue
 		}
 		l.counts.TwoOut++
-		l.breaks("%s is in flight at %s and at %s", id, other, host)
+		l.addViolation("%s is in flight at %s and at %s", id, other, host)
 	}
-	r.out[host] = open
+	r.inFlight[host] = open
 }
 
-// loadLocked checks the amount of work sent to a cold host.
-func (l *Ledger) loadLocked(host string, work time.Duration, now time.Time) {
+// checkLoadLocked checks the amount of work sent to a cold host.
+func (l *Ledger) checkLoadLocked(host string, work time.Duration, now time.Time) {
 	c := l.cold[host]
 	if c == nil || l.Limits.Overload == 0 {
 		return
 	}
-	c.sent = append(c.sent, sent{now, work})
+	c.sent = append(c.sent, sentWork{now, work})
 	var total time.Duration
 	for len(c.sent) > 0 && now.Sub(c.sent[0].at) > l.Limits.OverloadIn {
 		c.sent = c.sent[1:]
@@ -226,70 +226,70 @@
 	for _, s := range c.sent {
 		total += s.work
 	}
-	if most := l.Limits.Overload * c.capacity(now) * float64(l.Limits.OverloadIn); float64(total) > most {
+	if maxWork := l.Limits.Overload * c.capacity(now) * float64(l.Limits.OverloadIn); float64(total) > maxWork {
 		l.counts.Overloaded++
-		l.breaks("%s was sent %v of work within %v", host, total, l.Limits.OverloadIn)
+		l.addViolation("%s was sent %v of work within %v", host, total, l.Limits.OverloadIn)
 	}
 }
 
 // checkAttempt checks the time of an attempt against the drain notification of its gateway, the disconnect of its client and
 // earlier attempts. Drain and disconnect limit the time of its first byte, the window for retries that of its last byte.
 func (l *Ledger) checkAttempt(host, id string, first, last time.Time, r *request) {
-	told, notified := l.notified[notice{r.via, host}]
-	if notified && l.Limits.Grace > 0 && first.Sub(told) > l.Limits.Grace+l.slack() {
+	notifiedAt, notified := l.notified[link{r.gateway, host}]
+	if notified && l.Limits.Grace > 0 && first.Sub(notifiedAt) > l.Limits.Grace+l.slack() {
 		l.counts.AfterDrain++
-		l.breaks("%s from %s arrived at %s %v after the gateway was notified of the drain", id, r.via, host, first.Sub(told))
+		l.addViolation("%s from %s arrived at %s %v after the gateway was notified of the drain", id, r.gateway, host, first.Sub(notifiedAt))
 	}
-	if !r.left.IsZero() && l.Limits.Leave > 0 && first.Sub(r.left) > l.Limits.Leave+l.slack() {
+	if !r.disconnectedAt.IsZero() && l.Limits.Leave > 0 && first.Sub(r.disconnectedAt) > l.Limits.Leave+l.slack() {
 		l.counts.AfterLeaving++
-		l.breaks("%s arrived at %s %v after its client disconnected", id, host, first.Sub(r.left))
+		l.addViolation("%s arrived at %s %v after its client disconnected", id, host, first.Sub(r.disconnectedAt))
 	}
-	r.came = true
-	for before, at := range r.began {
+	r.arrived = true
+	for before, at := range r.arrivals {
 		if l.Limits.Window > 0 && r.write && last.Sub(at) > l.Limits.Window+l.slack() {
 			l.counts.AfterWindow++
-			l.breaks("%s was retried at %s %v after it arrived at %s, where it was possibly executed", id, host, last.Sub(at), before)
+			l.addViolation("%s was retried at %s %v after it arrived at %s, where it was possibly executed", id, host, last.Sub(at), before)
 		}
 	}
-	if _, again := r.began[host]; !again {
-		r.began[host] = last
+	if _, again := r.arrivals[host]; !again {
+		r.arrivals[host] = last
 	}
 }
 
-// Unrun records that a host has rejected a request without executing it.
-func (l *Ledger) Unrun(host, id string) {
+// NotExecuted records that a host has rejected a request without executing it.
+func (l *Ledger) NotExecuted(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.of(id).began, host)
+	delete(l.request(id).arrivals, host)
 }
 
 // Via records the gateway to which a request is sent.
 func (l *Ledger) Via(id, gateway string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(id).via = gateway
+	l.request(id).gateway = gateway
 }
 
 // Leaves records that the client of a request disconnects now, without waiting for the answer.
 func (l *Ledger) Leaves(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(id).left = time.Now()
-	l.of(id).answers++
+	l.request(id).disconnectedAt = time.Now()
+	l.request(id).answers++
 }
 
 // Came reports whether a request has reached a host.
 func (l *Ledger) Came(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.of(id).came
+	return l.request(id).arrived
 }
 
 // Breaks records a violation found outside the ledger.
 func (l *Ledger) Breaks(rule string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breaks(rule, args...)
+	l.addViolation(rule, args...)
 }
 
 // Notified records that a gateway counts as notified, from a time on, that a host drains or was removed. An earlier time is
@@ -298,9 +298,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.notified == nil {
-		l.notified = map[notice]time.Time{}
+		l.notified = map[link]time.Time{}
 	}
-	n := notice{gateway, host}
+	n := link{gateway, host}
 	if old, ok := l.notified[n]; !ok || at.Before(old) {
 		l.notified[n] = at
 	}
@@ -316,9 +316,9 @@
 			l.notified[n] = at
 		}
 	}
-	for n := range l.follows { // the new process has received none of these answers
+	for n := range l.followerAnswers { // the new process has received none of these answers
 		if n.gateway == gateway {
-			delete(l.follows, n)
+			delete(l.followerAnswers, n)
 		}
 	}
 }
@@ -334,52 +334,52 @@
 	}
 }
 
-// Over records that an attempt is no longer in flight: it was answered, or its connection ended.
-func (l *Ledger) Over(host, id string) {
+// AttemptEnded records that an attempt is no longer in flight: it was answered, or its connection ended.
+func (l *Ledger) AttemptEnded(host, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.of(id); r.sent[host].IsZero() { // otherwise it ends when the gateway receives the answer
-		delete(r.out, host)
+	if r := l.request(id); r.sent[host].IsZero() { // otherwise it ends when the gateway receives the answer
+		delete(r.inFlight, host)
 	}
 }
 
-// Ran records that a host has begun to execute a request.
-func (l *Ledger) Ran(host, id string, write bool) {
+// Executed records that a host has begun to execute a request.
+func (l *Ledger) Executed(host, id string, write bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.of(id)
-	r.ran++
+	r := l.request(id)
+	r.executions++
 	if write {
 		l.counts.WritesRan++
-		if r.ran > 1 && !r.repeatable {
+		if r.executions > 1 && !r.repeatable {
 			l.counts.Doubled++
-			l.breaks("%s was executed again at %s", id, host)
+			l.addViolation("%s was executed again at %s", id, host)
 		}
 	}
 }
 
-// Told records that discovery now lists a host as draining or removed, or, with back set, as serving again.
-func (l *Ledger) Told(host string, back bool) {
+// Told records that discovery now lists a host as draining or removed, or, with serving set, as serving again.
+func (l *Ledger) Told(host string, serving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told == nil {
-		l.told = map[string]time.Time{}
+	if l.drains == nil {
+		l.drains = map[string]time.Time{}
 	}
-	if _, ok := l.told[host]; back {
-		delete(l.told, host)
+	if _, ok := l.drains[host]; serving {
+		delete(l.drains, host)
 	} else if !ok {
-		l.told[host] = time.Now()
+		l.drains[host] = time.Now()
 	}
 }
 
-// Cold records that a host has started cold; capacity returns the work per second that it can do at a time.
-func (l *Ledger) Cold(host string, capacity func(time.Time) float64) {
+// ColdStarted records that a host has started cold; capacity returns the work per second that it can do at a time.
+func (l *Ledger) ColdStarted(host string, capacity func(time.Time) float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cold == nil {
-		l.cold = map[string]*cold{}
+		l.cold = map[string]*coldHost{}
 	}
-	l.cold[host] = &cold{capacity: capacity}
+	l.cold[host] = &coldHost{capacity: capacity}
 }
 
 // Counts returns the numbers seen so far.
@@ -393,9 +393,9 @@
 func (l *Ledger) Broken() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := append([]string(nil), l.broken...)
+	out := append([]string(nil), l.violations...)
 	for id, r := range l.requests {
-		if !r.asked.IsZero() && r.answers == 0 {
+		if !r.sentAt.IsZero() && r.answers == 0 {
 			out = append(out, id+" was never answered")
 		}
 	}
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -10,12 +10,16 @@
 func TestLedgerDetectsViolations(t *testing.T) {
 	soon := func() time.Time { return time.Now().Add(time.Second) }
 	for want, do := range map[string]func(l *Ledger){
-		"":                    func(l *Ledger) { l.Asked("a", true, false, soon()); l.Ran("h", "a", true); l.Answered("a", Served) },
+		"": func(l *Ledger) {
+			l.Asked("a", true, false, soon())
+			l.Executed("h", "a", true)
+			l.Answered("a", Served)
+		},
 		"never answered":      func(l *Ledger) { l.Asked("a", true, false, soon()) },
-		"answered 2 times":    func(l *Ledger) { l.Ran("h", "a", false); l.Answered("a", Served); l.Answered("a", Failed) },
+		"answered 2 times":    func(l *Ledger) { l.Executed("h", "a", false); l.Answered("a", Served); l.Answered("a", Failed) },
 		"ran at no host":      func(l *Ledger) { l.Answered("a", Served) },
-		"executed again":      func(l *Ledger) { l.Ran("h", "a", true); l.Ran("i", "a", true) },
-		"refused but has run": func(l *Ledger) { l.Ran("h", "a", true); l.Answered("a", Refused) },
+		"executed again":      func(l *Ledger) { l.Executed("h", "a", true); l.Executed("i", "a", true) },
+		"refused but has run": func(l *Ledger) { l.Executed("h", "a", true); l.Answered("a", Refused) },
 		"in flight at":        func(l *Ledger) { l.Arrived("h", "a", 0); l.Arrived("i", "a", 0) },
 		"data 100ms too old":  func(l *Ledger) { l.Read("h", "a", time.Now(), time.Now().Add(-100*time.Millisecond), 0) },
 		"data 1ms too old":    func(l *Ledger) { l.ReadOwn("h", "a", time.Now(), time.Now().Add(-time.Millisecond), time.Now()) },
@@ -23,7 +27,7 @@
 			l.Leadership("h", Leads)
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Millisecond)
-			l.AnsweredAsFollower("h", "b")
+			l.FollowerAnswered("h", "b")
 			time.Sleep(151 * time.Millisecond)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Second), 0)
 		},
@@ -35,10 +39,10 @@
 			l.Answered("a", Failed)
 		},
 		"of work within": func(l *Ledger) {
-			l.Cold("h", func(time.Time) float64 { return 1 })
+			l.ColdStarted("h", func(time.Time) float64 { return 1 })
 			for range 50 {
 				l.Arrived("h", "a", 100*time.Millisecond)
-				l.Over("h", "a")
+				l.AttemptEnded("h", "a")
 			}
 		},
 	} {
@@ -61,7 +65,7 @@
 		old("a") // no gateway has a follower's answer
 		time.Sleep(time.Millisecond)
 		l.Via("b", "n1")
-		l.AnsweredAsFollower("h", "b")
+		l.FollowerAnswered("h", "b")
 		time.Sleep(100 * time.Millisecond)
 		old("b") // within KnownAfter
 		time.Sleep(time.Second)
@@ -70,7 +74,7 @@
 		l.Leadership("h", Deposed)
 		old("b") // it has been the primary since
 		time.Sleep(time.Millisecond)
-		l.AnsweredAsFollower("h", "b")
+		l.FollowerAnswered("h", "b")
 		time.Sleep(time.Second)
 		l.Restarted("n1", time.Now())
 		old("b") // the new process has received no answer
@@ -84,7 +88,7 @@
 		l.Told("h", true)
 		time.Sleep(time.Minute)
 		l.Arrived("h", "a", 0)
-		l.Over("h", "a")
+		l.AttemptEnded("h", "a")
 		l.Arrived("i", "a", 0)
 		l.Asked("b", false, true, time.Now().Add(time.Second))
 		l.Left("b")
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -52,8 +52,8 @@
 	Link           Kind = "link"            // the gateway's links have a fault
 )
 
-// ageTroubles are the events that make statements of hosts older than they appear. HangButProbes is drawn twice as often.
-var ageTroubles = []Kind{HangButProbes, HangButProbes, ReportsStop, OldRole, HeldAnswers, LogStalls}
+// ageEvents are the events that make statements of hosts older than they appear. HangButProbes is drawn twice as often.
+var ageEvents = []Kind{HangButProbes, HangButProbes, ReportsStop, OldRole, HeldAnswers, LogStalls}
 
 // Event is one event of a run.
 type Event struct {
@@ -263,7 +263,7 @@
 	}
 	for range 2 + rng.IntN(3) {
 		e := Event{At: between(500*time.Millisecond, last), For: between(300*time.Millisecond, 3*time.Second),
-			Kind: ageTroubles[rng.IntN(len(ageTroubles))], Target: rng.IntN(p.Gateways), Next: rng.IntN(2) == 0}
+			Kind: ageEvents[rng.IntN(len(ageEvents))], Target: rng.IntN(p.Gateways), Next: rng.IntN(2) == 0}
 		e.With = []Kind{"", HoldUp, Burst, Restart, Series, Kill, Kill}[rng.IntN(7)]
 		if p.SecondGroup > 0 {
 			e.Group = rng.IntN(2)
@@ -276,8 +276,8 @@
 	}
 }
 
-// lateUpMost is the documented maximum delay in establishing a connection.
-const lateUpMost = 1500 * time.Millisecond
+// maxConnectDelay is the documented maximum delay in establishing a connection.
+const maxConnectDelay = 1500 * time.Millisecond
 
 // links draws, in half of the plans, the gateways that reach the hosts over links, and the faults of the links. Like ages, it
 // has its own random generator.
@@ -302,7 +302,7 @@
 		e.Fault.Kind = linkfault.Kinds[rng.IntN(len(linkfault.Kinds))]
 		switch e.Fault.Kind {
 		case linkfault.ComesUpLate:
-			e.Fault.Most = lateUpMost
+			e.Fault.Most = maxConnectDelay
 		case linkfault.ClosesIdle, linkfault.ForgetsIdle:
 			e.Fault.Most = between(10*time.Millisecond, 300*time.Millisecond)
 		case linkfault.ResetsLater:
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -85,7 +85,7 @@
 			groups[e.Group] = true
 		}
 	}
-	for _, trouble := range ageTroubles {
+	for _, trouble := range ageEvents {
 		for _, with := range []Kind{"", HoldUp, Burst, Restart, Series, Kill} {
 			if !seen[[2]Kind{trouble, with}] {
 				t.Errorf("no plan has the event %q with %q", trouble, with)
--- a/internal/testbed/stall/stall.go
+++ b/internal/testbed/stall/stall.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	every  = time.Millisecond // interval of the measurements
-	window = 2 * time.Second  // in which stalls count as recent
-	// least is the minimum duration of a stall that counts.
-	least = 5 * time.Millisecond
+	interval = time.Millisecond // interval of the measurements
+	window   = 2 * time.Second  // in which stalls count as recent
+	// minStall is the minimum duration of a stall that counts.
+	minStall = 5 * time.Millisecond
 )
 
 type stall struct {
-	at   time.Time // end of the stall
-	long time.Duration
+	endedAt  time.Time // end of the stall
+	duration time.Duration
 }
 
 // Monitor detects stalls until it is stopped.
 type Monitor struct {
 	stop chan struct{}
 
-	mu   sync.Mutex
-	seen []stall
-	most stall
-	last time.Time // time of the last measurement
+	mu         sync.Mutex
+	recent     []stall
+	longest    stall
+	measuredAt time.Time // time of the last measurement
 }
 
 // Start starts a monitor.
 func Start() *Monitor {
-	m := &Monitor{stop: make(chan struct{}), last: time.Now()}
+	m := &Monitor{stop: make(chan struct{}), measuredAt: time.Now()}
 	go m.watch()
 	return m
 }
@@ -44,30 +44,30 @@
 		select {
 		case <-m.stop:
 			return
-		case <-time.After(every):
-			m.look(time.Now())
+		case <-time.After(interval):
+			m.measure(time.Now())
 		}
 	}
 }
 
-// look records the stall that ends now, if there was one.
-func (m *Monitor) look(now time.Time) {
+// measure records the stall that ends now, if there was one.
+func (m *Monitor) measure(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.noteLocked(now, now.Sub(m.last)-every)
-	m.last = now
+	m.recordLocked(now, now.Sub(m.measuredAt)-interval)
+	m.measuredAt = now
 }
 
-func (m *Monitor) noteLocked(now time.Time, long time.Duration) {
-	if long < least {
+func (m *Monitor) recordLocked(now time.Time, duration time.Duration) {
+	if duration < minStall {
 		return
 	}
-	m.seen = append(m.seen, stall{now, long})
-	if long > m.most.long {
-		m.most = stall{now, long}
+	m.recent = append(m.recent, stall{now, duration})
+	if duration > m.longest.duration {
+		m.longest = stall{now, duration}
 	}
-	for now.Sub(m.seen[0].at) > window {
-		m.seen = m.seen[1:]
+	for now.Sub(m.recent[0].endedAt) > window {
+		m.recent = m.recent[1:]
 	}
 }
 
@@ -75,7 +75,7 @@
 func (m *Monitor) Longest() (long time.Duration, ended time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.most.long, m.most.at
+	return m.longest.duration, m.longest.endedAt
 }
 
 // Lately returns the sum of the stalls of the last two seconds. A stall that still lasts for the monitor counts, as the caller
@@ -83,12 +83,12 @@
 func (m *Monitor) Lately() (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if long := time.Since(m.last) - every; long >= least {
-		sum = long
+	if ongoing := time.Since(m.measuredAt) - interval; ongoing >= minStall {
+		sum = ongoing
 	}
-	for _, s := range m.seen {
-		if time.Since(s.at) <= window {
-			sum += s.long
+	for _, s := range m.recent {
+		if time.Since(s.endedAt) <= window {
+			sum += s.duration
 		}
 	}
 	return sum
--- a/internal/testbed/stall/stall_test.go
+++ b/internal/testbed/stall/stall_test.go
@@ -8,11 +8,11 @@
 
 func TestStallsAreSummedAndForgotten(t *testing.T) {
 	now := time.Now()
-	m := &Monitor{last: now.Add(time.Hour)}
-	m.noteLocked(now.Add(-window-time.Second), time.Second)
-	m.noteLocked(now, 30*time.Millisecond)
-	m.noteLocked(now, 20*time.Millisecond)
-	m.noteLocked(now, least/2)
+	m := &Monitor{measuredAt: now.Add(time.Hour)}
+	m.recordLocked(now.Add(-window-time.Second), time.Second)
+	m.recordLocked(now, 30*time.Millisecond)
+	m.recordLocked(now, 20*time.Millisecond)
+	m.recordLocked(now, minStall/2)
 	if got := m.Lately(); got != 50*time.Millisecond {
 		t.Errorf("recent stalls of %s", got)
 	}
@@ -21,8 +21,8 @@
 func TestLongestStallIsKept(t *testing.T) {
 	m := &Monitor{}
 	ended := time.Now().Add(-2 * window)
-	m.noteLocked(ended, time.Second)
-	m.noteLocked(ended.Add(2*window), 30*time.Millisecond)
+	m.recordLocked(ended, time.Second)
+	m.recordLocked(ended.Add(2*window), 30*time.Millisecond)
 	if long, at := m.Longest(); long != time.Second || !at.Equal(ended) {
 		t.Errorf("longest stall %s, ended %s", long, at)
 	}
@@ -30,10 +30,10 @@
 
 func TestOngoingStallCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &Monitor{last: time.Now()}
-		time.Sleep(time.Second + every) // without a measurement
+		m := &Monitor{measuredAt: time.Now()}
+		time.Sleep(time.Second + interval) // without a measurement
 		before := m.Lately()
-		m.look(time.Now())
+		m.measure(time.Now())
 		if after := m.Lately(); before != time.Second || after != time.Second {
 			t.Errorf("stalls of %s during the stall, %s after it", before, after)
 		}
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -7,64 +7,64 @@
 	"yokemast/internal/wire/pg"
 )
 
-// expect describes the host's expected answer to one message, or an answer that the gateway itself gives.
-type expect struct {
-	kind      byte               // of the message, or 0 if made is the answer
-	made      []byte             // answer of the gateway itself, or nil
+// expectation describes the host's expected answer to one message, or an answer that the gateway itself gives.
+type expectation struct {
+	kind      byte               // of the message, or 0 if reply is the answer
+	reply     []byte             // answer of the gateway itself, or nil
 	hidden    bool               // the answer is not forwarded, as the gateway sent the message on its own
-	carry     bool               // the message applies the session's settings to the connection
+	settings  bool               // the message applies the session's settings to the connection
 	statement *pooling.Statement // of a Parse or Bind, as prepared on the host
-	of        byte               // target of a Describe: 'S' for a statement
+	target    byte               // target of a Describe: 'S' for a statement
 	name      string             // the client's name of the statement
 	commands  []pooling.Command  // commands that the answer completes, in order
 }
 
-// unknown is a statement name that exists on no host connection, so that the host itself reports the error.
-const unknown = "yk_unknown"
+// unknownStatement is a statement name that exists on no host connection, so that the host itself reports the error.
+const unknownStatement = "yk_unknown"
 
-// build translates the batch into the messages for the host and the answers expected to them.
-func (x *exchangeOf) build() error {
-	link := x.h.Link()
-	if x.l.skipping {
-		if x.b.Ends && x.b.Messages[len(x.b.Messages)-1].Kind == pg.Sync {
-			x.l.skipping = false
+// buildQuery translates the batch into the messages for the host and the answers expected to them.
+func (x *batchExchange) buildQuery() error {
+	link := x.host.Link()
+	if x.checkout.skipping {
+		if x.batch.Ends && x.batch.Messages[len(x.batch.Messages)-1].Kind == pg.Sync {
+			x.checkout.skipping = false
 			x.query = pg.Append(x.query, pg.Sync)
-			x.expects = append(x.expects, expect{kind: pg.Sync})
+			x.expects = append(x.expects, expectation{kind: pg.Sync})
 		}
 		return nil
 	}
-	if sql := link.SettingsQuery(x.s); sql != "" {
+	if sql := link.SettingsQuery(x.session); sql != "" {
 		x.query = pg.AppendQuery(x.query, sql)
-		x.expects = append(x.expects, expect{kind: pg.Query, hidden: true, carry: true})
+		x.expects = append(x.expects, expectation{kind: pg.Query, hidden: true, settings: true})
 	}
 	x.portals = map[string]*pooling.Statement{}
-	if x.l.bound != nil { // the portal of a Bind streamed before
-		x.portals[x.l.portal], x.l.bound = x.l.bound, nil
+	if x.checkout.streamedStatement != nil { // the portal of a Bind streamed before
+		x.portals[x.checkout.streamedPortal], x.checkout.streamedStatement = x.checkout.streamedStatement, nil
 	}
-	add, here := x.add, x.here
-	for _, m := range x.b.Messages {
+	expect, ensurePrepared := x.expect, x.ensurePrepared
+	for _, m := range x.batch.Messages {
 		switch m.Kind {
 		case pg.Query:
 			x.query = pg.Append(x.query, pg.Query, m.Body)
-			add(expect{kind: pg.Query, commands: x.b.Commands})
+			expect(expectation{kind: pg.Query, commands: x.batch.Commands})
 		case pg.Parse:
 			p, err := pg.ReadParse(m.Body)
 			if err != nil {
 				return err
 			}
-			st := pooling.NewStatement(p.Text, p.Types)
-			if !x.s.Prepare(p.Name, st) {
+			statement := pooling.NewStatement(p.Text, p.Types)
+			if !x.session.Prepare(p.Name, statement) {
 				// The gateway reports a duplicate name itself, as the host does not know the client's names.
-				add(expect{made: pg.AppendError(nil, &pg.Error{Code: "42P05",
+				expect(expectation{reply: pg.AppendError(nil, &pg.Error{Code: "42P05",
 					Message: fmt.Sprintf("prepared statement %q already exists", p.Name)}), kind: pg.ErrorResponse})
 				return nil
 			}
 			before := len(x.expects)
-			here(st)
+			ensurePrepared(statement)
 			if n := len(x.expects); n > before && x.expects[n-1].kind == pg.Parse {
 				x.expects[n-1].hidden, x.expects[n-1].name = false, p.Name
 			} else {
-				add(expect{made: pg.Append(nil, pg.ParseComplete)})
+				expect(expectation{reply: pg.Append(nil, pg.ParseComplete)})
 			}
 		case pg.Bind:
 			if m.Rest != nil {
@@ -74,75 +74,75 @@
 			if err != nil {
 				return err
 			}
-			st, host := x.s.Prepared(name), unknown
-			if st != nil {
-				host = here(st)
+			statement, hostName := x.session.Prepared(name), unknownStatement
+			if statement != nil {
+				hostName = ensurePrepared(statement)
 			}
-			x.portals[portal] = st
-			x.query = pg.AppendBind(x.query, portal, host, rest)
-			add(expect{kind: pg.Bind, statement: st, name: name})
+			x.portals[portal] = statement
+			x.query = pg.AppendBind(x.query, portal, hostName, rest)
+			expect(expectation{kind: pg.Bind, statement: statement, name: name})
 		case pg.Describe:
 			kind, name, err := pg.ReadTarget(m.Body)
 			if err != nil {
 				return err
 			}
 			if kind == 'S' {
-				host := unknown
-				if st := x.s.Prepared(name); st != nil {
-					host = here(st)
+				hostName := unknownStatement
+				if statement := x.session.Prepared(name); statement != nil {
+					hostName = ensurePrepared(statement)
 				}
-				x.query = pg.AppendTarget(x.query, pg.Describe, 'S', host)
-				add(expect{kind: pg.Describe, of: 'S', name: name})
+				x.query = pg.AppendTarget(x.query, pg.Describe, 'S', hostName)
+				expect(expectation{kind: pg.Describe, target: 'S', name: name})
 				continue
 			}
 			x.query = pg.Append(x.query, pg.Describe, m.Body)
-			add(expect{kind: pg.Describe})
+			expect(expectation{kind: pg.Describe})
 		case pg.Execute:
 			portal, err := pg.ReadExecute(m.Body)
 			if err != nil {
 				return err
 			}
-			e := expect{kind: pg.Execute}
-			if st := x.portals[portal]; st != nil {
-				e.commands = pooling.Scan(st.Text)
+			e := expectation{kind: pg.Execute}
+			if statement := x.portals[portal]; statement != nil {
+				e.commands = pooling.Scan(statement.Text)
 			}
 			x.query = pg.Append(x.query, pg.Execute, m.Body)
-			add(e)
+			expect(e)
 		case pg.Close:
 			kind, name, err := pg.ReadTarget(m.Body)
 			if err != nil {
 				return err
 			}
 			if kind == 'S' {
-				x.s.Close(name)
-				add(expect{made: pg.Append(nil, pg.CloseComplete)})
+				x.session.Close(name)
+				expect(expectation{reply: pg.Append(nil, pg.CloseComplete)})
 				continue
 			}
 			x.query = pg.Append(x.query, pg.Close, m.Body)
-			add(expect{kind: pg.Close})
+			expect(expectation{kind: pg.Close})
 		case pg.Flush, pg.Sync:
 			x.query = pg.Append(x.query, m.Kind, m.Body)
 			if m.Kind == pg.Sync {
-				add(expect{kind: pg.Sync})
+				expect(expectation{kind: pg.Sync})
 			}
 		}
 	}
 	return nil
 }
 
-func (x *exchangeOf) add(e expect) { x.expects = append(x.expects, e) }
+func (x *batchExchange) expect(e expectation) { x.expects = append(x.expects, e) }
 
-// here prepares a statement on this connection if it is not prepared yet, and returns its name on the host.
-func (x *exchangeOf) here(st *pooling.Statement) string {
-	link := x.h.Link()
+// ensurePrepared prepares a statement on this connection if it is not prepared yet, and returns its name on the host.
+func (x *batchExchange) ensurePrepared(st *pooling.Statement) string {
+	link := x.host.Link()
 	name, parse := link.Use(st)
-	for _, gone := range link.Evicted() {
-		x.query = pg.AppendTarget(x.query, pg.Close, 'S', gone)
-		x.add(expect{kind: pg.Close, hidden: true})
+	for _, evicted := range link.Evicted() {
+		x.query = pg.AppendTarget(x.query, pg.Close, 'S', evicted)
+		x.expect(expectation{kind: pg.Close, hidden: true})
 	}
 	if parse {
 		x.query = pg.AppendParse(x.query, pg.ParseMessage{Name: name, Text: st.Text, Types: st.Types})
-		x.add(expect{kind: pg.Parse, hidden: true, statement: st})
+		x.expect(expectation{kind: pg.Parse, hidden: true, statement: st})
 	}
 	return name
 }
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -11,34 +11,34 @@
 	"yokemast/internal/wire/pg"
 )
 
-// exchangeOf is the exchange of one batch with a host.
-type exchangeOf struct {
-	l          *Lease
-	h          *backend.Host
-	s          *pooling.Session
-	b          *Batch
+// batchExchange is the exchange of one batch with a host.
+type batchExchange struct {
+	checkout   *Lease
+	host       *backend.Host
+	session    *pooling.Session
+	batch      *Batch
 	statements map[string]*pooling.Statement // the session's prepared statements before the batch
 	portals    map[string]*pooling.Statement
 	query      []byte
-	expects    []expect
+	expects    []expectation
 	out        []byte
 	sent       bool          // something was sent to the host
 	relayed    bool          // something was sent to the client
-	last       byte          // kind of the last message from the host
-	read       bool          // the host has sent a row
+	lastKind   byte          // kind of the last message from the host
+	rowRead    bool          // the host has sent a row
 	wrote      time.Duration // as Done.Wrote
 }
 
-func (x *exchangeOf) flush() error {
+func (x *batchExchange) flush() error {
 	switch {
 	case len(x.out) == 0:
 		return nil
-	case x.h.Late():
+	case x.host.Late():
 		x.out = x.out[:0]
 		return nil
 	}
 	x.relayed = true
-	err := x.l.write(x.out)
+	err := x.checkout.write(x.out)
 	x.out = x.out[:0]
 	if err != nil {
 		return fmt.Errorf("writing to the client: %w", err)
@@ -47,33 +47,33 @@
 }
 
 // run sends the batch to the host and forwards its answer to the client.
-func (x *exchangeOf) run() error {
-	x.s.StartBatch()
-	x.h.Begin()
-	if err := x.build(); err != nil {
+func (x *batchExchange) run() error {
+	x.session.StartBatch()
+	x.host.Begin()
+	if err := x.buildQuery(); err != nil {
 		return err
 	}
-	if n := len(x.expects); n > 0 && x.expects[n-1].made != nil && x.expects[n-1].kind == pg.ErrorResponse {
+	if n := len(x.expects); n > 0 && x.expects[n-1].reply != nil && x.expects[n-1].kind == pg.ErrorResponse {
 		// The gateway found an error within the batch: the messages before it run, the rest up to Sync does not.
 		x.query = pg.Append(x.query, pg.Sync)
-		x.expects = append(x.expects, expect{kind: pg.Sync})
+		x.expects = append(x.expects, expectation{kind: pg.Sync})
 	}
-	x.expects = append(x.l.owed, x.expects...)
-	x.l.owed = nil
-	if x.b.Part && len(x.expects) > 0 {
+	x.expects = append(x.checkout.pendingAnswers, x.expects...)
+	x.checkout.pendingAnswers = nil
+	if x.batch.Part && len(x.expects) > 0 {
 		x.query = pg.Append(x.query, pg.Flush) // the answers must be read before the long message is written, or both ends could block
 	}
 	var written chan error
 	if len(x.query) > 0 {
 		x.sent = true
-		if len(x.query) <= writeAhead {
-			if err := x.h.Write(x.query); err != nil {
+		if len(x.query) <= maxWriteAhead {
+			if err := x.host.Write(x.query); err != nil {
 				return err
 			}
 		} else {
 			// The host may answer the first statements of a long pipeline before it reads the last ones.
 			written = make(chan error, 1)
-			go func() { written <- x.h.Write(x.query) }()
+			go func() { written <- x.host.Write(x.query) }()
 		}
 	}
 	if err := x.receiveAll(); err != nil {
@@ -84,29 +84,29 @@
 			return err
 		}
 	}
-	if x.b.Part {
-		if err := x.stream(x.b.Messages[len(x.b.Messages)-1]); err != nil {
+	if x.batch.Part {
+		if err := x.stream(x.batch.Messages[len(x.batch.Messages)-1]); err != nil {
 			return err
 		}
 		return x.flush()
 	}
-	switch see := x.l.MustSee; {
-	case x.h.Late():
+	switch see := x.checkout.MustSee; {
+	case x.host.Late():
 		return os.ErrDeadlineExceeded
-	case see > 0 && !x.relayed && x.h.Behind(see):
-		return errBehind
-	case x.read && x.h.TooOld():
+	case see > 0 && !x.relayed && x.host.Behind(see):
+		return errMisdirected
+	case x.rowRead && x.host.TooOld():
 		return errStale
 	}
 	return x.flush()
 }
 
-// writeAhead is the number of bytes written before answers are read; they fit into the socket buffers of both ends.
-const writeAhead = 32 << 10
+// maxWriteAhead is the number of bytes written before answers are read; they fit into the socket buffers of both ends.
+const maxWriteAhead = 32 << 10
 
 // stream forwards a Bind as it arrives. It cannot be retried, on this host or another.
-func (x *exchangeOf) stream(m Message) error {
-	if x.l.skipping {
+func (x *batchExchange) stream(m Message) error {
+	if x.checkout.skipping {
 		m.Rest.Discard()
 		return nil
 	}
@@ -114,57 +114,57 @@
 	if err != nil {
 		return err
 	}
-	st, host := x.s.Prepared(name), unknown
+	st, host := x.session.Prepared(name), unknownStatement
 	x.query = x.query[:0]
 	before := len(x.expects)
 	if st != nil {
-		host = x.here(st)
+		host = x.ensurePrepared(st)
 	}
 	x.portals[portal] = st
-	x.l.owed = append(x.l.owed, x.expects[before:]...)
-	x.l.owed = append(x.l.owed, expect{kind: pg.Bind, statement: st, name: name})
+	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, x.expects[before:]...)
+	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, expectation{kind: pg.Bind, statement: st, name: name})
 	x.expects = nil
-	x.l.portal, x.l.bound = portal, st
+	x.checkout.streamedPortal, x.checkout.streamedStatement = portal, st
 	x.query = pg.AppendLong(x.query, pg.Bind, m.Rest.Length, []byte(portal), []byte{0}, []byte(host), []byte{0})
 	x.sent, x.relayed = true, true
-	if err := x.h.Write(x.query); err != nil {
+	if err := x.host.Write(x.query); err != nil {
 		return err
 	}
-	left := m.Rest.Length
+	remaining := m.Rest.Length
 	for piece := range m.Rest.pieces {
-		if err := x.h.Write(piece); err != nil {
+		if err := x.host.Write(piece); err != nil {
 			m.Rest.Discard()
 			return err
 		}
-		left -= len(piece)
+		remaining -= len(piece)
 	}
-	if left != 0 {
+	if remaining != 0 {
 		return errors.New("the client left in the middle of a message")
 	}
 	return nil
 }
 
-// errBehind reports that a presumed primary no longer is one and lags behind the position that the session must see.
-var errBehind = errors.New("the host lies behind what the session has written")
+// errMisdirected reports that a presumed primary no longer is one and lags behind the position that the session must see.
+var errMisdirected = errors.New("the host lies behind what the session has written")
 
 // errStale reports that the data of an answer proved to be older than its class allows.
 var errStale = errors.New("the answer is older than its class allows")
 
 // rollback rolls back the open transaction and reports whether the connection is clean afterwards.
-func (x *exchangeOf) rollback() bool {
-	if !x.s.InTransaction() {
-		return x.h.Quiet()
+func (x *batchExchange) rollback() bool {
+	if !x.session.InTransaction() {
+		return x.host.Quiet()
 	}
-	x.h.Limit(rollbackIn)
-	if x.h.Write(pg.AppendQuery(pg.Append(nil, pg.Sync), "ROLLBACK")) != nil {
+	x.host.Limit(rollbackTimeout)
+	if x.host.Write(pg.AppendQuery(pg.Append(nil, pg.Sync), "ROLLBACK")) != nil {
 		return false
 	}
 	for ready := 0; ready < 2; {
-		kind, length, err := x.h.Head()
-		if err != nil || length > bodyMost {
+		kind, length, err := x.host.Head()
+		if err != nil || length > maxBody {
 			return false
 		}
-		body, err := x.h.Body(length, bodyMost)
+		body, err := x.host.Body(length, maxBody)
 		if err != nil {
 			return false
 		}
@@ -174,8 +174,8 @@
 			}
 		}
 	}
-	x.s.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
-	x.s.EndBatch('I')
-	x.h.Link().AdoptSettings(x.s)
-	return x.h.Quiet()
+	x.session.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
+	x.session.EndBatch('I')
+	x.host.Link().AdoptSettings(x.session)
+	return x.host.Quiet()
 }
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -12,13 +12,13 @@
 )
 
 // receiveAll reads all expected answers and forwards them.
-func (x *exchangeOf) receiveAll() error {
+func (x *batchExchange) receiveAll() error {
 	for len(x.expects) > 0 {
 		e := &x.expects[0]
-		if e.made != nil {
-			x.out = append(x.out, e.made...)
+		if e.reply != nil {
+			x.out = append(x.out, e.reply...)
 			if e.kind == pg.ErrorResponse {
-				x.s.Failed()
+				x.session.Failed()
 			}
 			x.pop()
 			continue
@@ -26,7 +26,7 @@
 		if err := x.receive(e); err != nil {
 			return err
 		}
-		if x.full() {
+		if x.mustFlush() {
 			if err := x.flush(); err != nil {
 				return err
 			}
@@ -35,40 +35,40 @@
 	return nil
 }
 
-// full reports whether the buffered answers must be written to the client. While the age of the data is unknown, rows are
-// buffered up to holdMost bytes. The end of a statement is always buffered then, because an error in its place tells the
+// mustFlush reports whether the buffered answers must be written to the client. While the age of the data is unknown, rows are
+// buffered up to maxHeld bytes. The end of a statement is always buffered then, because an error in its place tells the
 // client that the statement failed.
-func (x *exchangeOf) full() bool {
-	if x.h.Untold() {
-		return len(x.out) >= holdMost && x.last == pg.DataRow
+func (x *batchExchange) mustFlush() bool {
+	if x.host.Untold() {
+		return len(x.out) >= maxHeld && x.lastKind == pg.DataRow
 	}
-	return len(x.out) >= flushAt
+	return len(x.out) >= flushSize
 }
 
-func (x *exchangeOf) pop() { x.expects = x.expects[1:] }
+func (x *batchExchange) pop() { x.expects = x.expects[1:] }
 
 // receive reads one message from the host.
-func (x *exchangeOf) receive(e *expect) error {
-	kind, length, err := x.h.Head()
+func (x *batchExchange) receive(e *expectation) error {
+	kind, length, err := x.host.Head()
 	if err != nil {
 		return err
 	}
-	x.last, x.read = kind, x.read || kind == pg.DataRow && !e.hidden
-	held := bodyMost
-	if x.h.Untold() && kind == pg.DataRow {
-		held = max(bodyMost, holdMost-len(x.out))
+	x.lastKind, x.rowRead = kind, x.rowRead || kind == pg.DataRow && !e.hidden
+	held := maxBody
+	if x.host.Untold() && kind == pg.DataRow {
+		held = max(maxBody, maxHeld-len(x.out))
 	}
 	if length > held {
 		if kind != pg.DataRow || e.hidden {
-			return &badAnswer{fmt.Sprintf("%c of %d bytes", kind, length)}
+			return &invalidAnswer{fmt.Sprintf("%c of %d bytes", kind, length)}
 		}
 		x.out = append(x.out, kind, byte((length+4)>>24), byte((length+4)>>16), byte((length+4)>>8), byte(length+4))
 		if err := x.flush(); err != nil {
 			return err
 		}
-		return x.h.Copy(writer(x.pass), length)
+		return x.host.Copy(writerFunc(x.writePiece), length)
 	}
-	body, err := x.h.Body(length, held)
+	body, err := x.host.Body(length, held)
 	if err != nil {
 		return err
 	}
@@ -79,21 +79,21 @@
 	}
 	switch kind {
 	case pg.ParameterStatus:
-		if x.h.Note(body) || e.carry {
+		if x.host.Note(body) || e.settings {
 			return nil
 		}
 		x.out = pg.Append(x.out, kind, body)
-		if name, value, err := pg.Parameter(body); err == nil && !pooling.ChangesSettings(x.b.Commands) && !x.s.InTransaction() {
-			x.s.Reported(name, value)
+		if name, value, err := pg.Parameter(body); err == nil && !pooling.ChangesSettings(x.batch.Commands) && !x.session.InTransaction() {
+			x.session.Reported(name, value)
 		}
 		return nil
 	case pg.NoticeResponse, pg.NotificationResponse:
 		x.out = pg.Append(x.out, kind, body)
 		return nil
 	case pg.ErrorResponse:
-		return x.failed(e, body)
+		return x.handleError(e, body)
 	case pg.CopyInResponse, pg.CopyOutResponse, pg.CopyBothResponse:
-		return &badAnswer{"a copy, which is not carried"}
+		return &invalidAnswer{"a copy, which is not carried"}
 	}
 	ok := false
 	switch e.kind {
@@ -115,7 +115,7 @@
 	case pg.Describe:
 		switch kind {
 		case pg.ParameterDescription:
-			ok = e.of == 'S'
+			ok = e.target == 'S'
 			relay()
 		case pg.RowDescription, pg.NoData:
 			ok = true
@@ -131,7 +131,7 @@
 			ok = true
 			relay()
 			if kind == pg.CommandComplete {
-				x.completed(e, pg.ReadTag(body))
+				x.handleCompletion(e, pg.ReadTag(body))
 			}
 			x.pop()
 		}
@@ -143,97 +143,97 @@
 		case pg.CommandComplete:
 			ok = true
 			relay()
-			if !e.carry {
-				x.completed(e, pg.ReadTag(body))
+			if !e.settings {
+				x.handleCompletion(e, pg.ReadTag(body))
 			}
 		case pg.ReadyForQuery:
 			ok = len(body) == 1
-			if e.carry {
-				x.h.Link().SettingsApplied(x.s)
+			if e.settings {
+				x.host.Link().SettingsApplied(x.session)
 				x.pop()
 				return nil
 			}
-			x.ready(body)
+			x.handleReady(body)
 			relay()
 			x.pop()
 		}
 	case pg.Sync:
 		if ok = kind == pg.ReadyForQuery && len(body) == 1; ok {
-			x.ready(body)
+			x.handleReady(body)
 			relay()
 			x.pop()
 		}
 	}
 	if !ok {
-		return &badAnswer{fmt.Sprintf("%c where the answer to %c was due", kind, e.kind)}
+		return &invalidAnswer{fmt.Sprintf("%c where the answer to %c was due", kind, e.kind)}
 	}
 	return nil
 }
 
-// pass writes a piece of a long row to the client, unless the attempt's deadline has passed.
-func (x *exchangeOf) pass(piece []byte) error {
-	if x.h.Late() {
+// writePiece writes a piece of a long row to the client, unless the attempt's deadline has passed.
+func (x *batchExchange) writePiece(piece []byte) error {
+	if x.host.Late() {
 		return nil
 	}
-	return x.l.write(piece)
+	return x.checkout.write(piece)
 }
 
-type writer func([]byte) error
+type writerFunc func([]byte) error
 
-func (w writer) Write(b []byte) (int, error) { return len(b), w(b) }
+func (w writerFunc) Write(b []byte) (int, error) { return len(b), w(b) }
 
-func (x *exchangeOf) completed(e *expect, tag string) {
+func (x *batchExchange) handleCompletion(e *expectation, tag string) {
 	if len(e.commands) == 0 {
 		return
 	}
 	c := e.commands[0]
 	e.commands = e.commands[1:]
-	had := x.s.Pins()
-	x.s.Completed(c, tag)
-	x.h.Link().StatementRan(c, x.s)
-	if fresh := x.s.Pins() &^ had; fresh != 0 {
-		x.l.Pinned(fresh)
+	before := x.session.Pins()
+	x.session.Completed(c, tag)
+	x.host.Link().StatementRan(c, x.session)
+	if added := x.session.Pins() &^ before; added != 0 {
+		x.checkout.Pinned(added)
 	}
 	if c.Kind == pooling.Write || c.Kind == pooling.Commit && tag != "ROLLBACK" {
 		// The commit's position comes with the end of the batch, if at all; earlier positions lie before the commit.
 		x.wrote = -1
-		x.h.ForgetPosition()
+		x.host.ForgetPosition()
 	}
 }
 
-func (x *exchangeOf) ready(body []byte) {
-	if p := x.h.Position(); x.wrote < 0 && p > 0 {
+func (x *batchExchange) handleReady(body []byte) {
+	if p := x.host.Position(); x.wrote < 0 && p > 0 {
 		x.wrote = p
 	}
-	x.s.EndBatch(body[0])
-	x.h.Link().AdoptSettings(x.s)
+	x.session.EndBatch(body[0])
+	x.host.Link().AdoptSettings(x.session)
 }
 
-// errCarry reports that the host refused the session's settings on the connection.
-var errCarry = errors.New("the session's settings are refused")
+// errSettings reports that the host refused the session's settings on the connection.
+var errSettings = errors.New("the session's settings are refused")
 
-// failed handles an error response of the host, after which the host skips all messages up to the end of the batch.
-func (x *exchangeOf) failed(e *expect, body []byte) error {
-	bad := pg.ReadError(body)
-	if len(bad.Code) != 5 {
-		return &badAnswer{"an error without a code"}
+// handleError handles an error response of the host, after which the host skips all messages up to the end of the batch.
+func (x *batchExchange) handleError(e *expectation, body []byte) error {
+	failure := pg.ReadError(body)
+	if len(failure.Code) != 5 {
+		return &invalidAnswer{"an error without a code"}
 	}
-	if e.carry {
-		return fmt.Errorf("%w: %s", errCarry, bad.Message)
+	if e.settings {
+		return fmt.Errorf("%w: %s", errSettings, failure.Message)
 	}
-	x.s.Failed()
-	if bad.Code == "26000" {
-		body = bytes.ReplaceAll(body, []byte(unknown), []byte(e.name)) // the name that the client uses
+	x.session.Failed()
+	if failure.Code == "26000" {
+		body = bytes.ReplaceAll(body, []byte(unknownStatement), []byte(e.name)) // the name that the client uses
 	}
 	x.out = pg.Append(x.out, pg.ErrorResponse, body)
-	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(bad.Message, "cached plan must not change") {
-		x.h.Link().Forget(e.statement) // it is prepared again with the current result type; the client gets the error
+	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(failure.Message, "cached plan must not change") {
+		x.host.Link().Forget(e.statement) // it is prepared again with the current result type; the client gets the error
 	}
-	if bad.Fatal {
+	if failure.Fatal {
 		if err := x.flush(); err != nil {
 			return err
 		}
-		return fmt.Errorf("the host ended the session: %s", bad.Message)
+		return fmt.Errorf("the host ended the session: %s", failure.Message)
 	}
 	if e.kind == pg.Query {
 		e.commands = nil
@@ -243,18 +243,18 @@
 		skipped := &x.expects[0]
 		if skipped.kind == pg.Parse {
 			// It was never prepared on this connection, nor, if this batch introduced its name, in the session.
-			x.h.Link().Forget(skipped.statement)
-			x.h.Link().Evicted()
+			x.host.Link().Forget(skipped.statement)
+			x.host.Link().Evicted()
 			if !skipped.hidden {
-				x.s.Close(skipped.name)
+				x.session.Close(skipped.name)
 			}
 		}
 		x.pop()
 	}
 	if len(x.expects) == 0 {
-		x.l.skipping = true // the batch ended with a Flush: the host skips all until the client sends a Sync
+		x.checkout.skipping = true // the batch ended with a Flush: the host skips all until the client sends a Sync
 	}
 	return nil
 }
 
-var _ io.Writer = writer(nil)
+var _ io.Writer = writerFunc(nil)
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	flushAt     = 16 << 10 // bytes of answers buffered before they are written to the client
-	bodyMost    = 16 << 10 // bytes; a longer body is forwarded in pieces without being buffered
-	holdMost    = 80 << 10 // bytes of an answer buffered until the age of its data is known: fits a value of 64 KiB and its overhead
-	rollbackIn  = time.Second
-	cancelIn    = time.Second
-	fatalIdle   = "25P03" // idle_in_transaction_session_timeout
-	fatalBroken = "08006" // connection_failure
+	flushSize             = 16 << 10 // bytes of answers buffered before they are written to the client
+	maxBody               = 16 << 10 // bytes; a longer body is forwarded in pieces without being buffered
+	maxHeld               = 80 << 10 // bytes of an answer held until the age of its data is known: a value of 64 KiB and overhead
+	rollbackTimeout       = time.Second
+	cancelTimeout         = time.Second
+	codeIdleTimeout       = "25P03" // idle_in_transaction_session_timeout
+	codeConnectionFailure = "08006" // connection_failure
 )
 
 // Message is one protocol message of a client.
@@ -124,10 +124,10 @@
 	Idle    time.Duration      // longest time that a transaction may be open and idle
 	Pinned  func(pooling.Pin)  // called with new reasons to pin
 
-	skipping bool     // the host skips all messages until a Sync
-	owed     []expect // expected answers to messages sent before a streamed one
-	portal   string   // portal created by a streamed Bind
-	bound    *pooling.Statement
+	skipping          bool          // the host skips all messages until a Sync
+	pendingAnswers    []expectation // expected answers to messages sent before a streamed one
+	streamedPortal    string        // portal created by a streamed Bind
+	streamedStatement *pooling.Statement
 
 	first  *Batch
 	next   chan *Batch
@@ -136,24 +136,24 @@
 	once   sync.Once
 
 	mu      sync.Mutex
-	over    bool          // its last result was sent; it runs on no other host
+	ended   bool          // its last result was sent; it runs on no other host
 	running *backend.Host // host that runs a batch, or nil
 	cancels sync.WaitGroup
 
-	writing sync.Mutex
+	writeMu sync.Mutex
 	muted   bool
 }
 
 // Mute stops all further output of the checkout to the client: from now on the session writes its own messages.
 func (l *Lease) Mute() {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.muted = true
 }
 
 func (l *Lease) write(b []byte) error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	if l.muted {
 		return errors.New("the lease is over")
 	}
@@ -186,11 +186,11 @@
 	l.cancels.Add(1)
 	l.mu.Unlock()
 	defer l.cancels.Done()
-	return h.Cancel(ctx, cancelIn)
+	return h.Cancel(ctx, cancelTimeout)
 }
 
-// run sets the host on which a batch runs, or nil when it has ended, and then waits for the cancels in flight.
-func (l *Lease) run(h *backend.Host) {
+// setRunning sets the host on which a batch runs, or nil when it has ended, and then waits for the cancels in flight.
+func (l *Lease) setRunning(h *backend.Host) {
 	l.mu.Lock()
 	l.running = h
 	l.mu.Unlock()
@@ -202,7 +202,7 @@
 // Converse implements backend.Conversation.
 func (l *Lease) Converse(h *backend.Host) (end backend.Ending) {
 	l.mu.Lock()
-	over := l.over
+	over := l.ended
 	l.mu.Unlock()
 	if over {
 		return backend.Ending{Result: balance.NotSent, Clean: true}
@@ -211,10 +211,10 @@
 	for {
 		start := time.Now()
 		saved := *l.Session
-		x := &exchangeOf{l: l, h: h, s: l.Session, b: batch, statements: maps.Clone(l.Session.AllPrepared())}
-		l.run(h)
+		x := &batchExchange{checkout: l, host: h, session: l.Session, batch: batch, statements: maps.Clone(l.Session.AllPrepared())}
+		l.setRunning(h)
 		err := x.run()
-		l.run(nil)
+		l.setRunning(nil)
 		end.Busy += time.Since(start)
 		switch {
 		case err != nil && !x.relayed && !x.sent:
@@ -227,26 +227,26 @@
 			*l.Session = saved
 			l.Session.RestorePrepared(x.statements)
 			end.Result = balance.Reset
-			var bad *badAnswer
+			var bad *invalidAnswer
 			switch {
 			case errors.As(err, &bad):
 				end.Result = balance.Garbled
-			case errors.Is(err, errCarry):
+			case errors.Is(err, errSettings):
 				end.Result = balance.Failed
-			case errors.Is(err, errBehind):
+			case errors.Is(err, errMisdirected):
 				end.Result, end.Clean = balance.Misdirected, h.Quiet()
 			case errors.Is(err, errStale):
 				end.Result = balance.Stale
 			}
 			return end
 		case err != nil:
-			l.end(Done{Err: err, Relayed: x.relayed})
+			l.finish(Done{Err: err, Relayed: x.relayed})
 			end.Result = balance.Reset
 			return end
 		}
 		keep := !batch.Ends || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
 		if !keep {
-			l.end(Done{Wrote: x.wrote})
+			l.finish(Done{Wrote: x.wrote})
 			end.Result, end.Clean = balance.OK, h.Quiet()
 			return end
 		}
@@ -266,30 +266,30 @@
 		}
 		tied := l.Session.Pins() != 0 // pinned state cannot be removed from the connection
 		end.Result, end.Clean = balance.OK, x.rollback() && !tied
-		l.end(Done{Err: ended})
+		l.finish(Done{Err: ended})
 		return end
 	}
 }
 
-// end sends the last result of the checkout, once.
-func (l *Lease) end(d Done) {
+// finish sends the last result of the checkout, once.
+func (l *Lease) finish(d Done) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.over {
-		l.over = true
+	if !l.ended {
+		l.ended = true
 		l.done <- d
 	}
 }
 
-// badAnswer reports that the host sent an invalid answer.
-type badAnswer struct{ what string }
+// invalidAnswer reports that the host sent an invalid answer.
+type invalidAnswer struct{ problem string }
 
-func (b *badAnswer) Error() string { return "the host's answer can't be read: " + b.what }
+func (b *invalidAnswer) Error() string { return "the host's answer can't be read: " + b.problem }
 
 // ErrorOf returns the error message for a client whose checkout ended early because of err.
 func ErrorOf(err error) *pg.Error {
 	if errors.Is(err, ErrIdle) {
-		return &pg.Error{Code: fatalIdle, Message: err.Error(), Fatal: true}
+		return &pg.Error{Code: codeIdleTimeout, Message: err.Error(), Fatal: true}
 	}
-	return &pg.Error{Code: fatalBroken, Message: fmt.Sprintf("the connection to the host was lost: %v", err), Fatal: true}
+	return &pg.Error{Code: codeConnectionFailure, Message: fmt.Sprintf("the connection to the host was lost: %v", err), Fatal: true}
 }
