--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return false
 	}
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		var pending int
 		if raw.Control(func(fd uintptr) { pending, err = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) }) != nil || err != nil {
 			return false
--- a/internal/testbed/datagrams/datagrams.go
+++ b/internal/testbed/datagrams/datagrams.go
@@ -55,10 +55,10 @@
 }
 
 // SetDelay sets the bounds of the delay of later datagrams.
-func (n *Network) SetDelay(minDelay, maxDelay time.Duration) {
+func (n *Network) SetDelay(lower, upper time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.minDelay, n.maxDelay = minDelay, maxDelay
+	n.minDelay, n.maxDelay = lower, upper
 }
 
 // Close closes the network.
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -99,9 +99,9 @@
 // answer writes a list, unless Silence was called since the call began.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, silences, revision int, list string) {
 	s.mu.Lock()
-	silent := s.silences != silences
+	dropped := s.silences != silences
 	s.mu.Unlock()
-	if silent {
+	if dropped {
 		<-r.Context().Done()
 		return
 	}
@@ -176,9 +176,9 @@
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		newer, list, wake, revision := s.revision > after, s.list(false, after), s.changedCh, s.revision
+		changed, list, changedCh, revision := s.revision > after, s.list(false, after), s.changedCh, s.revision
 		s.mu.Unlock()
-		if newer || ms == 0 {
+		if changed || ms == 0 {
 			s.answer(w, r, silences, revision, list)
 			return
 		}
@@ -186,7 +186,7 @@
 		case text := <-s.raw:
 			fmt.Fprint(w, text)
 			return
-		case <-wake:
+		case <-changedCh:
 		case <-timeout.C:
 			s.answer(w, r, silences, revision, list)
 			return
--- a/internal/testbed/discovery/discovery_test.go
+++ b/internal/testbed/discovery/discovery_test.go
@@ -11,17 +11,17 @@
 func TestListForCanceledCallIsNotAnswered(t *testing.T) {
 	s := New()
 	defer s.Close()
-	begun, gone, answered := make(chan bool, 2), make(chan bool), make(chan int, 2)
+	begun, canceled, answered := make(chan bool, 2), make(chan bool), make(chan int, 2)
 	s.Answered = func(revision int) { answered <- revision }
 	s.Before = func(n int, _ http.ResponseWriter, r *http.Request) bool {
 		if n == 0 {
 			begun <- true
 			<-r.Context().Done()
-			close(gone)
+			close(canceled)
 		}
 		return false
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		r, _ := http.NewRequestWithContext(ctx, http.MethodGet, s.URL+"/v1/endpoints", nil)
 		if got, err := http.DefaultClient.Do(r); err == nil {
@@ -29,8 +29,8 @@
 		}
 	}()
 	<-begun
-	leave()
-	<-gone
+	cancel()
+	<-canceled
 	got, err := http.Get(s.URL + "/v1/endpoints")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -9,7 +9,7 @@
 	"yokemast/internal/wire/fleet"
 )
 
-func all(uint16) bool { return true }
+func allMembers(uint16) bool { return true }
 
 // link starts a proxy from member 1 to member 2 in front of a sink. It returns a connection through the proxy and the frames
 // that reach the sink.
@@ -25,7 +25,7 @@
 		if err != nil {
 			return
 		}
-		r := fleet.NewReader(c, all)
+		r := fleet.NewReader(c, allMembers)
 		for {
 			f, err := r.Read()
 			if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func collect(got <-chan fleet.Frame, quiet time.Duration) []byte {
+func collect(got <-chan fleet.Frame, idle time.Duration) []byte {
 	var out []byte
 	for {
 		select {
@@ -66,7 +66,7 @@
 				return out
 			}
 			out = append(out, f.Payload[0])
-		case <-time.After(quiet):
+		case <-time.After(idle):
 			return out
 		}
 	}
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -153,41 +153,41 @@
 }
 
 // SetHang makes the host hang in the given way, or resumes it.
-func (h *Host) SetHang(how Hang) {
+func (h *Host) SetHang(mode Hang) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.hung == Awake && how != Awake {
+	if h.hung == Awake && mode != Awake {
 		h.resumed = make(chan struct{})
-	} else if h.hung != Awake && how == Awake {
+	} else if h.hung != Awake && mode == Awake {
 		close(h.resumed)
 	}
-	h.hung = how
+	h.hung = mode
 }
 
 // waitForProbes waits while the host does not answer probes. It reports whether the process has died meanwhile.
 func (h *Host) waitForProbes() (died bool) {
 	h.mu.Lock()
-	how := h.hung
+	mode := h.hung
 	h.mu.Unlock()
-	return how != ButProbes && h.waitWhileHung(nil)
+	return mode != ButProbes && h.waitWhileHung(nil)
 }
 
 // waitWhileHung waits while the host hangs and reports whether the process has died meanwhile. If mode is not nil, it stores
 // the way to hang there and does not wait for AfterCommit.
-func (h *Host) waitWhileHung(after *Hang) (died bool) {
+func (h *Host) waitWhileHung(mode *Hang) (died bool) {
 	h.mu.Lock()
-	how, released, life := h.hung, h.resumed, h.process
+	current, resumed, process := h.hung, h.resumed, h.process
 	h.mu.Unlock()
-	if after != nil {
-		*after = how
+	if mode != nil {
+		*mode = current
 	}
-	if how == Awake || after != nil && how == AfterCommit {
+	if current == Awake || mode != nil && current == AfterCommit {
 		return false
 	}
-	<-released
+	<-resumed
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.process != life
+	return h.process != process
 }
 
 // Crash ends the process: connections are reset, new ones are refused, and requests that wait or run are lost.
@@ -254,32 +254,32 @@
 // runQuery answers a query from the cluster's data. A nil answer closes the connection. A query that was begun is executed
 // even if the connection ends.
 func (h *Host) runQuery(c net.Conn, in *bufio.Reader, query string) []byte {
-	s, bad := pg.ParseStatement([]byte(query))
-	if bad != nil {
+	s, err := pg.ParseStatement([]byte(query))
+	if err != nil {
 		return h.Refuse("08P01")
 	}
 	arrived := time.Now()
-	over := func() {}
+	attemptEnded := func() {}
 	if !isOpen(c) {
 		return nil // the host has reset the connection meanwhile: its process never received the request
 	}
 	if h.Ledger != nil {
 		h.Ledger.ArrivedOnConn(h.ID, s.ID, h.Work, func() bool { return isOpen(c) })
-		over = sync.OnceFunc(func() { h.Ledger.AttemptEnded(h.ID, s.ID) })
+		attemptEnded = sync.OnceFunc(func() { h.Ledger.AttemptEnded(h.ID, s.ID) })
 	}
 	result := make(chan []byte, 1)
 	go func() { result <- h.execute(s, arrived) }()
 	// A gateway abandons an attempt by closing the connection; from then on it is not in flight.
-	gone := make(chan struct{})
+	watchDone := make(chan struct{})
 	stop := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(watchDone)
 		for {
 			_ = c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			_, err := in.Peek(1)
 			if nerr, ok := err.(net.Error); err == nil || !ok || !nerr.Timeout() {
 				if err != nil {
-					over()
+					attemptEnded()
 				}
 				return
 			}
@@ -291,16 +291,16 @@
 		}
 	}()
 	answer := <-result
-	over()
+	attemptEnded()
 	close(stop)
-	<-gone
+	<-watchDone
 	_ = c.SetReadDeadline(time.Time{})
 	return answer
 }
 
 func (h *Host) execute(s *pg.Statement, arrived time.Time) []byte {
 	h.mu.Lock()
-	life := h.process
+	process := h.process
 	full := h.slots != nil && h.waiting >= h.Room+h.Slots
 	if !full {
 		h.waiting++
@@ -327,9 +327,9 @@
 		time.Sleep(time.Duration(float64(h.Work) / h.WarmUpWeight(time.Now())))
 	}
 	h.mu.Lock()
-	dead := h.process != life
+	ended := h.process != process
 	h.mu.Unlock()
-	if dead {
+	if ended {
 		return nil
 	}
 	answer := h.apply(s, arrived)
@@ -373,8 +373,8 @@
 		// Positions are stated in whole milliseconds. Rounding up ensures that the stated position includes this commit.
 		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), replicaState{Leader, at.Add(time.Millisecond)})
 	}
-	now := h.state()
-	position := now.position
+	state := h.state()
+	position := state.position
 	if h.Ledger != nil {
 		switch {
 		case s.Class == c.Own && s.After > 0:
@@ -394,7 +394,7 @@
 	if h.Ledger != nil {
 		h.Ledger.Made(s.ID, value)
 	}
-	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), now)
+	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), state)
 }
 
 func (h *Host) recordNotExecuted(s *pg.Statement) {
--- a/internal/testbed/hosts/general.go
+++ b/internal/testbed/hosts/general.go
@@ -23,8 +23,8 @@
 
 // session is the session of one connection at a general host.
 type session struct {
-	h               *Host
-	c               net.Conn
+	host            *Host
+	conn            net.Conn
 	key             pg.Key
 	sessionSettings map[string]string // settings at session level
 	settings        map[string]string // settings in force, including those local to the transaction
@@ -122,7 +122,7 @@
 	sessionKeys.next++
 	key := pg.Key{Process: sessionKeys.next, Secret: sessionKeys.next * 2654435761}
 	sessionKeys.Unlock()
-	s := &session{h: h, c: c, key: key, sessionSettings: map[string]string{}, settings: map[string]string{}, prepared: map[string]string{},
+	s := &session{host: h, conn: c, key: key, sessionSettings: map[string]string{}, settings: map[string]string{}, prepared: map[string]string{},
 		portals: map[string]portal{}, canceled: make(chan struct{})}
 	h.mu.Lock()
 	h.sessionsLocked()[key] = s
@@ -155,11 +155,11 @@
 }
 
 func (s *session) ready(out []byte) []byte {
-	now := s.h.state()
-	if s.lastCommit.After(now.position) {
-		now.position = s.lastCommit
+	state := s.host.state()
+	if s.lastCommit.After(state.position) {
+		state.position = s.lastCommit
 	}
-	out = append(out, s.h.statements(now)...)
+	out = append(out, s.host.statements(state)...)
 	return pg.AppendReadyAs(out, s.status())
 }
 
@@ -168,19 +168,19 @@
 // query runs a simple query. Outside a transaction its statements form one transaction.
 func (s *session) query(out []byte, text string) []byte {
 	if text == "SHOW server_load" {
-		return pg.AppendRow(out, pg.Value{Data: []byte(s.h.loadReport())}, "SHOW")
+		return pg.AppendRow(out, pg.Value{Data: []byte(s.host.loadReport())}, "SHOW")
 	}
-	own, now := maps.Clone(s.sessionSettings), maps.Clone(s.settings)
-	ran := false
+	savedSession, savedSettings := maps.Clone(s.sessionSettings), maps.Clone(s.settings)
+	executed := false
 	for _, part := range strings.Split(text, ";") {
 		if part = strings.TrimSpace(comments.ReplaceAllString(part, "")); part == "" {
 			continue
 		}
-		ran = true
+		executed = true
 		got := s.run(part, nil)
 		if got.err != nil {
 			if s.abortTransaction(); !s.failed {
-				s.sessionSettings, s.settings = own, now
+				s.sessionSettings, s.settings = savedSession, savedSettings
 			}
 			return pg.AppendError(out, got.err)
 		}
@@ -189,7 +189,7 @@
 		}
 		out = got.append(out)
 	}
-	if !ran {
+	if !executed {
 		out = pg.Append(out, pg.EmptyQueryResponse)
 	}
 	return out
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -156,7 +156,7 @@
 	if _, err := c.Write(pg.AppendWelcome(nil, pg.StartSession)); err != nil {
 		return
 	}
-	asked := "" // ID of the last request on this connection
+	lastID := "" // ID of the last request on this connection
 	for {
 		_, body, err := pg.Read(in, pg.MaxLarge)
 		if err != nil {
@@ -166,25 +166,25 @@
 			if h.waitForProbes() {
 				return
 			}
-			h.answerProbe(c, asked)
-		} else if !h.answerQuery(c, in, query, &asked) {
+			h.answerProbe(c, lastID)
+		} else if !h.answerQuery(c, in, query, &lastID) {
 			return
 		}
 	}
 }
 
 // answerProbe answers a probe with the load report.
-func (h *Host) answerProbe(c net.Conn, asked string) {
+func (h *Host) answerProbe(c net.Conn, lastID string) {
 	load := h.loadReport()
 	h.delay()
 	_, err := c.Write(pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte(load)}, "SHOW")))
 	if err == nil && strings.HasSuffix(load, "x1=0") && load != emptyReport {
-		h.recordFollowerAnswer(c, asked)
+		h.recordFollowerAnswer(c, lastID)
 	}
 }
 
 // answerQuery answers any other query and stores its ID in asked. It returns false if the connection must be closed.
-func (h *Host) answerQuery(c net.Conn, in *bufio.Reader, query string, asked *string) bool {
+func (h *Host) answerQuery(c net.Conn, in *bufio.Reader, query string, lastID *string) bool {
 	h.mu.Lock()
 	n, script := len(h.queries), h.Script
 	h.queries = append(h.queries, query)
@@ -205,10 +205,10 @@
 		return false
 	}
 	if s, bad := pg.ParseStatement([]byte(query)); bad == nil {
-		*asked = s.ID
+		*lastID = s.ID
 	}
 	if _, err := c.Write(answer); err == nil && bytes.Contains(answer, []byte("node_role\x00"+Follower)) {
-		h.recordFollowerAnswer(c, *asked)
+		h.recordFollowerAnswer(c, *lastID)
 	}
 	if h.Trail != nil {
 		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.Trail(query)) })
@@ -249,20 +249,20 @@
 
 // newLoadReport returns a new load report.
 func (h *Host) newLoadReport() string {
-	now, primary := h.state(), 0
-	if now.role == Leader {
+	state, primary := h.state(), 0
+	if state.role == Leader {
 		primary = 1
 	}
-	return fmt.Sprintf("x0=%.3f,x1=%d", float64(now.position.Add(h.Skew).UnixMilli())/1000, primary)
+	return fmt.Sprintf("x0=%.3f,x1=%d", float64(state.position.Add(h.Skew).UnixMilli())/1000, primary)
 }
 
 // statements returns the statements about itself that a host sends with an answer.
-func (h *Host) statements(now replicaState) []byte {
-	out := pg.Append(nil, pg.ParameterStatus, []byte("node_role\x00"+now.role+"\x00"))
+func (h *Host) statements(state replicaState) []byte {
+	out := pg.Append(nil, pg.ParameterStatus, []byte("node_role\x00"+state.role+"\x00"))
 	if h.Report != nil {
 		out = pg.Append(out, pg.ParameterStatus, []byte("server_load\x00"+h.Report()+"\x00"))
 	}
-	return pg.Append(out, pg.ParameterStatus, fmt.Appendf(nil, "replay_position\x00%d\x00", now.position.Add(h.Skew).UnixMilli()))
+	return pg.Append(out, pg.ParameterStatus, fmt.Appendf(nil, "replay_position\x00%d\x00", state.position.Add(h.Skew).UnixMilli()))
 }
 
 // Row returns the answer to a query with the query's key as the value.
@@ -274,8 +274,8 @@
 	return h.answer(pg.Value{Data: []byte(s.Key), Format: 1}, s.Tag(), h.state())
 }
 
-func (h *Host) answer(v pg.Value, tag string, now replicaState) []byte {
-	return pg.AppendReady(append(h.statements(now), pg.AppendRow(nil, v, tag)...))
+func (h *Host) answer(v pg.Value, tag string, state replicaState) []byte {
+	return pg.AppendReady(append(h.statements(state), pg.AppendRow(nil, v, tag)...))
 }
 
 // Refuse returns an answer with an error of the given code.
@@ -286,11 +286,11 @@
 // Entry returns the host's entry in the endpoint list, with the given phase.
 func (h *Host) Entry(phase string) map[string]any {
 	h.mu.Lock()
-	started := int64(0)
+	startedMs := int64(0)
 	if !h.coldSince.IsZero() {
-		started = h.coldSince.Add(h.Skew).UnixMilli()
+		startedMs = h.coldSince.Add(h.Skew).UnixMilli()
 	}
 	h.mu.Unlock()
 	return map[string]any{"id": h.ID, "host_port": h.Address, "cell": h.Group, "phase": phase, "size": 1.0,
-		"up_since_ms": started, "role": h.Role()}
+		"up_since_ms": startedMs, "role": h.Role()}
 }
--- a/internal/testbed/hosts/replication.go
+++ b/internal/testbed/hosts/replication.go
@@ -81,9 +81,9 @@
 	}
 }
 
-func (c *Cluster) recordLeadership(h *Host, e rules.Leadership) {
+func (c *Cluster) recordLeadership(h *Host, change rules.Leadership) {
 	if h.Ledger != nil {
-		h.Ledger.Leadership(h.ID, e)
+		h.Ledger.Leadership(h.ID, change)
 	}
 }
 
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -53,8 +53,8 @@
 		return
 	}
 	h.reports.newest = emptyReport
-	life := h.process
-	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
+	process := h.process
+	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(process) })
 }
 
 // stopReportsLocked stops the reports of a process that ends.
@@ -65,15 +65,15 @@
 }
 
 // makeReport makes a load report of the process with the given number and schedules the next one.
-func (h *Host) makeReport(life int) {
+func (h *Host) makeReport(process int) {
 	text := h.newLoadReport()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.process != life {
+	if h.process != process {
 		return
 	}
 	if h.hung == Awake && !h.reports.stopped {
 		h.reports.newest = text
 	}
-	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
+	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(process) })
 }
--- a/internal/testbed/hosts/report_test.go
+++ b/internal/testbed/hosts/report_test.go
@@ -15,10 +15,10 @@
 const minReportPause, maxReportPause = 59 * time.Millisecond, 190 * time.Millisecond
 
 // newReportingHost returns the primary of a cluster without listeners that makes load reports.
-func newReportingHost(least, most time.Duration) *Host {
+func newReportingHost(minPause, maxPause time.Duration) *Host {
 	h := &Host{ID: "s-0", cluster: &Cluster{Group: 1}}
 	h.cluster.hosts, h.cluster.primary = []*Host{h, {ID: "s-1", cluster: h.cluster}}, h
-	h.KeepReports(1, least, most)
+	h.KeepReports(1, minPause, maxPause)
 	return h
 }
 
@@ -85,10 +85,10 @@
 		h.StopReports(true)
 		h.cluster.Promote(h.cluster.hosts[1])
 		time.Sleep(time.Second)
-		notes := string(h.statements(h.state()))
-		if !strings.Contains(notes, "node_role\x00follower\x00") || !strings.Contains(notes, "server_load\x00x0=") ||
-			!strings.Contains(notes, ",x1=1\x00") {
-			t.Errorf("statements with an answer: %q", notes)
+		statements := string(h.statements(h.state()))
+		if !strings.Contains(statements, "node_role\x00follower\x00") || !strings.Contains(statements, "server_load\x00x0=") ||
+			!strings.Contains(statements, ",x1=1\x00") {
+			t.Errorf("statements with an answer: %q", statements)
 		}
 		if age := h.reportAge(t); age < time.Second {
 			t.Errorf("the report is %s old", age)
--- a/internal/testbed/hosts/sql.go
+++ b/internal/testbed/hosts/sql.go
@@ -75,7 +75,9 @@
 
 func completed(tag string) result { return result{tag: tag} }
 
-func failure(code, what string) result { return result{err: &pg.Error{Code: code, Message: what}} }
+func failure(code, message string) result {
+	return result{err: &pg.Error{Code: code, Message: message}}
+}
 
 func selected(rows ...string) result {
 	return result{rows: rows, tag: fmt.Sprintf("SELECT %d", len(rows))}
@@ -103,8 +105,8 @@
 	if s.failed && words[0] != "rollback" && words[0] != "commit" {
 		return failure("25P02", "current transaction is aborted")
 	}
-	if s.h.Work > 0 {
-		time.Sleep(s.h.Work)
+	if s.host.Work > 0 {
+		time.Sleep(s.host.Work)
 	}
 	if out, ok := s.runControl(text, words); ok {
 		return out
@@ -179,8 +181,8 @@
 		s.writes = nil
 	}
 	s.settings, s.savepoints, s.failed = maps.Clone(s.sessionSettings), nil, false
-	if bad := s.commit(); bad != nil {
-		return result{err: bad}
+	if err := s.commit(); err != nil {
+		return result{err: err}
 	}
 	return completed(tag)
 }
@@ -230,7 +232,7 @@
 			return selected(s.writes[i].value)
 		}
 	}
-	value, ok := s.h.cluster.read(s.h, key)
+	value, ok := s.host.cluster.read(s.host, key)
 	if !ok {
 		return result{rows: []string{}, tag: "SELECT 0"}
 	}
@@ -238,13 +240,13 @@
 }
 
 func (s *session) insert(key, value string, returning bool) result {
-	if s.h.Role() != Leader {
+	if s.host.Role() != Leader {
 		return failure(pg.CodeReadOnly, "cannot execute INSERT in a read-only transaction")
 	}
 	s.writes = append(s.writes, write{key, value})
 	if len(s.savepoints) == 0 {
-		if bad := s.commit(); bad != nil {
-			return result{err: bad}
+		if err := s.commit(); err != nil {
+			return result{err: err}
 		}
 	}
 	out := completed("INSERT 0 1")
@@ -261,21 +263,21 @@
 	if len(writes) == 0 {
 		return nil
 	}
-	if s.h.Role() != Leader {
+	if s.host.Role() != Leader {
 		return &pg.Error{Code: pg.CodeReadOnly, Message: "the host is no longer the primary"}
 	}
 	at := time.Now()
 	for _, w := range writes {
-		s.h.cluster.commitGeneral(w.key, w.value, at)
+		s.host.cluster.commitSQL(w.key, w.value, at)
 	}
 	s.lastCommit = at.Add(time.Millisecond)
-	if f := s.h.AfterCommit; f != nil && f() {
-		s.c.Close()
+	if f := s.host.AfterCommit; f != nil && f() {
+		s.conn.Close()
 	}
 	return nil
 }
 
-func (c *Cluster) commitGeneral(key, value string, at time.Time) {
+func (c *Cluster) commitSQL(key, value string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.commits[key] = append(c.commits[key], commit{at: at, value: []byte(value), id: value})
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -86,7 +86,7 @@
 }
 
 // wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
-func (c *conn) wait(duration time.Duration, over <-chan struct{}) bool {
+func (c *conn) wait(duration time.Duration, faultEnd <-chan struct{}) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -94,9 +94,9 @@
 	case <-c.done:
 		return false
 	}
-	if over != nil {
+	if faultEnd != nil {
 		select {
-		case <-over:
+		case <-faultEnd:
 		case <-c.done:
 			return false
 		}
@@ -106,15 +106,15 @@
 
 // run forwards both directions until both have ended.
 func (c *conn) run() {
-	var ways sync.WaitGroup
-	ways.Go(func() { c.forward(c.gateway, c.host, c.readQueries, c.forwardQuery) })
-	ways.Go(func() { c.forward(c.host, c.gateway, c.readAnswers, c.forwardAnswer) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { c.forward(c.gateway, c.host, c.readQueries, c.forwardQuery) })
+	directions.Go(func() { c.forward(c.host, c.gateway, c.readAnswers, c.forwardAnswer) })
+	directions.Wait()
 	c.end(false)
 }
 
 // forward forwards data from one end to the other in order. Reading does not wait for the forwarding.
-func (c *conn) forward(from, to *net.TCPConn, read func(*chunk), pass func(chunk, Fault) bool) {
+func (c *conn) forward(from, to *net.TCPConn, read func(*chunk), write func(chunk, Fault) bool) {
 	chunks := make(chan chunk, maxQueued)
 	go func() {
 		defer close(chunks)
@@ -135,11 +135,11 @@
 		}()
 	}()
 	for k := range chunks {
-		fault, over := c.link.current()
-		if !c.delay(k, fault, over, to) {
+		fault, faultEnd := c.link.current()
+		if !c.delay(k, fault, faultEnd, to) {
 			return
 		}
-		if len(k.data) > 0 && !pass(k, fault) {
+		if len(k.data) > 0 && !write(k, fault) {
 			return
 		}
 		switch {
@@ -152,11 +152,11 @@
 }
 
 // delay delays a chunk as the fault requires. It returns false if the connection ended meanwhile.
-func (c *conn) delay(k chunk, f Fault, over <-chan struct{}, to *net.TCPConn) bool {
+func (c *conn) delay(k chunk, f Fault, faultEnd <-chan struct{}, to *net.TCPConn) bool {
 	toGateway := to == c.gateway
 	switch {
 	case f.Kind == Silent, f.Kind == HoldsAnswers && toGateway:
-		return c.wait(0, over)
+		return c.wait(0, faultEnd)
 	case f.Kind == DelaysAnswers && toGateway, f.Kind == DelaysQueries && !toGateway:
 		return c.wait(time.Until(k.at.Add(f.Most/2+time.Duration(c.link.draw(int64(f.Most/2))))), nil)
 	}
@@ -166,15 +166,15 @@
 // readQueries parses data of the gateway and reports complete queries to the watcher.
 func (c *conn) readQueries(k *chunk) {
 	c.mu.Lock()
-	whole := c.queries.add(k.data, k.at)
-	for _, m := range whole {
+	messages := c.queries.add(k.data, k.at)
+	for _, m := range messages {
 		if m.kind == 'Q' {
 			k.query, c.inFlight = true, strings.TrimSuffix(string(m.body), "\x00")
 		}
 	}
 	c.stopIdle()
 	c.mu.Unlock()
-	for _, m := range whole {
+	for _, m := range messages {
 		if m.kind == 'Q' {
 			c.link.watcher.Sent(Sent{Text: strings.TrimSuffix(string(m.body), "\x00"), First: m.firstAt, Last: k.at, Open: c.open})
 		}
@@ -209,9 +209,9 @@
 // forwardQuery writes data of the gateway to the host. It returns false if no more data must be forwarded.
 func (c *conn) forwardQuery(k chunk, f Fault) bool {
 	c.mu.Lock()
-	lost := c.forgotten
+	forgotten := c.forgotten
 	c.mu.Unlock()
-	if lost {
+	if forgotten {
 		if c.link.draw(2) == 0 {
 			c.reset()
 		}
@@ -242,17 +242,17 @@
 			return false // the gateway's data is still forwarded
 		}
 	}
-	tell := func(told func(Answer)) {
+	notify := func(callback func(Answer)) {
 		for _, a := range k.answers {
 			if c.open() {
-				told(a)
+				callback(a)
 			}
 		}
 	}
-	if !c.write(c.gateway, k.data, f, func() { tell(c.link.watcher.Delivering) }) {
+	if !c.write(c.gateway, k.data, f, func() { notify(c.link.watcher.Delivering) }) {
 		return false
 	}
-	tell(c.link.watcher.Delivered)
+	notify(c.link.watcher.Delivered)
 	if len(k.answers) > 0 {
 		c.startIdle(f)
 	}
--- a/internal/testbed/linkfault/framer.go
+++ b/internal/testbed/linkfault/framer.go
@@ -19,7 +19,7 @@
 }
 
 // add adds bytes received at a time and returns the messages that they complete.
-func (f *framer) add(data []byte, at time.Time) (whole []message) {
+func (f *framer) add(data []byte, at time.Time) (messages []message) {
 	if len(f.buffered) == 0 {
 		f.firstAt = at
 	}
@@ -30,17 +30,17 @@
 			head = 0
 		}
 		if len(f.buffered) < head+4 {
-			return whole
+			return messages
 		}
 		end := head + max(4, int(binary.BigEndian.Uint32(f.buffered[head:])))
 		if len(f.buffered) < end {
-			return whole
+			return messages
 		}
 		m := message{body: f.buffered[head+4 : end], firstAt: f.firstAt}
 		if !f.startup {
 			m.kind = f.buffered[0]
 		}
-		whole = append(whole, m)
+		messages = append(messages, m)
 		f.startup, f.buffered, f.firstAt = false, f.buffered[end:], at
 	}
 }
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -108,8 +108,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endLocked()
-	over := make(chan struct{})
-	l.fault, l.faultEnd = f, over
+	faultEnd := make(chan struct{})
+	l.fault, l.faultEnd = f, faultEnd
 	switch f.Kind {
 	case Silent:
 		l.listen(0)
@@ -122,7 +122,7 @@
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.faultEnd == over {
+		if l.faultEnd == faultEnd {
 			l.endLocked()
 		}
 	}
@@ -186,12 +186,12 @@
 		if !errors.Is(err, syscall.ETIMEDOUT) && !isTimeout(err) {
 			return
 		}
-		fault, over := l.current()
+		fault, faultEnd := l.current()
 		if fault.Kind != Silent {
 			continue
 		}
 		filler, err := net.DialTimeout("tcp4", l.address, fillTimeout) // occupies the one place that a backlog of 0 leaves
-		<-over
+		<-faultEnd
 		if err == nil {
 			filler.Close()
 		}
--- a/internal/testbed/linkfault/linkfault_test.go
+++ b/internal/testbed/linkfault/linkfault_test.go
@@ -29,10 +29,10 @@
 	sent   Sent
 }
 
-func (w *recorder) add(what string) {
+func (w *recorder) add(event string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.events = append(w.events, what)
+	w.events = append(w.events, event)
 }
 
 func (w *recorder) all() []string { w.mu.Lock(); defer w.mu.Unlock(); return slices.Clone(w.events) }
@@ -114,7 +114,7 @@
 
 func TestEachFaultOccurs(t *testing.T) {
 	reset := func(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
-	type seen struct {
+	type observed struct {
 		answer []byte
 		first  int
 		err    error
@@ -123,17 +123,19 @@
 		rested error         // error of a read on the idle connection
 		again  error         // error of a second query
 	}
-	for kind, strikes := range map[Kind]func(seen) bool{
-		DelaysQueries: func(s seen) bool { return s.asked >= maxDelay/2 },
-		DelaysAnswers: func(s seen) bool { return s.up >= maxDelay/2 && s.asked >= maxDelay/2 },
-		Pieces:        func(s seen) bool { return s.err == nil && s.first <= maxPiece },
-		ResetsQuery:   func(s seen) bool { return reset(s.err) && len(s.answer) == 0 },
-		ResetsAnswer:  func(s seen) bool { return reset(s.err) && len(s.answer) > 0 },
-		ResetsLater:   func(s seen) bool { return reset(s.err) || reset(s.rested) },
-		ClosesIdle:    func(s seen) bool { return s.err == nil && (s.rested == io.EOF || reset(s.rested)) },
-		ForgetsIdle:   func(s seen) bool { return s.err == nil && s.rested == nil && (reset(s.again) || isTimeout(s.again)) },
-		ComesUpLate:   func(s seen) bool { return s.up >= maxDelay/4 },
-		HalfCloses:    func(s seen) bool { return s.err == io.EOF },
+	for kind, occurred := range map[Kind]func(observed) bool{
+		DelaysQueries: func(s observed) bool { return s.asked >= maxDelay/2 },
+		DelaysAnswers: func(s observed) bool { return s.up >= maxDelay/2 && s.asked >= maxDelay/2 },
+		Pieces:        func(s observed) bool { return s.err == nil && s.first <= maxPiece },
+		ResetsQuery:   func(s observed) bool { return reset(s.err) && len(s.answer) == 0 },
+		ResetsAnswer:  func(s observed) bool { return reset(s.err) && len(s.answer) > 0 },
+		ResetsLater:   func(s observed) bool { return reset(s.err) || reset(s.rested) },
+		ClosesIdle:    func(s observed) bool { return s.err == nil && (s.rested == io.EOF || reset(s.rested)) },
+		ForgetsIdle: func(s observed) bool {
+			return s.err == nil && s.rested == nil && (reset(s.again) || isTimeout(s.again))
+		},
+		ComesUpLate: func(s observed) bool { return s.up >= maxDelay/4 },
+		HalfCloses:  func(s observed) bool { return s.err == io.EOF },
 	} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
@@ -142,7 +144,7 @@
 			for range maxTries {
 				begun := time.Now()
 				c := open(t, l)
-				s := seen{up: time.Since(begun)}
+				s := observed{up: time.Since(begun)}
 				begun = time.Now()
 				s.answer, s.first, s.err = ask(c)
 				s.asked = time.Since(begun)
@@ -155,7 +157,7 @@
 					_ = c.SetDeadline(time.Now().Add(maxDelay))
 					_, _, s.again = ask(c)
 				}
-				if c.Close(); strikes(s) {
+				if c.Close(); occurred(s) {
 					return
 				}
 			}
--- a/internal/testbed/rules/freshness.go
+++ b/internal/testbed/rules/freshness.go
@@ -44,11 +44,11 @@
 // followerAnswer records when an answer that names its host a follower was made and when it was written to the gateway.
 type followerAnswer struct{ madeAt, writtenAt time.Time }
 
-func (l *Ledger) addFollowerAnswerLocked(n link, made time.Time) {
+func (l *Ledger) addFollowerAnswerLocked(n link, madeAt time.Time) {
 	if l.followerAnswers == nil {
 		l.followerAnswers = map[link][]followerAnswer{}
 	}
-	if l.followerAnswers[n] = append(l.followerAnswers[n], followerAnswer{made, time.Now()}); len(l.followerAnswers[n]) > maxFollowerAnswers {
+	if l.followerAnswers[n] = append(l.followerAnswers[n], followerAnswer{madeAt, time.Now()}); len(l.followerAnswers[n]) > maxFollowerAnswers {
 		l.followerAnswers[n] = l.followerAnswers[n][1:]
 	}
 }
@@ -56,15 +56,15 @@
 // excusedLocked reports whether a stale read is excused: the host is or was the primary, and no answer that the gateway knew
 // when it sent the read had named the host a follower since.
 func (l *Ledger) excusedLocked(gateway, host string, sent time.Time) bool {
-	led, known := l.leaderships[host]
+	state, known := l.leaderships[host]
 	if !known {
 		return false
 	}
-	if led.isPrimary {
+	if state.isPrimary {
 		return true
 	}
 	for _, answer := range l.followerAnswers[link{gateway, host}] {
-		if answer.madeAt.After(led.deposedAt) && sent.Sub(answer.writtenAt) > l.Limits.KnownAfter+l.slack() {
+		if answer.madeAt.After(state.deposedAt) && sent.Sub(answer.writtenAt) > l.Limits.KnownAfter+l.slack() {
 			return false
 		}
 	}
--- a/internal/testbed/rules/link.go
+++ b/internal/testbed/rules/link.go
@@ -24,10 +24,10 @@
 
 // Follows records that a link has just written an answer to a gateway which names the host a follower, and which the host had
 // made no later than made.
-func (l *Ledger) Follows(gateway, host string, made time.Time) {
+func (l *Ledger) Follows(gateway, host string, madeAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.addFollowerAnswerLocked(link{gateway, host}, made)
+	l.addFollowerAnswerLocked(link{gateway, host}, madeAt)
 }
 
 // sentAtLocked returns when an attempt was sent, or when it reached the host if it was not sent over a link.
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -163,8 +163,8 @@
 // New returns the plan for a seed.
 func New(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(rng.Int64N(int64(most-least)))
+	between := func(lower, upper time.Duration) time.Duration {
+		return lower + time.Duration(rng.Int64N(int64(upper-lower)))
 	}
 	p := Plan{Seed: seed, Gateways: 2 + rng.IntN(3), Hosts: 3 + rng.IntN(3), Clients: 4 + rng.IntN(5), Length: 16 * time.Second,
 		Grace: between(200*time.Millisecond, time.Second), Deadline: between(250*time.Millisecond, 800*time.Millisecond),
@@ -214,8 +214,8 @@
 	}
 	for _, host := range order[:1+rng.IntN(p.Hosts-2)] {
 		at := 500*time.Millisecond + time.Duration(rng.Int64N(int64(last)))
-		leads := 300*time.Millisecond + time.Duration(rng.Int64N(int64(8*time.Second)))
-		p.Events = append(p.Events, Event{At: at, For: leads, Kind: Drain, Target: host})
+		roleKept := 300*time.Millisecond + time.Duration(rng.Int64N(int64(8*time.Second)))
+		p.Events = append(p.Events, Event{At: at, For: roleKept, Kind: Drain, Target: host})
 		at += time.Duration(rng.Int64N(int64(3 * time.Second)))
 		switch rng.IntN(3) {
 		case 0:
@@ -229,8 +229,8 @@
 // ages draws the ages of received fields and events that increase them. It has its own random generator, so that the rest of the
 // plan of a seed is the same as before ages were added.
 func (p *Plan) ages(rng *rand.Rand, last time.Duration) {
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(rng.Int64N(int64(most-least)))
+	between := func(lower, upper time.Duration) time.Duration {
+		return lower + time.Duration(rng.Int64N(int64(upper-lower)))
 	}
 	age := func() Age { return []Age{Usual, Allowed, Older}[rng.IntN(3)] }
 	p.Ages = Ages{Answers: age(), Reports: age(), Starts: age(), Roles: age(), Gossip: age()}
@@ -285,8 +285,8 @@
 	if rng.IntN(2) == 0 {
 		return
 	}
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(rng.Int64N(int64(most-least)))
+	between := func(lower, upper time.Duration) time.Duration {
+		return lower + time.Duration(rng.Int64N(int64(upper-lower)))
 	}
 	var linked []int
 	p.Linked = make([]bool, p.Gateways)
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -85,10 +85,10 @@
 			groups[e.Group] = true
 		}
 	}
-	for _, trouble := range ageEvents {
+	for _, event := range ageEvents {
 		for _, with := range []Kind{"", HoldUp, Burst, Restart, Series, Kill} {
-			if !seen[[2]Kind{trouble, with}] {
-				t.Errorf("no plan has the event %q with %q", trouble, with)
+			if !seen[[2]Kind{event, with}] {
+				t.Errorf("no plan has the event %q with %q", event, with)
 			}
 		}
 	}
--- a/internal/testbed/stall/stall.go
+++ b/internal/testbed/stall/stall.go
@@ -72,7 +72,7 @@
 }
 
 // Longest returns the duration and the end of the longest stall so far.
-func (m *Monitor) Longest() (long time.Duration, ended time.Time) {
+func (m *Monitor) Longest() (duration time.Duration, ended time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.longest.duration, m.longest.endedAt
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -29,13 +29,13 @@
 		if x.batch.Ends && x.batch.Messages[len(x.batch.Messages)-1].Kind == pg.Sync {
 			x.checkout.skipping = false
 			x.query = pg.Append(x.query, pg.Sync)
-			x.expects = append(x.expects, expectation{kind: pg.Sync})
+			x.expected = append(x.expected, expectation{kind: pg.Sync})
 		}
 		return nil
 	}
 	if sql := link.SettingsQuery(x.session); sql != "" {
 		x.query = pg.AppendQuery(x.query, sql)
-		x.expects = append(x.expects, expectation{kind: pg.Query, hidden: true, settings: true})
+		x.expected = append(x.expected, expectation{kind: pg.Query, hidden: true, settings: true})
 	}
 	x.portals = map[string]*pooling.Statement{}
 	if x.checkout.streamedStatement != nil { // the portal of a Bind streamed before
@@ -59,10 +59,10 @@
 					Message: fmt.Sprintf("prepared statement %q already exists", p.Name)}), kind: pg.ErrorResponse})
 				return nil
 			}
-			before := len(x.expects)
+			before := len(x.expected)
 			ensurePrepared(statement)
-			if n := len(x.expects); n > before && x.expects[n-1].kind == pg.Parse {
-				x.expects[n-1].hidden, x.expects[n-1].name = false, p.Name
+			if n := len(x.expected); n > before && x.expected[n-1].kind == pg.Parse {
+				x.expected[n-1].hidden, x.expected[n-1].name = false, p.Name
 			} else {
 				expect(expectation{reply: pg.Append(nil, pg.ParseComplete)})
 			}
@@ -130,19 +130,19 @@
 	return nil
 }
 
-func (x *batchExchange) expect(e expectation) { x.expects = append(x.expects, e) }
+func (x *batchExchange) expect(e expectation) { x.expected = append(x.expected, e) }
 
 // ensurePrepared prepares a statement on this connection if it is not prepared yet, and returns its name on the host.
-func (x *batchExchange) ensurePrepared(st *pooling.Statement) string {
+func (x *batchExchange) ensurePrepared(statement *pooling.Statement) string {
 	link := x.host.Link()
-	name, parse := link.Use(st)
+	name, parse := link.Use(statement)
 	for _, evicted := range link.Evicted() {
 		x.query = pg.AppendTarget(x.query, pg.Close, 'S', evicted)
 		x.expect(expectation{kind: pg.Close, hidden: true})
 	}
 	if parse {
-		x.query = pg.AppendParse(x.query, pg.ParseMessage{Name: name, Text: st.Text, Types: st.Types})
-		x.expect(expectation{kind: pg.Parse, hidden: true, statement: st})
+		x.query = pg.AppendParse(x.query, pg.ParseMessage{Name: name, Text: statement.Text, Types: statement.Types})
+		x.expect(expectation{kind: pg.Parse, hidden: true, statement: statement})
 	}
 	return name
 }
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -20,7 +20,7 @@
 	statements map[string]*pooling.Statement // the session's prepared statements before the batch
 	portals    map[string]*pooling.Statement
 	query      []byte
-	expects    []expectation
+	expected   []expectation
 	out        []byte
 	sent       bool          // something was sent to the host
 	relayed    bool          // something was sent to the client
@@ -53,14 +53,14 @@
 	if err := x.buildQuery(); err != nil {
 		return err
 	}
-	if n := len(x.expects); n > 0 && x.expects[n-1].reply != nil && x.expects[n-1].kind == pg.ErrorResponse {
+	if n := len(x.expected); n > 0 && x.expected[n-1].reply != nil && x.expected[n-1].kind == pg.ErrorResponse {
 		// The gateway found an error within the batch: the messages before it run, the rest up to Sync does not.
 		x.query = pg.Append(x.query, pg.Sync)
-		x.expects = append(x.expects, expectation{kind: pg.Sync})
+		x.expected = append(x.expected, expectation{kind: pg.Sync})
 	}
-	x.expects = append(x.checkout.pendingAnswers, x.expects...)
+	x.expected = append(x.checkout.pendingAnswers, x.expected...)
 	x.checkout.pendingAnswers = nil
-	if x.batch.Part && len(x.expects) > 0 {
+	if x.batch.Part && len(x.expected) > 0 {
 		x.query = pg.Append(x.query, pg.Flush) // the answers must be read before the long message is written, or both ends could block
 	}
 	var written chan error
@@ -90,10 +90,10 @@
 		}
 		return x.flush()
 	}
-	switch see := x.checkout.MustSee; {
+	switch minPosition := x.checkout.MustSee; {
 	case x.host.Late():
 		return os.ErrDeadlineExceeded
-	case see > 0 && !x.relayed && x.host.Behind(see):
+	case minPosition > 0 && !x.relayed && x.host.Behind(minPosition):
 		return errMisdirected
 	case x.rowRead && x.host.TooOld():
 		return errStale
@@ -114,18 +114,18 @@
 	if err != nil {
 		return err
 	}
-	st, host := x.session.Prepared(name), unknownStatement
+	statement, hostName := x.session.Prepared(name), unknownStatement
 	x.query = x.query[:0]
-	before := len(x.expects)
-	if st != nil {
-		host = x.ensurePrepared(st)
-	}
-	x.portals[portal] = st
-	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, x.expects[before:]...)
-	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, expectation{kind: pg.Bind, statement: st, name: name})
-	x.expects = nil
-	x.checkout.streamedPortal, x.checkout.streamedStatement = portal, st
-	x.query = pg.AppendLong(x.query, pg.Bind, m.Rest.Length, []byte(portal), []byte{0}, []byte(host), []byte{0})
+	before := len(x.expected)
+	if statement != nil {
+		hostName = x.ensurePrepared(statement)
+	}
+	x.portals[portal] = statement
+	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, x.expected[before:]...)
+	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, expectation{kind: pg.Bind, statement: statement, name: name})
+	x.expected = nil
+	x.checkout.streamedPortal, x.checkout.streamedStatement = portal, statement
+	x.query = pg.AppendLong(x.query, pg.Bind, m.Rest.Length, []byte(portal), []byte{0}, []byte(hostName), []byte{0})
 	x.sent, x.relayed = true, true
 	if err := x.host.Write(x.query); err != nil {
 		return err
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -13,8 +13,8 @@
 
 // receiveAll reads all expected answers and forwards them.
 func (x *batchExchange) receiveAll() error {
-	for len(x.expects) > 0 {
-		e := &x.expects[0]
+	for len(x.expected) > 0 {
+		e := &x.expected[0]
 		if e.reply != nil {
 			x.out = append(x.out, e.reply...)
 			if e.kind == pg.ErrorResponse {
@@ -45,7 +45,7 @@
 	return len(x.out) >= flushSize
 }
 
-func (x *batchExchange) pop() { x.expects = x.expects[1:] }
+func (x *batchExchange) pop() { x.expected = x.expected[1:] }
 
 // receive reads one message from the host.
 func (x *batchExchange) receive(e *expectation) error {
@@ -54,11 +54,11 @@
 		return err
 	}
 	x.lastKind, x.rowRead = kind, x.rowRead || kind == pg.DataRow && !e.hidden
-	held := maxBody
+	maxBuffered := maxBody
 	if x.host.Untold() && kind == pg.DataRow {
-		held = max(maxBody, maxHeld-len(x.out))
+		maxBuffered = max(maxBody, maxHeld-len(x.out))
 	}
-	if length > held {
+	if length > maxBuffered {
 		if kind != pg.DataRow || e.hidden {
 			return &invalidAnswer{fmt.Sprintf("%c of %d bytes", kind, length)}
 		}
@@ -68,11 +68,11 @@
 		}
 		return x.host.Copy(writerFunc(x.writePiece), length)
 	}
-	body, err := x.host.Body(length, held)
+	body, err := x.host.Body(length, maxBuffered)
 	if err != nil {
 		return err
 	}
-	relay := func() {
+	forward := func() {
 		if !e.hidden {
 			x.out = pg.Append(x.out, kind, body)
 		}
@@ -99,37 +99,37 @@
 	switch e.kind {
 	case pg.Parse:
 		if ok = kind == pg.ParseComplete; ok {
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Bind:
 		if ok = kind == pg.BindComplete; ok {
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Close:
 		if ok = kind == pg.CloseComplete; ok {
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Describe:
 		switch kind {
 		case pg.ParameterDescription:
 			ok = e.target == 'S'
-			relay()
+			forward()
 		case pg.RowDescription, pg.NoData:
 			ok = true
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Execute:
 		switch kind {
 		case pg.DataRow:
 			ok = true
-			relay()
+			forward()
 		case pg.CommandComplete, pg.EmptyQueryResponse, pg.PortalSuspended:
 			ok = true
-			relay()
+			forward()
 			if kind == pg.CommandComplete {
 				x.handleCompletion(e, pg.ReadTag(body))
 			}
@@ -139,10 +139,10 @@
 		switch kind {
 		case pg.RowDescription, pg.DataRow, pg.EmptyQueryResponse:
 			ok = true
-			relay()
+			forward()
 		case pg.CommandComplete:
 			ok = true
-			relay()
+			forward()
 			if !e.settings {
 				x.handleCompletion(e, pg.ReadTag(body))
 			}
@@ -154,13 +154,13 @@
 				return nil
 			}
 			x.handleReady(body)
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Sync:
 		if ok = kind == pg.ReadyForQuery && len(body) == 1; ok {
 			x.handleReady(body)
-			relay()
+			forward()
 			x.pop()
 		}
 	}
@@ -239,8 +239,8 @@
 		e.commands = nil
 		return nil // ReadyForQuery follows
 	}
-	for len(x.expects) > 0 && x.expects[0].kind != pg.Sync {
-		skipped := &x.expects[0]
+	for len(x.expected) > 0 && x.expected[0].kind != pg.Sync {
+		skipped := &x.expected[0]
 		if skipped.kind == pg.Parse {
 			// It was never prepared on this connection, nor, if this batch introduced its name, in the session.
 			x.host.Link().Forget(skipped.statement)
@@ -251,7 +251,7 @@
 		}
 		x.pop()
 	}
-	if len(x.expects) == 0 {
+	if len(x.expected) == 0 {
 		x.checkout.skipping = true // the batch ended with a Flush: the host skips all until the client sends a Sync
 	}
 	return nil
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -202,34 +202,34 @@
 // Converse implements backend.Conversation.
 func (l *Lease) Converse(h *backend.Host) (end backend.Ending) {
 	l.mu.Lock()
-	over := l.ended
+	finished := l.ended
 	l.mu.Unlock()
-	if over {
+	if finished {
 		return backend.Ending{Result: balance.NotSent, Clean: true}
 	}
 	batch := l.first
 	for {
 		start := time.Now()
 		saved := *l.Session
-		x := &batchExchange{checkout: l, host: h, session: l.Session, batch: batch, statements: maps.Clone(l.Session.AllPrepared())}
+		exchange := &batchExchange{checkout: l, host: h, session: l.Session, batch: batch, statements: maps.Clone(l.Session.AllPrepared())}
 		l.setRunning(h)
-		err := x.run()
+		err := exchange.run()
 		l.setRunning(nil)
 		end.Busy += time.Since(start)
 		switch {
-		case err != nil && !x.relayed && !x.sent:
+		case err != nil && !exchange.relayed && !exchange.sent:
 			*l.Session = saved
-			l.Session.RestorePrepared(x.statements)
+			l.Session.RestorePrepared(exchange.statements)
 			end.Result = balance.NotSent
 			return end
-		case err != nil && !x.relayed && batch == l.first:
+		case err != nil && !exchange.relayed && batch == l.first:
 			// Package balance decides whether to retry, so the session's state is restored.
 			*l.Session = saved
-			l.Session.RestorePrepared(x.statements)
+			l.Session.RestorePrepared(exchange.statements)
 			end.Result = balance.Reset
-			var bad *invalidAnswer
+			var invalid *invalidAnswer
 			switch {
-			case errors.As(err, &bad):
+			case errors.As(err, &invalid):
 				end.Result = balance.Garbled
 			case errors.Is(err, errSettings):
 				end.Result = balance.Failed
@@ -240,17 +240,17 @@
 			}
 			return end
 		case err != nil:
-			l.finish(Done{Err: err, Relayed: x.relayed})
+			l.finish(Done{Err: err, Relayed: exchange.relayed})
 			end.Result = balance.Reset
 			return end
 		}
 		keep := !batch.Ends || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
 		if !keep {
-			l.finish(Done{Wrote: x.wrote})
+			l.finish(Done{Wrote: exchange.wrote})
 			end.Result, end.Clean = balance.OK, h.Quiet()
 			return end
 		}
-		l.done <- Done{Keep: true, Wrote: x.wrote}
+		l.done <- Done{Keep: true, Wrote: exchange.wrote}
 		var idle <-chan time.Time // only an open transaction may block other sessions
 		if l.Session.InTransaction() {
 			idle = time.After(l.Idle)
@@ -264,8 +264,8 @@
 		case <-idle:
 			ended = ErrIdle
 		}
-		tied := l.Session.Pins() != 0 // pinned state cannot be removed from the connection
-		end.Result, end.Clean = balance.OK, x.rollback() && !tied
+		pinned := l.Session.Pins() != 0 // pinned state cannot be removed from the connection
+		end.Result, end.Clean = balance.OK, exchange.rollback() && !pinned
 		l.finish(Done{Err: ended})
 		return end
 	}
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -21,7 +21,7 @@
 	"yokemast/internal/wire/pg"
 )
 
-const soon = 10 * time.Second // far longer than any step of these tests takes
+const testTimeout = 10 * time.Second // far longer than any step of these tests takes
 
 type outcomes chan exchange.Outcome
 
@@ -96,14 +96,14 @@
 			group, to := &errgroup.Group{}, make(outcomes, 2)
 			defer func() { stop(); _ = group.Wait() }()
 			b := backend.New(ctx, group, backend.Config{Clock: clock, Log: zap.NewNop(), Counters: &counters.Set{}, MaxConns: 1,
-				ConnectTimeout: soon, IdleTimeout: soon}, to)
+				ConnectTimeout: testTimeout, IdleTimeout: testTimeout}, to)
 			b.Members([]exchange.Member{{Member: balance.Member{Server: "s"}, Address: host(t, pg.AppendReady(answer))}})
 			var served []byte
 			lease := New(pooling.NewSession(pg.Parameters{}), pooling.ByStatement, func(b []byte) error {
 				served = append(served, b...)
 				return nil
 			}, &Batch{Messages: []Message{{Kind: pg.Query, Body: []byte("SELECT 1\x00")}}, Ends: true, Commands: pooling.Scan("SELECT 1")})
-			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + soon, Command: lease, Demand: c.demand})
+			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + testTimeout, Command: lease, Demand: c.demand})
 			if o := <-to; o.Result != c.want {
 				t.Errorf("outcome %v, want %v", o.Result, c.want)
 			}
