--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// answerQuery answers any other query and stores its ID in asked. It returns false if the connection must be closed.
+// answerQuery answers any other query and stores its ID in lastID. It returns false if the connection must be closed.
 func (h *Host) answerQuery(c net.Conn, in *bufio.Reader, query string, lastID *string) bool {
 	h.mu.Lock()
 	n, script := len(h.queries), h.Script
