--- a/internal/testbed/rules/rules.go
+++ b/internal/testbed/rules/rules.go
@@ -105,8 +105,8 @@
 	return r
 }
 
-// Asked records that a client has written a request that must be answered by the deadline. A repeatable one may be executed several
-// times.
+// Asked records that a client has written a request that must be answered by the deadline. A repeatable one may be executed
+// several times.
 func (l *Ledger) Asked(id string, write, repeatable bool, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
