--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -53,12 +53,12 @@
 
 // Reply is the answer to a query.
 type Reply struct {
-	Value  []byte
-	Code   string        // SQLSTATE of an error
-	After  time.Duration // of a refusal: when the client may retry
-	Empty  bool          // the query was empty
-	Row    bool          // a row was received
-	Closed bool          // the connection ended after the answer, or without one
+	Value      []byte
+	Code       string        // SQLSTATE of an error
+	RetryAfter time.Duration // of a refusal: when the client may retry
+	Empty      bool          // the query was empty
+	Row        bool          // a row was received
+	Closed     bool          // the connection ended after the answer, or without one
 }
 
 // ReadReply reads an answer up to ReadyForQuery or the end of the connection.
@@ -83,7 +83,7 @@
 			e := pg.ReadError(body)
 			out.Code = e.Code
 			if ms, err := strconv.Atoi(e.Detail); err == nil {
-				out.After = time.Duration(ms) * time.Millisecond
+				out.RetryAfter = time.Duration(ms) * time.Millisecond
 			}
 		case pg.ReadyForQuery:
 			return out
@@ -96,7 +96,7 @@
 	reply := c.ReadReply()
 	summary := "ready"
 	switch {
-	case reply.Code != "" && reply.After > 0:
+	case reply.Code != "" && reply.RetryAfter > 0:
 		summary = reply.Code + " come back"
 	case reply.Code != "":
 		summary = reply.Code
@@ -201,7 +201,7 @@
 		case out.Code != "":
 			ledger.Answered(r.ID, rules.Failed)
 		default:
-			ledger.Left(r.ID)
+			ledger.Unanswered(r.ID)
 		}
 	}
 	return out
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -19,7 +19,7 @@
 // Server is the agent.
 type Server struct {
 	*httptest.Server
-	Left chan struct{} // receives a value for each call that the gateway canceled, unless the channel is full
+	Canceled chan struct{} // receives a value for each call that the gateway canceled, unless the channel is full
 	// Before, if set, is called first for the call with index n. It returns true if it has answered or ended the call. It must be
 	// set before the first call.
 	Before func(n int, w http.ResponseWriter, r *http.Request) bool
@@ -42,7 +42,7 @@
 
 // New starts an agent on loopback with a first list of revision 41.
 func New(entries ...Entry) *Server {
-	s := &Server{Left: make(chan struct{}, 1000), revision: 41, entries: map[string]Entry{}, changed: map[string]int{},
+	s := &Server{Canceled: make(chan struct{}, 1000), revision: 41, entries: map[string]Entry{}, changed: map[string]int{},
 		changedCh: make(chan struct{}), raw: make(chan string, 10), stop: make(chan struct{})}
 	s.put(entries)
 	s.Server = httptest.NewServer(s)
@@ -75,8 +75,8 @@
 	s.changedCh = make(chan struct{})
 }
 
-// Drop removes hosts from the list without an entry that says so: the watches receive a snapshot.
-func (s *Server) Drop(ids ...string) {
+// Remove removes hosts from the list without an entry that says so: the watches receive a snapshot.
+func (s *Server) Remove(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -89,8 +89,8 @@
 	s.changedCh = make(chan struct{})
 }
 
-// Silence leaves all calls in flight unanswered forever, as if their connections had been lost without notice.
-func (s *Server) Silence() {
+// DropCalls leaves all calls in flight unanswered forever, as if their connections had been lost without notice.
+func (s *Server) DropCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silences++
@@ -111,8 +111,8 @@
 	fmt.Fprint(w, list)
 }
 
-// Say answers the waiting watch, or else the next one, with the given text.
-func (s *Server) Say(text string) { s.raw <- text }
+// AnswerWith answers the waiting watch, or else the next one, with the given text.
+func (s *Server) AnswerWith(text string) { s.raw <- text }
 
 // List encodes a list in discovery's format.
 func List(revision int, complete bool, entries ...Entry) string {
@@ -133,8 +133,8 @@
 	return s.revision
 }
 
-// Known returns a snapshot of the current list.
-func (s *Server) Known() string {
+// Snapshot returns a snapshot of the current list.
+func (s *Server) Snapshot() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list(true, 0)
@@ -192,7 +192,7 @@
 			return
 		case <-r.Context().Done():
 			select {
-			case s.Left <- struct{}{}:
+			case s.Canceled <- struct{}{}:
 			default:
 			}
 			return
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -20,7 +20,7 @@
 
 // Ways to hang. Work in progress continues when the host resumes, whether or not its client still waits.
 const (
-	Awake        Hang = iota
+	NotHung      Hang = iota
 	BeforeCommit      // nothing is executed until the host resumes
 	AfterCommit       // requests are executed but not answered
 	ButProbes         // as BeforeCommit, but probes are answered with the last load report
@@ -113,8 +113,8 @@
 	c.commits[key] = append(c.commits[key], x)
 }
 
-// Last returns the last committed value of a key, including copied commits, or nil if there is none.
-func (c *Cluster) Last(key string) []byte {
+// LastValue returns the last committed value of a key, including copied commits, or nil if there is none.
+func (c *Cluster) LastValue(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if list := c.commits[key]; len(list) > 0 {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Peak returns the maximum number of connections that all general hosts together had open.
-func (c *Cluster) Peak() int {
+// PeakConns returns the maximum number of connections that all general hosts together had open.
+func (c *Cluster) PeakConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peakConns
@@ -137,8 +137,8 @@
 	return c.commitCount
 }
 
-// IDs returns, by request, the number of commits of its write in this cluster, without copied ones.
-func (c *Cluster) IDs() map[string]int {
+// CommitsByID returns, by request, the number of commits of its write in this cluster, without copied ones.
+func (c *Cluster) CommitsByID() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]int{}
@@ -156,9 +156,9 @@
 func (h *Host) SetHang(mode Hang) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.hung == Awake && mode != Awake {
+	if h.hung == NotHung && mode != NotHung {
 		h.resumed = make(chan struct{})
-	} else if h.hung != Awake && mode == Awake {
+	} else if h.hung != NotHung && mode == NotHung {
 		close(h.resumed)
 	}
 	h.hung = mode
@@ -181,7 +181,7 @@
 	if mode != nil {
 		*mode = current
 	}
-	if current == Awake || mode != nil && current == AfterCommit {
+	if current == NotHung || mode != nil && current == AfterCommit {
 		return false
 	}
 	<-resumed
@@ -192,7 +192,7 @@
 
 // Crash ends the process: connections are reset, new ones are refused, and requests that wait or run are lost.
 func (h *Host) Crash() {
-	h.SetHang(Awake)
+	h.SetHang(NotHung)
 	h.cluster.state(h) // the log is applied up to now; a restart continues from this position
 	h.Listener.Close()
 	h.mu.Lock()
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	h.Chill()
+	h.StartCold()
 	h.mu.Lock()
 	h.Listener = l
 	h.replication.updatedAt = time.Now() // the log was not applied while the host was down
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// Chill makes the host cold now, as after a start.
-func (h *Host) Chill() {
+// StartCold makes the host cold now, as after a start.
+func (h *Host) StartCold() {
 	h.mu.Lock()
 	h.coldSince = time.Now()
 	h.mu.Unlock()
@@ -301,7 +301,7 @@
 func (h *Host) execute(s *pg.Statement, arrived time.Time) []byte {
 	h.mu.Lock()
 	process := h.process
-	full := h.slots != nil && h.waiting >= h.Room+h.Slots
+	full := h.slots != nil && h.waiting >= h.MaxQueue+h.Slots
 	if !full {
 		h.waiting++
 	}
@@ -368,7 +368,7 @@
 			other.addCopy(s.Key, x)
 		}
 		if h.Ledger != nil {
-			h.Ledger.Made(s.ID, value)
+			h.Ledger.ValueProduced(s.ID, value)
 		}
 		// Positions are stated in whole milliseconds. Rounding up ensures that the stated position includes this commit.
 		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), replicaState{Leader, at.Add(time.Millisecond)})
@@ -392,7 +392,7 @@
 	}
 	c.mu.Unlock()
 	if h.Ledger != nil {
-		h.Ledger.Made(s.ID, value)
+		h.Ledger.ValueProduced(s.ID, value)
 	}
 	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), state)
 }
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -30,13 +30,13 @@
 	Group   int
 	// Script answers the query with index n. A nil answer closes the connection, an empty one sends nothing. Without a script, a
 	// host of a cluster serves its data, and any other returns the query's key as the row.
-	Script func(n int, query string) []byte
-	Admit  func(n int)                          // called before the session with index n is accepted, which waits for it
-	Brief  bool                                 // closes the connection after each answer
-	Trail  func(query string) []byte            // bytes sent shortly after each answer
-	Raw    func(c io.Writer, query string) bool // writes the answer itself; the connection is closed if it returns false
-	Ended  chan struct{}                        // receives a value for each connection that ended, unless the channel is full
-	Log    func(format string, args ...any)
+	Script           func(n int, query string) []byte
+	OnSession        func(n int)                          // called before the session with index n is accepted, which waits for it
+	CloseAfterAnswer bool                                 // closes the connection after each answer
+	TrailingBytes    func(query string) []byte            // bytes sent shortly after each answer
+	Raw              func(c io.Writer, query string) bool // writes the answer itself; the connection is closed if it returns false
+	Ended            chan struct{}                        // receives a value for each connection that ended, unless the channel is full
+	Log              func(format string, args ...any)
 	// General makes a host of a cluster serve a small SQL dialect with settings, prepared statements and transactions.
 	General     bool
 	AfterCommit func() bool   // called after each commit of a general host; true closes the connection without an answer
@@ -50,7 +50,7 @@
 
 	// Capacity of a host in a cluster.
 	Slots    int           // requests that it executes at a time; 0 means no limit
-	Room     int           // maximum number of requests that wait for a slot; more are rejected
+	MaxQueue int           // maximum number of requests that wait for a slot; more are rejected
 	Work     time.Duration // execution time of a request on a warm host
 	ColdFrom float64       // fraction of its capacity directly after a cold start
 	ColdTime time.Duration // until it has its full capacity after a cold start
@@ -130,8 +130,8 @@
 	h.role = role
 }
 
-// Asked returns all queries received so far, without probes.
-func (h *Host) Asked() []string {
+// Queries returns all queries received so far, without probes.
+func (h *Host) Queries() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.queries...)
@@ -146,14 +146,14 @@
 	case h.General:
 		h.serveGeneral(c, in, parameters, kind)
 		return
-	case h.Admit != nil:
+	case h.OnSession != nil:
 		h.mu.Lock()
 		n := h.sessionsBegun
 		h.sessionsBegun++
 		h.mu.Unlock()
-		h.Admit(n)
+		h.OnSession(n)
 	}
-	if _, err := c.Write(pg.AppendWelcome(nil, pg.StartSession)); err != nil {
+	if _, err := c.Write(pg.AppendStartupResponse(nil, pg.StartSession)); err != nil {
 		return
 	}
 	lastID := "" // ID of the last request on this connection
@@ -210,11 +210,11 @@
 	if _, err := c.Write(answer); err == nil && bytes.Contains(answer, []byte("node_role\x00"+Follower)) {
 		h.recordFollowerAnswer(c, *lastID)
 	}
-	if h.Trail != nil {
-		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.Trail(query)) })
+	if h.TrailingBytes != nil {
+		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.TrailingBytes(query)) })
 		time.Sleep(4 * time.Millisecond) // delay the next query until the trailing bytes were sent
 	}
-	return !h.Brief
+	return !h.CloseAfterAnswer
 }
 
 // recordFollowerAnswer records in the ledger that the gateway that sent a request has just been answered by a follower.
@@ -283,8 +283,8 @@
 	return pg.AppendReady(append(h.statements(h.state()), pg.AppendError(nil, &pg.Error{Code: code, Message: "no"})...))
 }
 
-// Entry returns the host's entry in the endpoint list, with the given phase.
-func (h *Host) Entry(phase string) map[string]any {
+// ListEntry returns the host's entry in the endpoint list, with the given phase.
+func (h *Host) ListEntry(phase string) map[string]any {
 	h.mu.Lock()
 	startedMs := int64(0)
 	if !h.coldSince.IsZero() {
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -72,7 +72,7 @@
 	if h.process != process {
 		return
 	}
-	if h.hung == Awake && !h.reports.stopped {
+	if h.hung == NotHung && !h.reports.stopped {
 		h.reports.newest = text
 	}
 	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(process) })
--- a/internal/testbed/hosts/report_test.go
+++ b/internal/testbed/hosts/report_test.go
@@ -65,7 +65,7 @@
 			h.SetHang(how)
 			time.Sleep(3 * time.Second)
 			h.cluster.Promote(h.cluster.hosts[1])
-			h.SetHang(Awake)
+			h.SetHang(NotHung)
 			if got := h.loadReport(); got != before || !strings.HasSuffix(got, "x1=1") {
 				t.Errorf("report after the hang: %q, before it: %q", got, before)
 			}
@@ -142,7 +142,7 @@
 		t.Fatalf("the statement is answered %q while the host hangs", got)
 	case <-time.After(50 * time.Millisecond):
 	}
-	h.SetHang(Awake)
+	h.SetHang(NotHung)
 	if got := <-answered; len(got) != 1 {
 		t.Errorf("the statement is answered %q after the host resumed", got)
 	}
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	ended := c.ended
 	c.mu.Unlock()
-	return !ended && socket.Quiet(c.gateway)
+	return !ended && socket.NothingReceived(c.gateway)
 }
 
 // wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
@@ -158,7 +158,7 @@
 	case f.Kind == Silent, f.Kind == HoldsAnswers && toGateway:
 		return c.wait(0, faultEnd)
 	case f.Kind == DelaysAnswers && toGateway, f.Kind == DelaysQueries && !toGateway:
-		return c.wait(time.Until(k.at.Add(f.Most/2+time.Duration(c.link.draw(int64(f.Most/2))))), nil)
+		return c.wait(time.Until(k.at.Add(f.Max/2+time.Duration(c.link.draw(int64(f.Max/2))))), nil)
 	}
 	return true
 }
@@ -223,7 +223,7 @@
 		return false
 	}
 	if k.query && f.Kind == ResetsLater && c.link.draw(affectedOneIn) == 0 {
-		time.AfterFunc(time.Duration(c.link.draw(int64(f.Most))), c.reset)
+		time.AfterFunc(time.Duration(c.link.draw(int64(f.Max))), c.reset)
 	}
 	return c.write(c.host, k.data, f, nil)
 }
@@ -283,9 +283,9 @@
 	switch {
 	case c.inFlight != "" || c.ended:
 	case f.Kind == ClosesIdle:
-		c.idle = time.AfterFunc(f.Most, func() { c.end(c.link.draw(2) == 0) })
+		c.idle = time.AfterFunc(f.Max, func() { c.end(c.link.draw(2) == 0) })
 	case f.Kind == ForgetsIdle:
-		c.idle = time.AfterFunc(f.Most, func() {
+		c.idle = time.AfterFunc(f.Max, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.forgotten = c.inFlight == ""
--- a/internal/testbed/linkfault/linkfault_test.go
+++ b/internal/testbed/linkfault/linkfault_test.go
@@ -69,7 +69,7 @@
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = c.Write(pg.AppendStartup(nil, "backend", "store"))
-	welcome := pg.AppendWelcome(nil, pg.StartSession)
+	welcome := pg.AppendStartupResponse(nil, pg.StartSession)
 	if _, err := io.ReadFull(c, make([]byte, len(welcome))); err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			l, _, _ := start(t, nil)
-			l.Begin(Fault{Kind: kind, Most: maxDelay})
+			l.Begin(Fault{Kind: kind, Max: maxDelay})
 			for range maxTries {
 				begun := time.Now()
 				c := open(t, l)
@@ -174,7 +174,7 @@
 	for _, c := range []net.Conn{one, two} {
 		go func() { _, _, err := ask(c); answers <- err }()
 	}
-	for until := time.Now().Add(testTimeout); len(h.Asked()) < 2; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); len(h.Queries()) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the queries do not reach the host")
 		}
@@ -210,7 +210,7 @@
 	if err := <-answer; !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection ended with %v", err)
 	}
-	if asked := h.Asked(); len(asked) > 0 {
+	if asked := h.Queries(); len(asked) > 0 {
 		t.Errorf("the host received %q", asked)
 	}
 	if _, _, err := ask(open(t, l)); err != nil {
--- a/internal/testbed/rules/freshness.go
+++ b/internal/testbed/rules/freshness.go
@@ -64,7 +64,7 @@
 		return true
 	}
 	for _, answer := range l.followerAnswers[link{gateway, host}] {
-		if answer.madeAt.After(state.deposedAt) && sent.Sub(answer.writtenAt) > l.Limits.KnownAfter+l.slack() {
+		if answer.madeAt.After(state.deposedAt) && sent.Sub(answer.writtenAt) > l.Limits.KnownWithin+l.slack() {
 			return false
 		}
 	}
--- a/internal/testbed/rules/link.go
+++ b/internal/testbed/rules/link.go
@@ -22,9 +22,9 @@
 	delete(l.request(id).inFlight, host)
 }
 
-// Follows records that a link has just written an answer to a gateway which names the host a follower, and which the host had
+// FollowerDelivered records that a link has just written an answer to a gateway which names the host a follower, and which the host had
 // made no later than made.
-func (l *Ledger) Follows(gateway, host string, madeAt time.Time) {
+func (l *Ledger) FollowerDelivered(gateway, host string, madeAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.addFollowerAnswerLocked(link{gateway, host}, madeAt)
--- a/internal/testbed/rules/rules.go
+++ b/internal/testbed/rules/rules.go
@@ -12,13 +12,13 @@
 
 // Limits are the limits that the rules set.
 type Limits struct {
-	Window     time.Duration // in which a possibly executed write may be retried; 0 disables the check
-	Leave      time.Duration // after a client's disconnect in which attempts may still begin; 0 disables the check
-	Grace      time.Duration // after a drain notification in which attempts may still begin; 0 disables the check
-	Slack      time.Duration // added to every limit, for delays of sockets and scheduling
-	KnownAfter time.Duration // after which a gateway must know the content of an answer written to it
-	Overload   float64       // work that a cold host may be sent, as a multiple of its capacity; 0 disables the check
-	OverloadIn time.Duration // length of the sliding window for Overload
+	Window          time.Duration // in which a possibly executed write may be retried; 0 disables the check
+	DisconnectGrace time.Duration // after a client's disconnect in which attempts may still begin; 0 disables the check
+	Grace           time.Duration // after a drain notification in which attempts may still begin; 0 disables the check
+	Slack           time.Duration // added to every limit, for delays of sockets and scheduling
+	KnownWithin     time.Duration // after which a gateway must know the content of an answer written to it
+	Overload        float64       // work that a cold host may be sent, as a multiple of its capacity; 0 disables the check
+	OverloadIn      time.Duration // length of the sliding window for Overload
 }
 
 // Kind is the kind of a request's answer.
@@ -144,8 +144,8 @@
 	}
 }
 
-// Made records that a host has produced a value for a request.
-func (l *Ledger) Made(id string, value []byte) {
+// ValueProduced records that a host has produced a value for a request.
+func (l *Ledger) ValueProduced(id string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.request(id)
@@ -161,8 +161,8 @@
 	}
 }
 
-// Left records that a client disconnected, or was cut off, without an answer.
-func (l *Ledger) Left(id string) {
+// Unanswered records that a client disconnected, or was cut off, without an answer.
+func (l *Ledger) Unanswered(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Unanswered++
@@ -240,7 +240,7 @@
 		l.counts.AfterDrain++
 		l.addViolation("%s from %s arrived at %s %v after the gateway was notified of the drain", id, r.gateway, host, first.Sub(notifiedAt))
 	}
-	if !r.disconnectedAt.IsZero() && l.Limits.Leave > 0 && first.Sub(r.disconnectedAt) > l.Limits.Leave+l.slack() {
+	if !r.disconnectedAt.IsZero() && l.Limits.DisconnectGrace > 0 && first.Sub(r.disconnectedAt) > l.Limits.DisconnectGrace+l.slack() {
 		l.counts.AfterLeaving++
 		l.addViolation("%s arrived at %s %v after its client disconnected", id, host, first.Sub(r.disconnectedAt))
 	}
@@ -263,30 +263,30 @@
 	delete(l.request(id).arrivals, host)
 }
 
-// Via records the gateway to which a request is sent.
-func (l *Ledger) Via(id, gateway string) {
+// SentVia records the gateway to which a request is sent.
+func (l *Ledger) SentVia(id, gateway string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.request(id).gateway = gateway
 }
 
-// Leaves records that the client of a request disconnects now, without waiting for the answer.
-func (l *Ledger) Leaves(id string) {
+// Disconnected records that the client of a request disconnects now, without waiting for the answer.
+func (l *Ledger) Disconnected(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.request(id).disconnectedAt = time.Now()
 	l.request(id).answers++
 }
 
-// Came reports whether a request has reached a host.
-func (l *Ledger) Came(id string) bool {
+// ReachedHost reports whether a request has reached a host.
+func (l *Ledger) ReachedHost(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.request(id).arrived
 }
 
-// Breaks records a violation found outside the ledger.
-func (l *Ledger) Breaks(rule string, args ...any) {
+// AddViolation records a violation found outside the ledger.
+func (l *Ledger) AddViolation(rule string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.addViolation(rule, args...)
@@ -358,8 +358,8 @@
 	}
 }
 
-// Told records that discovery now lists a host as draining or removed, or, with serving set, as serving again.
-func (l *Ledger) Told(host string, serving bool) {
+// DrainAnnounced records that discovery now lists a host as draining or removed, or, with serving set, as serving again.
+func (l *Ledger) DrainAnnounced(host string, serving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.drains == nil {
@@ -389,8 +389,8 @@
 	return l.counts
 }
 
-// Broken returns the violations so far, including requests that were sent and never answered.
-func (l *Ledger) Broken() []string {
+// Violations returns the violations so far, including requests that were sent and never answered.
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := append([]string(nil), l.violations...)
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -31,8 +31,16 @@
 			time.Sleep(151 * time.Millisecond)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Second), 0)
 		},
-		"no host produced":       func(l *Ledger) { l.Made("a", []byte("v")); l.Made("b", []byte("w")); l.ServedWith("a", []byte("w")) },
-		"after discovery listed": func(l *Ledger) { l.Told("h", false); time.Sleep(1100 * time.Millisecond); l.Arrived("h", "a", 0) },
+		"no host produced": func(l *Ledger) {
+			l.ValueProduced("a", []byte("v"))
+			l.ValueProduced("b", []byte("w"))
+			l.ServedWith("a", []byte("w"))
+		},
+		"after discovery listed": func(l *Ledger) {
+			l.DrainAnnounced("h", false)
+			time.Sleep(1100 * time.Millisecond)
+			l.Arrived("h", "a", 0)
+		},
 		"client stopped waiting": func(l *Ledger) {
 			l.Asked("a", false, true, soon())
 			time.Sleep(1100 * time.Millisecond)
@@ -47,24 +55,24 @@
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &Ledger{Limits: Limits{Grace: time.Second, Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond,
+			l := &Ledger{Limits: Limits{Grace: time.Second, Slack: 50 * time.Millisecond, KnownWithin: 100 * time.Millisecond,
 				Overload: 4, OverloadIn: time.Second}}
 			do(l)
-			got := strings.Join(l.Broken(), "; ")
+			got := strings.Join(l.Violations(), "; ")
 			if want == "" && got != "" || !strings.Contains(got, want) {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		l := &Ledger{Limits: Limits{Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond}}
+		l := &Ledger{Limits: Limits{Slack: 50 * time.Millisecond, KnownWithin: 100 * time.Millisecond}}
 		old := func(id string) { l.Read("h", id, time.Now(), time.Now().Add(-time.Second), 0) }
 		l.Leadership("h", Leads)
 		old("a") // it is the primary
 		l.Leadership("h", Deposed)
 		old("a") // no gateway has a follower's answer
 		time.Sleep(time.Millisecond)
-		l.Via("b", "n1")
+		l.SentVia("b", "n1")
 		l.FollowerAnswered("h", "b")
 		time.Sleep(100 * time.Millisecond)
 		old("b") // within KnownAfter
@@ -78,21 +86,21 @@
 		time.Sleep(time.Second)
 		l.Restarted("n1", time.Now())
 		old("b") // the new process has received no answer
-		if got := l.Broken(); len(got) != 0 {
+		if got := l.Violations(); len(got) != 0 {
 			t.Errorf("violations %q, want none as each of these reads is excused", got)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		l := &Ledger{Limits: Limits{Grace: time.Second}}
-		l.Told("h", false)
-		l.Told("h", true)
+		l.DrainAnnounced("h", false)
+		l.DrainAnnounced("h", true)
 		time.Sleep(time.Minute)
 		l.Arrived("h", "a", 0)
 		l.AttemptEnded("h", "a")
 		l.Arrived("i", "a", 0)
 		l.Asked("b", false, true, time.Now().Add(time.Second))
-		l.Left("b")
-		if got := l.Broken(); len(got) != 0 {
+		l.Unanswered("b")
+		if got := l.Violations(); len(got) != 0 {
 			t.Errorf("violations %q, want none", got)
 		}
 	})
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -90,8 +90,8 @@
 const (
 	ReportLeast, ReportMost = 59 * time.Millisecond, 190 * time.Millisecond // interval between two load reports
 	KnownWithin             = 100 * time.Millisecond                        // after an answer was written
-	ToldWithin              = 6 * time.Second                               // after a change of the endpoint list
-	RoleToldWithin          = 5 * time.Second                               // after a change of a role in the endpoint list
+	ListedWithin            = 6 * time.Second                               // after a change of the endpoint list
+	RoleListedWithin        = 5 * time.Second                               // after a change of a role in the endpoint list
 )
 
 // Ages are the ages of the received fields, by their source.
@@ -128,7 +128,7 @@
 		out += ", another leads"
 	}
 	if e.Kind == Link {
-		out += fmt.Sprintf(" to host %d %s (%s)", e.Host, e.Fault.Kind, e.Fault.Most.Round(time.Millisecond))
+		out += fmt.Sprintf(" to host %d %s (%s)", e.Host, e.Fault.Kind, e.Fault.Max.Round(time.Millisecond))
 	}
 	if e.Stalled {
 		out += ", logs stand still"
@@ -138,26 +138,26 @@
 
 // Plan is the plan of a run.
 type Plan struct {
-	Seed              uint64
-	Gateways, Hosts   int
-	Clients           int // per gateway
-	Length            time.Duration
-	Grace             time.Duration    // of drains
-	Deadline, Longest time.Duration    // of reads, and of the class with the latest deadline
-	Window            time.Duration    // for retries of the keyed class of writes; 0 if writes must not be executed twice
-	Ask               bool             // gateways subscribe to the endpoint list, which is pushed to them otherwise
-	Skew              time.Duration    // offset of the other processes' clocks
-	Crowd             bool             // many more clients that hold connections
-	Roles             Roles            // how the list states roles
-	RoleLag, StartLag time.Duration    // delay of roles and start times in the list
-	Lag               time.Duration    // of replicas
-	Gossip            bool             // gateways exchange gossip messages
-	Eager             int              // additional clients per gateway that send with hardly a pause
-	SecondGroup       int              // number of hosts of a second group; 0 for a single group
-	Reports           [2]time.Duration // bounds of the interval between two load reports
-	Ages              Ages
-	Linked            []bool // by gateway, whether it reaches the hosts over links; nil if none does
-	Events            []Event
+	Seed                  uint64
+	Gateways, Hosts       int
+	Clients               int // per gateway
+	Length                time.Duration
+	Grace                 time.Duration    // of drains
+	Deadline, MaxDeadline time.Duration    // of reads, and of the class with the latest deadline
+	Window                time.Duration    // for retries of the keyed class of writes; 0 if writes must not be executed twice
+	Poll                  bool             // gateways subscribe to the endpoint list, which is pushed to them otherwise
+	Skew                  time.Duration    // offset of the other processes' clocks
+	Crowd                 bool             // many more clients that hold connections
+	Roles                 Roles            // how the list states roles
+	RoleLag, StartLag     time.Duration    // delay of roles and start times in the list
+	Lag                   time.Duration    // of replicas
+	Gossip                bool             // gateways exchange gossip messages
+	EagerClients          int              // additional clients per gateway that send with hardly a pause
+	SecondGroup           int              // number of hosts of a second group; 0 for a single group
+	Reports               [2]time.Duration // bounds of the interval between two load reports
+	Ages                  Ages
+	Linked                []bool // by gateway, whether it reaches the hosts over links; nil if none does
+	Events                []Event
 }
 
 // New returns the plan for a seed.
@@ -168,7 +168,7 @@
 	}
 	p := Plan{Seed: seed, Gateways: 2 + rng.IntN(3), Hosts: 3 + rng.IntN(3), Clients: 4 + rng.IntN(5), Length: 16 * time.Second,
 		Grace: between(200*time.Millisecond, time.Second), Deadline: between(250*time.Millisecond, 800*time.Millisecond),
-		Longest: between(500*time.Millisecond, 3*time.Second), Ask: rng.IntN(3) == 0, Crowd: rng.IntN(4) == 0}
+		MaxDeadline: between(500*time.Millisecond, 3*time.Second), Poll: rng.IntN(3) == 0, Crowd: rng.IntN(4) == 0}
 	if rng.IntN(2) == 0 {
 		p.Window = between(300*time.Millisecond, 3*time.Second)
 	}
@@ -238,7 +238,7 @@
 		p.SecondGroup = 3
 	}
 	if rng.IntN(4) == 0 {
-		p.Eager = 12
+		p.EagerClients = 12
 	}
 	p.Reports = [2]time.Duration{ReportLeast, ReportMost}
 	startLag, roleLag := between(0, time.Second), between(0, time.Second)
@@ -251,15 +251,15 @@
 	}
 	switch p.Ages.Starts {
 	case Allowed:
-		p.StartLag = ToldWithin - startLag
+		p.StartLag = ListedWithin - startLag
 	case Older:
-		p.StartLag = ToldWithin + 2*startLag
+		p.StartLag = ListedWithin + 2*startLag
 	}
 	switch p.Ages.Roles {
 	case Allowed:
-		p.RoleLag = RoleToldWithin - roleLag
+		p.RoleLag = RoleListedWithin - roleLag
 	case Older:
-		p.RoleLag = RoleToldWithin + 3*roleLag
+		p.RoleLag = RoleListedWithin + 3*roleLag
 	}
 	for range 2 + rng.IntN(3) {
 		e := Event{At: between(500*time.Millisecond, last), For: between(300*time.Millisecond, 3*time.Second),
@@ -302,13 +302,13 @@
 		e.Fault.Kind = linkfault.Kinds[rng.IntN(len(linkfault.Kinds))]
 		switch e.Fault.Kind {
 		case linkfault.ComesUpLate:
-			e.Fault.Most = maxConnectDelay
+			e.Fault.Max = maxConnectDelay
 		case linkfault.ClosesIdle, linkfault.ForgetsIdle:
-			e.Fault.Most = between(10*time.Millisecond, 300*time.Millisecond)
+			e.Fault.Max = between(10*time.Millisecond, 300*time.Millisecond)
 		case linkfault.ResetsLater:
-			e.Fault.Most = between(100*time.Millisecond, 3*time.Second)
+			e.Fault.Max = between(100*time.Millisecond, 3*time.Second)
 		default:
-			e.Fault.Most = between(10*time.Millisecond, time.Second)
+			e.Fault.Max = between(10*time.Millisecond, time.Second)
 		}
 		p.Events = append(p.Events, e)
 	}
--- a/internal/testbed/stall/stall.go
+++ b/internal/testbed/stall/stall.go
@@ -78,9 +78,9 @@
 	return m.longest.duration, m.longest.endedAt
 }
 
-// Lately returns the sum of the stalls of the last two seconds. A stall that still lasts for the monitor counts, as the caller
+// Recent returns the sum of the stalls of the last two seconds. A stall that still lasts for the monitor counts, as the caller
 // may have got processor time before the monitor.
-func (m *Monitor) Lately() (sum time.Duration) {
+func (m *Monitor) Recent() (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ongoing := time.Since(m.measuredAt) - interval; ongoing >= minStall {
--- a/internal/testbed/stall/stall_test.go
+++ b/internal/testbed/stall/stall_test.go
@@ -13,7 +13,7 @@
 	m.recordLocked(now, 30*time.Millisecond)
 	m.recordLocked(now, 20*time.Millisecond)
 	m.recordLocked(now, minStall/2)
-	if got := m.Lately(); got != 50*time.Millisecond {
+	if got := m.Recent(); got != 50*time.Millisecond {
 		t.Errorf("recent stalls of %s", got)
 	}
 }
@@ -32,9 +32,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &Monitor{measuredAt: time.Now()}
 		time.Sleep(time.Second + interval) // without a measurement
-		before := m.Lately()
+		before := m.Recent()
 		m.measure(time.Now())
-		if after := m.Lately(); before != time.Second || after != time.Second {
+		if after := m.Recent(); before != time.Second || after != time.Second {
 			t.Errorf("stalls of %s during the stall, %s after it", before, after)
 		}
 	})
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -24,9 +24,9 @@
 
 // buildQuery translates the batch into the messages for the host and the answers expected to them.
 func (x *batchExchange) buildQuery() error {
-	link := x.host.Link()
+	link := x.host.ConnState()
 	if x.checkout.skipping {
-		if x.batch.Ends && x.batch.Messages[len(x.batch.Messages)-1].Kind == pg.Sync {
+		if x.batch.Complete && x.batch.Messages[len(x.batch.Messages)-1].Kind == pg.Sync {
 			x.checkout.skipping = false
 			x.query = pg.Append(x.query, pg.Sync)
 			x.expected = append(x.expected, expectation{kind: pg.Sync})
@@ -134,7 +134,7 @@
 
 // ensurePrepared prepares a statement on this connection if it is not prepared yet, and returns its name on the host.
 func (x *batchExchange) ensurePrepared(statement *pooling.Statement) string {
-	link := x.host.Link()
+	link := x.host.ConnState()
 	name, parse := link.Use(statement)
 	for _, evicted := range link.Evicted() {
 		x.query = pg.AppendTarget(x.query, pg.Close, 'S', evicted)
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -13,7 +13,7 @@
 
 // batchExchange is the exchange of one batch with a host.
 type batchExchange struct {
-	checkout   *Lease
+	checkout   *Checkout
 	host       *backend.Host
 	session    *pooling.Session
 	batch      *Batch
@@ -33,7 +33,7 @@
 	switch {
 	case len(x.out) == 0:
 		return nil
-	case x.host.Late():
+	case x.host.PastDeadline():
 		x.out = x.out[:0]
 		return nil
 	}
@@ -49,7 +49,7 @@
 // run sends the batch to the host and forwards its answer to the client.
 func (x *batchExchange) run() error {
 	x.session.StartBatch()
-	x.host.Begin()
+	x.host.BeginBatch()
 	if err := x.buildQuery(); err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	}
 	x.expected = append(x.checkout.pendingAnswers, x.expected...)
 	x.checkout.pendingAnswers = nil
-	if x.batch.Part && len(x.expected) > 0 {
+	if x.batch.Streamed && len(x.expected) > 0 {
 		x.query = pg.Append(x.query, pg.Flush) // the answers must be read before the long message is written, or both ends could block
 	}
 	var written chan error
@@ -84,14 +84,14 @@
 			return err
 		}
 	}
-	if x.batch.Part {
+	if x.batch.Streamed {
 		if err := x.stream(x.batch.Messages[len(x.batch.Messages)-1]); err != nil {
 			return err
 		}
 		return x.flush()
 	}
-	switch minPosition := x.checkout.MustSee; {
-	case x.host.Late():
+	switch minPosition := x.checkout.MinPosition; {
+	case x.host.PastDeadline():
 		return os.ErrDeadlineExceeded
 	case minPosition > 0 && !x.relayed && x.host.Behind(minPosition):
 		return errMisdirected
@@ -153,9 +153,9 @@
 // rollback rolls back the open transaction and reports whether the connection is clean afterwards.
 func (x *batchExchange) rollback() bool {
 	if !x.session.InTransaction() {
-		return x.host.Quiet()
+		return x.host.InputEmpty()
 	}
-	x.host.Limit(rollbackTimeout)
+	x.host.SetReadTimeout(rollbackTimeout)
 	if x.host.Write(pg.AppendQuery(pg.Append(nil, pg.Sync), "ROLLBACK")) != nil {
 		return false
 	}
@@ -176,6 +176,6 @@
 	}
 	x.session.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
 	x.session.EndBatch('I')
-	x.host.Link().AdoptSettings(x.session)
-	return x.host.Quiet()
+	x.host.ConnState().AdoptSettings(x.session)
+	return x.host.InputEmpty()
 }
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -39,7 +39,7 @@
 // buffered up to maxHeld bytes. The end of a statement is always buffered then, because an error in its place tells the
 // client that the statement failed.
 func (x *batchExchange) mustFlush() bool {
-	if x.host.Untold() {
+	if x.host.DemandUnmet() {
 		return len(x.out) >= maxHeld && x.lastKind == pg.DataRow
 	}
 	return len(x.out) >= flushSize
@@ -55,7 +55,7 @@
 	}
 	x.lastKind, x.rowRead = kind, x.rowRead || kind == pg.DataRow && !e.hidden
 	maxBuffered := maxBody
-	if x.host.Untold() && kind == pg.DataRow {
+	if x.host.DemandUnmet() && kind == pg.DataRow {
 		maxBuffered = max(maxBody, maxHeld-len(x.out))
 	}
 	if length > maxBuffered {
@@ -79,7 +79,7 @@
 	}
 	switch kind {
 	case pg.ParameterStatus:
-		if x.host.Note(body) || e.settings {
+		if x.host.HandleStatement(body) || e.settings {
 			return nil
 		}
 		x.out = pg.Append(x.out, kind, body)
@@ -149,7 +149,7 @@
 		case pg.ReadyForQuery:
 			ok = len(body) == 1
 			if e.settings {
-				x.host.Link().SettingsApplied(x.session)
+				x.host.ConnState().SettingsApplied(x.session)
 				x.pop()
 				return nil
 			}
@@ -172,7 +172,7 @@
 
 // writePiece writes a piece of a long row to the client, unless the attempt's deadline has passed.
 func (x *batchExchange) writePiece(piece []byte) error {
-	if x.host.Late() {
+	if x.host.PastDeadline() {
 		return nil
 	}
 	return x.checkout.write(piece)
@@ -190,9 +190,9 @@
 	e.commands = e.commands[1:]
 	before := x.session.Pins()
 	x.session.Completed(c, tag)
-	x.host.Link().StatementRan(c, x.session)
+	x.host.ConnState().StatementRan(c, x.session)
 	if added := x.session.Pins() &^ before; added != 0 {
-		x.checkout.Pinned(added)
+		x.checkout.OnPinned(added)
 	}
 	if c.Kind == pooling.Write || c.Kind == pooling.Commit && tag != "ROLLBACK" {
 		// The commit's position comes with the end of the batch, if at all; earlier positions lie before the commit.
@@ -206,7 +206,7 @@
 		x.wrote = p
 	}
 	x.session.EndBatch(body[0])
-	x.host.Link().AdoptSettings(x.session)
+	x.host.ConnState().AdoptSettings(x.session)
 }
 
 // errSettings reports that the host refused the session's settings on the connection.
@@ -227,7 +227,7 @@
 	}
 	x.out = pg.Append(x.out, pg.ErrorResponse, body)
 	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(failure.Message, "cached plan must not change") {
-		x.host.Link().Forget(e.statement) // it is prepared again with the current result type; the client gets the error
+		x.host.ConnState().Forget(e.statement) // it is prepared again with the current result type; the client gets the error
 	}
 	if failure.Fatal {
 		if err := x.flush(); err != nil {
@@ -243,8 +243,8 @@
 		skipped := &x.expected[0]
 		if skipped.kind == pg.Parse {
 			// It was never prepared on this connection, nor, if this batch introduced its name, in the session.
-			x.host.Link().Forget(skipped.statement)
-			x.host.Link().Evicted()
+			x.host.ConnState().Forget(skipped.statement)
+			x.host.ConnState().Evicted()
 			if !skipped.hidden {
 				x.session.Close(skipped.name)
 			}
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -76,8 +76,8 @@
 // Batch is what a client sends before it waits for an answer: one Query, or extended protocol messages up to a Sync or Flush.
 type Batch struct {
 	Messages []Message
-	Ends     bool // it ends with a Query or Sync, so that ReadyForQuery follows
-	Part     bool // its last message is streamed, and more of the pipeline follows
+	Complete bool // it ends with a Query or Sync, so that ReadyForQuery follows
+	Streamed bool // its last message is streamed, and more of the pipeline follows
 	Commands []pooling.Command
 }
 
@@ -114,15 +114,15 @@
 // ErrIdle reports that an open transaction was idle for too long.
 var ErrIdle = errors.New("idle in transaction for too long")
 
-// Lease is a host connection that is checked out by a session, from a first batch until no transaction and no pin ties the
+// Checkout is a host connection that is checked out by a session, from a first batch until no transaction and no pin ties the
 // session to it. The session calls Next and Close, the backend calls Converse.
-type Lease struct {
-	Session *pooling.Session
-	Mode    pooling.Mode
-	Write   func([]byte) error // writes to the client
-	MustSee time.Duration      // position that a read must see, or 0
-	Idle    time.Duration      // longest time that a transaction may be open and idle
-	Pinned  func(pooling.Pin)  // called with new reasons to pin
+type Checkout struct {
+	Session     *pooling.Session
+	Mode        pooling.Mode
+	Write       func([]byte) error // writes to the client
+	MinPosition time.Duration      // position that a read must see, or 0
+	MaxIdle     time.Duration      // longest time that a transaction may be open and idle
+	OnPinned    func(pooling.Pin)  // called with new reasons to pin
 
 	skipping          bool          // the host skips all messages until a Sync
 	pendingAnswers    []expectation // expected answers to messages sent before a streamed one
@@ -145,13 +145,13 @@
 }
 
 // Mute stops all further output of the checkout to the client: from now on the session writes its own messages.
-func (l *Lease) Mute() {
+func (l *Checkout) Mute() {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	l.muted = true
 }
 
-func (l *Lease) write(b []byte) error {
+func (l *Checkout) write(b []byte) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	if l.muted {
@@ -161,22 +161,22 @@
 }
 
 // New returns a checkout for a first batch.
-func New(s *pooling.Session, mode pooling.Mode, write func([]byte) error, first *Batch) *Lease {
-	return &Lease{Session: s, Mode: mode, Write: write, Idle: time.Minute, first: first, next: make(chan *Batch, 1),
-		done: make(chan Done, 2), closed: make(chan struct{}), Pinned: func(pooling.Pin) {}}
+func New(s *pooling.Session, mode pooling.Mode, write func([]byte) error, first *Batch) *Checkout {
+	return &Checkout{Session: s, Mode: mode, Write: write, MaxIdle: time.Minute, first: first, next: make(chan *Batch, 1),
+		done: make(chan Done, 2), closed: make(chan struct{}), OnPinned: func(pooling.Pin) {}}
 }
 
 // Done returns the channel that receives the result of each batch.
-func (l *Lease) Done() <-chan Done { return l.done }
+func (l *Checkout) Done() <-chan Done { return l.done }
 
 // Next submits another batch to a checkout that continues.
-func (l *Lease) Next(b *Batch) { l.next <- b }
+func (l *Checkout) Next(b *Batch) { l.next <- b }
 
 // Close ends the checkout; an open transaction is rolled back.
-func (l *Lease) Close() { l.once.Do(func() { close(l.closed) }) }
+func (l *Checkout) Close() { l.once.Do(func() { close(l.closed) }) }
 
 // Cancel cancels the running batch, if any. The connection is not reused before the host has received the cancel request.
-func (l *Lease) Cancel(ctx context.Context) error {
+func (l *Checkout) Cancel(ctx context.Context) error {
 	l.mu.Lock()
 	h := l.running
 	if h == nil {
@@ -190,7 +190,7 @@
 }
 
 // setRunning sets the host on which a batch runs, or nil when it has ended, and then waits for the cancels in flight.
-func (l *Lease) setRunning(h *backend.Host) {
+func (l *Checkout) setRunning(h *backend.Host) {
 	l.mu.Lock()
 	l.running = h
 	l.mu.Unlock()
@@ -200,12 +200,12 @@
 }
 
 // Converse implements backend.Conversation.
-func (l *Lease) Converse(h *backend.Host) (end backend.Ending) {
+func (l *Checkout) Converse(h *backend.Host) (end backend.ConversationResult) {
 	l.mu.Lock()
 	finished := l.ended
 	l.mu.Unlock()
 	if finished {
-		return backend.Ending{Result: balance.NotSent, Clean: true}
+		return backend.ConversationResult{Result: balance.NotSent, Clean: true}
 	}
 	batch := l.first
 	for {
@@ -234,7 +234,7 @@
 			case errors.Is(err, errSettings):
 				end.Result = balance.Failed
 			case errors.Is(err, errMisdirected):
-				end.Result, end.Clean = balance.Misdirected, h.Quiet()
+				end.Result, end.Clean = balance.Misdirected, h.InputEmpty()
 			case errors.Is(err, errStale):
 				end.Result = balance.Stale
 			}
@@ -244,16 +244,16 @@
 			end.Result = balance.Reset
 			return end
 		}
-		keep := !batch.Ends || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
+		keep := !batch.Complete || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
 		if !keep {
 			l.finish(Done{Wrote: exchange.wrote})
-			end.Result, end.Clean = balance.OK, h.Quiet()
+			end.Result, end.Clean = balance.OK, h.InputEmpty()
 			return end
 		}
 		l.done <- Done{Keep: true, Wrote: exchange.wrote}
 		var idle <-chan time.Time // only an open transaction may block other sessions
 		if l.Session.InTransaction() {
-			idle = time.After(l.Idle)
+			idle = time.After(l.MaxIdle)
 		}
 		var ended error
 		select {
@@ -272,7 +272,7 @@
 }
 
 // finish sends the last result of the checkout, once.
-func (l *Lease) finish(d Done) {
+func (l *Checkout) finish(d Done) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.ended {
@@ -286,8 +286,8 @@
 
 func (b *invalidAnswer) Error() string { return "the host's answer can't be read: " + b.problem }
 
-// ErrorOf returns the error message for a client whose checkout ended early because of err.
-func ErrorOf(err error) *pg.Error {
+// ConnectionError returns the error message for a client whose checkout ended early because of err.
+func ConnectionError(err error) *pg.Error {
 	if errors.Is(err, ErrIdle) {
 		return &pg.Error{Code: codeIdleTimeout, Message: err.Error(), Fatal: true}
 	}
