--- a/internal/testbed/datagrams/datagrams.go
+++ b/internal/testbed/datagrams/datagrams.go
@@ -1,5 +1,5 @@
-// Package datagrams has a stand-in for the network between the gateways of a tier: what one sends to the address of all comes to
-// each of the others, late, or never.
+// Package datagrams provides a stand-in for the network between the gateways of a tier. A datagram that one gateway sends to the
+// shared address is forwarded to each of the others with a random delay, or lost.
 package datagrams
 
 import (
@@ -10,39 +10,39 @@
 )
 
 const (
-	// leastDelay and mostDelay bound how long a datagram travels where nothing else was set.
-	leastDelay, mostDelay = time.Millisecond, 40 * time.Millisecond
-	// lossPart is one in how many datagrams that never arrive.
-	lossPart = 20
-	maxBytes = 2048
+	// minDelay and mostDelay bound the delay of a datagram unless SetDelay was called.
+	minDelay, maxDelay = time.Millisecond, 40 * time.Millisecond
+	// lossOneIn makes one in so many datagrams get lost.
+	lossOneIn = 20
+	maxBytes  = 2048
 )
 
-// Network is the address of all gateways of a tier.
+// Network forwards datagrams between all gateways of a tier.
 type Network struct {
 	conn *net.UDPConn
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	members []*net.UDPAddr
-	least   time.Duration
-	most    time.Duration
+	mu       sync.Mutex
+	rng      *rand.Rand
+	members  []*net.UDPAddr
+	minDelay time.Duration
+	maxDelay time.Duration
 }
 
-// New opens a network on loopback; delays and losses come from the seed.
+// New opens a network on loopback. Delays and losses are drawn from the seed.
 func New(seed uint64) (*Network, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	n := &Network{conn: conn, rng: rand.New(rand.NewPCG(seed, 0x756470)), least: leastDelay, most: mostDelay}
+	n := &Network{conn: conn, rng: rand.New(rand.NewPCG(seed, 0x756470)), minDelay: minDelay, maxDelay: maxDelay}
 	go n.run()
 	return n, nil
 }
 
-// Address is the address of all.
+// Address returns the shared address to which the gateways send.
 func (n *Network) Address() string { return n.conn.LocalAddr().String() }
 
-// Join adds a gateway, which listens and sends at an address.
+// Join adds a gateway that sends and receives at an address.
 func (n *Network) Join(address string) error {
 	to, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// SetDelay sets how long datagrams travel from now on.
-func (n *Network) SetDelay(least, most time.Duration) {
+// SetDelay sets the bounds of the delay of later datagrams.
+func (n *Network) SetDelay(lower, upper time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.least, n.most = least, most
+	n.minDelay, n.maxDelay = lower, upper
 }
 
-// Close ends the network.
+// Close closes the network.
 func (n *Network) Close() { _ = n.conn.Close() }
 
 func (n *Network) run() {
@@ -71,18 +71,18 @@
 		if err != nil {
 			return
 		}
-		n.pass(append([]byte(nil), buffer[:size]...), from.String())
+		n.forward(append([]byte(nil), buffer[:size]...), from.String())
 	}
 }
 
-// pass sends a datagram on to all but who it is from.
-func (n *Network) pass(datagram []byte, from string) {
+// forward forwards a datagram to all members except its sender.
+func (n *Network) forward(datagram []byte, from string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, to := range n.members {
-		if to.String() == from || n.rng.IntN(lossPart) == 0 {
+		if to.String() == from || n.rng.IntN(lossOneIn) == 0 {
 			continue
 		}
-		time.AfterFunc(n.least+time.Duration(n.rng.Int64N(int64(n.most-n.least))), func() { _, _ = n.conn.WriteToUDP(datagram, to) })
+		time.AfterFunc(n.minDelay+time.Duration(n.rng.Int64N(int64(n.maxDelay-n.minDelay))), func() { _, _ = n.conn.WriteToUDP(datagram, to) })
 	}
 }
--- a/internal/testbed/discovery/discovery_test.go
+++ b/internal/testbed/discovery/discovery_test.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-func TestAListForACallerThatIsGoneCountsAsUnanswered(t *testing.T) {
+// Counting a list as answered after its caller canceled would make a test believe that the gateway knows the list.
+func TestListForCanceledCallIsNotAnswered(t *testing.T) {
 	s := New()
 	defer s.Close()
-	begun, gone, answered := make(chan bool, 2), make(chan bool), make(chan int, 2)
+	begun, canceled, answered := make(chan bool, 2), make(chan bool), make(chan int, 2)
 	s.Answered = func(revision int) { answered <- revision }
 	s.Before = func(n int, _ http.ResponseWriter, r *http.Request) bool {
 		if n == 0 {
 			begun <- true
 			<-r.Context().Done()
-			close(gone)
+			close(canceled)
 		}
 		return false
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		r, _ := http.NewRequestWithContext(ctx, http.MethodGet, s.URL+"/v1/endpoints", nil)
 		if got, err := http.DefaultClient.Do(r); err == nil {
@@ -28,8 +29,8 @@
 		}
 	}()
 	<-begun
-	leave()
-	<-gone
+	cancel()
+	<-canceled
 	got, err := http.Get(s.URL + "/v1/endpoints")
 	if err != nil {
 		t.Fatal(err)
@@ -38,14 +39,14 @@
 	select {
 	case revision := <-answered:
 		if revision != s.Revision() {
-			t.Errorf("revision %d was answered", revision)
+			t.Errorf("the caller was answered with revision %d", revision)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("a caller that stayed was not answered")
+		t.Fatal("the waiting caller was not answered")
 	}
 	select {
 	case <-answered:
-		t.Error("the caller that was gone counts as answered")
+		t.Error("the canceled call counts as answered")
 	case <-time.After(50 * time.Millisecond):
 	}
 }
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -15,32 +15,32 @@
 	"yokemast/internal/wire/pg"
 )
 
-// Hang is how a host that hangs swallows requests.
+// Hang is the way in which a host hangs.
 type Hang int
 
-// Ways to hang. Work that was begun goes on when the host comes back, whether anybody waits for it or not.
+// Ways to hang. Work in progress continues when the host resumes, whether or not its client still waits.
 const (
 	NotHung      Hang = iota
-	BeforeCommit      // nothing is run until it comes back
-	AfterCommit       // it runs what comes, and answers nothing
-	ButProbes         // nothing is run until it comes back; probes are answered with the load report that it kept
+	BeforeCommit      // nothing is executed until the host resumes
+	AfterCommit       // requests are executed but not answered
+	ButProbes         // as BeforeCommit, but probes are answered with the last load report
 )
 
-// Cluster is a primary and its replicas, which hold the same data. A replica shows what was committed up to its lag ago.
+// Cluster is a primary and its replicas, which hold the same data. A replica shows all commits that are older than its lag.
 type Cluster struct {
 	Group int
-	Bound time.Duration // reads of classes but own may be as old as this; 0: their age is not checked
-	Own   string        // the class whose reads must see the position that they name
+	Bound time.Duration // maximum age of data for reads of classes other than Own; 0 disables the check
+	Own   string        // the class whose reads must see the position that they state
 
-	mu      sync.Mutex
-	hosts   []*Host
-	primary *Host
-	logEnd  time.Time // while there is no primary
-	commits map[string][]commit
-	copies  []*Cluster
-	count   int
-	open    int // connections of general hosts
-	peak    int
+	mu          sync.Mutex
+	hosts       []*Host
+	primary     *Host
+	logEnd      time.Time // end of the log while there is no primary
+	commits     map[string][]commit
+	copies      []*Cluster
+	commitCount int
+	openConns   int // open connections of general hosts
+	peakConns   int // maximum of openConns
 }
 
 type commit struct {
@@ -50,8 +50,8 @@
 	copied bool // from another cluster
 }
 
-// NewCluster makes a cluster of hosts that listen on loopback, the first of which is the primary. Their names are the
-// prefix and a number.
+// NewCluster starts a cluster of n hosts that listen on loopback, the first of which is the primary. The name of a host is the
+// prefix and its index. set, if not nil, is called to configure each host before it starts.
 func NewCluster(group int, prefix string, n int, ledger *rules.Ledger, set func(*Host)) (*Cluster, error) {
 	c := &Cluster{Group: group, commits: map[string][]commit{}}
 	for i := range n {
@@ -70,50 +70,50 @@
 		c.hosts = append(c.hosts, h)
 		c.primary = c.hosts[0]
 	}
-	c.tell(c.primary, rules.Leads)
+	c.recordLeadership(c.primary, rules.Leads)
 	for _, h := range c.hosts {
-		h.begin()
+		h.startAccepting()
 	}
 	return c, nil
 }
 
-// Close ends all hosts.
+// Close stops all hosts.
 func (c *Cluster) Close() {
 	for _, h := range c.hosts {
 		h.Crash()
 	}
 }
 
-// Hosts gives the hosts in their order.
+// Hosts returns the hosts in the order of their indexes.
 func (c *Cluster) Hosts() []*Host { return c.hosts }
 
-// Primary gives the primary; nil while there is none.
+// Primary returns the primary, or nil if there is none.
 func (c *Cluster) Primary() *Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.primary
 }
 
-// CopyTo copies all data to another cluster, and from now on each commit before it is answered.
+// CopyTo copies all data to another cluster now, and every later commit before it is answered.
 func (c *Cluster) CopyTo(other *Cluster) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, list := range c.commits {
 		for _, x := range list {
-			other.put(key, x)
+			other.addCopy(key, x)
 		}
 	}
 	c.copies = append(c.copies, other)
 }
 
-func (c *Cluster) put(key string, x commit) {
+func (c *Cluster) addCopy(key string, x commit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x.copied = true
 	c.commits[key] = append(c.commits[key], x)
 }
 
-// LastValue gives the value of a key that was committed last, also by copying; nil: there is none.
+// LastValue returns the last committed value of a key, including copied commits, or nil if there is none.
 func (c *Cluster) LastValue(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,21 +123,21 @@
 	return nil
 }
 
-// PeakConns is how many connections general hosts had at most, all together.
+// PeakConns returns the maximum number of connections that all general hosts together had open.
 func (c *Cluster) PeakConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.peak
+	return c.peakConns
 }
 
-// Commits is how many writes were committed here; those copied do not count.
+// Commits returns the number of writes committed in this cluster, without copied ones.
 func (c *Cluster) Commits() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.count
+	return c.commitCount
 }
 
-// CommitsByID gives how often the write of each request was committed here; those copied do not count.
+// CommitsByID returns, by request, the number of commits of its write in this cluster, without copied ones.
 func (c *Cluster) CommitsByID() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,50 +152,51 @@
 	return out
 }
 
-// SetHang lets the host hang, or wakes it.
-func (h *Host) SetHang(how Hang) {
+// SetHang makes the host hang in the given way, or resumes it.
+func (h *Host) SetHang(mode Hang) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.hung == NotHung && how != NotHung {
-		h.released = make(chan struct{})
-	} else if h.hung != NotHung && how == NotHung {
-		close(h.released)
+	if h.hung == NotHung && mode != NotHung {
+		h.resumed = make(chan struct{})
+	} else if h.hung != NotHung && mode == NotHung {
+		close(h.resumed)
 	}
-	h.hung = how
+	h.hung = mode
 }
 
-// probeHangs waits while the host hangs for probes too; it says whether the process has died meanwhile.
-func (h *Host) probeHangs() (died bool) {
+// waitForProbes waits while the host does not answer probes. It reports whether the process has died meanwhile.
+func (h *Host) waitForProbes() (died bool) {
 	h.mu.Lock()
-	how := h.hung
+	mode := h.hung
 	h.mu.Unlock()
-	return how != ButProbes && h.hang(nil)
+	return mode != ButProbes && h.waitWhileHung(nil)
 }
 
-// hang waits while the host hangs; it says whether the process has died meanwhile.
-func (h *Host) hang(after *Hang) (died bool) {
+// waitWhileHung waits while the host hangs and reports whether the process has died meanwhile. If mode is not nil, it stores
+// the way to hang there and does not wait for AfterCommit.
+func (h *Host) waitWhileHung(mode *Hang) (died bool) {
 	h.mu.Lock()
-	how, released, life := h.hung, h.released, h.life
+	current, resumed, process := h.hung, h.resumed, h.process
 	h.mu.Unlock()
-	if after != nil {
-		*after = how
+	if mode != nil {
+		*mode = current
 	}
-	if how == NotHung || after != nil && how == AfterCommit {
+	if current == NotHung || mode != nil && current == AfterCommit {
 		return false
 	}
-	<-released
+	<-resumed
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.life != life
+	return h.process != process
 }
 
-// Crash ends the process: connections are reset, new ones refused, what waited or ran is gone.
+// Crash ends the process: connections are reset, new ones are refused, and requests that wait or run are lost.
 func (h *Host) Crash() {
 	h.SetHang(NotHung)
-	h.cluster.standing(h) // it goes on from here
+	h.cluster.state(h) // the log is applied up to now; a restart continues from this position
 	h.Listener.Close()
 	h.mu.Lock()
-	h.life++
+	h.process++
 	h.stopReportsLocked()
 	h.mu.Unlock()
 	h.Reset()
@@ -213,7 +214,7 @@
 	}
 }
 
-// Restart starts a crashed host again at its old address, cold.
+// Restart starts a crashed host again, cold and at its previous address.
 func (h *Host) Restart() error {
 	l, err := net.Listen("tcp", h.Address)
 	if err != nil {
@@ -222,62 +223,63 @@
 	h.StartCold()
 	h.mu.Lock()
 	h.Listener = l
-	h.log.appliedAt = time.Now() // nothing was applied while it was down
+	h.replication.updatedAt = time.Now() // the log was not applied while the host was down
 	h.startReportsLocked()
 	h.mu.Unlock()
 	go h.accept(l)
 	return nil
 }
 
-// StartCold makes the host cold from now on, as after a start.
+// StartCold makes the host cold now, as after a start.
 func (h *Host) StartCold() {
 	h.mu.Lock()
-	h.started = time.Now()
+	h.coldSince = time.Now()
 	h.mu.Unlock()
 	if h.Ledger != nil && h.Slots > 0 {
-		h.Ledger.Cold(h.ID, func(now time.Time) float64 { return h.Warmth(now) * float64(h.Slots) })
+		h.Ledger.ColdStarted(h.ID, func(now time.Time) float64 { return h.WarmUpWeight(now) * float64(h.Slots) })
 	}
 }
 
-// Warmth is the part of its capacity that the host has.
-func (h *Host) Warmth(now time.Time) float64 {
+// WarmUpWeight returns the fraction of its full capacity that the host has at a time.
+func (h *Host) WarmUpWeight(now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	age := now.Sub(h.started)
-	if h.started.IsZero() || age >= h.ColdTime {
+	age := now.Sub(h.coldSince)
+	if h.coldSince.IsZero() || age >= h.ColdTime {
 		return 1
 	}
 	return h.ColdFrom + (1-h.ColdFrom)*float64(age)/float64(h.ColdTime)
 }
 
-// run serves a query from the cluster's data; nil closes the connection. The connection's end stops nothing.
-func (h *Host) run(c net.Conn, in *bufio.Reader, query string) []byte {
-	s, bad := pg.ParseStatement([]byte(query))
-	if bad != nil {
+// runQuery answers a query from the cluster's data. A nil answer closes the connection. A query that was begun is executed
+// even if the connection ends.
+func (h *Host) runQuery(c net.Conn, in *bufio.Reader, query string) []byte {
+	s, err := pg.ParseStatement([]byte(query))
+	if err != nil {
 		return h.Refuse("08P01")
 	}
 	arrived := time.Now()
-	over := func() {}
+	attemptEnded := func() {}
 	if !isOpen(c) {
-		return nil // the host has reset it meanwhile: its process never got the request
+		return nil // the host has reset the connection meanwhile: its process never received the request
 	}
 	if h.Ledger != nil {
-		h.Ledger.ArrivedOn(h.ID, s.ID, h.Work, func() bool { return isOpen(c) })
-		over = sync.OnceFunc(func() { h.Ledger.Over(h.ID, s.ID) })
+		h.Ledger.ArrivedOnConn(h.ID, s.ID, h.Work, func() bool { return isOpen(c) })
+		attemptEnded = sync.OnceFunc(func() { h.Ledger.AttemptEnded(h.ID, s.ID) })
 	}
 	result := make(chan []byte, 1)
-	go func() { result <- h.work(s, arrived) }()
-	// A gateway gives an attempt up by closing: from then on it is no longer out.
-	gone := make(chan struct{})
+	go func() { result <- h.execute(s, arrived) }()
+	// A gateway abandons an attempt by closing the connection; from then on it is not in flight.
+	watchDone := make(chan struct{})
 	stop := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(watchDone)
 		for {
 			_ = c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			_, err := in.Peek(1)
 			if nerr, ok := err.(net.Error); err == nil || !ok || !nerr.Timeout() {
 				if err != nil {
-					over()
+					attemptEnded()
 				}
 				return
 			}
@@ -289,23 +291,23 @@
 		}
 	}()
 	answer := <-result
-	over()
+	attemptEnded()
 	close(stop)
-	<-gone
+	<-watchDone
 	_ = c.SetReadDeadline(time.Time{})
 	return answer
 }
 
-func (h *Host) work(s *pg.Statement, arrived time.Time) []byte {
+func (h *Host) execute(s *pg.Statement, arrived time.Time) []byte {
 	h.mu.Lock()
-	life := h.life
+	process := h.process
 	full := h.slots != nil && h.waiting >= h.MaxQueue+h.Slots
 	if !full {
 		h.waiting++
 	}
 	h.mu.Unlock()
 	if full {
-		h.unrun(s)
+		h.recordNotExecuted(s)
 		return h.Refuse(pg.CodeTooMany)
 	}
 	defer func() {
@@ -318,61 +320,61 @@
 		defer func() { <-h.slots }()
 	}
 	var hung Hang
-	if h.hang(&hung) {
+	if h.waitWhileHung(&hung) {
 		return nil
 	}
 	if h.Work > 0 {
-		time.Sleep(time.Duration(float64(h.Work) / h.Warmth(time.Now())))
+		time.Sleep(time.Duration(float64(h.Work) / h.WarmUpWeight(time.Now())))
 	}
 	h.mu.Lock()
-	dead := h.life != life
+	ended := h.process != process
 	h.mu.Unlock()
-	if dead {
+	if ended {
 		return nil
 	}
 	answer := h.apply(s, arrived)
 	h.delay()
 	if hung == AfterCommit {
-		h.hang(nil)
+		h.waitWhileHung(nil)
 	}
 	return answer
 }
 
-// apply runs a statement.
+// apply executes a statement.
 func (h *Host) apply(s *pg.Statement, arrived time.Time) []byte {
 	c := h.cluster
 	c.mu.Lock()
 	primary := c.primary == h
 	c.mu.Unlock()
 	if s.Write && !primary {
-		h.unrun(s)
+		h.recordNotExecuted(s)
 		return h.Refuse(pg.CodeReadOnly)
 	}
 	if h.Ledger != nil {
-		h.Ledger.Ran(h.ID, s.ID, s.Write)
+		h.Ledger.Executed(h.ID, s.ID, s.Write)
 	}
 	if h.Log != nil {
-		h.Log("%s (%s) runs %s", h.ID, h.Role(), s.Text)
+		h.Log("%s (%s) executes %s", h.ID, h.Role(), s.Text)
 	}
 	if s.Write {
 		at, value := time.Now(), literal(s.Text)
 		x := commit{at: at, value: value, id: s.ID}
 		c.mu.Lock()
 		c.commits[s.Key] = append(c.commits[s.Key], x)
-		c.count++
+		c.commitCount++
 		copies := c.copies
 		c.mu.Unlock()
 		for _, other := range copies {
-			other.put(s.Key, x)
+			other.addCopy(s.Key, x)
 		}
 		if h.Ledger != nil {
 			h.Ledger.ValueProduced(s.ID, value)
 		}
-		// Commits are told rounded up: a millisecond later nothing of this one is missing.
-		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), standing{Leader, at.Add(time.Millisecond)})
+		// Positions are stated in whole milliseconds. Rounding up ensures that the stated position includes this commit.
+		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), replicaState{Leader, at.Add(time.Millisecond)})
 	}
-	now := h.standing()
-	position := now.position
+	state := h.state()
+	position := state.position
 	if h.Ledger != nil {
 		switch {
 		case s.Class == c.Own && s.After > 0:
@@ -392,16 +394,16 @@
 	if h.Ledger != nil {
 		h.Ledger.ValueProduced(s.ID, value)
 	}
-	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), now)
+	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), state)
 }
 
-func (h *Host) unrun(s *pg.Statement) {
+func (h *Host) recordNotExecuted(s *pg.Statement) {
 	if h.Ledger != nil {
-		h.Ledger.Unrun(h.ID, s.ID)
+		h.Ledger.NotExecuted(h.ID, s.ID)
 	}
 }
 
-// isOpen says whether the other end has neither closed nor reset a connection.
+// isOpen reports whether the peer has neither closed nor reset a connection.
 func isOpen(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -419,7 +421,7 @@
 	return err == nil && open
 }
 
-// literal reads the value of an INSERT.
+// literal decodes the value of an INSERT.
 func literal(text []byte) []byte {
 	_, rest, _ := bytes.Cut(text, []byte(`, '\x`))
 	digits, _, _ := strings.Cut(string(rest), "'")
--- a/internal/testbed/stall/stall.go
+++ b/internal/testbed/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall measures how long the machine itself holds processes up. Checks of times on real sockets allow for it: a rule
-// that is broken because nobody got processor time is not the gateway's doing, and on a quiet machine nothing is allowed.
+// Package stall measures stalls of the machine, in which processes get no processor time. Checks of times on real sockets add
+// the stalls to their limits, as the gateway is not responsible for them. On an idle machine nothing is added.
 package stall
 
 import (
@@ -8,35 +8,35 @@
 )
 
 const (
-	every  = time.Millisecond
-	window = 2 * time.Second
-	// least is the shortest stall that counts.
-	least = 5 * time.Millisecond
+	interval = time.Millisecond // interval of the measurements
+	window   = 2 * time.Second  // in which stalls count as recent
+	// minStall is the minimum duration of a stall that counts.
+	minStall = 5 * time.Millisecond
 )
 
 type stall struct {
-	at   time.Time
-	long time.Duration
+	endedAt  time.Time // end of the stall
+	duration time.Duration
 }
 
-// Monitor watches for stalls until it is stopped.
+// Monitor detects stalls until it is stopped.
 type Monitor struct {
 	stop chan struct{}
 
-	mu   sync.Mutex
-	seen []stall
-	most stall
-	last time.Time // when it looked last
+	mu         sync.Mutex
+	recent     []stall
+	longest    stall
+	measuredAt time.Time // time of the last measurement
 }
 
-// Start begins to watch.
+// Start starts a monitor.
 func Start() *Monitor {
-	m := &Monitor{stop: make(chan struct{}), last: time.Now()}
+	m := &Monitor{stop: make(chan struct{}), measuredAt: time.Now()}
 	go m.watch()
 	return m
 }
 
-// Stop ends it.
+// Stop stops the monitor.
 func (m *Monitor) Stop() { close(m.stop) }
 
 func (m *Monitor) watch() {
@@ -44,51 +44,51 @@
 		select {
 		case <-m.stop:
 			return
-		case <-time.After(every):
-			m.look(time.Now())
+		case <-time.After(interval):
+			m.measure(time.Now())
 		}
 	}
 }
 
-// look notes the stall that ends now, if there was one.
-func (m *Monitor) look(now time.Time) {
+// measure records the stall that ends now, if there was one.
+func (m *Monitor) measure(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.noteLocked(now, now.Sub(m.last)-every)
-	m.last = now
+	m.recordLocked(now, now.Sub(m.measuredAt)-interval)
+	m.measuredAt = now
 }
 
-func (m *Monitor) noteLocked(now time.Time, long time.Duration) {
-	if long < least {
+func (m *Monitor) recordLocked(now time.Time, duration time.Duration) {
+	if duration < minStall {
 		return
 	}
-	m.seen = append(m.seen, stall{now, long})
-	if long > m.most.long {
-		m.most = stall{now, long}
+	m.recent = append(m.recent, stall{now, duration})
+	if duration > m.longest.duration {
+		m.longest = stall{now, duration}
 	}
-	for now.Sub(m.seen[0].at) > window {
-		m.seen = m.seen[1:]
+	for now.Sub(m.recent[0].endedAt) > window {
+		m.recent = m.recent[1:]
 	}
 }
 
-// Longest is the longest stall so far, and when it ended.
-func (m *Monitor) Longest() (long time.Duration, ended time.Time) {
+// Longest returns the duration and the end of the longest stall so far.
+func (m *Monitor) Longest() (duration time.Duration, ended time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.most.long, m.most.at
+	return m.longest.duration, m.longest.endedAt
 }
 
-// Recent is the sum of the stalls of the last two seconds. One that still holds the monitor itself up counts: who asks may have got a
-// processor before it.
+// Recent returns the sum of the stalls of the last two seconds. A stall that still lasts for the monitor counts, as the caller
+// may have got processor time before the monitor.
 func (m *Monitor) Recent() (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if long := time.Since(m.last) - every; long >= least {
-		sum = long
+	if ongoing := time.Since(m.measuredAt) - interval; ongoing >= minStall {
+		sum = ongoing
 	}
-	for _, s := range m.seen {
-		if time.Since(s.at) <= window {
-			sum += s.long
+	for _, s := range m.recent {
+		if time.Since(s.endedAt) <= window {
+			sum += s.duration
 		}
 	}
 	return sum
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries what a client's session asks in general SQL to a host connection and back: simple and extended
-// queries, pipelines, transactions. What has to be set up on the connection first, and what the session keeps, is decided by
-// package pooling; which host it is, by the decision module, which gave it the attempt that Converse fills.
+// Package relay forwards the general SQL of a client's session to a host connection and the answers back: simple and
+// extended queries, pipelines and transactions. Package pooling decides what has to be set up on the connection first and
+// which state the session keeps. Package balance selects the host; Converse carries out the attempt that it issued.
 package relay
 
 import (
@@ -18,37 +18,37 @@
 )
 
 const (
-	flushAt     = 16 << 10 // bytes of answers gathered before they are written
-	bodyMost    = 16 << 10 // a longer body is passed on without being held
-	holdMost    = 80 << 10 // of an answer that is held until its age is known: a value of 64 KiB and what goes with it
-	rollbackIn  = time.Second
-	cancelIn    = time.Second
-	fatalIdle   = "25P03" // idle_in_transaction_session_timeout
-	fatalBroken = "08006" // connection_failure
+	flushSize             = 16 << 10 // bytes of answers buffered before they are written to the client
+	maxBody               = 16 << 10 // bytes; a longer body is forwarded in pieces without being buffered
+	maxHeld               = 80 << 10 // bytes of an answer held until the age of its data is known: a value of 64 KiB and overhead
+	rollbackTimeout       = time.Second
+	cancelTimeout         = time.Second
+	codeIdleTimeout       = "25P03" // idle_in_transaction_session_timeout
+	codeConnectionFailure = "08006" // connection_failure
 )
 
-// Message is one of a client's.
+// Message is one protocol message of a client.
 type Message struct {
 	Kind byte
-	Body []byte  // of a Bind that comes as a stream: its names, each with its zero byte
-	Rest *Stream // what follows Body; nil: nothing
+	Body []byte  // for a Bind that is streamed: portal and statement name, each with its zero byte
+	Rest *Stream // the part after Body, or nil if Body is the whole message
 }
 
-// Stream is the rest of a large message, in pieces as it comes from the client.
+// Stream is the remainder of a large message, in pieces as they arrive from the client.
 type Stream struct {
-	Length int // of the rest, in bytes
+	Length int // of the remainder, in bytes
 	pieces chan []byte
 	quit   chan struct{}
 	once   sync.Once
 }
 
-// NewStream makes a stream of so many bytes.
+// NewStream returns a stream of length bytes.
 func NewStream(length int) *Stream {
 	return &Stream{Length: length, pieces: make(chan []byte), quit: make(chan struct{})}
 }
 
-// Put hands over a piece and waits until it is taken, so that the piece's memory can be used again with the next call but one;
-// false: nobody wants any more.
+// Put hands over a piece and blocks until it is received. The memory of a piece may be reused from the second call after it
+// on. It returns false if the stream was discarded.
 func (s *Stream) Put(piece []byte) bool {
 	select {
 	case s.pieces <- piece:
@@ -58,13 +58,13 @@
 	}
 }
 
-// End says that nothing more comes: the client has gone, or all is there.
+// End marks the end of the stream: the client disconnected, or all pieces were handed over.
 func (s *Stream) End() { close(s.pieces) }
 
-// Discard says that nobody wants any more.
+// Discard tells the sender that no further pieces are needed.
 func (s *Stream) Discard() { s.once.Do(func() { close(s.quit) }) }
 
-// Discard drops what a batch still brings.
+// Discard discards the streams of all messages of the batch.
 func (b *Batch) Discard() {
 	for _, m := range b.Messages {
 		if m.Rest != nil {
@@ -73,15 +73,15 @@
 	}
 }
 
-// Batch is what a client sends before it waits: one Query, or extended messages up to a Sync or Flush.
+// Batch is what a client sends before it waits for an answer: one Query, or extended protocol messages up to a Sync or Flush.
 type Batch struct {
 	Messages []Message
-	Complete bool // with a Query or Sync: ReadyForQuery follows
-	Streamed bool // its last message comes as a stream, and more of the pipeline follows
+	Complete bool // it ends with a Query or Sync, so that ReadyForQuery follows
+	Streamed bool // its last message is streamed, and more of the pipeline follows
 	Commands []pooling.Command
 }
 
-// Writes says that the batch may change data, as far as can be seen.
+// Writes reports whether the batch contains a statement that is recognized as a write, or a commit.
 func (b *Batch) Writes() bool {
 	for _, c := range b.Commands {
 		switch c.Kind {
@@ -92,7 +92,7 @@
 	return false
 }
 
-// Begins says that the batch opens a transaction, and whether that only reads.
+// Begins reports whether the batch opens a transaction, and whether that is read-only.
 func (b *Batch) Begins() (begins, readOnly bool) {
 	for _, c := range b.Commands {
 		if c.Kind == pooling.Begin {
@@ -102,32 +102,32 @@
 	return false, false
 }
 
-// Done says how a batch ended.
+// Done is the result of a batch.
 type Done struct {
-	Keep    bool // the lease goes on: the next batch goes to it
+	Keep    bool // the checkout continues: the next batch goes to it
 	Err     error
-	Relayed bool // with Err: part of the answer has gone out
-	Unsent  bool // with Err: nothing has been sent to the host
-	Wrote   time.Duration
+	Relayed bool          // with Err: part of the answer was sent to the client
+	Unsent  bool          // with Err: nothing was sent to the host
+	Wrote   time.Duration // position after the batch's writes; 0 if it wrote nothing, -1 if the position is unknown
 }
 
-// ErrIdle says that a transaction was open for too long with nothing asked.
+// ErrIdle reports that an open transaction was idle for too long.
 var ErrIdle = errors.New("idle in transaction for too long")
 
-// Checkout is a session's hold of a host connection, from a batch until nothing ties them any more. The session calls Next and
-// Close, the backend Converse.
+// Checkout is a host connection that is checked out by a session, from a first batch until no transaction and no pin ties the
+// session to it. The session calls Next and Close, the backend calls Converse.
 type Checkout struct {
 	Session     *pooling.Session
 	Mode        pooling.Mode
-	Write       func([]byte) error // to the client
-	MinPosition time.Duration      // position that a read must see; 0: none
-	MaxIdle     time.Duration      // that a transaction may be open with nothing asked
-	OnPinned    func(pooling.Pin)  // is told of new reasons to pin
+	Write       func([]byte) error // writes to the client
+	MinPosition time.Duration      // position that a read must see, or 0
+	MaxIdle     time.Duration      // longest time that a transaction may be open and idle
+	OnPinned    func(pooling.Pin)  // called with new reasons to pin
 
-	skipping bool     // of the conversation: the host skips all until a Sync
-	owed     []expect // for what was sent in parts
-	portal   string   // that a Bind in parts has made
-	bound    *pooling.Statement
+	skipping          bool          // the host skips all messages until a Sync
+	pendingAnswers    []expectation // expected answers to messages sent before a streamed one
+	streamedPortal    string        // portal created by a streamed Bind
+	streamedStatement *pooling.Statement
 
 	first  *Batch
 	next   chan *Batch
@@ -136,61 +136,61 @@
 	once   sync.Once
 
 	mu      sync.Mutex
-	over    bool          // it told its end; no other host gets it
-	running *backend.Host // a batch is out there
+	ended   bool          // its last result was sent; it runs on no other host
+	running *backend.Host // host that runs a batch, or nil
 	cancels sync.WaitGroup
 
-	writing sync.Mutex
+	writeMu sync.Mutex
 	muted   bool
 }
 
-// Mute lets nothing more of the lease's reach the client: what follows is the session's own.
+// Mute stops all further output of the checkout to the client: from now on the session writes its own messages.
 func (l *Checkout) Mute() {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.muted = true
 }
 
 func (l *Checkout) write(b []byte) error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	if l.muted {
 		return errors.New("the lease is over")
 	}
 	return l.Write(b)
 }
 
-// New makes a lease for a batch.
+// New returns a checkout for a first batch.
 func New(s *pooling.Session, mode pooling.Mode, write func([]byte) error, first *Batch) *Checkout {
 	return &Checkout{Session: s, Mode: mode, Write: write, MaxIdle: time.Minute, first: first, next: make(chan *Batch, 1),
 		done: make(chan Done, 2), closed: make(chan struct{}), OnPinned: func(pooling.Pin) {}}
 }
 
-// Done gives the end of each batch.
+// Done returns the channel that receives the result of each batch.
 func (l *Checkout) Done() <-chan Done { return l.done }
 
-// Next asks for another batch on a lease that is kept.
+// Next submits another batch to a checkout that continues.
 func (l *Checkout) Next(b *Batch) { l.next <- b }
 
-// Close ends the lease: an open transaction is rolled back.
+// Close ends the checkout; an open transaction is rolled back.
 func (l *Checkout) Close() { l.once.Do(func() { close(l.closed) }) }
 
-// Cancel cancels the batch that is running, if one is. The connection serves nobody else before the host has taken the request.
+// Cancel cancels the running batch, if any. The connection is not reused before the host has received the cancel request.
 func (l *Checkout) Cancel(ctx context.Context) error {
 	l.mu.Lock()
 	h := l.running
 	if h == nil {
 		l.mu.Unlock()
-		return nil // its statement has ended: it is meant for nobody
+		return nil // the statement has ended; the cancel must not reach a later one
 	}
 	l.cancels.Add(1)
 	l.mu.Unlock()
 	defer l.cancels.Done()
-	return h.Cancel(ctx, cancelIn)
+	return h.Cancel(ctx, cancelTimeout)
 }
 
-// run marks a batch as running, or not. After it has ended, cancels that were under way are waited for.
-func (l *Checkout) run(h *backend.Host) {
+// setRunning sets the host on which a batch runs, or nil when it has ended, and then waits for the cancels in flight.
+func (l *Checkout) setRunning(h *backend.Host) {
 	l.mu.Lock()
 	l.running = h
 	l.mu.Unlock()
@@ -202,56 +202,56 @@
 // Converse implements backend.Conversation.
 func (l *Checkout) Converse(h *backend.Host) (end backend.ConversationResult) {
 	l.mu.Lock()
-	over := l.over
+	finished := l.ended
 	l.mu.Unlock()
-	if over {
+	if finished {
 		return backend.ConversationResult{Result: balance.NotSent, Clean: true}
 	}
 	batch := l.first
 	for {
 		start := time.Now()
 		saved := *l.Session
-		x := &exchangeOf{l: l, h: h, s: l.Session, b: batch, statements: maps.Clone(l.Session.AllPrepared())}
-		l.run(h)
-		err := x.run()
-		l.run(nil)
+		exchange := &batchExchange{checkout: l, host: h, session: l.Session, batch: batch, statements: maps.Clone(l.Session.AllPrepared())}
+		l.setRunning(h)
+		err := exchange.run()
+		l.setRunning(nil)
 		end.Busy += time.Since(start)
 		switch {
-		case err != nil && !x.relayed && !x.sent:
+		case err != nil && !exchange.relayed && !exchange.sent:
 			*l.Session = saved
-			l.Session.RestorePrepared(x.statements)
+			l.Session.RestorePrepared(exchange.statements)
 			end.Result = balance.NotSent
 			return end
-		case err != nil && !x.relayed && batch == l.first:
-			// The module decides whether it goes again; for the session nothing has happened.
+		case err != nil && !exchange.relayed && batch == l.first:
+			// Package balance decides whether to retry, so the session's state is restored.
 			*l.Session = saved
-			l.Session.RestorePrepared(x.statements)
+			l.Session.RestorePrepared(exchange.statements)
 			end.Result = balance.Reset
-			var bad *badAnswer
+			var invalid *invalidAnswer
 			switch {
-			case errors.As(err, &bad):
+			case errors.As(err, &invalid):
 				end.Result = balance.Garbled
-			case errors.Is(err, errCarry):
+			case errors.Is(err, errSettings):
 				end.Result = balance.Failed
-			case errors.Is(err, errBehind):
+			case errors.Is(err, errMisdirected):
 				end.Result, end.Clean = balance.Misdirected, h.InputEmpty()
 			case errors.Is(err, errStale):
 				end.Result = balance.Stale
 			}
 			return end
 		case err != nil:
-			l.end(Done{Err: err, Relayed: x.relayed})
+			l.finish(Done{Err: err, Relayed: exchange.relayed})
 			end.Result = balance.Reset
 			return end
 		}
 		keep := !batch.Complete || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
 		if !keep {
-			l.end(Done{Wrote: x.wrote})
+			l.finish(Done{Wrote: exchange.wrote})
 			end.Result, end.Clean = balance.OK, h.InputEmpty()
 			return end
 		}
-		l.done <- Done{Keep: true, Wrote: x.wrote}
-		var idle <-chan time.Time // only an open transaction keeps others waiting
+		l.done <- Done{Keep: true, Wrote: exchange.wrote}
+		var idle <-chan time.Time // only an open transaction may block other sessions
 		if l.Session.InTransaction() {
 			idle = time.After(l.MaxIdle)
 		}
@@ -264,32 +264,32 @@
 		case <-idle:
 			ended = ErrIdle
 		}
-		tied := l.Session.Pins() != 0 // that can't be taken off the connection
-		end.Result, end.Clean = balance.OK, x.rollback() && !tied
-		l.end(Done{Err: ended})
+		pinned := l.Session.Pins() != 0 // pinned state cannot be removed from the connection
+		end.Result, end.Clean = balance.OK, exchange.rollback() && !pinned
+		l.finish(Done{Err: ended})
 		return end
 	}
 }
 
-// end tells the end of the lease, once.
-func (l *Checkout) end(d Done) {
+// finish sends the last result of the checkout, once.
+func (l *Checkout) finish(d Done) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.over {
-		l.over = true
+	if !l.ended {
+		l.ended = true
 		l.done <- d
 	}
 }
 
-// badAnswer says that what the host sent is no answer.
-type badAnswer struct{ what string }
+// invalidAnswer reports that the host sent an invalid answer.
+type invalidAnswer struct{ problem string }
 
-func (b *badAnswer) Error() string { return "the host's answer can't be read: " + b.what }
+func (b *invalidAnswer) Error() string { return "the host's answer can't be read: " + b.problem }
 
-// ConnectionError is how the end of a lease in the middle is told to its client.
+// ConnectionError returns the error message for a client whose checkout ended early because of err.
 func ConnectionError(err error) *pg.Error {
 	if errors.Is(err, ErrIdle) {
-		return &pg.Error{Code: fatalIdle, Message: err.Error(), Fatal: true}
+		return &pg.Error{Code: codeIdleTimeout, Message: err.Error(), Fatal: true}
 	}
-	return &pg.Error{Code: fatalBroken, Message: fmt.Sprintf("the connection to the host was lost: %v", err), Fatal: true}
+	return &pg.Error{Code: codeConnectionFailure, Message: fmt.Sprintf("the connection to the host was lost: %v", err), Fatal: true}
 }
