--- a/internal/disk/handover/handover.go
+++ b/internal/disk/handover/handover.go
@@ -68,7 +68,7 @@
 	Newest                    time.Duration // position of the newest remembered write of any session, or 0 if none
 	Hosts                     []Host
 
-	ClockKnown bool                // whether Ahead is known
+	ClockKnown bool                // whether Offset is known
 	Offset     fleetclock.Interval // offset of the fleet's clock from the clock of At
 }
 
@@ -115,12 +115,12 @@
 func fromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Encode encodes handover state.
-func Encode(k State) ([]byte, error) {
-	at := floorMillis(k.At)
-	setBack := k.At - fromMillis(at) // the clock is set back by this duration
-	b := body{At: at, Revision: k.Revision, Agent: k.Agent, Discovery: k.Discovery, First: k.FirstDiscovery, Newest: ceilMillis(k.Newest), Hosts: make([]host, 0, len(k.Hosts)),
-		Clock: k.ClockKnown, OffsetMin: floorMillis(k.Offset.Min + setBack), OffsetMax: ceilMillis(k.Offset.Max + setBack)}
-	for _, h := range k.Hosts {
+func Encode(state State) ([]byte, error) {
+	at := floorMillis(state.At)
+	setBack := state.At - fromMillis(at) // the clock is set back by this duration
+	b := body{At: at, Revision: state.Revision, Agent: state.Agent, Discovery: state.Discovery, First: state.FirstDiscovery, Newest: ceilMillis(state.Newest), Hosts: make([]host, 0, len(state.Hosts)),
+		Clock: state.ClockKnown, OffsetMin: floorMillis(state.Offset.Min + setBack), OffsetMax: ceilMillis(state.Offset.Max + setBack)}
+	for _, h := range state.Hosts {
 		b.Hosts = append(b.Hosts, host{h.Server, h.Address, h.Group, int(h.State), h.Listed, h.Weight, ceilMillis(shift(h.Started, -setBack)),
 			floorMillis(shift(h.PrimaryNotBefore, -setBack)), ceilMillis(shift(h.ReplicaNotAfter, -setBack)), floorMillis(h.Position), h.Alive, ceilMillis(h.NotifiedFor), h.NotifiedBy, h.NotifiedRevision})
 	}
@@ -163,9 +163,10 @@
 // Decode decodes handover state that was requested at requestedAt and has arrived by now, both by this
 // process's clock, to which it converts all times. The machine's clock may have been stepped by any amount
 // between the starts of the two processes. The state was collected between the request and its arrival, which
-// bounds the difference of the two clocks on both sides. Each time is converted with the safe bound: statements
-// that a host leads never get later than they were, statements that it does not lead and starts never get
-// earlier, and the interval of the fleet's clock's offset still contains the actual offset.
+// bounds the difference of the two clocks on both sides. Each time is converted with the safe bound: the time of
+// a statement that a host is primary never becomes later than it was, the time of a statement that it is not
+// primary and the start of a host never become earlier, and the interval of the fleet's clock's offset still
+// contains the actual offset.
 func Decode(requestedAt, now time.Duration, b []byte) (State, error) {
 	switch {
 	case now-requestedAt > maxAge:
@@ -180,15 +181,15 @@
 		return State{}, fmt.Errorf("%w: wrong length, checksum or JSON", ErrCorrupt)
 	}
 	root := gjson.ParseBytes(text)
-	k := State{At: fromMillis(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
+	state := State{At: fromMillis(root.Get("at").Int()), Revision: root.Get("revision").Int(), Agent: root.Get("agent").Str, Discovery: root.Get("discovery").Str,
 		FirstDiscovery: root.Get("first_discovery").Str, Newest: fromMillis(root.Get("newest").Int())}
-	k.ClockKnown = root.Get("clock").Bool() && headerVersion(b) == version // earlier versions treated a nearly correct clock as exact
-	k.Offset = fleetclock.Interval{Min: fromMillis(root.Get("ahead_least").Int()), Max: fromMillis(root.Get("ahead_most").Int())}
-	if headerVersion(b) != version && k.Newest > 0 {
-		k.Newest = UnknownWrite
+	state.ClockKnown = root.Get("clock").Bool() && headerVersion(b) == version // earlier versions treated a nearly correct clock as exact
+	state.Offset = fleetclock.Interval{Min: fromMillis(root.Get("ahead_least").Int()), Max: fromMillis(root.Get("ahead_most").Int())}
+	if headerVersion(b) != version && state.Newest > 0 {
+		state.Newest = UnknownWrite
 	}
-	minDiff, maxDiff := requestedAt-k.At, now-k.At // bounds of this process's clock minus the old one's
-	k.At, k.Offset = requestedAt, fleetclock.Interval{Min: k.Offset.Min - maxDiff, Max: k.Offset.Max - minDiff}
+	minDiff, maxDiff := requestedAt-state.At, now-state.At // bounds of this process's clock minus the old one's
+	state.At, state.Offset = requestedAt, fleetclock.Interval{Min: state.Offset.Min - maxDiff, Max: state.Offset.Max - minDiff}
 	for i, e := range root.Get("hosts").Array() {
 		h := Host{Server: e.Get("id").Str, Address: e.Get("address").Str, Group: int(e.Get("group").Int()),
 			State: balance.State(e.Get("state").Int()), Listed: e.Get("listed").Bool(), Weight: e.Get("weight").Num,
@@ -205,11 +206,11 @@
 		h.PrimaryNotBefore, h.Started, h.ReplicaNotAfter = shift(h.PrimaryNotBefore, minDiff), shift(h.Started, maxDiff), shift(h.ReplicaNotAfter, maxDiff)
 		// Times in the future would make stale data count as fresh indefinitely.
 		if h.Server == "" || h.State < balance.Active || h.State > balance.Removed || h.PrimaryNotBefore > now ||
-			k.ClockKnown && h.Position > now+k.Offset.Max+time.Millisecond ||
+			state.ClockKnown && h.Position > now+state.Offset.Max+time.Millisecond ||
 			h.Position < 0 || h.PrimaryNotBefore < 0 || h.ReplicaNotAfter < 0 || h.Started < 0 || h.NotifiedFor < 0 {
 			return State{}, fmt.Errorf("%w: hosts.%d", ErrInvalidHost, i)
 		}
-		k.Hosts = append(k.Hosts, h)
+		state.Hosts = append(state.Hosts, h)
 	}
-	return k, nil
+	return state, nil
 }
--- a/internal/disk/handover/handover_test.go
+++ b/internal/disk/handover/handover_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Earlier versions dated leadership, positions and writes by a clock that may have been wrong. Only the
+// Earlier versions dated statements of primaries, positions and writes by a clock that may have been wrong. Only the
 // statement that a host is a replica is used from them, and the position of the newest write counts as unknown.
 func TestEarlierVersions(t *testing.T) {
 	text := []byte(`{"at":1767225599997,"revision":41,"newest":0,"clock":true,"ahead":0,"hosts":[
--- a/internal/disk/handover/small_step_test.go
+++ b/internal/disk/handover/small_step_test.go
@@ -7,7 +7,7 @@
 )
 
 // The wall clock is set back by less than a second between the starts of the two processes. Decoded positions
-// and leadership statements must not seem newer than they are.
+// and statements that a host is primary must not seem newer than they are.
 func TestSmallStepMakesNothingFresher(t *testing.T) {
 	for _, step := range []time.Duration{-900 * time.Millisecond, -300 * time.Millisecond, -60 * time.Millisecond} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
--- a/internal/memory/counters/counters.go
+++ b/internal/memory/counters/counters.go
@@ -34,7 +34,8 @@
 	Clients, ClientsOpen, ClientsRefused Count
 	// Client connections that were closed immediately, evicted in favor of others, and closed as too slow.
 	ClientsDropped, ClientsEvicted, ClientsSlow Count
-	// ClientsEvictedEarly counts the evicted connections that were closed early because places ran short.
+	// ClientsEvictedEarly counts those of the evicted connections that were closed after the shorter idle time that
+	// applies near the connection limits.
 	ClientsEvictedEarly Count
 	// AcceptErrors counts temporary errors of accepting connections.
 	AcceptErrors Count
--- a/internal/memory/exchange/clock.go
+++ b/internal/memory/exchange/clock.go
@@ -50,8 +50,8 @@
 	return c
 }
 
-// WithContradictionLog returns the same clock, which now logs and counts hosts' answers that contradict the estimate of the
-// fleet's clock.
+// WithContradictionLog returns the same clock, which now logs and counts hosts' answers that contradict the
+// estimate of the fleet's clock.
 func (c Clock) WithContradictionLog(log *zap.Logger, counts *counters.Set) Clock {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
@@ -60,8 +60,8 @@
 	return c
 }
 
-// WithReadHook returns a copy of the clock that calls hold between reading the clock and returning the reading. Tests
-// use it to stop a goroutine between reading the clock and acting on the reading.
+// WithReadHook returns a copy of the clock that calls hold between reading the clock and returning the reading.
+// Tests use it to stop a goroutine between reading the clock and acting on the reading.
 func (c Clock) WithReadHook(hold func()) Clock {
 	c.readHook = hold
 	return c
--- a/internal/memory/exchange/evidence_test.go
+++ b/internal/memory/exchange/evidence_test.go
@@ -120,7 +120,7 @@
 		}
 	})
 	if a := h.request(x, "view", 0); a != nil && a.Grounds.Kind != balance.PresumedPrimary {
-		t.Errorf("a read is sent to %s on %+v, want none or an excused one", a.Server, a.Grounds)
+		t.Errorf("a read is sent to %s on %+v, want none, or one to a presumed primary", a.Server, a.Grounds)
 	}
 	handleStatement(x, "r", balance.Replica, clock.Now()+500*time.Millisecond)
 	if a := h.request(x, "view", 0); a == nil || a.Server != "r" || a.Grounds.Kind != balance.ByPosition {
--- a/internal/memory/exchange/exchange.go
+++ b/internal/memory/exchange/exchange.go
@@ -405,12 +405,12 @@
 	case balance.Refuse:
 		if o := x.pending[a.ID]; o != nil {
 			x.logGivenUp(o, "refused", a.Reason, a.Bad)
-			x.answer(o, Answer{Kind: Refused, Reason: "request refused", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
+			x.answer(o, Answer{Kind: Refused, Reason: "turned away", RetryAfter: a.RetryAfter}, &x.cfg.Counters.Refused)
 		}
 	case balance.Fail:
 		if o := x.pending[a.ID]; o != nil {
 			x.logGivenUp(o, "failed", a.Reason, a.Bad)
-			x.answer(o, Answer{Kind: Failed, Reason: "request failed"}, &x.cfg.Counters.Failed)
+			x.answer(o, Answer{Kind: Failed, Reason: "given up"}, &x.cfg.Counters.Failed)
 		}
 	case balance.Cancel:
 		x.cfg.Counters.Canceled.Add(1)
--- a/internal/memory/exchange/exchange_test.go
+++ b/internal/memory/exchange/exchange_test.go
@@ -74,25 +74,25 @@
 }
 
 func TestStartBy(t *testing.T) {
-	x, h, ask := newSingle(t)
+	x, h, submit := newSingle(t)
 	before := x.cfg.Clock.Now()
-	ask("view")
-	ask("order")
+	submit("view")
+	submit("order")
 	listPrimary(x, balance.Draining)
 	listedAt := x.cfg.Clock.Now()
-	ask("order")
+	submit("order")
 	if len(h.sent) != 3 || h.sent[0].ClientDisconnected == nil {
 		t.Fatalf("sent %v, want 3 attempts", h.sent)
 	}
-	write, excused, draining := h.sent[1].StartBy, h.sent[0], h.sent[2].StartBy
-	if write != 0 || excused.StartBy != 0 || excused.Grounds.Kind != balance.PresumedPrimary || draining <= listedAt || draining > listedAt+time.Second {
-		t.Errorf("StartBy of the write %v, of the excused read %v (%v), of the draining host %v after %v", write, excused.StartBy, excused.Grounds, draining-listedAt, listedAt-before)
+	write, presumed, draining := h.sent[1].StartBy, h.sent[0], h.sent[2].StartBy
+	if write != 0 || presumed.StartBy != 0 || presumed.Grounds.Kind != balance.PresumedPrimary || draining <= listedAt || draining > listedAt+time.Second {
+		t.Errorf("StartBy of the write %v, of the read at the presumed primary %v (%v), of the draining host %v after %v", write, presumed.StartBy, presumed.Grounds, draining-listedAt, listedAt-before)
 	}
 }
 
 func TestKeyedRetryStaysInWindow(t *testing.T) {
-	x, h, ask := newSingle(t)
-	ask("pay")
+	x, h, submit := newSingle(t)
+	submit("pay")
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: "b", Server: "s", Result: balance.Reset}})
 	if len(h.sent) != 2 || h.sent[0].WriteBy != 0 {
 		t.Fatalf("sent %+v, want two attempts, the first without WriteBy", h.sent)
@@ -103,10 +103,10 @@
 }
 
 func TestShutdownLimitsNewRequests(t *testing.T) {
-	x, h, ask := newSingle(t)
+	x, h, submit := newSingle(t)
 	by := x.cfg.Clock.Now() + 50*time.Second
 	x.handle(x.cfg.Clock.Now(), shutdownStarted{by})
-	ask("order")
+	submit("order")
 	if len(h.sent) != 1 || h.sent[0].Deadline != by {
 		t.Errorf("sent %v, want one attempt with Until %v", h.sent, by)
 	}
@@ -115,8 +115,8 @@
 // Requests that are pending when the shutdown starts get its deadline, whether in flight at a host that hangs
 // or held at a fence.
 func TestShutdownLimitsPendingRequests(t *testing.T) {
-	x, _, ask := newSingle(t)
-	inFlight, fenced := ask("order"), make(chan Answer, 1)
+	x, _, submit := newSingle(t)
+	inFlight, fenced := submit("order"), make(chan Answer, 1)
 	o := &pendingRequest{Request: &Request{ID: "fenced", Class: "order", Group: 1, Write: true, Answer: fenced}, class: x.classes["order"],
 		deadline: x.cfg.Clock.Now() + time.Minute, fenced: true}
 	x.pending[o.ID] = o
@@ -162,10 +162,10 @@
 
 // The drain grace counts from when the list arrived, however late the event loop handles it.
 func TestDrainGraceCountsFromArrival(t *testing.T) {
-	x, h, ask := newSingle(t)
+	x, h, submit := newSingle(t)
 	arrived := x.cfg.Clock.Now() - 400*time.Millisecond
 	applyList(x, arrived, singleList(balance.Draining))
-	ask("order")
+	submit("order")
 	if want := arrived + time.Second - 2*draining.MaxSendDelay; len(h.sent) != 1 || h.sent[0].StartBy != want {
 		t.Errorf("sent %v, want one attempt with StartBy %v", h.sent, want)
 	}
@@ -222,19 +222,19 @@
 
 // A module that replaces one that panicked gets the drains with their send deadlines.
 func TestDrainSurvivesPanic(t *testing.T) {
-	x, h, ask := newSingle(t)
+	x, h, submit := newSingle(t)
 	applyList(x, x.cfg.Clock.Now()-time.Second, singleList(balance.Draining))
 	x.router = nil // Handle panics
 	x.decide(balance.Timer{})
-	ask("order")
+	submit("order")
 	if len(h.sent) > 0 {
 		t.Errorf("sent to a host after its drain grace: %v", h.sent)
 	}
 }
 
 func TestModulePanic(t *testing.T) {
-	x, h, ask := newSingle(t)
-	first := ask("order")
+	x, h, submit := newSingle(t)
+	first := submit("order")
 	x.router = nil // Handle panics
 	x.decide(balance.Timer{})
 	if a := <-first; a.Kind != Failed {
@@ -242,7 +242,7 @@
 	}
 	// The outcome of the attempt that was in flight reaches a module that does not know it.
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: h.sent[0].ID, Server: "s", Result: balance.OK}})
-	second := ask("order")
+	second := submit("order")
 	x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: h.sent[1].ID, Server: "s", Result: balance.OK}, Value: "v"})
 	if diff := cmp.Diff(Answer{Kind: Served, Value: "v"}, <-second); diff != "" {
 		t.Error(diff)
@@ -345,13 +345,13 @@
 
 // A new process probes hosts for the clock once. A host that does not answer such a probe is not ejected.
 func TestClockProbes(t *testing.T) {
-	x, h, ask := newSingle(t)
+	x, h, submit := newSingle(t)
 	listPrimary(x, balance.Active)
 	if diff := cmp.Diff([]string{"s"}, h.probed); diff != "" {
 		t.Fatal(diff)
 	}
 	x.handle(x.cfg.Clock.Now(), balance.ProbeResult{Server: "s", Result: balance.NoConnection})
-	ask("order")
+	submit("order")
 	if len(h.sent) != 1 {
 		t.Error("a host that did not answer a clock probe gets no request")
 	}
--- a/internal/memory/exchange/first_list_test.go
+++ b/internal/memory/exchange/first_list_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// The list of another agent of discovery may be older than the one that notified this process or its
-// predecessor of a drain.
+// The list of another agent of discovery may be older than the one that notified this process, or the old
+// process of a hot restart, of a drain.
 func TestOtherAgentEndsNoDrain(t *testing.T) {
 	drained := func(x *Exchange) {
 		x.Members(List{Agent: "a", Revision: 43, At: x.processStart - time.Minute, Snapshot: true, Hosts: singleList(balance.Draining).hosts})
@@ -49,7 +49,7 @@
 		"handover state, with a start":                       {drained, "", 0, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x, h, ask := newSingle(t)
+			x, h, submit := newSingle(t)
 			c.setUp(x)
 			host := singleList(balance.Active).hosts[0]
 			if host.Started = c.started; c.agent == "" {
@@ -60,7 +60,7 @@
 			for _, p := range x.queue {
 				x.handle(p.at, p.event)
 			}
-			ask("order")
+			submit("order")
 			if sent := len(h.sent) > 0; sent != c.serves || (h.deadlines["s"] == draining.Open) != c.serves {
 				t.Errorf("a write is sent: %t, send deadline %s, want the host to serve: %t", sent, h.deadlines["s"], c.serves)
 			}
--- a/internal/memory/exchange/handover.go
+++ b/internal/memory/exchange/handover.go
@@ -10,7 +10,7 @@
 	"yokemast/internal/disk/handover"
 )
 
-// stateRequest is the event of a call to Survey.
+// stateRequest is the event of a call to HandoverState.
 type stateRequest struct{ done chan handover.State }
 
 // inheritedState is the event of a call to Inherit.
@@ -81,7 +81,7 @@
 }
 
 // moduleEvidence returns the module's evidence about the hosts, for the module that replaces it after a panic.
-// If collecting it panics too, each host counts as a follower until it states otherwise.
+// If collecting it panics too, each host counts as a replica until it states otherwise.
 func (x *Exchange) moduleEvidence() (evidence []balance.PriorEvidence) {
 	now := x.cfg.Clock.Now()
 	defer func() {
--- a/internal/memory/exchange/members.go
+++ b/internal/memory/exchange/members.go
@@ -70,23 +70,22 @@
 
 // apply applies a list and returns it with the effective states and the latest known start times, so that an
 // outdated list reverts neither. A host that drains when it is first listed may have been draining since before
-// the process started. What the agent of discovery already has counts as notified from the start of the
-// process.
-func (b *sendDeadlines) apply(l List) endpointList {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// the process started, so the gateway counts as notified of that drain from the start of the process.
+func (d *sendDeadlines) apply(l List) endpointList {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	applied, named := endpointList{l.Snapshot, slices.Clone(l.Hosts)}, map[string]bool{}
 	for i, m := range applied.hosts {
 		named[m.Server] = true
-		b.setLocked(b.tracker.Set(b.statementLocked(l, m)))
-		applied.hosts[i].State, applied.hosts[i].Started = memberStates[b.tracker.State(m.Server)], max(m.Started, b.latestStart[m.Server])
+		d.setLocked(d.tracker.Set(d.statementLocked(l, m)))
+		applied.hosts[i].State, applied.hosts[i].Started = memberStates[d.tracker.State(m.Server)], max(m.Started, d.latestStart[m.Server])
 	}
 	if !l.Snapshot {
 		return applied
 	}
-	for server, started := range b.latestStart {
+	for server, started := range d.latestStart {
 		if !named[server] {
-			b.setLocked(b.tracker.Set(draining.Notification{Server: server, State: draining.Removed, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
+			d.setLocked(d.tracker.Set(draining.Notification{Server: server, State: draining.Removed, At: l.At, Agent: l.Agent, Revision: l.Revision, Unlisted: true,
 				Started: started}))
 		}
 	}
@@ -95,93 +94,93 @@
 
 // statementLocked returns the statement of a list about a host. In an inherited list a serving state ends no
 // drain, as the statement of another list may be newer.
-func (b *sendDeadlines) statementLocked(l List, m Member) draining.Notification {
+func (d *sendDeadlines) statementLocked(l List, m Member) draining.Notification {
 	statement := draining.Notification{Server: m.Server, State: drainStates[m.State], At: l.At, NotifiedAt: m.NotifiedAt, Agent: l.Agent, Revision: l.Revision,
 		Started: m.Started}
-	latest, known := b.latestStart[m.Server]
+	latest, known := d.latestStart[m.Server]
 	if !known {
-		statement.At = min(l.At, b.processStart)
+		statement.At = min(l.At, d.processStart)
 	}
 	if statement.State != draining.Serving {
 		statement.Started = max(latest, statement.Started)
 	}
-	if m.Started < unreachedPosition { // otherwise the earlier process did not know the start time
+	if m.Started < unreachedPosition { // otherwise the start time was converted without an upper bound of the fleet's clock
 		latest = max(latest, m.Started)
 	}
-	if b.latestStart[m.Server] = latest; l.inherited {
+	if d.latestStart[m.Server] = latest; l.inherited {
 		statement.Agent, statement.Revision = m.NotifiedBy, m.NotifiedRevision
 		return statement
 	}
-	b.agent = l.Agent
+	d.agent = l.Agent
 	return statement
 }
 
 // setLocked sets the send deadline of a host at the host side.
-func (b *sendDeadlines) setLocked(bound draining.Bound) {
-	if b.hosts != nil {
-		b.hosts.SetSendDeadline(bound.Server, bound.SendUntil)
+func (d *sendDeadlines) setLocked(bound draining.Bound) {
+	if d.hosts != nil {
+		d.hosts.SetSendDeadline(bound.Server, bound.SendUntil)
 	}
 }
 
 // updateSettings applies the drain rules of new settings and reports whether any send deadline changed.
-func (b *sendDeadlines) updateSettings(s balance.Settings) (changed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	moved := b.tracker.SetRules(drainRules(s))
+func (d *sendDeadlines) updateSettings(s balance.Settings) (changed bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	moved := d.tracker.SetRules(drainRules(s))
 	for _, bound := range moved {
-		b.setLocked(bound)
+		d.setLocked(bound)
 	}
 	return len(moved) > 0
 }
 
 // resend sets the current send deadline of a host at the host side, which may not have known the host before.
-func (b *sendDeadlines) resend(server string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setLocked(draining.Bound{Server: server, SendUntil: b.tracker.Until(server)})
+func (d *sendDeadlines) resend(server string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.setLocked(draining.Bound{Server: server, SendUntil: d.tracker.Until(server)})
 }
 
 // deadline returns the time until which new requests may be sent to a host.
-func (b *sendDeadlines) deadline(server string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.tracker.Until(server)
+func (d *sendDeadlines) deadline(server string) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.tracker.Until(server)
 }
 
 // notifiedBy returns the agent of discovery that last notified the gateway that a host drains or was removed,
 // and the revision of its list.
-func (b *sendDeadlines) notifiedBy(server string) (agent string, revision int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.tracker.NotifiedBy(server)
+func (d *sendDeadlines) notifiedBy(server string) (agent string, revision int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.tracker.NotifiedBy(server)
 }
 
 // lastAgent returns the agent of discovery that sent the latest list, or "" if there was none.
-func (b *sendDeadlines) lastAgent() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.agent
+func (d *sendDeadlines) lastAgent() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.agent
 }
 
 // notifiedAt returns when the gateway was notified that a host drains or was removed.
-func (b *sendDeadlines) notifiedAt(server string) (time.Duration, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.tracker.NotifiedAt(server)
+func (d *sendDeadlines) notifiedAt(server string) (time.Duration, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.tracker.NotifiedAt(server)
 }
 
-func (b *sendDeadlines) forget(server string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.tracker.Forget(server)
-	delete(b.latestStart, server)
+func (d *sendDeadlines) forget(server string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.tracker.Forget(server)
+	delete(d.latestStart, server)
 }
 
 // setHosts sets the host side that send deadlines are passed to.
-func (b *sendDeadlines) setHosts(hosts Hosts) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.hosts = hosts
+func (d *sendDeadlines) setHosts(hosts Hosts) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.hosts = hosts
 }
 
 // Members accepts an endpoint list. Drains and removals in it take effect immediately.
--- a/internal/memory/exchange/request.go
+++ b/internal/memory/exchange/request.go
@@ -34,7 +34,7 @@
 		return
 	case x.pending[r.ID] != nil:
 		// The module ignores a request with an id in use, so it would never be answered.
-		reject(Duplicate, "a request with this id is pending")
+		reject(Duplicate, "a request of this id is held")
 		return
 	}
 	wait := class.Deadline
@@ -43,7 +43,8 @@
 	}
 	maxHostWait := time.Duration(0)
 	if r.Checkout > 0 {
-		// A request that checks out a host waits for it no longer than other requests of its class would.
+		// A request that checks out a host waits for it for at most half of the time that it could otherwise
+		// take in total. The checkout has a limit of its own.
 		maxHostWait, wait = wait/2, r.Checkout
 	}
 	o := &pendingRequest{Request: r, maxHostWait: maxHostWait, class: class, deadline: r.Arrived + max(wait-answerMargin, wait/2)}
--- a/internal/memory/exchange/session_read_test.go
+++ b/internal/memory/exchange/session_read_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// The first answer of a primary was delayed on its way back. The known offset of the fleet's clock must not let
-// a replica that lacks the session's write serve the read.
+// The first answer of a primary was delayed on its way back. Dated by its arrival it would put the fleet's clock
+// behind the local one, and later positions would seem to be ahead of the fleet's clock. A replica that lacks
+// the session's write must not serve the read because of that.
 func TestSessionReadAfterSlowFirstAnswer(t *testing.T) {
 	for name, way := range map[string]time.Duration{"a slow answer": 40 * time.Millisecond, "a quick answer": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +43,7 @@
 			if a := h.request(x, "own", stopped+3*time.Millisecond); a != nil {
 				t.Fatalf("the read is sent to %s on %+v, want it held", a.Server, a.Grounds)
 			}
-			time.Sleep(350 * time.Millisecond) // until replicas may serve it, too
+			time.Sleep(350 * time.Millisecond) // until replicas are considered, too
 			handleStatement(x, "r", balance.Replica, stopped)
 			if n := len(h.sent); n > 0 {
 				t.Errorf("the read is sent to %s, which is 3 ms behind it, on %+v; offset %+v", h.sent[0].Server, h.sent[0].Grounds, clock.Offset())
--- a/internal/memory/exchange/types.go
+++ b/internal/memory/exchange/types.go
@@ -16,8 +16,8 @@
 	Wait               time.Duration // how long the client waits from when it sent the request, or 0 for the class's deadline
 	After              time.Duration // position that the read must see, by the fleet's clock, or 0 for none
 	QuotaRetryAfter    time.Duration // if positive, the client is over its quota: the request is refused with this retryAfter
-	Checkout           time.Duration // maximum time for which the request checks out its host, or 0 if it does not
-	ClientDisconnected func() bool   // reports without blocking whether the client has disconnected; nil if that cannot be checked
+	Checkout           time.Duration // if positive, the request keeps its host until its client has finished, at most for this time
+	ClientDisconnected func() bool   // reports without blocking whether the client has disconnected; nil if only CancelRequest reports that
 	Command            any           // what the host side executes
 	Answer             chan<- Answer // receives the single answer; must have buffer capacity for it
 }
