--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -213,7 +213,8 @@
 // Receive decodes a message and appends its entries to out. It rejects the whole message if any part of it is
 // invalid, and skips entries about unknown hosts. Positions are by the fleet's clock. The end of an attempt
 // and the time since when a host is primary are by the local clock, the one that now is read from, and are
-// the earliest possible times. Without an upper bound of the fleet's clock both are unknown.
+// the earliest possible times. Without an upper bound of the fleet's clock neither is known, and the role of a
+// primary is left out.
 func (s *State) Receive(now time.Duration, offsets Offsets, b []byte, out []balance.RemoteOutcome) ([]balance.RemoteOutcome, error) {
 	switch {
 	case len(b) < 1 || b[0] != version:
--- a/internal/control/leases/codec.go
+++ b/internal/control/leases/codec.go
@@ -19,7 +19,8 @@
 //	1 byte   length of Name, then Name
 //	1 byte   length of Holder, then Holder
 //
-// Numbers are big-endian. The format has no checksum: the log protects its content against corruption.
+// Numbers are big-endian. The format has no checksum. Decode rejects a wrong version and inconsistent lengths,
+// but not every changed byte.
 const (
 	codecVersion   = 1
 	codecFixedSize = 2 + 8*5
--- a/internal/control/leases/holder.go
+++ b/internal/control/leases/holder.go
@@ -19,9 +19,10 @@
 }
 
 // Check returns an error unless a holder with this configuration stops acting before the voters can grant the
-// lease to another. The voters wait for at least TTL/(1+Drift) of real time from a stamp taken after the
-// request was sent. The holder stops (TTL(1-Drift) - Margin)/(1-Drift) after sending, which is earlier if
-// Margin is more than 2·Drift·TTL.
+// lease to another. It assumes that every clock runs at most Drift faster or slower than real time: the voters
+// wait for at least TTL/(1+Drift) of real time from a stamp taken after the request was sent, and the holder
+// stops at most (TTL(1-Drift) - Margin)/(1-Drift) after sending, which is earlier if Margin is more than
+// 2·Drift·TTL.
 func (c HolderConfig) Check() error {
 	if c.TTL < MinTTL || c.TTL > MaxTTL {
 		return fmt.Errorf("lease ttl %v not within [%v, %v]", c.TTL, MinTTL, MaxTTL)
--- a/internal/control/leases/leases.go
+++ b/internal/control/leases/leases.go
@@ -6,8 +6,8 @@
 //
 // Clocks of different processes are never compared. Within one term all stamps come from one leader's clock.
 // The first entry of a newer term extends every lease to its full time to live from that entry's stamp (as
-// etcd's lessor does on a leader change): the new leader cannot know how much of a lease had elapsed on the
-// old leader's clock, so it assumes that none had. An entry proposed in an older term and committed in a
+// etcd's lessor does on a leader change): a voter cannot know how much of a lease had elapsed on the old
+// leader's clock, so it assumes that none had. An entry proposed in an older term and committed in a
 // newer one is applied at the newest stamp of the current term. It was proposed before the current leader was
 // elected, so that stamp is later than the sending of its request, and the lease does not end at the voters
 // before it ends at its holder.
--- a/internal/control/leases/model_test.go
+++ b/internal/control/leases/model_test.go
@@ -260,7 +260,7 @@
 // TestModelAtMostOneHolderActs searches the states of the small fleet depth first.
 func TestModelAtMostOneHolderActs(t *testing.T) {
 	if raceDetector {
-		t.Skip("a search of a million states is too slow with the race detector, which finds nothing in code without goroutines")
+		t.Skip("a search of a million states is for the plain run; the race detector adds nothing to pure code")
 	}
 	cfg := smallFleet()
 	res := explore(cfg, searchLimit)
@@ -278,7 +278,7 @@
 // find two clients that may act at the same time, which shows that the search can detect a violation.
 func TestModelDetectsLateAnswerViolation(t *testing.T) {
 	if raceDetector {
-		t.Skip("a search of a million states is too slow with the race detector")
+		t.Skip("a search of a million states is for the plain run")
 	}
 	cfg := smallFleet()
 	cfg.acceptLostTokens = true
--- a/internal/control/pooling/connstate.go
+++ b/internal/control/pooling/connstate.go
@@ -26,8 +26,8 @@
 	name      string
 }
 
-// NewConnState returns the state of a new connection. It keeps at most that many prepared statements, or
-// DefaultPrepared if prepared is 0.
+// NewConnState returns the state of a new connection. prepared is the maximum number of statements prepared
+// on it; 0 or less stands for DefaultPrepared.
 func NewConnState(prepared int) *ConnState {
 	if prepared <= 0 {
 		prepared = DefaultPrepared
@@ -132,5 +132,6 @@
 	l.settings = s.settings
 }
 
-// AdoptSettings records that the connection has the session's settings, as it has run all of the session's statements.
+// AdoptSettings records that the connection has the session's settings, as it has run all of the session's
+// statements.
 func (l *ConnState) AdoptSettings(s *Session) { l.settings = s.settings }
--- a/internal/control/pooling/model_test.go
+++ b/internal/control/pooling/model_test.go
@@ -198,7 +198,7 @@
 				l.taken = true
 				if sql := l.SettingsQuery(c.s); sql != "" {
 					if _, ok := l.batch(Scan(sql)); !ok {
-						t.Fatalf("query that carries the settings fails: %s", sql)
+						t.Fatalf("query that applies the settings fails: %s", sql)
 					}
 				}
 				l.SettingsApplied(c.s)
--- a/internal/control/pooling/pool.go
+++ b/internal/control/pooling/pool.go
@@ -13,7 +13,7 @@
 	MinPerHost        int           // guaranteed to each host: at the total, an idle connection of another host is closed for it
 	Opening           int           // maximum number of connections being opened to one host; 0 means no limit
 	OpenRate          float64       // rate of opening connections to one host, also the burst; 0 means no limit
-	MinRest           time.Duration // minimum time between two uses of a connection
+	MinRest           time.Duration // minimum time from the end of a use of a connection to its next use
 	Idle              time.Duration // maximum idle time of a connection; 0 means no limit
 	Age               time.Duration // maximum age, varied by up to a quarter so as not to reopen all at once; 0 means no limit
 	PeakHalfLife      time.Duration // half-life of the peak usage, to which idle connections are reduced; 0 closes by Idle only
@@ -225,7 +225,8 @@
 	p.total--
 }
 
-// Put returns a connection to the pool. If it returns false, the caller has to close the connection.
+// Put returns a connection to the pool. A connection that is not clean is not used again. If Put returns false,
+// the caller has to close the connection.
 func (p *Pools) Put(now time.Duration, name string, id int, clean bool) (keep bool) {
 	h := p.host(name)
 	end := h.expirations[id]
--- a/internal/control/pooling/pool_test.go
+++ b/internal/control/pooling/pool_test.go
@@ -30,7 +30,7 @@
 	}
 	open(second, "b")
 	if c, _ := open(second, "b"); c != LimitReached {
-		t.Errorf("at the total: choice %v, want Full", c)
+		t.Errorf("at the total: choice %v, want LimitReached", c)
 	}
 	if !p.Put(2*second, "a", 1, true) {
 		t.Error("clean connection is not kept")
@@ -55,7 +55,7 @@
 		t.Error("draining host keeps a connection")
 	}
 	if c, _ := open(15*second, "b"); c != LimitReached {
-		t.Errorf("draining host: choice %v, want Full", c)
+		t.Errorf("draining host: choice %v, want LimitReached", c)
 	}
 }
 
--- a/internal/control/pooling/session.go
+++ b/internal/control/pooling/session.go
@@ -228,8 +228,8 @@
 }
 
 // rollBack restores the settings and pins from before the transaction or, outside of one, before the batch. A
-// rollback ends most reasons to pin that arose in it, such as temporary tables, but not all: session-level
-// advisory locks, statements prepared in SQL and untracked settings stay pinned.
+// rollback ends reasons to pin that arose in what it undoes, such as temporary tables. Session-level advisory
+// locks and statements prepared in SQL outlive it, and untracked settings may, so these reasons stay.
 func (s *Session) rollBack() {
 	kept := s.pins & (PinAdvisoryLock | PinSQLPrepare | PinUntracked)
 	if len(s.levels) > 0 {
--- a/internal/control/pooling/sql.go
+++ b/internal/control/pooling/sql.go
@@ -208,6 +208,7 @@
 // statementTokens are the tokens of one statement.
 type statementTokens []token
 
+// isWord reports whether token i is an unquoted word and one of the given ones.
 func (w statementTokens) isWord(i int, any ...string) bool {
 	if i >= len(w) || w[i].kind != 'w' {
 		return false
@@ -220,6 +221,7 @@
 	return false
 }
 
+// nameAt returns the identifier at token i, or "" if token i is not one.
 func (w statementTokens) nameAt(i int) string {
 	if i < len(w) && (w[i].kind == 'w' || w[i].kind == 'q') {
 		return w[i].text
@@ -227,6 +229,7 @@
 	return ""
 }
 
+// hasWord reports whether any token is one of the given unquoted words.
 func (w statementTokens) hasWord(any ...string) bool {
 	for i := range w {
 		if w.isWord(i, any...) {
@@ -244,6 +247,7 @@
 	return sql[w[i].start:w[len(w)-1].end]
 }
 
+// classify classifies the statement of sql that consists of the tokens t.
 func classify(sql string, t []token) Command {
 	w := statementTokens(t)
 	c := Command{}
--- a/internal/control/pooling/sql_test.go
+++ b/internal/control/pooling/sql_test.go
@@ -92,7 +92,7 @@
 		// statement.
 		for _, c := range Scan(l.SettingsQuery(s)) {
 			if c.Kind != Set && c.Kind != Empty && c.Kind != Reset && c.Kind != Neutral {
-				t.Fatalf("%q carries %q", sql, l.SettingsQuery(s))
+				t.Fatalf("after %q another connection has to run %q", sql, l.SettingsQuery(s))
 			}
 		}
 	})
