--- a/internal/control/admission/admission_test.go
+++ b/internal/control/admission/admission_test.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// TestPropertyController calls a Controller in random order. The number of connections never exceeds the limit, no connection with an open
-// request is closed, each connection is closed once, and the counts are consistent.
+// TestPropertyController calls a Controller in random order. The number of connections never exceeds the limit,
+// no connection with an open request is closed, each connection is closed once, and the counts are consistent.
 func TestPropertyController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := DefaultLimits(rapid.IntRange(1, 10).Draw(t, "places"))
--- a/internal/control/admission/controller.go
+++ b/internal/control/admission/controller.go
@@ -103,7 +103,7 @@
 	Registered bool           // if not accepted: whether it stays open until the refusal is sent; otherwise it is closed at once
 	RetryAfter time.Duration  // if not accepted: when the client may retry
 	Reason     Reason         // if not accepted: why
-	Close      []CloseRequest // connections to close to make room
+	Close      []CloseRequest // connections to close for the new one
 }
 
 // source is where connections come from, such as an address, a user or a tenant.
@@ -257,8 +257,8 @@
 // maxCandidates is the maximum number of idle connections that leastLikelyToResume compares.
 const maxCandidates = 8
 
-// leastLikelyToResume returns, of the first connections that have been idle longest, the one that is least likely to send
-// a request soon. It returns nil if none has been idle for limit.
+// leastLikelyToResume returns, of the maxCandidates connections that have been idle longest, the one that is
+// least likely to send a request soon. It returns nil if none has been idle for limit.
 func (ctrl *Controller) leastLikelyToResume(now, limit time.Duration) (c *conn) {
 	lowest, examined := 2.0, 0
 	ctrl.idle.Scan(func(x *conn) bool {
--- a/internal/control/admission/intervals.go
+++ b/internal/control/admission/intervals.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// resumeProbability estimates the probability that a connection that has been idle for that time sends a request within
-// resumeWindowMillis. It returns 0.5 if there are too few samples.
+// resumeProbability estimates the probability that a connection that has been idle for that time sends a request
+// within resumeWindowMillis. It returns 0.5 if there are too few samples.
 func (p *intervals) resumeProbability(idle time.Duration) float64 {
 	if p.count < minIntervals {
 		return 0.5
--- a/internal/control/cells/bench_test.go
+++ b/internal/control/cells/bench_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkFind measures the search for a request's tenant, cell and hosts. It cycles through all tenants or through 1,000
-// active ones; the former includes the cost of cache misses.
+// BenchmarkFind measures the search for a request's tenant, cell and hosts. It cycles through all tenants or
+// through 1,000 active ones; the former includes the cost of cache misses.
 func BenchmarkFind(b *testing.B) {
 	s, c, _ := largeState(b)
 	for name, claim := range map[string]func(i int) (claim, key string){
--- a/internal/control/cells/cells_test.go
+++ b/internal/control/cells/cells_test.go
@@ -265,11 +265,11 @@
 
 func TestCellAndTenantLimits(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change func(*Config)
-		asks   []string // tenants of simultaneous requests, in order
-		want   string   // g: Go, o: Over
-		reason string
+		name    string
+		change  func(*Config)
+		tenants []string // tenants of simultaneous requests, in order
+		want    string   // g: Admitted, o: OverLimit
+		reason  string
 	}{
 		{"a cell's configured concurrency", func(c *Config) { c.Cells[0].Concurrency = 2 },
 			[]string{"apollo", "apollo", "apollo", "medi"}, "ggog", "the cell's concurrency"},
@@ -298,7 +298,7 @@
 		})
 		got, reason := "", ""
 		var after time.Duration
-		for _, tenant := range c.asks {
+		for _, tenant := range c.tenants {
 			v := g.request(tenant, false)
 			if v.Kind == OverLimit {
 				reason, after = v.Reason, v.RetryAfter
--- a/internal/control/cells/config.go
+++ b/internal/control/cells/config.go
@@ -56,7 +56,7 @@
 type MoveLimits struct {
 	MaxConcurrent int           // maximum number of moves in progress; others wait
 	MinRamp       time.Duration // minimum time over which reads shift to the new cell
-	WarmTimeout   time.Duration // maximum time until the new hosts are warm; then the move is aborted
+	WarmTimeout   time.Duration // maximum time until the new hosts are warm, and for a fenced move until it is confirmed; then it is aborted
 	FenceTimeout  time.Duration // maximum time for in-flight writes to end and the new primary to be known; then the move is aborted
 	MaxHeldWrites int           // maximum number of writes held at a fence; more are refused
 }
@@ -152,11 +152,11 @@
 			prefixes[p] = t.Name
 		}
 	}
-	for user, may := range c.Users {
-		if len(may) == 0 {
+	for user, names := range c.Users {
+		if len(names) == 0 {
 			return fault("user", user, "no tenant")
 		}
-		for _, t := range may {
+		for _, t := range names {
 			if !tenants[t] {
 				return fault("user", user, "no tenant is named %q", t)
 			}
--- a/internal/control/cells/move.go
+++ b/internal/control/cells/move.go
@@ -159,7 +159,7 @@
 	return group
 }
 
-// setStage puts a move into a stage and adds a Changed action.
+// setStage puts a move into a stage and adds a MoveChanged action.
 func (s *State) setStage(now time.Duration, m *Move, stage Stage, reason string) {
 	m.Stage, m.StageSince, m.Reason = stage, now, reason
 	s.Stages[stage]++
@@ -180,8 +180,8 @@
 	t.assign(m.target)
 	t.moved = true
 	if m.crossesGroups() {
-		// The data was copied to the new group by now. Positions of its log say nothing about earlier writes
-		// in the old group.
+		// The data was in the new group by now at the latest. A position of that group's log does not prove
+		// that writes made in the old group before are included, so sessions that wrote must see movedAt.
 		t.movedAt = now
 		if t.routes == nil {
 			t.routes = map[int]int{}
--- a/internal/control/cells/property_test.go
+++ b/internal/control/cells/property_test.go
@@ -11,7 +11,8 @@
 	"yokemast/balance"
 )
 
-// Each property test draws its cases from a seed. A failure prints the seed; `go test -run NAME -rapid.seed=SEED` replays it.
+// Each property test draws its cases from a seed. A failure prints the seed; `go test -run NAME
+// -rapid.seed=SEED` replays it.
 
 func drawCells(t *rapid.T) []*cell {
 	var out []*cell
@@ -125,9 +126,9 @@
 	return out
 }
 
-// TestPropertyMoves calls a State in random order and checks after each call: a tenant never has writes in flight in two
-// groups, each write that waits at a fence is released or refused exactly once, and the held requests are those that
-// were admitted and are not done.
+// TestPropertyMoves calls a State in random order and checks after each call: a tenant never has writes in
+// flight in two groups, each write that waits at a fence is released or refused exactly once, and the held
+// requests are those that were admitted and are not done.
 func TestPropertyMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
--- a/internal/control/cells/report.go
+++ b/internal/control/cells/report.go
@@ -170,9 +170,9 @@
 		for g := range groups {
 			before, after := c.rankings[g], cells[i].rankings[g]
 			lost := difference(before.hosts[:before.own], after.hosts[:after.own])
-			won := difference(after.hosts[:after.own], before.hosts[:before.own])
-			if len(lost)+len(won) > 0 {
-				out.Changes = append(out.Changes, Change{c.Name, g, tenants[c], lost, won})
+			gained := difference(after.hosts[:after.own], before.hosts[:before.own])
+			if len(lost)+len(gained) > 0 {
+				out.Changes = append(out.Changes, Change{c.Name, g, tenants[c], lost, gained})
 			}
 		}
 	}
--- a/internal/control/cells/state.go
+++ b/internal/control/cells/state.go
@@ -9,7 +9,7 @@
 	"yokemast/balance"
 )
 
-// Action is what the caller has to do. It is a Placed, Release, GiveUp or Changed.
+// Action is what the caller has to do. It is a CellsUpdated, Release, HoldExpired or MoveChanged.
 type Action any
 
 // CellsUpdated passes the current cells to the decision module.
@@ -18,7 +18,7 @@
 // Release ends the wait of a request at a fence. The caller calls Resume for it.
 type Release struct{ ID string }
 
-// HoldExpired refuses a request whose wait at a fence has timed out. Its client may retry after After.
+// HoldExpired refuses a request whose wait at a fence has timed out. Its client may retry after RetryAfter.
 type HoldExpired struct {
 	ID         string
 	RetryAfter time.Duration
@@ -44,8 +44,8 @@
 // Kinds of verdicts.
 const (
 	Admitted  Kind = iota // the request goes to the decision module, with the cell and the group
-	OverLimit             // the request exceeds a limit and is refused through the decision module, with retryAfter After
-	Held                  // the request waits at a fence; Release or GiveUp follows
+	OverLimit             // the request exceeds a limit and is refused through the decision module, with RetryAfter
+	Held                  // the request waits at a fence; Release or HoldExpired follows
 	Denied                // the user of the connection may not act for the tenant
 )
 
@@ -65,9 +65,9 @@
 	Cell       int           // the cell's ID in the decision module
 	Group      int           // the group that serves the request
 	Since      time.Duration // sessions that wrote must see all writes up to this time; 0 if there is no such bound
-	RetryAfter time.Duration // retryAfter of Over
-	Reason     string        // why the request is refused, for Over and Denied
-	Ticket     Ticket        // for Go and Hold
+	RetryAfter time.Duration // when the client may retry, for OverLimit
+	Reason     string        // why the request is refused, for OverLimit and Denied
+	Ticket     Ticket        // for Admitted and Held
 }
 
 // State is the state of all cells, tenants and moves. It is not safe for concurrent use.
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Admit decides on a request. If the verdict is Go or Hold, the caller must call Done or Resume with its
+// Admit decides on a request. If the verdict is Admitted or Held, the caller must call Done or Resume with its
 // ticket.
 func (s *State) Admit(now time.Duration, request Request) Verdict {
 	t, err := s.dir.find(request.User, request.Claim, request.Key)
@@ -232,7 +232,7 @@
 		s.fleet.states[x.Server] = x
 		if x.Usable {
 			delete(s.fleet.unusableSince, x.Server)
-		} else if _, since := s.fleet.unusableSince[x.Server]; !since {
+		} else if _, known := s.fleet.unusableSince[x.Server]; !known {
 			s.fleet.unusableSince[x.Server] = now
 		}
 	}
@@ -257,7 +257,7 @@
 }
 
 // updateReadHosts recomputes which hosts every cell reads from and the capacity that they give it. If the
-// hosts of any cell changed, it adds a Placed action.
+// hosts of any cell changed, it adds a CellsUpdated action.
 func (s *State) updateReadHosts(now time.Duration) {
 	changed := false
 	weights, totalWeight := map[string]float64{}, 0.0
--- a/internal/operator/grammar.go
+++ b/internal/operator/grammar.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// maxFile is the maximum size of the file in bytes. It has room for 100,000 tenants with some settings each.
+// maxFile is the maximum size of the file in bytes. It is enough for 100,000 tenants with some settings each.
 const maxFile = 64 << 20
 
 // parseTree parses the text of a file. Its error is an *Error.
--- a/internal/operator/schema.go
+++ b/internal/operator/schema.go
@@ -60,7 +60,7 @@
 func poolsSection() Entry {
 	return Entry{Name: "pools", Kind: Section, Doc: "Connections to hosts. Changes take effect at the next start.",
 		Entries: []Entry{
-			{Name: "rest", Kind: Duration, Default: "30ms", Max: hours(1), Doc: "How long a connection rests after an answer before it is used again. `0s` needs the fewest connections; use it only if the hosts are known to send nothing after an answer and to keep connections open."},
+			{Name: "rest", Kind: Duration, Default: "30ms", Max: hours(1), Doc: "How long a connection rests after an answer before it is used again. `0s` makes most of the connections unnecessary; use it only if the hosts are known to send nothing after an answer and to keep connections open."},
 			{Name: "prepared", Kind: Count, Unit: "statements", Default: strconv.Itoa(pooling.DefaultPrepared), Min: 1, Max: 100000, Doc: "Maximum number of prepared statements per connection. Beyond it the least recently used one is closed."},
 			{Name: "total", Kind: Count, Unit: "connections", Default: "0", Max: 1 << 20, Doc: "Maximum number of connections to all hosts. 0: the limit that results from the descriptors and the memory in the platform's configuration, which applies in any case."},
 			{Name: "per-host", Kind: Count, Unit: "connections", Default: "0", Max: 1 << 20, Doc: "Maximum number of connections to one host. 0: as `total`."},
@@ -70,7 +70,7 @@
 			{Name: "per-second", Kind: Number, Unit: "connections/s", Default: "0", Max: 1e6, Doc: "Maximum number of connections opened to one host per second, which is also the burst. 0: unlimited."},
 			{Name: "age", Kind: Duration, Default: "0s", Max: hours(240), Doc: "Age at which a connection is closed, varied at random by up to a quarter in both directions. 0s: never."},
 			{Name: "memory", Kind: Duration, Default: "0s", Max: hours(24), Doc: "Period in which the number of open connections falls halfway to the number in use. 0s: connections are closed only if they are idle for too long."},
-			{Name: "cold-part", Kind: Number, Unit: "part", Default: "0", Max: 1, Doc: "Fraction of `per-host` that a host may have when its slow start begins. 0: all."},
+			{Name: "cold-part", Kind: Number, Unit: "part", Default: "0", Max: 1, Doc: "Fraction of `per-host` that a host may have during its slow start. 0: all."},
 			poolSection(),
 		}}
 }
