--- a/internal/control/cells/config.go
+++ b/internal/control/cells/config.go
@@ -56,7 +56,7 @@
 type MoveLimits struct {
 	MaxConcurrent int           // maximum number of moves in progress; others wait
 	MinRamp       time.Duration // minimum time over which reads shift to the new cell
-	WarmTimeout   time.Duration // maximum time until the new hosts are warm, and for a fenced move until it is confirmed; then it is aborted
+	WarmTimeout   time.Duration // maximum time beyond MinRamp until the new hosts are warm, and until a fenced move is confirmed; then it is aborted
 	FenceTimeout  time.Duration // maximum time for in-flight writes to end and the new primary to be known; then the move is aborted
 	MaxHeldWrites int           // maximum number of writes held at a fence; more are refused
 }
