--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -31,7 +31,7 @@
 }
 
 func newInstance(router *balance.Router, set settings.Settings) *instance {
-	it := &instance{router: router, zero: set.Zero, giveUp: map[string]time.Duration{}, tries: waits.New(), first: map[string]string{}}
+	it := &instance{router: router, zero: set.PositionOrigin, giveUp: map[string]time.Duration{}, tries: waits.New(), first: map[string]string{}}
 	for _, c := range set.Balance.Classes {
 		it.giveUp[c.Name] = c.Deadline
 	}
@@ -78,7 +78,7 @@
 		if err != nil && err != io.EOF {
 			return fmt.Errorf("batch %d: %w", turn, err)
 		}
-		name, e, err := sim.Line(line)
+		name, e, err := sim.ParseLine(line)
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", turn, err)
 		}
@@ -89,7 +89,7 @@
 			return fmt.Errorf("batch %d: %s out of place", turn, name)
 		case name == "COMMIT":
 			open = false
-			if h.reply, err = sim.Plain(h.reply, "ACK", map[string]any{"turn": turn}); err == nil {
+			if h.reply, err = sim.AppendMessage(h.reply, "ACK", map[string]any{"turn": turn}); err == nil {
 				_, err = out.Write(h.reply)
 			}
 			if err == nil {
@@ -169,7 +169,7 @@
 func (h *host) decide(now time.Duration, who int, it *instance, ev balance.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply, err = sim.Plain(h.reply, "GIVE_IN", map[string]any{"who": who, "bodyText": fmt.Sprint(p)})
+			h.reply, err = sim.AppendMessage(h.reply, "GIVE_IN", map[string]any{"who": who, "bodyText": fmt.Sprint(p)})
 		}
 	}()
 	h.acts = it.router.Handle(now, ev, h.acts[:0])
@@ -180,7 +180,7 @@
 		case balance.Fail:
 			it.ended(a.ID, false)
 		}
-		if h.reply, err = sim.Action(h.reply, who, a); err != nil {
+		if h.reply, err = sim.AppendAction(h.reply, who, a); err != nil {
 			return err
 		}
 	}
--- a/cmd/yokemast/admin_test.go
+++ b/cmd/yokemast/admin_test.go
@@ -140,7 +140,7 @@
 }
 
 func asked(h *hosts.Host, text string) bool {
-	for _, q := range h.Asked() {
+	for _, q := range h.Queries() {
 		if strings.Contains(q, text) {
 			return true
 		}
--- a/cmd/yokemast/bench_test.go
+++ b/cmd/yokemast/bench_test.go
@@ -55,7 +55,7 @@
 				if _, _, err := pg.ReadStartup(in); err != nil {
 					return
 				}
-				_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+				_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 				var out []byte
 				for {
 					_, body, err := pg.Read(in, 1<<20)
--- a/cmd/yokemast/bulk_test.go
+++ b/cmd/yokemast/bulk_test.go
@@ -174,7 +174,7 @@
 					mu.Lock()
 					refused++
 					mu.Unlock()
-					time.Sleep(r.After)
+					time.Sleep(r.RetryAfter)
 					continue
 				}
 				if r.Closed || !bytes.Equal(r.Value, v) {
--- a/cmd/yokemast/client_input_test.go
+++ b/cmd/yokemast/client_input_test.go
@@ -71,7 +71,7 @@
 			}
 		})
 	}
-	if asked := h.Asked(); len(asked) != 0 {
+	if asked := h.Queries(); len(asked) != 0 {
 		t.Errorf("a host was sent %.300q", asked)
 	}
 }
@@ -123,15 +123,15 @@
 	g := start(t, nil, h)
 	a, b, query := g.client(), g.client(), write("k", "9f", comment("order", ""))
 	a.Send(query)
-	for len(h.Asked()) == 0 {
+	for len(h.Queries()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if got := b.Ask(query); got != "42710" {
 		t.Errorf("the second is answered %q", got)
 	}
 	close(release)
-	if got := a.Answer(); got != "row k" || len(h.Asked()) != 1 {
-		t.Errorf("the first is answered %q after %d sends", got, len(h.Asked()))
+	if got := a.Answer(); got != "row k" || len(h.Queries()) != 1 {
+		t.Errorf("the first is answered %q after %d sends", got, len(h.Queries()))
 	}
 }
 
--- a/cmd/yokemast/clock_test.go
+++ b/cmd/yokemast/clock_test.go
@@ -41,11 +41,11 @@
 					t.Fatalf("a read of what was just written is answered %+v", got)
 				}
 			}
-			if broken := ledger.Broken(); len(broken) > 0 {
+			if broken := ledger.Violations(); len(broken) > 0 {
 				t.Errorf("%d rules broken: %s", len(broken), broken[0])
 			}
 			reads := 0
-			for _, q := range all[1].Asked() {
+			for _, q := range all[1].Queries() {
 				if strings.HasPrefix(q, "SELECT content") {
 					reads++
 				}
--- a/cmd/yokemast/drain_grace_test.go
+++ b/cmd/yokemast/drain_grace_test.go
@@ -74,8 +74,8 @@
 // drainPrimary lists the primary as draining, which goes on leading. The rules count it as notified 6 s later.
 func (b *drainBench) drainPrimary() {
 	primary := b.cluster.Primary()
-	b.agent.Set(primary.Entry("DRAINING"))
-	time.AfterFunc(notifiedWithin, func() { b.ledger.Told(primary.ID, false) })
+	b.agent.Set(primary.ListEntry("DRAINING"))
+	time.AfterFunc(notifiedWithin, func() { b.ledger.DrainAnnounced(primary.ID, false) })
 }
 
 // Whatever discovery's answers and the signals of a reload do, a host that was told to drain gets nothing new later than the grace.
--- a/cmd/yokemast/first_list_test.go
+++ b/cmd/yokemast/first_list_test.go
@@ -34,10 +34,10 @@
 			g := startBehind(t, nil, func(n int, w http.ResponseWriter, r *http.Request) bool {
 				switch n {
 				case 0:
-					ledger.Told(drained.ID, false)
+					ledger.DrainAnnounced(drained.ID, false)
 					fails(w, r)
 				case 1:
-					fmt.Fprint(w, discovery.List(42, true, drained.Entry("DRAINING"), cluster.Hosts()[1].Entry("SERVING"), cluster.Hosts()[2].Entry("SERVING")))
+					fmt.Fprint(w, discovery.List(42, true, drained.ListEntry("DRAINING"), cluster.Hosts()[1].ListEntry("SERVING"), cluster.Hosts()[2].ListEntry("SERVING")))
 				default:
 					<-r.Context().Done()
 				}
@@ -49,7 +49,7 @@
 				c.Do(clients.Request{Class: "order", Key: "k", Write: true, Value: []byte("v"), Wait: 200 * time.Millisecond}, nil)
 			}
 			if n := ledger.Counts().AfterDrain; n > 0 {
-				t.Errorf("%d requests came to a host later than the grace: %s", n, ledger.Broken()[0])
+				t.Errorf("%d requests came to a host later than the grace: %s", n, ledger.Violations()[0])
 			}
 		})
 	}
--- a/cmd/yokemast/harness_test.go
+++ b/cmd/yokemast/harness_test.go
@@ -141,11 +141,11 @@
 	g := &gateway{t: t, log: &logged{}}
 	var entries []discovery.Entry
 	for _, h := range all {
-		entries = append(entries, h.Entry("SERVING"))
+		entries = append(entries, h.ListEntry("SERVING"))
 	}
 	g.agent = discovery.New(entries...)
 	g.agent.Before = before
-	g.path = config(t, g.agent.Known(), g.agent.Listener.Addr().String(), edit)
+	g.path = config(t, g.agent.Snapshot(), g.agent.Listener.Addr().String(), edit)
 	g.cmd = program(context.Background(), append([]string{"serve", "--config", g.path}, args...)...)
 	g.cmd.Env = append(g.cmd.Env, "ROUTER_DISCOVERY="+g.agent.Listener.Addr().String())
 	g.cmd.Stderr = g.log
--- a/cmd/yokemast/moments_test.go
+++ b/cmd/yokemast/moments_test.go
@@ -33,9 +33,9 @@
 // waitAsked waits until a host has got so many queries.
 func waitAsked(t testing.TB, h *hosts.Host, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); len(h.Asked()) < n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); len(h.Queries()) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the host was asked %d times, not %d", len(h.Asked()), n)
+			t.Fatalf("the host was asked %d times, not %d", len(h.Queries()), n)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	}{
 		{"a write at a host that hangs", func(h *hosts.Host) { h.Script = silent }, write("k", "9f", comment("order", "")), "58000"},
 		{"a write that no primary takes", func(h *hosts.Host) { h.Script = always("25006")(h) }, write("k", "9f", comment("order", "")), "53300 come back"},
-		{"a write whose connection does not come up", func(h *hosts.Host) { h.Admit = func(int) { time.Sleep(patience) } },
+		{"a write whose connection does not come up", func(h *hosts.Host) { h.OnSession = func(int) { time.Sleep(patience) } },
 			write("k", "9f", comment("order", "")), "53300 come back"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 		if got := c.Answer(); got != "53300 come back" {
 			t.Errorf("behind %d: what had no time left is answered %q", before, got)
 		}
-		if n := len(h.Asked()); n != before {
+		if n := len(h.Queries()); n != before {
 			t.Errorf("behind %d: %d queries went out", before, n)
 		}
 	}
@@ -163,7 +163,7 @@
 				t.Fatal("the attempt is still out")
 			}
 			g.waitCounter("clients_open", 0)
-			if n := len(h.Asked()); n != 1 {
+			if n := len(h.Queries()); n != 1 {
 				t.Errorf("%d queries went out", n)
 			}
 		})
@@ -177,7 +177,7 @@
 			t.Parallel()
 			coming, up := make(chan struct{}, 1), make(chan struct{})
 			h := newHost(t, "s-1", "leader", nil)
-			h.Admit = func(n int) {
+			h.OnSession = func(n int) {
 				if n == 0 {
 					coming <- struct{}{}
 					<-up
@@ -193,7 +193,7 @@
 			if got := g.client().Ask(write("stays", "9f", comment("order", ""))); got != "row stays" {
 				t.Fatalf("answered %q", got)
 			}
-			for _, q := range h.Asked() {
+			for _, q := range h.Queries() {
 				if strings.Contains(q, "'left'") {
 					t.Errorf("sent on after its client had left: %s", q)
 				}
@@ -207,7 +207,7 @@
 	coming, up := make(chan struct{}, 1000), make(chan struct{})
 	var broke atomic.Bool // the first attempt has come, and breaks off: from then on connections come up late
 	h := newHost(t, "s-1", "leader", func(int, string) []byte { broke.Store(true); return nil })
-	h.Admit = func(int) {
+	h.OnSession = func(int) {
 		if broke.Load() {
 			coming <- struct{}{}
 			<-up
@@ -228,7 +228,7 @@
 	if got := c.Answer(); !strings.HasPrefix(got, "53300") {
 		t.Errorf("answered %q", got)
 	}
-	if n := len(h.Asked()); n != 1 {
+	if n := len(h.Queries()); n != 1 {
 		t.Errorf("%d attempts went out", n)
 	}
 }
@@ -240,7 +240,7 @@
 			t.Parallel()
 			coming, up := make(chan struct{}, 1000), make(chan struct{})
 			h := newHost(t, "s-1", "leader", nil)
-			h.Admit = func(int) {
+			h.OnSession = func(int) {
 				coming <- struct{}{}
 				<-up
 			}
@@ -251,9 +251,9 @@
 			c.Send(write("k", "9f", strings.Replace(comment("order", ""), "d=15000", "d=4000", 1)))
 			<-coming
 			if how == "not listed" {
-				g.agent.Drop(h.ID)
+				g.agent.Remove(h.ID)
 			} else {
-				g.agent.Set(h.Entry(how))
+				g.agent.Set(h.ListEntry(how))
 			}
 			g.waitLog(`"msg":"hosts listed"`)
 			told := time.Now()
@@ -262,7 +262,7 @@
 			if got := c.Answer(); !strings.HasPrefix(got, "53300") {
 				t.Errorf("answered %q", got)
 			}
-			if asked := h.Asked(); len(asked) > 0 {
+			if asked := h.Queries(); len(asked) > 0 {
 				t.Errorf("sent to a host told %s: %s", how, asked)
 			}
 		})
@@ -379,7 +379,7 @@
 				return trouble(w, r)
 			}, nil, h, newHost(t, "s-2", "follower", nil))
 			at := <-began
-			g.agent.Set(h.Entry("DRAINING"))
+			g.agent.Set(h.ListEntry("DRAINING"))
 			g.waitLog(`"msg":"hosts listed"`)
 			if took := time.Since(at); took > 6*time.Second {
 				t.Errorf("the drain was in force after %s", took)
@@ -395,10 +395,10 @@
 func TestTheFirstListCountsFromBeforeTheConfigurationIsRead(t *testing.T) {
 	const reading = 300 * time.Millisecond
 	h := newHost(t, "s-1", "leader", nil)
-	agent := discovery.New(h.Entry("SERVING"))
+	agent := discovery.New(h.ListEntry("SERVING"))
 	t.Cleanup(agent.Close)
-	path := config(t, agent.Known(), agent.Listener.Addr().String(), nil)
-	agent.Set(h.Entry("DRAINING"))
+	path := config(t, agent.Snapshot(), agent.Listener.Addr().String(), nil)
+	agent.Set(h.ListEntry("DRAINING"))
 	text, _ := os.ReadFile(path)
 	pipe := path + ".pipe"
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
@@ -465,7 +465,7 @@
 		_, _ = n.Write(pg.AppendStartup(nil, "backend", "store"))
 	}
 	g.waitCounter("clients_accepted", 402)
-	g.agent.Set(newHost(t, "s-2", "leader", nil).Entry("SERVING"))
+	g.agent.Set(newHost(t, "s-2", "leader", nil).ListEntry("SERVING"))
 	away.Store(false)
 	back := time.Now()
 	g.waitLog(`"discovery answers again"`)
@@ -524,7 +524,7 @@
 	t.Run("SIGTERM before it is ready", func(t *testing.T) {
 		t.Parallel()
 		h := newHost(t, "s-1", "leader", nil)
-		cmd := program(t.Context(), "serve", "--config", config(t, discovery.List(41, true, h.Entry("SERVING")), "127.0.0.1:1", nil))
+		cmd := program(t.Context(), "serve", "--config", config(t, discovery.List(41, true, h.ListEntry("SERVING")), "127.0.0.1:1", nil))
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/yokemast/peers_test.go
+++ b/cmd/yokemast/peers_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); len(follower.Asked()) == 0; {
+	for end := time.Now().Add(patience); len(follower.Queries()) == 0; {
 		now := time.Duration(time.Now().UnixNano())
 		state.AddEntry(now, balance.RemoteOutcome{Server: "s-2", Class: "view", Role: balance.Replica, Position: now, At: now})
 		for _, d := range [][]byte{[]byte("noise"), state.AppendMessage(now, gossip.Offsets{Bounded: true}, nil)} {
--- a/cmd/yokemast/pooling_failures_test.go
+++ b/cmd/yokemast/pooling_failures_test.go
@@ -59,8 +59,8 @@
 			if _, err := next.Exec(t.Context(), "INSERT INTO kv (name, content) VALUES ('k', 'next')"); err != nil {
 				t.Error(err)
 			}
-			if ids := p.c.IDs(); ids["left"] != 0 || ids["next"] != 1 || p.c.Peak() != 1 {
-				t.Errorf("committed: %v, over %d connections", ids, p.c.Peak())
+			if ids := p.c.CommitsByID(); ids["left"] != 0 || ids["next"] != 1 || p.c.PeakConns() != 1 {
+				t.Errorf("committed: %v, over %d connections", ids, p.c.PeakConns())
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 	if _, err := p.must(t).Exec(t.Context(), "INSERT INTO kv (name, content) VALUES ('k', 'next')"); err != nil {
 		t.Error(err)
 	}
-	if ids := p.c.IDs(); ids["left"] != 0 || ids["next"] != 1 {
+	if ids := p.c.CommitsByID(); ids["left"] != 0 || ids["next"] != 1 {
 		t.Errorf("committed: %v", ids)
 	}
 }
@@ -201,7 +201,7 @@
 		if err := run(name); err == nil {
 			t.Errorf("%s: its client is told that it went well", name)
 		}
-		if n := p.c.IDs()[name]; n != 1 {
+		if n := p.c.CommitsByID()[name]; n != 1 {
 			t.Errorf("%s: committed %d times", name, n)
 		}
 	}
--- a/cmd/yokemast/pooling_limits_test.go
+++ b/cmd/yokemast/pooling_limits_test.go
@@ -32,8 +32,8 @@
 			}
 		}
 	}
-	if p.c.Peak() != 2 {
-		t.Errorf("%d connections", p.c.Peak())
+	if p.c.PeakConns() != 2 {
+		t.Errorf("%d connections", p.c.PeakConns())
 	}
 	out, err := command(t, "pools", "--socket", p.socket)
 	if err != nil || !strings.Contains(out, "listen:1") || !strings.HasPrefix(out, "POOL") || !strings.Contains(out, "s-0") {
@@ -125,8 +125,8 @@
 	if served.Load() != 400 {
 		t.Errorf("%d of 400 were served, %d times there was no room", served.Load(), refused.Load())
 	}
-	if most := p.peak(t); most > 8 || p.c.Peak() > 2*8 { // each may be there twice, closing and open
-		t.Errorf("%d host connections, hosts saw %d", most, p.c.Peak())
+	if most := p.peak(t); most > 8 || p.c.PeakConns() > 2*8 { // each may be there twice, closing and open
+		t.Errorf("%d host connections, hosts saw %d", most, p.c.PeakConns())
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGUSR1)
 	p.waitLog(`"panics":0`)
--- a/cmd/yokemast/proof_cells_test.go
+++ b/cmd/yokemast/proof_cells_test.go
@@ -102,7 +102,7 @@
 	l := &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond}}
 	// Each host runs one request of 40 ms at a time: what the calm ones need fits their share, and nothing depends on how
 	// fast this machine is.
-	c := cluster(t, 1, "s-", 7, l, func(h *hosts.Host) { h.Slots, h.Room, h.Work = 1, 3, 40*time.Millisecond })
+	c := cluster(t, 1, "s-", 7, l, func(h *hosts.Host) { h.Slots, h.MaxQueue, h.Work = 1, 3, 40*time.Millisecond })
 	var args []string
 	if own != "" {
 		path, _ := operatorFile(t, own)
@@ -169,7 +169,7 @@
 	calm.Wait()
 	close(stop)
 	flooding.Wait()
-	for _, b := range l.Broken() {
+	for _, b := range l.Violations() {
 		t.Errorf("cells %v, %d flooders, seed %d: %s", own != "", flooders, proofSeed, b)
 	}
 	out.floodRefused, out.counts = refused.Load(), l.Counts()
@@ -315,7 +315,7 @@
 	close(stop)
 	work.Wait()
 	lost, doubled := 0, 0
-	one, two := m.one.IDs(), m.two.IDs()
+	one, two := m.one.CommitsByID(), m.two.CommitsByID()
 	for id := range acked {
 		switch one[id] + two[id] {
 		case 0:
@@ -338,7 +338,7 @@
 		t.Errorf("the moves end %s (%s) and %s (%s), %d writes in the new group", end.Stage, end.Reason, inside.Stage,
 			inside.Reason, m.two.Commits())
 	}
-	for _, b := range m.ledger.Broken() {
+	for _, b := range m.ledger.Violations() {
 		t.Error(b)
 	}
 }
@@ -360,7 +360,7 @@
 	m.order("move", "apollo", "--from-group", "1", "--to-group", "2")
 	m.waitLog(`"stage":"fenced"`)
 	held := b.Do(clients.Request{Class: "order", Tenant: "apollo", Key: "k", Write: true, Wait: time.Second}, m.ledger)
-	if held.Code != pg.CodeTooMany || held.After == 0 {
+	if held.Code != pg.CodeTooMany || held.RetryAfter == 0 {
 		t.Errorf("a write that waited at the fence is answered %+v", held)
 	}
 	if end := m.ends(); end.Stage != cells.Aborted || !strings.Contains(end.Reason, "writes are in flight") {
@@ -369,11 +369,11 @@
 	if r := <-answers; r.Code != pg.CodeFailed {
 		t.Errorf("the write whose end is unknown is answered %+v", r)
 	}
-	old.SetHang(hosts.Awake)
-	if one, two := m.one.IDs()["hanging"], m.two.IDs()["hanging"]; one != 1 || two != 0 {
+	old.SetHang(hosts.NotHung)
+	if one, two := m.one.CommitsByID()["hanging"], m.two.CommitsByID()["hanging"]; one != 1 || two != 0 {
 		t.Errorf("that write was committed %d times where it was sent and %d times on the other side", one, two)
 	}
-	for _, broken := range m.ledger.Broken() {
+	for _, broken := range m.ledger.Violations() {
 		t.Error(broken)
 	}
 }
@@ -412,11 +412,11 @@
 	if end := m.ends(); end.Stage != cells.Settled {
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
-	if one, two := m.one.IDs(), m.two.IDs(); one["broken"] != 1 || two["broken"] != 0 || one["waiting"] != 0 || two["waiting"] != 1 {
+	if one, two := m.one.CommitsByID(), m.two.CommitsByID(); one["broken"] != 1 || two["broken"] != 0 || one["waiting"] != 0 || two["waiting"] != 1 {
 		t.Errorf("the one that broke ran %d and %d times, the one that waited %d and %d", one["broken"], two["broken"],
 			one["waiting"], two["waiting"])
 	}
-	for _, broken := range m.ledger.Broken() {
+	for _, broken := range m.ledger.Violations() {
 		t.Error(broken)
 	}
 }
@@ -433,10 +433,10 @@
 		t.Errorf("the move ends %s: %s", end.Stage, end.Reason)
 	}
 	if r := k.Do(clients.Request{ID: "after", Class: "order", Tenant: "apollo", Key: "k", Write: true, Wait: 5 * time.Second}, m.ledger); !r.Row ||
-		m.one.IDs()["after"] != 1 {
+		m.one.CommitsByID()["after"] != 1 {
 		t.Errorf("after the abort a write is answered %+v", r)
 	}
-	for _, broken := range m.ledger.Broken() {
+	for _, broken := range m.ledger.Violations() {
 		t.Error(broken)
 	}
 }
@@ -444,13 +444,13 @@
 func TestMoveIntoColdHosts(t *testing.T) {
 	l := &rules.Ledger{Limits: rules.Limits{Slack: 100 * time.Millisecond, Overload: 4, OverloadIn: 1500 * time.Millisecond}}
 	c := cluster(t, 1, "s-", 5, l, func(h *hosts.Host) {
-		h.Slots, h.Room, h.Work, h.ColdFrom, h.ColdTime = 2, 6, 10*time.Millisecond, 0.25, 16*time.Second
+		h.Slots, h.MaxQueue, h.Work, h.ColdFrom, h.ColdTime = 2, 6, 10*time.Millisecond, 0.25, 16*time.Second
 	})
 	path, socket := operatorFile(t, `(cells (claims yes) (size 2) (overlap 0)
   (cell "coast" (pin "s-1" "s-2")) (cell "hills" (pin "s-3" "s-4")) (tenant "apollo" (cell "coast"))
   (moves (ramp 500ms) (warm 500ms)))`)
 	for _, h := range c.Hosts()[3:] {
-		h.Chill()
+		h.StartCold()
 	}
 	g := startWith(t, brisk, []string{"--operator", path}, c.Hosts()...)
 	m := &moved{gateway: g, socket: socket}
@@ -476,10 +476,10 @@
 	}
 	close(stop)
 	work.Wait()
-	for _, b := range l.Broken() {
+	for _, b := range l.Violations() {
 		t.Error(b)
 	}
-	reads := len(c.Hosts()[3].Asked()) + len(c.Hosts()[4].Asked())
+	reads := len(c.Hosts()[3].Queries()) + len(c.Hosts()[4].Queries())
 	if all := l.Counts().Attempts; reads == 0 || reads > all/2 {
 		t.Errorf("cold hosts got %d of %d reads", reads, all)
 	}
--- a/cmd/yokemast/proof_daily_test.go
+++ b/cmd/yokemast/proof_daily_test.go
@@ -217,7 +217,7 @@
 	d.work.Wait()
 	asked := map[string]bool{}
 	for _, h := range d.cluster.Hosts() {
-		for _, q := range h.Asked() {
+		for _, q := range h.Queries() {
 			_, rest, _ := strings.Cut(q, "id=")
 			id, _, _ := strings.Cut(rest, ",")
 			asked[id] = true
@@ -269,12 +269,12 @@
 	}
 	cut, _ := d.finish()
 	for name, value := range map[string]int64{"upgrades": upgrades, "reloads": reloads, "drains": drains, "served": d.served.Load(),
-		"refused": d.refused.Load(), "lost": int64(len(d.ledger.Broken())), "cut_with_request": int64(cut), "turned_back_unheard": turnedBack,
+		"refused": d.refused.Load(), "lost": int64(len(d.ledger.Violations())), "cut_with_request": int64(cut), "turned_back_unheard": turnedBack,
 		"mixed_settings": d.mixed.Load(), "admin_calls": d.calls.Load(), "admin_late": d.late.Load(), "memory_most_mb": int64(d.memory),
 		"bulk_bytes": d.bulkBytes.Load(), "bulk_cut": d.bulkCut.Load()} {
 		t.Logf("figure %s=%d", name, value)
 	}
-	for _, b := range d.ledger.Broken() {
+	for _, b := range d.ledger.Violations() {
 		t.Errorf("a rule is broken: %s", b)
 	}
 	if cut != 0 || turnedBack != 0 || d.mixed.Load() != 0 || d.late.Load() != 0 {
--- a/cmd/yokemast/proof_pooling_test.go
+++ b/cmd/yokemast/proof_pooling_test.go
@@ -176,18 +176,18 @@
 	for drains = 1 + rng.IntN(3); drains == dies; drains = 1 + rng.IntN(3) {
 	}
 	all[dies].Crash()
-	p.agent.Set(all[drains].Entry("DRAINING"))
+	p.agent.Set(all[drains].ListEntry("DRAINING"))
 	time.Sleep(200 * time.Millisecond)
 	if err := all[dies].Restart(); err != nil {
 		t.Error(err)
 	}
-	p.agent.Set(all[drains].Entry("SERVING"))
+	p.agent.Set(all[drains].ListEntry("SERVING"))
 	all[0].Crash()
 	p.c.Promote(all[drains])
-	p.agent.Set(all[0].Entry("DELETED"), all[drains].Entry("SERVING"))
+	p.agent.Set(all[0].ListEntry("DELETED"), all[drains].ListEntry("SERVING"))
 	work.Wait()
 	doubled, missing := 0, 0
-	ids := p.c.IDs()
+	ids := p.c.CommitsByID()
 	for id, n := range ids {
 		if n > 1 {
 			doubled++
@@ -203,13 +203,13 @@
 	t.Logf("figure sessions=%d", sessions)
 	most := p.peak(t)
 	t.Logf("figure host_connections_most=%d", most)
-	t.Logf("figure host_connections_most_seen_by_hosts=%d", p.c.Peak())
+	t.Logf("figure host_connections_most_seen_by_hosts=%d", p.c.PeakConns())
 	t.Logf("figure leaked_settings=%d", leaked.Load())
 	t.Logf("figure foreign_statements=%d", foreign.Load())
 	t.Logf("figure wrong_results=%d", wrong.Load())
 	t.Logf("figure doubled_commits=%d", doubled)
 	t.Logf("figure lost_commits=%d", missing)
-	if leaked.Load()+foreign.Load()+wrong.Load() > 0 || doubled+missing > 0 || most > connections || p.c.Peak() > connections*5/4 || served.Load() < 10*lost.Load() {
+	if leaked.Load()+foreign.Load()+wrong.Load() > 0 || doubled+missing > 0 || most > connections || p.c.PeakConns() > connections*5/4 || served.Load() < 10*lost.Load() {
 		t.Errorf("%d commits were acknowledged", len(acked))
 	}
 }
@@ -270,7 +270,7 @@
 			t.Fatalf("after it: %.20q, %v", got, err)
 		}
 	}
-	if n := p.c.IDs()[long]; n != 3 {
+	if n := p.c.CommitsByID()[long]; n != 3 {
 		t.Errorf("the long value is committed %d times", n)
 	}
 }
--- a/cmd/yokemast/serve_test.go
+++ b/cmd/yokemast/serve_test.go
@@ -105,7 +105,7 @@
 				t.Errorf("answered %q, want %q", got, c.want)
 			}
 			d := regexp.MustCompile(`d=\d+`)
-			asked := h.Asked()
+			asked := h.Queries()
 			if len(asked) != c.sends {
 				t.Fatalf("sent %d times, want %d: %.200q", len(asked), c.sends, asked)
 			}
@@ -121,12 +121,12 @@
 	replica := newHost(t, "s-2", "follower", func(int, string) []byte { return nil })
 	g := start(t, nil, primary, replica)
 	c := g.client()
-	for i := 0; len(replica.Asked()) == 0 && i < 200; i++ {
+	for i := 0; len(replica.Queries()) == 0 && i < 200; i++ {
 		if got := c.Ask(read("k", comment("view", ""))); got != "row k" {
 			t.Fatalf("answered %q", got)
 		}
 	}
-	if len(replica.Asked()) == 0 {
+	if len(replica.Queries()) == 0 {
 		t.Error("no read was tried on the replica")
 	}
 }
@@ -136,7 +136,7 @@
 	primary := newHost(t, "s-1", "leader", nil)
 	replica := newHost(t, "s-2", "follower", func(int, string) []byte { return []byte{} })
 	primary.Script = func(_ int, query string) []byte {
-		if n := len(replica.Asked()); n > 0 {
+		if n := len(replica.Queries()); n > 0 {
 			for range n {
 				select {
 				case <-replica.Ended:
@@ -149,10 +149,10 @@
 	}
 	edit := func(c string) string { return strings.ReplaceAll(c, `"onTime":10000000000`, `"onTime":1000000000`) }
 	c := start(t, edit, primary, replica).client()
-	for i := 0; len(replica.Asked()) == 0 && i < 200; i++ {
+	for i := 0; len(replica.Queries()) == 0 && i < 200; i++ {
 		c.Ask(read("k", comment("view", "")))
 	}
-	if len(replica.Asked()) == 0 {
+	if len(replica.Queries()) == 0 {
 		t.Error("no read was tried on the replica")
 	}
 }
@@ -161,7 +161,7 @@
 	h := newHost(t, "s-1", "leader", func(int, string) []byte { return []byte{} })
 	c := start(t, nil, h).client()
 	c.Send(read("k", comment("own", "")))
-	for end := time.Now().Add(patience); len(h.Asked()) == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); len(h.Queries()) == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	c.Close()
@@ -174,7 +174,7 @@
 
 func TestConnectionThatTheHostClosedIsNotUsed(t *testing.T) {
 	h := newHost(t, "s-1", "leader", nil)
-	h.Brief = true
+	h.CloseAfterAnswer = true
 	c := start(t, nil, h).client()
 	for range 5 { // a write on a closed connection would end as a reset, and fail
 		if got := c.Ask(write("k", "9f", comment("order", ""))); got != "row k" {
@@ -188,7 +188,7 @@
 	for _, late := range []bool{false, true} {
 		h := newHost(t, "s-1", "leader", nil)
 		if late {
-			h.Trail = func(query string) []byte { return h.Row(query) } // the same again, when nothing waits for it
+			h.TrailingBytes = func(query string) []byte { return h.Row(query) } // the same again, when nothing waits for it
 		} else {
 			h.Script = func(_ int, query string) []byte { return append(h.Row(query), h.Row(query)...) }
 		}
@@ -207,8 +207,8 @@
 	c := g.client()
 	until := func(h *hosts.Host) {
 		t.Helper()
-		before := len(h.Asked())
-		for end := time.Now().Add(patience); len(h.Asked()) == before; {
+		before := len(h.Queries())
+		for end := time.Now().Add(patience); len(h.Queries()) == before; {
 			if got := c.Ask(write("k", "9f", comment("order", ""))); got != "row k" || time.Now().After(end) {
 				t.Fatalf("answered %q", got)
 			}
@@ -217,13 +217,13 @@
 	until(a)
 	for _, bad := range []string{`{`, `[]`, `{"revision":"x"}`, `{"revision":42,"complete":true,"members":[{}]}`,
 		`{"revision":42,"complete":true,"members":[{"id":"s-9","phase":"NEW","host_port":"127.0.0.1:1"}]}`} {
-		g.agent.Say(bad)
+		g.agent.AnswerWith(bad)
 	}
 	// Changes only: the host that is not named stays. Then a whole list, without it.
-	g.agent.Say(discovery.List(42, false, b.Entry("DRAINING")))
+	g.agent.AnswerWith(discovery.List(42, false, b.ListEntry("DRAINING")))
 	until(a)
-	g.agent.Say(discovery.List(43, true, b.Entry("SERVING")))
+	g.agent.AnswerWith(discovery.List(43, true, b.ListEntry("SERVING")))
 	until(b)
-	g.agent.Say(discovery.List(44, false, b.Entry("DELETED"), a.Entry("SERVING")))
+	g.agent.AnswerWith(discovery.List(44, false, b.ListEntry("DELETED"), a.ListEntry("SERVING")))
 	until(a)
 }
--- a/cmd/yokemast/signals_test.go
+++ b/cmd/yokemast/signals_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("the empty query is answered %q", got)
 	}
 	busy.Send(write("k", "9f", comment("order", "")))
-	for len(h.Asked()) == 0 {
+	for len(h.Queries()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	_ = g.cmd.Process.Signal(syscall.SIGUSR1)
@@ -83,7 +83,7 @@
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprint(w, discovery.List(7, true, a.Entry("DRAINING"), b.Entry("SERVING"))) // a lower revision than the old agent's
+		fmt.Fprint(w, discovery.List(7, true, a.ListEntry("DRAINING"), b.ListEntry("SERVING"))) // a lower revision than the old agent's
 	}))
 	defer func() { next.CloseClientConnections(); next.Close() }()
 	hup := func(config string, logged string) {
@@ -96,17 +96,17 @@
 	}
 	taken := g.client()
 	taken.Send(write("k", "9f", comment("order", "")))
-	for len(a.Asked()) < 2 {
+	for len(a.Queries()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	old, _ := os.ReadFile(g.path)
 	hup(strings.Replace(string(old), `"cores":1.0`, `"cores":0`, 1), "limits.cores")
-	if len(g.agent.Left) > 0 || len(calls) > 0 {
+	if len(g.agent.Canceled) > 0 || len(calls) > 0 {
 		t.Error("a bad configuration has an effect")
 	}
 	hup(strings.Replace(string(old), gjson.GetBytes(old, "discovery").Str, next.Listener.Addr().String(), 1), "read anew")
 	select {
-	case <-g.agent.Left: // at once: the old agent's call would have gone on for seconds
+	case <-g.agent.Canceled: // at once: the old agent's call would have gone on for seconds
 	case <-time.After(patience):
 		t.Error("the call to the old discovery goes on")
 	}
@@ -117,7 +117,7 @@
 		t.Errorf("the new discovery is asked %q", got)
 	}
 	c := g.client()
-	for end := time.Now().Add(patience); len(b.Asked()) == 0; { // the old primary is used until the hand-over
+	for end := time.Now().Add(patience); len(b.Queries()) == 0; { // the old primary is used until the hand-over
 		c.Send(read("k", comment("view", "")))
 		if got := c.Answer(); got != "row k" || time.Now().After(end) {
 			t.Fatalf("answered %q: %s", got, g.log)
--- a/cmd/yokemast/soak_age_test.go
+++ b/cmd/yokemast/soak_age_test.go
@@ -113,7 +113,7 @@
 		time.AfterFunc(e.For, func() { r.wake(old) })
 	case soak.HeldAnswers:
 		old.SetHang(hosts.AfterCommit)
-		time.AfterFunc(e.For, func() { old.SetHang(hosts.Awake) })
+		time.AfterFunc(e.For, func() { old.SetHang(hosts.NotHung) })
 	case soak.ReportsStop:
 		r.stopReports(c, true)
 		time.AfterFunc(e.For, func() { r.stopReports(c, false) })
@@ -137,7 +137,7 @@
 	if c := r.clusterOf(h); c.Primary() == nil {
 		r.lead(c, h)
 	}
-	h.SetHang(hosts.Awake)
+	h.SetHang(hosts.NotHung)
 }
 
 func (r *soakRun) stopReports(c *hosts.Cluster, stopped bool) {
--- a/cmd/yokemast/soak_group_test.go
+++ b/cmd/yokemast/soak_group_test.go
@@ -19,7 +19,7 @@
 	if phase == "" {
 		phase = "SERVING"
 	}
-	e := h.Entry(phase)
+	e := h.ListEntry(phase)
 	if l := n.links[h.ID]; l != nil {
 		e["host_port"] = l.Address()
 	}
@@ -73,7 +73,7 @@
 	if h.Restart() != nil {
 		return // it has been started meanwhile
 	}
-	started := h.Entry("SERVING")["up_since_ms"]
+	started := h.ListEntry("SERVING")["up_since_ms"]
 	time.AfterFunc(r.plan.StartLag, func() { r.relist(h, func() { r.starts[h.ID] = started }) })
 }
 
@@ -105,7 +105,7 @@
 		old.SetHang(hosts.BeforeCommit)
 		r.lead(c, nil)
 		time.AfterFunc(e.For/2, func() { r.takeOver(old) })
-		time.AfterFunc(e.For, func() { old.SetHang(hosts.Awake) })
+		time.AfterFunc(e.For, func() { old.SetHang(hosts.NotHung) })
 	case soak.HandOver:
 		r.lead(c, r.next(old))
 		time.AfterFunc(e.For, func() { r.lead(c, old) })
--- a/cmd/yokemast/soak_link_test.go
+++ b/cmd/yokemast/soak_link_test.go
@@ -36,7 +36,7 @@
 		},
 		Delivered: func(a linkfault.Answer) {
 			if a.Follower {
-				r.ledger.Follows(n.name, h.ID, a.Made)
+				r.ledger.FollowerDelivered(n.name, h.ID, a.Made)
 			}
 		},
 	}
--- a/cmd/yokemast/soak_test.go
+++ b/cmd/yokemast/soak_test.go
@@ -121,10 +121,10 @@
 func playSoak(t *testing.T, plan soak.Plan) {
 	r := &soakRun{t: t, plan: plan, stop: make(chan struct{}), phases: map[string]string{}, roles: map[string]string{},
 		starts: map[string]any{}, ledger: &rules.Ledger{Limits: rules.Limits{Grace: plan.Grace, Slack: 50 * time.Millisecond,
-			Window: plan.Window, Leave: 100 * time.Millisecond, KnownAfter: knownAfter + holdUp}}}
+			Window: plan.Window, DisconnectGrace: 100 * time.Millisecond, KnownWithin: knownAfter + holdUp}}}
 	stalls := stall.Start()
 	defer stalls.Stop()
-	r.ledger.Stalls = stalls.Lately
+	r.ledger.Stalls = stalls.Recent
 	r.startGroup("s-", plan.Hosts)
 	if plan.SecondGroup > 0 {
 		r.startGroup("t-", plan.SecondGroup)
@@ -150,7 +150,7 @@
 	r.events()
 	close(r.stop)
 	r.work.Wait()
-	if broken := r.ledger.Broken(); len(broken) > 0 {
+	if broken := r.ledger.Violations(); len(broken) > 0 {
 		t.Errorf("%+v\n%d rules broken, of them:\n%s", plan, len(broken), strings.Join(broken[:min(20, len(broken))], "\n"))
 		long, ended := stalls.Longest()
 		t.Logf("the machine held the test itself up for %s at most, until %.3f", long, float64(ended.UnixMilli())/1000)
@@ -170,7 +170,7 @@
 	if p.Window > 0 {
 		effect = fmt.Sprintf(`"effect":"dedup","keyTtl":%d`, p.Window)
 	}
-	if p.Ask {
+	if p.Poll {
 		mode = "ask"
 	}
 	read := fmt.Sprintf(`"effect":"retryable","group":"all","onTime":%d,"giveUp":%d,"credit":1`, p.Deadline/2, p.Deadline)
@@ -181,7 +181,7 @@
 			"mayCancel":true,"probes":true,"retryAfter":true},
 		"profiles":[{"name":"view",%s},{"name":"own",%s},
 			{"name":"order",%s,"group":"all","onTime":%d,"giveUp":%d,"credit":3,"lateWorth":0.7}],
-		"report":{"columns":["x0","x1"],"how":"piggyback"}}`, p.Gateways, mode, p.Grace, read, read, effect, p.Longest/2, p.Longest)
+		"report":{"columns":["x0","x1"],"how":"piggyback"}}`, p.Gateways, mode, p.Grace, read, read, effect, p.MaxDeadline/2, p.MaxDeadline)
 }
 
 func (r *soakRun) startNode(i int) {
@@ -197,7 +197,7 @@
 	n.agent.Before = n.before
 	n.agent.Answered = func(revision int) { r.answered(n, revision) }
 	n.second = httptest.NewServer(n.agent)
-	n.path = config(r.t, n.agent.Known(), n.agent.Listener.Addr().String(), func(s string) string {
+	n.path = config(r.t, n.agent.Snapshot(), n.agent.Listener.Addr().String(), func(s string) string {
 		s = strings.Replace(s, settingsJSON, soakSettings(r.plan), 1)
 		if r.network != nil {
 			s = r.withGossip(s, i)
@@ -237,7 +237,7 @@
 			}
 		}
 	}
-	r.ledger.Breaks("%s is not ready within %s (its process: %s)", n.name, patience, n.state())
+	r.ledger.AddViolation("%s is not ready within %s (its process: %s)", n.name, patience, n.state())
 }
 
 // state is the state of the gateway's process by the kernel's letter; Z: it has ended.
@@ -340,7 +340,7 @@
 	}
 	n.mu.Unlock()
 	if e.Kind == soak.AgentSilent {
-		n.agent.Silence()
+		n.agent.DropCalls()
 	}
 }
 
@@ -406,7 +406,7 @@
 		r.list(all[e.Target], "SERVING")
 	case soak.Hang:
 		all[e.Target].SetHang(hosts.BeforeCommit)
-		time.AfterFunc(e.For, func() { all[e.Target].SetHang(hosts.Awake) })
+		time.AfterFunc(e.For, func() { all[e.Target].SetHang(hosts.NotHung) })
 	case soak.Crash:
 		all[e.Target].Crash()
 		r.promote(all[e.Target])
@@ -490,7 +490,7 @@
 	for _, s := range append(append(before, syscall.SIGTERM), behind...) {
 		_ = cmd.Process.Signal(s)
 	}
-	kill := time.AfterFunc(min(max(r.plan.Longest, r.plan.Deadline), 3*time.Second)+700*time.Millisecond+raceExit(), func() {
+	kill := time.AfterFunc(min(max(r.plan.MaxDeadline, r.plan.Deadline), 3*time.Second)+700*time.Millisecond+raceExit(), func() {
 		_ = cmd.Process.Signal(syscall.SIGKILL)
 	})
 	_ = cmd.Wait()
@@ -518,7 +518,7 @@
 
 func (r *soakRun) clients() {
 	for i, n := range r.nodes {
-		for c := range r.plan.Clients + r.plan.Eager {
+		for c := range r.plan.Clients + r.plan.EagerClients {
 			rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(1000*i+c)))
 			r.work.Go(func() { r.client(n, rng, c >= r.plan.Clients) })
 		}
@@ -605,12 +605,12 @@
 	}
 	switch rng.IntN(4) {
 	case 0:
-		q.Class, q.Write, q.Wait, q.Value = "order", true, r.plan.Longest, soakValue(q.ID, byte(rng.IntN(256)))
+		q.Class, q.Write, q.Wait, q.Value = "order", true, r.plan.MaxDeadline, soakValue(q.ID, byte(rng.IntN(256)))
 		q.Repeatable = r.plan.Window > 0
 	case 1:
 		q.Class, q.After = "own", time.Now().Add(r.plan.Skew-time.Duration(rng.IntN(300))*time.Millisecond)
 	}
-	r.ledger.Via(q.ID, n.name)
+	r.ledger.SentVia(q.ID, n.name)
 	r.ledger.Asked(q.ID, q.Write, q.Repeatable, time.Now().Add(q.Wait+late))
 	_ = c.SetDeadline(time.Now().Add(q.Wait + 2*time.Second))
 	sent := time.Now()
@@ -618,7 +618,7 @@
 	if rng.IntN(30) == 0 { // it goes, without waiting
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 		_ = c.Close()
-		r.ledger.Leaves(q.ID)
+		r.ledger.Disconnected(q.ID)
 		return false
 	}
 	reply := c.ReadReply()
@@ -632,14 +632,14 @@
 	case reply.Code != "":
 		r.ledger.Answered(q.ID, rules.Failed)
 	case n.killedSince(sent): // what a process holds that is killed gets no answer
-		r.ledger.Left(q.ID)
+		r.ledger.Unanswered(q.ID)
 	default:
 		// Between two requests a gateway may close a connection; a request that crosses that was not read, and resets it.
-		if took, read := time.Since(sent).Round(time.Millisecond), !c.IsReset(unreadWithin); read || r.ledger.Came(q.ID) {
-			r.ledger.Breaks("%s: %s ends the connection without an answer %s after the request was sent, %s (%s, read: %t, came to a host: %t)", q.ID,
-				n.name, took, n.age(), q.Class, read, r.ledger.Came(q.ID))
+		if took, read := time.Since(sent).Round(time.Millisecond), !c.IsReset(unreadWithin); read || r.ledger.ReachedHost(q.ID) {
+			r.ledger.AddViolation("%s: %s ends the connection without an answer %s after the request was sent, %s (%s, read: %t, came to a host: %t)", q.ID,
+				n.name, took, n.age(), q.Class, read, r.ledger.ReachedHost(q.ID))
 		}
-		r.ledger.Left(q.ID)
+		r.ledger.Unanswered(q.ID)
 	}
 	return !reply.Closed
 }
--- a/cmd/yokemast/stale_clock_test.go
+++ b/cmd/yokemast/stale_clock_test.go
@@ -106,7 +106,7 @@
 		for _, h := range c.Hosts()[1:] {
 			h.SetLag(0)
 		}
-		c.Primary().SetHang(hosts.Awake)
+		c.Primary().SetHang(hosts.NotHung)
 	}
 }
 
--- a/cmd/yokemast/stale_reads_test.go
+++ b/cmd/yokemast/stale_reads_test.go
@@ -49,10 +49,10 @@
 // newStaleHosts makes the groups of hosts, before which no gateway runs yet.
 func newStaleHosts(t *testing.T, groups int, set func(*hosts.Host)) *staleBench {
 	t.Helper()
-	b := &staleBench{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 50 * time.Millisecond, KnownAfter: knownAfter}}}
+	b := &staleBench{ledger: &rules.Ledger{Limits: rules.Limits{Slack: 50 * time.Millisecond, KnownWithin: knownAfter}}}
 	stalls := stall.Start()
 	t.Cleanup(stalls.Stop)
-	b.ledger.Stalls = stalls.Lately
+	b.ledger.Stalls = stalls.Recent
 	for i := range groups {
 		cluster, err := hosts.NewCluster(i+1, fmt.Sprintf("s%d-", i+1), 3, b.ledger, func(h *hosts.Host) {
 			h.Work = 2 * time.Millisecond
@@ -119,7 +119,7 @@
 	b.t.Helper()
 	counts := b.ledger.Counts()
 	if counts.Stale > 0 {
-		for _, line := range b.ledger.Broken() {
+		for _, line := range b.ledger.Violations() {
 			if strings.Contains(line, "too old") {
 				b.t.Errorf("%d reads were served from data older than their class allows, the first: %s\n%s", counts.Stale, line, b.log)
 				break
@@ -134,7 +134,7 @@
 
 // entry is a host as discovery lists it, with the role that the list names, late as it is.
 func (b *staleBench) entry(h *hosts.Host, role string) map[string]any {
-	e := h.Entry("SERVING")
+	e := h.ListEntry("SERVING")
 	e["role"] = role
 	return e
 }
@@ -179,7 +179,7 @@
 
 // holdUps stops the process for 0.14 s again and again until the test ends.
 func (b *staleBench) holdUps() {
-	b.ledger.Limits.KnownAfter = knownAfter + holdUp
+	b.ledger.Limits.KnownWithin = knownAfter + holdUp
 	stop := make(chan struct{})
 	var held sync.WaitGroup
 	held.Go(func() {
--- a/cmd/yokemast/start_signal_test.go
+++ b/cmd/yokemast/start_signal_test.go
@@ -17,10 +17,10 @@
 
 // SIGHUPs in series from the moment in which the command line of the deploy file has become the program, before it can follow them.
 func TestReloadSignalsFromAProcesssFirstMomentDoNotEndIt(t *testing.T) {
-	agent := discovery.New(newHost(t, "h1", "leader", nil).Entry("SERVING"))
+	agent := discovery.New(newHost(t, "h1", "leader", nil).ListEntry("SERVING"))
 	t.Cleanup(agent.Close)
 	for range 10 {
-		path := config(t, agent.Known(), agent.Listener.Addr().String(), nil)
+		path := config(t, agent.Snapshot(), agent.Listener.Addr().String(), nil)
 		text, err := os.ReadFile("../../deploy/balancer.toml")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/yokemast/upgrade_test.go
+++ b/cmd/yokemast/upgrade_test.go
@@ -172,7 +172,7 @@
 func TestAnHeirAsksTheDiscoveryThatSIGHUPMovedTo(t *testing.T) {
 	h := newHost(t, "h1", "leader", nil)
 	old, _ := upgradable(t, h)
-	moved := discovery.New(h.Entry("SERVING"))
+	moved := discovery.New(h.ListEntry("SERVING"))
 	t.Cleanup(moved.Close)
 	text, _ := os.ReadFile(old.path)
 	old.reload(strings.Replace(string(text), gjson.GetBytes(text, "discovery").Str, moved.Listener.Addr().String(), 1))
--- a/example/toyserver/main.go
+++ b/example/toyserver/main.go
@@ -48,7 +48,7 @@
 	defer agent.Close()
 	for _, h := range cluster.Hosts() {
 		h.SetLag(c.Lag)
-		agent.Set(h.Entry("SERVING"))
+		agent.Set(h.ListEntry("SERVING"))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -119,10 +119,10 @@
 // can still be read, with zeros for what it lacks.
 func (c Config) replacedBy(_ Config, raw []byte) error {
 	root := gjson.ParseBytes(raw)
-	if err := c.shape.Fits(root); err != nil {
+	if err := c.shape.Check(root); err != nil {
 		return err
 	}
-	return settings.Positive(root.Get("settings"))
+	return settings.CheckPositive(root.Get("settings"))
 }
 
 // peersOf reads the addresses of the tier. A tier without any just does without.
--- a/internal/lifecycle/log.go
+++ b/internal/lifecycle/log.go
@@ -89,7 +89,7 @@
 func (g *gateway) logCounters() {
 	fields := g.counts.Fields()
 	if g.watcher != nil {
-		if ago, ok := g.watcher.HeardAgo(); ok {
+		if ago, ok := g.watcher.SinceLastAnswer(); ok {
 			fields = append(fields, zap.Duration("discovery_heard_ago", ago))
 		}
 	}
--- a/internal/lifecycle/pools.go
+++ b/internal/lifecycle/pools.go
@@ -37,8 +37,8 @@
 				return nil, nil, fmt.Errorf("pools.pool: %q: class %q is not one of the platform's that fits", p.Name, name)
 			}
 		}
-		made[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, Own: p.ReadAfterWrite, Write: p.Write,
-			Transaction: p.MaxTransaction, Idle: p.MaxIdle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, Most: p.MaxSessions, Stats: &frontend.PoolStats{}}
+		made[i] = &frontend.Pool{Name: p.Name, Mode: p.Mode, Group: p.Group, Read: p.Read, ReadAfterWrite: p.ReadAfterWrite, Write: p.Write,
+			MaxTransaction: p.MaxTransaction, MaxIdle: p.MaxIdle, MaxBatch: p.MaxBatch, MaxMessage: p.MaxMessage, MaxSessions: p.MaxSessions, Stats: &frontend.PoolStats{}}
 	}
 	takes := func(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 	return made, func(user, database string) *frontend.Pool {
@@ -57,7 +57,7 @@
 		Misses: counts.PreparedMisses.Get(), NoneFree: counts.HostsFull.Get()}
 	for _, p := range made {
 		s := p.Stats
-		r := control.PoolReport{Pool: p.Name, Mode: p.Mode.String(), Sessions: s.Sessions.Load(), Holding: s.Leased.Load(),
+		r := control.PoolReport{Pool: p.Name, Mode: p.Mode.String(), Sessions: s.Sessions.Load(), Holding: s.CheckedOut.Load(),
 			Batches: s.Batches.Load(), Transactions: s.Transactions.Load(), Lost: s.Lost.Load(), Cancels: s.Cancels.Load(),
 			Pinned: map[string]int64{}}
 		for i, name := range pooling.PinNames() {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -53,11 +53,11 @@
 	}
 	r.counts.Reloads.Add(1)
 	r.log.Info("configuration read anew", zap.String("discovery", c.Discovery))
-	r.watcher.Move(c.Discovery)
+	r.watcher.SetAddress(c.Discovery)
 	r.x.UpdateSettings(c.Settings.Balance)
 	connect, idle := connections(c.Settings)
-	r.hosts.Retune(connect, idle, c.Settings.Balance.ColdTime)
-	r.front.Retune(retryAdvice(c.Settings.Balance))
+	r.hosts.UpdateSettings(connect, idle, c.Settings.Balance.ColdTime)
+	r.front.SetRetryAfter(retryAdvice(c.Settings.Balance))
 	r.duty.retime(c.Settings.Balance.Classes)
 	r.c = c
 	return false
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -120,7 +120,7 @@
 	group.Go(func() error { return g.handleSignals(signals, again.read) })
 	group.Go(func() error {
 		defer stop()
-		g.duty.run(ctx, g.front.Held, g.apply)
+		g.duty.run(ctx, g.front.Connections, g.apply)
 		return nil
 	})
 	return group.Wait()
@@ -158,7 +158,7 @@
 			return admin.Serve(g.ctx, calls, g.duty, g.log, g.counts)
 		})
 	}
-	limits, prepared, wait := pooling.Limits{MinRest: backend.DefaultRest}, 0, time.Duration(0)
+	limits, prepared, wait := pooling.Limits{MinRest: backend.DefaultMinRest}, 0, time.Duration(0)
 	var pool func(user, database string) *frontend.Pool
 	if g.own != nil {
 		limits, prepared, wait = g.own.Pools.Limits, g.own.Pools.Prepared, g.own.Pools.Wait
@@ -168,15 +168,15 @@
 	}
 	clients, conns := g.connections()
 	connect, idle := connections(c.Settings)
-	g.hosts = backend.New(g.ctx, g.group, backend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, Pools: limits, Prepared: prepared,
-		Wait: wait, Seed: c.Seed, ColdTime: settings.ColdTime, ConnectTimeout: connect, IdleTimeout: idle, MaxConns: conns,
+	g.hosts = backend.New(g.ctx, g.group, backend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, Pools: limits, MaxPrepared: prepared,
+		MaxWait: wait, Seed: c.Seed, ColdTime: settings.ColdTime, ConnectTimeout: connect, IdleTimeout: idle, MaxConns: conns,
 		User: user, Database: database}, g.x)
 	g.front = frontend.New(frontend.Config{Clock: g.clock, Log: g.log, Counters: g.counts, MaxConns: clients, KeepIdle: c.Sockets / keepPart,
-		Share: c.Sockets / sharePart, Pool: pool, MaxBytes: int64(float64(c.MemoryMB) * (1 << 20) * statementPart), MaxLarge: g.heap() / largePart,
-		RetryAfter: retryAdvice(settings), Yes: g.duty.Ready, Emptied: g.duty.wake}, g.x)
+		MaxActive: c.Sockets / sharePart, Pool: pool, MaxBytes: int64(float64(c.MemoryMB) * (1 << 20) * statementPart), MaxLarge: g.heap() / largePart,
+		RetryAfter: retryAdvice(settings), Ready: g.duty.Ready, OnEmpty: g.duty.wake}, g.x)
 	g.watcher = discovery.NewWatcher(c.Discovery, c.Seed)
-	g.watcher.Begun = g.begun
-	g.watcher.Log, g.watcher.Counters, g.watcher.Clock, g.watcher.Members, g.watcher.Answered = g.log, g.counts, g.clock, g.x.Members, g.ready()
+	g.watcher.ProcessStart = g.begun
+	g.watcher.Log, g.watcher.Counters, g.watcher.Clock, g.watcher.OnList, g.watcher.OnFirstAnswer = g.log, g.counts, g.clock, g.x.Members, g.ready()
 	return g.operate()
 }
 
@@ -229,7 +229,7 @@
 	return sync.OnceFunc(func() {
 		g.log.Info("ready", zap.String("name", g.c.Name), zap.String("listen", g.c.Listen))
 		_ = g.duty.tell(service.Ready)
-		g.front.Ready()
+		g.front.SetReady()
 		g.succeed()
 	})
 }
@@ -240,7 +240,7 @@
 	g.firstDiscovery = g.c.Discovery
 	if inherited && known.Discovery == g.c.inFile && known.FirstDiscovery == g.c.Discovery { // the environment is still that of the elder's start
 		g.c.Discovery = g.c.inFile
-		g.watcher.Move(g.c.Discovery)
+		g.watcher.SetAddress(g.c.Discovery)
 	}
 	if len(g.c.Known.Members) > 0 {
 		g.x.Members(exchange.List{Agent: g.c.Discovery, Revision: g.c.Known.Revision, At: g.begun, Snapshot: true, Hosts: g.c.Known.Members})
@@ -259,7 +259,7 @@
 		select {
 		case <-g.ctx.Done():
 		case <-time.After(readyWithin):
-			g.watcher.Answered()
+			g.watcher.OnFirstAnswer()
 		}
 		return nil
 	})
@@ -282,7 +282,7 @@
 	}
 	config := net.ListenConfig{}
 	if g.c.Admin != "" { // an upgrade may find no elder that answers
-		config.Control = socket.Share
+		config.Control = socket.ReusePort
 	}
 	l, err := socket.Listen(g.ctx, &config, g.c.Listen)
 	if err != nil {
@@ -295,16 +295,16 @@
 func (g *gateway) apply(v service.View) {
 	if v.AnswersDue > 0 {
 		g.x.BeginShutdown(v.AnswersDue)
-		g.front.Ending()
+		g.front.StopEviction()
 	}
 	if v.LimitsShared != g.shared {
 		g.shared = v.LimitsShared
 		debug.SetMemoryLimit(g.heap())
 		_, hosts := g.connections()
-		g.hosts.Limit(hosts)
-		g.front.Resize(g.heap() / largePart)
+		g.hosts.SetMaxConns(hosts)
+		g.front.SetMaxLarge(g.heap() / largePart)
 	}
-	g.front.Leave(v.NewProcess != service.NoNewProcess)
+	g.front.SetLeaveQueued(v.NewProcess != service.NoNewProcess)
 	switch {
 	case v.Accept && !g.accepting:
 		_ = g.listener.SetDeadline(time.Time{})
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -45,7 +45,7 @@
 }
 
 // pass gives the way by which connections are passed on; nil: they are not.
-func (u *upgrade) pass(wanted bool) frontend.Pass {
+func (u *upgrade) pass(wanted bool) frontend.HandOver {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !wanted || u.heir == nil {
--- a/internal/testbed/clients/clients.go
+++ b/internal/testbed/clients/clients.go
@@ -53,12 +53,12 @@
 
 // Reply is an answer.
 type Reply struct {
-	Value  []byte
-	Code   string        // of an error
-	After  time.Duration // of a refusal: when to come again
-	Empty  bool
-	Row    bool
-	Closed bool // the connection has ended behind it, or instead of it
+	Value      []byte
+	Code       string        // of an error
+	RetryAfter time.Duration // of a refusal: when to come again
+	Empty      bool
+	Row        bool
+	Closed     bool // the connection has ended behind it, or instead of it
 }
 
 // ReadReply reads up to ReadyForQuery or the end of the connection.
@@ -83,7 +83,7 @@
 			e := pg.ReadError(body)
 			out.Code = e.Code
 			if ms, err := strconv.Atoi(e.Detail); err == nil {
-				out.After = time.Duration(ms) * time.Millisecond
+				out.RetryAfter = time.Duration(ms) * time.Millisecond
 			}
 		case pg.ReadyForQuery:
 			return out
@@ -96,7 +96,7 @@
 	r := c.ReadReply()
 	said := "ready"
 	switch {
-	case r.Code != "" && r.After > 0:
+	case r.Code != "" && r.RetryAfter > 0:
 		said = r.Code + " come back"
 	case r.Code != "":
 		said = r.Code
@@ -200,7 +200,7 @@
 		case out.Code != "":
 			ledger.Answered(r.ID, rules.Failed)
 		default:
-			ledger.Left(r.ID)
+			ledger.Unanswered(r.ID)
 		}
 	}
 	return out
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -19,7 +19,7 @@
 // Server is the agent.
 type Server struct {
 	*httptest.Server
-	Left chan struct{} // gets one for each call that the gateway ended, while there is room
+	Canceled chan struct{} // gets one for each call that the gateway ended, while there is room
 	// Before, if set, is asked first at each call, of which n came before; true: it has answered, or has ended the call.
 	// It is set before the first call.
 	Before func(n int, w http.ResponseWriter, r *http.Request) bool
@@ -42,7 +42,7 @@
 
 // New starts an agent on loopback with a first list, of revision 41.
 func New(entries ...Entry) *Server {
-	s := &Server{Left: make(chan struct{}, 1000), revision: 41, entries: map[string]Entry{}, changed: map[string]int{},
+	s := &Server{Canceled: make(chan struct{}, 1000), revision: 41, entries: map[string]Entry{}, changed: map[string]int{},
 		wake: make(chan struct{}), raw: make(chan string, 10), stop: make(chan struct{})}
 	s.put(entries)
 	s.Server = httptest.NewServer(s)
@@ -75,8 +75,8 @@
 	s.wake = make(chan struct{})
 }
 
-// Drop takes hosts off the list without a word on them: those that watch are given a whole list.
-func (s *Server) Drop(ids ...string) {
+// Remove takes hosts off the list without a word on them: those that watch are given a whole list.
+func (s *Server) Remove(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -89,8 +89,8 @@
 	s.wake = make(chan struct{})
 }
 
-// Silence lets all calls that are out go unanswered for ever, as when their connections have died unnoticed.
-func (s *Server) Silence() {
+// DropCalls lets all calls that are out go unanswered for ever, as when their connections have died unnoticed.
+func (s *Server) DropCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silences++
@@ -111,8 +111,8 @@
 	fmt.Fprint(w, list)
 }
 
-// Say answers the next watch, or the one that waits, with this text.
-func (s *Server) Say(text string) { s.raw <- text }
+// AnswerWith answers the next watch, or the one that waits, with this text.
+func (s *Server) AnswerWith(text string) { s.raw <- text }
 
 // List writes a list in discovery's form.
 func List(revision int, complete bool, entries ...Entry) string {
@@ -133,8 +133,8 @@
 	return s.revision
 }
 
-// Known is the list as it stands, whole.
-func (s *Server) Known() string {
+// Snapshot is the list as it stands, whole.
+func (s *Server) Snapshot() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list(true, 0)
@@ -192,7 +192,7 @@
 			return
 		case <-r.Context().Done():
 			select {
-			case s.Left <- struct{}{}:
+			case s.Canceled <- struct{}{}:
 			default:
 			}
 			return
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -20,7 +20,7 @@
 
 // Ways to hang. Work that was begun goes on when the host comes back, whether anybody waits for it or not.
 const (
-	Awake        Hang = iota
+	NotHung      Hang = iota
 	BeforeCommit      // nothing is run until it comes back
 	AfterCommit       // it runs what comes, and answers nothing
 	ButProbes         // nothing is run until it comes back; probes are answered with the load report that it kept
@@ -113,8 +113,8 @@
 	c.commits[key] = append(c.commits[key], x)
 }
 
-// Last gives the value of a key that was committed last, also by copying; nil: there is none.
-func (c *Cluster) Last(key string) []byte {
+// LastValue gives the value of a key that was committed last, also by copying; nil: there is none.
+func (c *Cluster) LastValue(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if list := c.commits[key]; len(list) > 0 {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Peak is how many connections general hosts had at most, all together.
-func (c *Cluster) Peak() int {
+// PeakConns is how many connections general hosts had at most, all together.
+func (c *Cluster) PeakConns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peak
@@ -137,8 +137,8 @@
 	return c.count
 }
 
-// IDs gives how often the write of each request was committed here; those copied do not count.
-func (c *Cluster) IDs() map[string]int {
+// CommitsByID gives how often the write of each request was committed here; those copied do not count.
+func (c *Cluster) CommitsByID() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]int{}
@@ -156,9 +156,9 @@
 func (h *Host) SetHang(how Hang) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.hung == Awake && how != Awake {
+	if h.hung == NotHung && how != NotHung {
 		h.released = make(chan struct{})
-	} else if h.hung != Awake && how == Awake {
+	} else if h.hung != NotHung && how == NotHung {
 		close(h.released)
 	}
 	h.hung = how
@@ -180,7 +180,7 @@
 	if after != nil {
 		*after = how
 	}
-	if how == Awake || after != nil && how == AfterCommit {
+	if how == NotHung || after != nil && how == AfterCommit {
 		return false
 	}
 	<-released
@@ -191,7 +191,7 @@
 
 // Crash ends the process: connections are reset, new ones refused, what waited or ran is gone.
 func (h *Host) Crash() {
-	h.SetHang(Awake)
+	h.SetHang(NotHung)
 	h.cluster.standing(h) // it goes on from here
 	h.Listener.Close()
 	h.mu.Lock()
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	h.Chill()
+	h.StartCold()
 	h.mu.Lock()
 	h.Listener = l
 	h.log.appliedAt = time.Now() // nothing was applied while it was down
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// Chill makes the host cold from now on, as after a start.
-func (h *Host) Chill() {
+// StartCold makes the host cold from now on, as after a start.
+func (h *Host) StartCold() {
 	h.mu.Lock()
 	h.started = time.Now()
 	h.mu.Unlock()
@@ -299,7 +299,7 @@
 func (h *Host) work(s *pg.Statement, arrived time.Time) []byte {
 	h.mu.Lock()
 	life := h.life
-	full := h.slots != nil && h.waiting >= h.Room+h.Slots
+	full := h.slots != nil && h.waiting >= h.MaxQueue+h.Slots
 	if !full {
 		h.waiting++
 	}
@@ -366,7 +366,7 @@
 			other.put(s.Key, x)
 		}
 		if h.Ledger != nil {
-			h.Ledger.Made(s.ID, value)
+			h.Ledger.ValueProduced(s.ID, value)
 		}
 		// Commits are told rounded up: a millisecond later nothing of this one is missing.
 		return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), standing{Leader, at.Add(time.Millisecond)})
@@ -390,7 +390,7 @@
 	}
 	c.mu.Unlock()
 	if h.Ledger != nil {
-		h.Ledger.Made(s.ID, value)
+		h.Ledger.ValueProduced(s.ID, value)
 	}
 	return h.answer(pg.Value{Data: value, Format: 1}, s.Tag(), now)
 }
--- a/internal/testbed/hosts/general.go
+++ b/internal/testbed/hosts/general.go
@@ -61,7 +61,7 @@
 	}
 	s := h.take(c)
 	defer h.leave(s)
-	if _, err := c.Write(pg.AppendWelcomeAs(nil, pg.StartSession, pg.DefaultParameters(), s.key)); err != nil {
+	if _, err := c.Write(pg.AppendStartupResponseWith(nil, pg.StartSession, pg.DefaultParameters(), s.key)); err != nil {
 		return
 	}
 	var out []byte
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -30,13 +30,13 @@
 	Group   int
 	// Script answers a query; n counts from 0. nil closes the connection, empty stays silent. Without a script a host of a
 	// cluster serves its data, any other the query's own key as the row.
-	Script func(n int, query string) []byte
-	Admit  func(n int)                          // is called before a session is welcomed, which waits for it; n counts them from 0
-	Brief  bool                                 // closes after each answer
-	Trail  func(query string) []byte            // sent a moment after each answer
-	Raw    func(c io.Writer, query string) bool // writes the answer itself, in its own time; false: the connection ends
-	Ended  chan struct{}                        // gets one for each connection that has ended, while there is room
-	Log    func(format string, args ...any)
+	Script           func(n int, query string) []byte
+	OnSession        func(n int)                          // is called before a session is welcomed, which waits for it; n counts them from 0
+	CloseAfterAnswer bool                                 // closes after each answer
+	TrailingBytes    func(query string) []byte            // sent a moment after each answer
+	Raw              func(c io.Writer, query string) bool // writes the answer itself, in its own time; false: the connection ends
+	Ended            chan struct{}                        // gets one for each connection that has ended, while there is room
+	Log              func(format string, args ...any)
 	// General hosts of a cluster serve SQL of their own on connections that carry settings, statements and transactions.
 	General     bool
 	AfterCommit func() bool   // is asked after each commit of a general host: true closes the connection without an answer
@@ -50,7 +50,7 @@
 
 	// Of a host in a cluster: what it can do.
 	Slots    int           // requests that it runs at a time; 0: any number
-	Room     int           // requests that wait for a slot; more are turned away
+	MaxQueue int           // requests that wait for a slot; more are turned away
 	Work     time.Duration // that a request takes when the host is warm
 	ColdFrom float64       // part of its capacity that it has when it starts cold
 	ColdTime time.Duration
@@ -130,8 +130,8 @@
 	h.role = role
 }
 
-// Asked gives all queries so far but probes.
-func (h *Host) Asked() []string {
+// Queries gives all queries so far but probes.
+func (h *Host) Queries() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.queries...)
@@ -146,14 +146,14 @@
 	case h.General:
 		h.serveGeneral(c, in, parameters, kind)
 		return
-	case h.Admit != nil:
+	case h.OnSession != nil:
 		h.mu.Lock()
 		n := h.begun
 		h.begun++
 		h.mu.Unlock()
-		h.Admit(n)
+		h.OnSession(n)
 	}
-	if _, err := c.Write(pg.AppendWelcome(nil, pg.StartSession)); err != nil {
+	if _, err := c.Write(pg.AppendStartupResponse(nil, pg.StartSession)); err != nil {
 		return
 	}
 	asked := "" // the last request on this connection
@@ -210,11 +210,11 @@
 	if _, err := c.Write(answer); err == nil && bytes.Contains(answer, []byte("node_role\x00"+Follower)) {
 		h.tellFollower(c, *asked)
 	}
-	if h.Trail != nil {
-		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.Trail(query)) })
+	if h.TrailingBytes != nil {
+		time.AfterFunc(2*time.Millisecond, func() { _, _ = c.Write(h.TrailingBytes(query)) })
 		time.Sleep(4 * time.Millisecond) // what was written behind the query waits as long
 	}
-	return !h.Brief
+	return !h.CloseAfterAnswer
 }
 
 // tellFollower tells the ledger that the gateway which asked for a request has been answered, just now, by a follower.
@@ -283,8 +283,8 @@
 	return pg.AppendReady(append(h.notes(h.standing()), pg.AppendError(nil, &pg.Error{Code: code, Message: "no"})...))
 }
 
-// Entry is the host as discovery lists it, in a phase.
-func (h *Host) Entry(phase string) map[string]any {
+// ListEntry is the host as discovery lists it, in a phase.
+func (h *Host) ListEntry(phase string) map[string]any {
 	h.mu.Lock()
 	started := int64(0)
 	if !h.started.IsZero() {
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -72,7 +72,7 @@
 	if h.life != life {
 		return
 	}
-	if h.hung == Awake && !h.reports.stopped {
+	if h.hung == NotHung && !h.reports.stopped {
 		h.reports.text = text
 	}
 	h.reports.next = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
--- a/internal/testbed/hosts/report_test.go
+++ b/internal/testbed/hosts/report_test.go
@@ -65,7 +65,7 @@
 			h.SetHang(how)
 			time.Sleep(3 * time.Second)
 			h.cluster.Promote(h.cluster.hosts[1])
-			h.SetHang(Awake)
+			h.SetHang(NotHung)
 			if got := h.toldLoad(); got != before || !strings.HasSuffix(got, "x1=1") {
 				t.Errorf("woken it tells %q, before it told %q", got, before)
 			}
@@ -142,7 +142,7 @@
 		t.Fatalf("the statement is answered %q while the host hangs", got)
 	case <-time.After(50 * time.Millisecond):
 	}
-	h.SetHang(Awake)
+	h.SetHang(NotHung)
 	if got := <-answered; len(got) != 1 {
 		t.Errorf("the statement is answered %q after the host was woken", got)
 	}
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	ended := c.ended
 	c.mu.Unlock()
-	return !ended && socket.Quiet(c.gateway)
+	return !ended && socket.NothingReceived(c.gateway)
 }
 
 // wait waits for a time, and until a channel that is not nil is closed; false: the connection has ended.
@@ -158,7 +158,7 @@
 	case f.Kind == Silent, f.Kind == HoldsAnswers && toGateway:
 		return c.wait(0, over)
 	case f.Kind == DelaysAnswers && toGateway, f.Kind == DelaysQueries && !toGateway:
-		return c.wait(time.Until(k.at.Add(f.Most/2+time.Duration(c.link.draw(int64(f.Most/2))))), nil)
+		return c.wait(time.Until(k.at.Add(f.Max/2+time.Duration(c.link.draw(int64(f.Max/2))))), nil)
 	}
 	return true
 }
@@ -223,7 +223,7 @@
 		return false
 	}
 	if k.query && f.Kind == ResetsLater && c.link.draw(oneIn) == 0 {
-		time.AfterFunc(time.Duration(c.link.draw(int64(f.Most))), c.reset)
+		time.AfterFunc(time.Duration(c.link.draw(int64(f.Max))), c.reset)
 	}
 	return c.write(c.host, k.data, f, nil)
 }
@@ -283,9 +283,9 @@
 	switch {
 	case c.asked != "" || c.ended:
 	case f.Kind == ClosesIdle:
-		c.idle = time.AfterFunc(f.Most, func() { c.end(c.link.draw(2) == 0) })
+		c.idle = time.AfterFunc(f.Max, func() { c.end(c.link.draw(2) == 0) })
 	case f.Kind == ForgetsIdle:
-		c.idle = time.AfterFunc(f.Most, func() {
+		c.idle = time.AfterFunc(f.Max, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.lost = c.asked == ""
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -38,7 +38,7 @@
 // Fault is what a link does to its traffic.
 type Fault struct {
 	Kind Kind
-	Most time.Duration // bounds the times that its kind draws
+	Max  time.Duration // bounds the times that its kind draws
 }
 
 const (
@@ -218,7 +218,7 @@
 		l.mu.Unlock()
 	}()
 	if f, _ := l.current(); f.Kind == ComesUpLate && l.draw(lateOneIn) == 0 {
-		c.wait(time.Duration(l.draw(int64(f.Most))), nil)
+		c.wait(time.Duration(l.draw(int64(f.Max))), nil)
 	}
 	host, err := net.Dial("tcp4", l.target)
 	if err != nil {
--- a/internal/testbed/linkfault/linkfault_test.go
+++ b/internal/testbed/linkfault/linkfault_test.go
@@ -65,7 +65,7 @@
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(patience))
 	_, _ = c.Write(pg.AppendStartup(nil, "backend", "store"))
-	welcome := pg.AppendWelcome(nil, pg.StartSession)
+	welcome := pg.AppendStartupResponse(nil, pg.StartSession)
 	if _, err := io.ReadFull(c, make([]byte, len(welcome))); err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			l, _, _ := start(t, nil)
-			l.Begin(Fault{Kind: kind, Most: most})
+			l.Begin(Fault{Kind: kind, Max: most})
 			for range tries {
 				begun := time.Now()
 				c := open(t, l)
@@ -167,7 +167,7 @@
 	for _, c := range []net.Conn{one, two} {
 		go func() { _, _, err := ask(c); answers <- err }()
 	}
-	for until := time.Now().Add(patience); len(h.Asked()) < 2; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(patience); len(h.Queries()) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the queries do not arrive")
 		}
@@ -203,7 +203,7 @@
 	if err := <-answer; !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection ended with %v", err)
 	}
-	if asked := h.Asked(); len(asked) > 0 {
+	if asked := h.Queries(); len(asked) > 0 {
 		t.Errorf("the host was asked %q", asked)
 	}
 	if _, _, err := ask(open(t, l)); err != nil {
--- a/internal/testbed/rules/freshness.go
+++ b/internal/testbed/rules/freshness.go
@@ -64,7 +64,7 @@
 		return true
 	}
 	for _, word := range l.follows[notice{gateway, host}] {
-		if word.made.After(led.until) && sent.Sub(word.told) > l.Limits.KnownAfter+l.slack() {
+		if word.made.After(led.until) && sent.Sub(word.told) > l.Limits.KnownWithin+l.slack() {
 			return false
 		}
 	}
--- a/internal/testbed/rules/link.go
+++ b/internal/testbed/rules/link.go
@@ -21,9 +21,9 @@
 	delete(l.of(id).out, host)
 }
 
-// Follows says that an answer has just been written to a gateway by a link, which the host had made by a time, and which names it a
+// FollowerDelivered says that an answer has just been written to a gateway by a link, which the host had made by a time, and which names it a
 // follower.
-func (l *Ledger) Follows(gateway, host string, made time.Time) {
+func (l *Ledger) FollowerDelivered(gateway, host string, made time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.followsLocked(notice{gateway, host}, made)
--- a/internal/testbed/rules/link_test.go
+++ b/internal/testbed/rules/link_test.go
@@ -25,9 +25,9 @@
 			l.Notified("n", "h", time.Now())
 			l.SentTo("h", "a", time.Now(), time.Now().Add(2*time.Second), open)
 		}},
-		"comes long after its client left": {"", func(l *Ledger) { l.Leaves("a"); send(l, "h", open); arrive(l, "h") }},
+		"comes long after its client left": {"", func(l *Ledger) { l.Disconnected("a"); send(l, "h", open); arrive(l, "h") }},
 		"is sent long after its client left": {"after its client left", func(l *Ledger) {
-			l.Leaves("a")
+			l.Disconnected("a")
 			time.Sleep(151 * time.Millisecond)
 			send(l, "h", open)
 		}},
@@ -69,7 +69,7 @@
 			send(l, "h", closed)
 			l.AnsweredAsFollower("h", "a")
 			time.Sleep(time.Second)
-			l.Follows("n", "h", time.Now().Add(-time.Second))
+			l.FollowerDelivered("n", "h", time.Now().Add(-time.Second))
 			send(l, "h", open)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Minute), 0)
 		}},
@@ -77,7 +77,7 @@
 			l.Leadership("h", Leads)
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Second)
-			l.Follows("n", "h", time.Now().Add(-500*time.Millisecond))
+			l.FollowerDelivered("n", "h", time.Now().Add(-500*time.Millisecond))
 			time.Sleep(time.Second)
 			send(l, "h", open)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Minute), 0)
@@ -88,19 +88,19 @@
 			l.Leadership("h", Leads)
 			l.Leadership("h", Deposed)
 			time.Sleep(time.Second)
-			l.Follows("n", "h", made)
+			l.FollowerDelivered("n", "h", made)
 			time.Sleep(time.Second)
 			send(l, "h", open)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Minute), 0)
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &Ledger{Limits: Limits{Grace: time.Second, Leave: 100 * time.Millisecond, Window: time.Second,
-				Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond}}
-			l.Via("a", "n")
+			l := &Ledger{Limits: Limits{Grace: time.Second, DisconnectGrace: 100 * time.Millisecond, Window: time.Second,
+				Slack: 50 * time.Millisecond, KnownWithin: 100 * time.Millisecond}}
+			l.SentVia("a", "n")
 			l.of("a").write = true
 			c.do(l)
-			got := strings.Join(l.Broken(), "; ")
+			got := strings.Join(l.Violations(), "; ")
 			if c.want == "" && got != "" || !strings.Contains(got, c.want) {
 				t.Errorf("a request that %s: got %q, want %q", name, got, c.want)
 			}
--- a/internal/testbed/rules/rules.go
+++ b/internal/testbed/rules/rules.go
@@ -12,13 +12,13 @@
 
 // Limits are the figures of the rules.
 type Limits struct {
-	Window     time.Duration // in which a request that may have run may come again; 0: not checked
-	Leave      time.Duration // after its client has left nothing begins for a request; 0: not checked
-	Grace      time.Duration // nothing new to a host later than this after it was told to drain or go; 0: not checked
-	Slack      time.Duration // that every limit is longer on sockets
-	KnownAfter time.Duration // what an answer tells counts as known so long after it was written
-	Overload   float64       // times its capacity that a cold host may be sent; 0: not checked
-	OverloadIn time.Duration // over any such time
+	Window          time.Duration // in which a request that may have run may come again; 0: not checked
+	DisconnectGrace time.Duration // after its client has left nothing begins for a request; 0: not checked
+	Grace           time.Duration // nothing new to a host later than this after it was told to drain or go; 0: not checked
+	Slack           time.Duration // that every limit is longer on sockets
+	KnownWithin     time.Duration // what an answer tells counts as known so long after it was written
+	Overload        float64       // times its capacity that a cold host may be sent; 0: not checked
+	OverloadIn      time.Duration // over any such time
 }
 
 // Kind is how a request was answered.
@@ -142,8 +142,8 @@
 	}
 }
 
-// Made says that a host has made a value for a request.
-func (l *Ledger) Made(id string, value []byte) {
+// ValueProduced says that a host has made a value for a request.
+func (l *Ledger) ValueProduced(id string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.of(id)
@@ -159,8 +159,8 @@
 	}
 }
 
-// Left says that a client has gone away, or was cut off, without an answer.
-func (l *Ledger) Left(id string) {
+// Unanswered says that a client has gone away, or was cut off, without an answer.
+func (l *Ledger) Unanswered(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Unanswered++
@@ -238,7 +238,7 @@
 		l.counts.AfterDrain++
 		l.breaks("%s comes from %s to %s %v after that was notified that it drains", id, r.via, host, first.Sub(told))
 	}
-	if !r.left.IsZero() && l.Limits.Leave > 0 && first.Sub(r.left) > l.Limits.Leave+l.slack() {
+	if !r.left.IsZero() && l.Limits.DisconnectGrace > 0 && first.Sub(r.left) > l.Limits.DisconnectGrace+l.slack() {
 		l.counts.AfterLeaving++
 		l.breaks("%s comes to %s %v after its client left", id, host, first.Sub(r.left))
 	}
@@ -261,30 +261,30 @@
 	delete(l.of(id).began, host)
 }
 
-// Via says which gateway a request is asked of.
-func (l *Ledger) Via(id, gateway string) {
+// SentVia says which gateway a request is asked of.
+func (l *Ledger) SentVia(id, gateway string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.of(id).via = gateway
 }
 
-// Leaves says that a request's client goes away now, without waiting for the answer.
-func (l *Ledger) Leaves(id string) {
+// Disconnected says that a request's client goes away now, without waiting for the answer.
+func (l *Ledger) Disconnected(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.of(id).left = time.Now()
 	l.of(id).answers++
 }
 
-// Came says whether a request has come to a host.
-func (l *Ledger) Came(id string) bool {
+// ReachedHost says whether a request has come to a host.
+func (l *Ledger) ReachedHost(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.of(id).came
 }
 
-// Breaks notes a rule that somebody else has seen broken.
-func (l *Ledger) Breaks(rule string, args ...any) {
+// AddViolation notes a rule that somebody else has seen broken.
+func (l *Ledger) AddViolation(rule string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breaks(rule, args...)
@@ -354,8 +354,8 @@
 	}
 }
 
-// Told says that gateways were told now that a host drains or is gone; back ends that.
-func (l *Ledger) Told(host string, back bool) {
+// DrainAnnounced says that gateways were told now that a host drains or is gone; back ends that.
+func (l *Ledger) DrainAnnounced(host string, back bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.told == nil {
@@ -385,8 +385,8 @@
 	return l.counts
 }
 
-// Broken gives the rules that were broken, and requests that were asked and never answered.
-func (l *Ledger) Broken() []string {
+// Violations gives the rules that were broken, and requests that were asked and never answered.
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := append([]string(nil), l.broken...)
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -27,8 +27,16 @@
 			time.Sleep(151 * time.Millisecond)
 			l.Read("h", "a", time.Now(), time.Now().Add(-time.Second), 0)
 		},
-		"no host made for it": func(l *Ledger) { l.Made("a", []byte("v")); l.Made("b", []byte("w")); l.ServedWith("a", []byte("w")) },
-		"after it was told":   func(l *Ledger) { l.Told("h", false); time.Sleep(1100 * time.Millisecond); l.Arrived("h", "a", 0) },
+		"no host made for it": func(l *Ledger) {
+			l.ValueProduced("a", []byte("v"))
+			l.ValueProduced("b", []byte("w"))
+			l.ServedWith("a", []byte("w"))
+		},
+		"after it was told": func(l *Ledger) {
+			l.DrainAnnounced("h", false)
+			time.Sleep(1100 * time.Millisecond)
+			l.Arrived("h", "a", 0)
+		},
 		"client stopped waiting": func(l *Ledger) {
 			l.Asked("a", false, true, soon())
 			time.Sleep(1100 * time.Millisecond)
@@ -43,24 +51,24 @@
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &Ledger{Limits: Limits{Grace: time.Second, Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond,
+			l := &Ledger{Limits: Limits{Grace: time.Second, Slack: 50 * time.Millisecond, KnownWithin: 100 * time.Millisecond,
 				Overload: 4, OverloadIn: time.Second}}
 			do(l)
-			got := strings.Join(l.Broken(), "; ")
+			got := strings.Join(l.Violations(), "; ")
 			if want == "" && got != "" || !strings.Contains(got, want) {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		l := &Ledger{Limits: Limits{Slack: 50 * time.Millisecond, KnownAfter: 100 * time.Millisecond}}
+		l := &Ledger{Limits: Limits{Slack: 50 * time.Millisecond, KnownWithin: 100 * time.Millisecond}}
 		old := func(id string) { l.Read("h", id, time.Now(), time.Now().Add(-time.Second), 0) }
 		l.Leadership("h", Leads)
 		old("a") // it leads
 		l.Leadership("h", Deposed)
 		old("a") // nobody has been told
 		time.Sleep(time.Millisecond)
-		l.Via("b", "n1")
+		l.SentVia("b", "n1")
 		l.AnsweredAsFollower("h", "b")
 		time.Sleep(100 * time.Millisecond)
 		old("b") // it need not know yet
@@ -74,21 +82,21 @@
 		time.Sleep(time.Second)
 		l.Restarted("n1", time.Now())
 		old("b") // the new process has been told nothing
-		if got := l.Broken(); len(got) != 0 {
+		if got := l.Violations(); len(got) != 0 {
 			t.Errorf("each of these reads is excused, it says %q", got)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		l := &Ledger{Limits: Limits{Grace: time.Second}}
-		l.Told("h", false)
-		l.Told("h", true)
+		l.DrainAnnounced("h", false)
+		l.DrainAnnounced("h", true)
 		time.Sleep(time.Minute)
 		l.Arrived("h", "a", 0)
 		l.Over("h", "a")
 		l.Arrived("i", "a", 0)
 		l.Asked("b", false, true, time.Now().Add(time.Second))
-		l.Left("b")
-		if got := l.Broken(); len(got) != 0 {
+		l.Unanswered("b")
+		if got := l.Violations(); len(got) != 0 {
 			t.Errorf("nothing is broken, it says %q", got)
 		}
 	})
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -89,8 +89,8 @@
 const (
 	ReportLeast, ReportMost = 59 * time.Millisecond, 190 * time.Millisecond // from one load report to the next
 	KnownWithin             = 100 * time.Millisecond                        // an answer, after it was written
-	ToldWithin              = 6 * time.Second                               // a change of the list
-	RoleToldWithin          = 5 * time.Second                               // a role on the list
+	ListedWithin            = 6 * time.Second                               // a change of the list
+	RoleListedWithin        = 5 * time.Second                               // a role on the list
 )
 
 // Ages are those of the fields that others send, by what carries them.
@@ -127,7 +127,7 @@
 		out += ", another leads"
 	}
 	if e.Kind == Link {
-		out += fmt.Sprintf(" to host %d %s (%s)", e.Host, e.Fault.Kind, e.Fault.Most.Round(time.Millisecond))
+		out += fmt.Sprintf(" to host %d %s (%s)", e.Host, e.Fault.Kind, e.Fault.Max.Round(time.Millisecond))
 	}
 	if e.Stalled {
 		out += ", logs stand still"
@@ -137,26 +137,26 @@
 
 // Plan is a run.
 type Plan struct {
-	Seed              uint64
-	Gateways, Hosts   int
-	Clients           int // of each gateway
-	Length            time.Duration
-	Grace             time.Duration    // of drains
-	Deadline, Longest time.Duration    // of reads, and of the class that waits longest
-	Window            time.Duration    // of the keyed class of writes; 0: writes must not run twice
-	Ask               bool             // lists are asked for, not pushed
-	Skew              time.Duration    // what the others' clock shows more than the machine's
-	Crowd             bool             // many more clients, that hold connections
-	Roles             Roles            // how the list tells them
-	RoleLag, StartLag time.Duration    // by which it tells roles and starts late
-	Lag               time.Duration    // of replicas
-	Gossip            bool             // gateways tell each other
-	Eager             int              // clients of each gateway that ask with hardly a pause, beside the others
-	SecondGroup       int              // hosts of a second group; 0: there is one group
-	Reports           [2]time.Duration // bounds of the time from one load report to the next
-	Ages              Ages
-	Linked            []bool // of each gateway, whether it reaches the hosts over links; nil: none does
-	Events            []Event
+	Seed                  uint64
+	Gateways, Hosts       int
+	Clients               int // of each gateway
+	Length                time.Duration
+	Grace                 time.Duration    // of drains
+	Deadline, MaxDeadline time.Duration    // of reads, and of the class that waits longest
+	Window                time.Duration    // of the keyed class of writes; 0: writes must not run twice
+	Poll                  bool             // lists are asked for, not pushed
+	Skew                  time.Duration    // what the others' clock shows more than the machine's
+	Crowd                 bool             // many more clients, that hold connections
+	Roles                 Roles            // how the list tells them
+	RoleLag, StartLag     time.Duration    // by which it tells roles and starts late
+	Lag                   time.Duration    // of replicas
+	Gossip                bool             // gateways tell each other
+	EagerClients          int              // clients of each gateway that ask with hardly a pause, beside the others
+	SecondGroup           int              // hosts of a second group; 0: there is one group
+	Reports               [2]time.Duration // bounds of the time from one load report to the next
+	Ages                  Ages
+	Linked                []bool // of each gateway, whether it reaches the hosts over links; nil: none does
+	Events                []Event
 }
 
 // New draws the plan of a seed.
@@ -167,7 +167,7 @@
 	}
 	p := Plan{Seed: seed, Gateways: 2 + rng.IntN(3), Hosts: 3 + rng.IntN(3), Clients: 4 + rng.IntN(5), Length: 16 * time.Second,
 		Grace: between(200*time.Millisecond, time.Second), Deadline: between(250*time.Millisecond, 800*time.Millisecond),
-		Longest: between(500*time.Millisecond, 3*time.Second), Ask: rng.IntN(3) == 0, Crowd: rng.IntN(4) == 0}
+		MaxDeadline: between(500*time.Millisecond, 3*time.Second), Poll: rng.IntN(3) == 0, Crowd: rng.IntN(4) == 0}
 	if rng.IntN(2) == 0 {
 		p.Window = between(300*time.Millisecond, 3*time.Second)
 	}
@@ -237,7 +237,7 @@
 		p.SecondGroup = 3
 	}
 	if rng.IntN(4) == 0 {
-		p.Eager = 12
+		p.EagerClients = 12
 	}
 	p.Reports = [2]time.Duration{ReportLeast, ReportMost}
 	startLag, roleLag := between(0, time.Second), between(0, time.Second)
@@ -250,15 +250,15 @@
 	}
 	switch p.Ages.Starts {
 	case Allowed:
-		p.StartLag = ToldWithin - startLag
+		p.StartLag = ListedWithin - startLag
 	case Older:
-		p.StartLag = ToldWithin + 2*startLag
+		p.StartLag = ListedWithin + 2*startLag
 	}
 	switch p.Ages.Roles {
 	case Allowed:
-		p.RoleLag = RoleToldWithin - roleLag
+		p.RoleLag = RoleListedWithin - roleLag
 	case Older:
-		p.RoleLag = RoleToldWithin + 3*roleLag
+		p.RoleLag = RoleListedWithin + 3*roleLag
 	}
 	for range 2 + rng.IntN(3) {
 		e := Event{At: between(500*time.Millisecond, last), For: between(300*time.Millisecond, 3*time.Second),
@@ -301,13 +301,13 @@
 		e.Fault.Kind = linkfault.Kinds[rng.IntN(len(linkfault.Kinds))]
 		switch e.Fault.Kind {
 		case linkfault.ComesUpLate:
-			e.Fault.Most = lateUpMost
+			e.Fault.Max = lateUpMost
 		case linkfault.ClosesIdle, linkfault.ForgetsIdle:
-			e.Fault.Most = between(10*time.Millisecond, 300*time.Millisecond)
+			e.Fault.Max = between(10*time.Millisecond, 300*time.Millisecond)
 		case linkfault.ResetsLater:
-			e.Fault.Most = between(100*time.Millisecond, 3*time.Second)
+			e.Fault.Max = between(100*time.Millisecond, 3*time.Second)
 		default:
-			e.Fault.Most = between(10*time.Millisecond, time.Second)
+			e.Fault.Max = between(10*time.Millisecond, time.Second)
 		}
 		p.Events = append(p.Events, e)
 	}
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -63,8 +63,8 @@
 			lag, within time.Duration
 		}{
 			{"report", p.Ages.Reports, p.Reports[1], ReportMost},
-			{"start", p.Ages.Starts, p.StartLag, ToldWithin},
-			{"role", p.Ages.Roles, p.RoleLag, RoleToldWithin},
+			{"start", p.Ages.Starts, p.StartLag, ListedWithin},
+			{"role", p.Ages.Roles, p.RoleLag, RoleListedWithin},
 		} {
 			if older := field.lag > field.within; older != (field.age == Older) {
 				t.Errorf("seed %d: a %s that is %s is told within %s, bound %s", seed, field.name, field.age, field.lag, field.within)
--- a/internal/testbed/stall/stall.go
+++ b/internal/testbed/stall/stall.go
@@ -78,9 +78,9 @@
 	return m.most.long, m.most.at
 }
 
-// Lately is the sum of the stalls of the last two seconds. One that still holds the monitor itself up counts: who asks may have got a
+// Recent is the sum of the stalls of the last two seconds. One that still holds the monitor itself up counts: who asks may have got a
 // processor before it.
-func (m *Monitor) Lately() (sum time.Duration) {
+func (m *Monitor) Recent() (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if long := time.Since(m.last) - every; long >= least {
--- a/internal/testbed/stall/stall_test.go
+++ b/internal/testbed/stall/stall_test.go
@@ -13,7 +13,7 @@
 	m.noteLocked(now, 30*time.Millisecond)
 	m.noteLocked(now, 20*time.Millisecond)
 	m.noteLocked(now, least/2)
-	if got := m.Lately(); got != 50*time.Millisecond {
+	if got := m.Recent(); got != 50*time.Millisecond {
 		t.Errorf("stalls of %s lately", got)
 	}
 }
@@ -32,9 +32,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &Monitor{last: time.Now()}
 		time.Sleep(time.Second + every) // with nobody that looks
-		before := m.Lately()
+		before := m.Recent()
 		m.look(time.Now())
-		if after := m.Lately(); before != time.Second || after != time.Second {
+		if after := m.Recent(); before != time.Second || after != time.Second {
 			t.Errorf("stalls of %s as it goes on, %s as it is over", before, after)
 		}
 	})
--- a/internal/wire/backend/attempt.go
+++ b/internal/wire/backend/attempt.go
@@ -193,7 +193,7 @@
 func (t *attempt) try() (again bool) {
 	result := func(r balance.Result) { t.end(exchange.Outcome{Outcome: balance.Outcome{Result: r}}) }
 	c, err := t.b.take(t.opening, t.Server, t.Deadline)
-	for end := t.Sent + t.b.cfg.Wait; errors.Is(err, errNoRoom); c, err = t.b.take(t.opening, t.Server, t.Deadline) {
+	for end := t.Sent + t.b.cfg.MaxWait; errors.Is(err, errNoRoom); c, err = t.b.take(t.opening, t.Server, t.Deadline) {
 		until := min(end, t.Deadline)
 		if t.StartBy > 0 {
 			until = min(until, t.StartBy)
--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -22,10 +22,10 @@
 	"yokemast/internal/wire/pg"
 )
 
-// DefaultRest is how long a connection rests after an answer before it is used again. A host that closes it right then, or
+// DefaultMinRest is how long a connection rests after an answer before it is used again. A host that closes it right then, or
 // sends an answer a second time just behind the first, does so by then: the next request on it would end as one that may
 // have run, or be served with what was made for another.
-const DefaultRest = 30 * time.Millisecond
+const DefaultMinRest = 30 * time.Millisecond
 
 // Reporter is told how attempts and probes ended.
 type Reporter interface {
@@ -57,9 +57,9 @@
 	ConnectTimeout time.Duration  // for a connection to come up, and for a probe's answer
 	ColdTime       time.Duration  // that a host is cold after its start
 	IdleTimeout    time.Duration  // a connection is closed after as much idling; below the hosts' own limit
-	Prepared       int            // statements that a connection keeps; 0: pooling.DefaultPrepared
+	MaxPrepared    int            // statements that a connection keeps; 0: pooling.DefaultPrepared
 	Pools          pooling.Limits // MaxConns and IdleTimeout stand over what they say of total and idle
-	Wait           time.Duration  // that an attempt waits for a connection where all are in use; 0: it is not sent
+	MaxWait        time.Duration  // that an attempt waits for a connection where all are in use; 0: it is not sent
 	Seed           uint64
 	MaxConns       int // open at a time, to all hosts together
 	User, Database string
@@ -159,8 +159,8 @@
 	return h == nil || h.until > 0 && now > h.until
 }
 
-// Retune changes how long a connection may take to come up, how long it may idle, and how long a host that starts is cold.
-func (b *Backend) Retune(connect, idle, cold time.Duration) {
+// UpdateSettings changes how long a connection may take to come up, how long it may idle, and how long a host that starts is cold.
+func (b *Backend) UpdateSettings(connect, idle, cold time.Duration) {
 	b.connect.Store(int64(connect))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -170,8 +170,8 @@
 
 func (b *Backend) connectTimeout() time.Duration { return time.Duration(b.connect.Load()) }
 
-// Limit changes how many connections may be open at a time, to all hosts together.
-func (b *Backend) Limit(n int) {
+// SetMaxConns changes how many connections may be open at a time, to all hosts together.
+func (b *Backend) SetMaxConns(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closeLocked(b.pools.SetTotal(n))
--- a/internal/wire/backend/backend_test.go
+++ b/internal/wire/backend/backend_test.go
@@ -140,7 +140,7 @@
 					c.Close()
 					continue
 				}
-				_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+				_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 				_, _, _ = pg.Read(in, 1000)
 				_, _ = c.Write(pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: []byte("x0=1,x1=0")}, "SHOW")))
 			}
@@ -178,7 +178,7 @@
 				defer c.Close()
 				in := bufio.NewReader(c)
 				_, _, _ = pg.ReadStartup(in)
-				_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+				_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 				for {
 					if _, _, err := pg.Read(in, 1000); err != nil {
 						return
@@ -231,7 +231,7 @@
 				}
 				<-ask("first", time.Minute)
 				<-came
-				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
+				time.Sleep(DefaultMinRest + 10*time.Millisecond) // the connection may be used again
 				member.State = balance.Draining
 				notified := time.Now()
 				time.Sleep(holdUp) // between the reading of the list and its handing over
@@ -241,8 +241,8 @@
 				<-ask("second", 2*time.Second)
 				select {
 				case at := <-came:
-					if late := at.Sub(notified) - grace - slack; late > stalls.Lately() {
-						t.Errorf("a request came %s after the grace (the machine stalled for %s)", late+slack, stalls.Lately())
+					if late := at.Sub(notified) - grace - slack; late > stalls.Recent() {
+						t.Errorf("a request came %s after the grace (the machine stalled for %s)", late+slack, stalls.Recent())
 					}
 				default:
 				}
--- a/internal/wire/backend/cancel_test.go
+++ b/internal/wire/backend/cancel_test.go
@@ -27,7 +27,7 @@
 		_, _ = c.Write(append(role("leader"), pg.AppendReady(pg.AppendRow(nil, pg.Value{Data: values[n%2]}, ""))...))
 	})
 	release := func(o exchange.Outcome) {
-		if rest := o.Value.(pg.Value).Rest; rest != nil {
+		if rest := o.Value.(pg.Value).Stream; rest != nil {
 			rest.Close()
 		}
 	}
--- a/internal/wire/backend/conn.go
+++ b/internal/wire/backend/conn.go
@@ -89,7 +89,7 @@
 }
 
 // alive says whether the host has neither closed an idle connection nor written to it.
-func (c *conn) alive() bool { return c.in.Buffered() == 0 && socket.Quiet(c) }
+func (c *conn) alive() bool { return c.in.Buffered() == 0 && socket.NothingReceived(c) }
 
 // unspoken says that nothing has come on the connection that would pass for the answer to a query which is about to be written: the
 // process may have been held up since the connection was taken. On a new one nothing can come that is left of another.
@@ -127,7 +127,7 @@
 
 // head reads the head of a message of an answer.
 func (c *conn) head() (kind byte, length int, err error) {
-	kind, length, err = pg.Head(c.in)
+	kind, length, err = pg.ReadHead(c.in)
 	switch {
 	case err != nil:
 	case length > longest(kind) || longest(kind) == 0:
@@ -142,7 +142,7 @@
 func (c *conn) receive() (kind byte, body []byte, err error) {
 	kind, length, err := c.head()
 	if err == nil {
-		body, err = pg.Body(c.in, length, length)
+		body, err = pg.ReadBody(c.in, length, length)
 	}
 	return kind, body, err
 }
@@ -225,7 +225,7 @@
 		}
 		var body []byte
 		if err == nil {
-			body, err = pg.Body(c.in, length, length)
+			body, err = pg.ReadBody(c.in, length, length)
 		}
 		if err == nil {
 			switch kind {
@@ -271,7 +271,7 @@
 		switch {
 		case timedOut(err):
 			return r.broken(balance.TimedOut)
-		case err == nil, errors.Is(err, errSpoilt), errors.Is(err, pg.ErrFraming), errors.As(err, new(pg.TooLong)):
+		case err == nil, errors.Is(err, errSpoilt), errors.Is(err, pg.ErrFraming), errors.As(err, new(pg.TooLongError)):
 			return r.broken(balance.Garbled)
 		}
 		return r.broken(balance.Reset)
--- a/internal/wire/backend/evidence_test.go
+++ b/internal/wire/backend/evidence_test.go
@@ -86,7 +86,7 @@
 				defer c.Close()
 				in := bufio.NewReader(c)
 				_, _, _ = pg.ReadStartup(in)
-				_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+				_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 				serve(c, in)
 			}()
 		}
@@ -269,7 +269,7 @@
 		if o.Role != balance.Unknown || o.Result != balance.OK {
 			t.Fatalf("at its first bytes it ends with %+v", o.Outcome)
 		}
-		rest := o.Value.(pg.Value).Rest
+		rest := o.Value.(pg.Value).Stream
 		buffer := make([]byte, 4096)
 		for err := error(nil); err == nil; {
 			_, err = rest.Read(buffer)
@@ -311,7 +311,7 @@
 			r.clock.Inherit(now, fleetclock.Interval{})
 			r.b.Send(exchange.Attempt{ID: "a", Server: "s", Command: outcomes(nil), Sent: now, Deadline: now + soon,
 				Demand: balance.Demand{MaxAge: time.Second}})
-			rest := wait(t, r.outcomes, "the outcome").Value.(pg.Value).Rest
+			rest := wait(t, r.outcomes, "the outcome").Value.(pg.Value).Stream
 			defer rest.Close()
 			var err error
 			for buffer := make([]byte, 4096); err == nil; {
--- a/internal/wire/backend/incoming.go
+++ b/internal/wire/backend/incoming.go
@@ -23,7 +23,7 @@
 // Read is io.Reader's.
 func (i *incoming) Read(p []byte) (int, error) {
 	if !i.late {
-		n, err := socket.Steady{Conn: i.conn}.Read(p)
+		n, err := socket.RetryConn{Conn: i.conn}.Read(p)
 		if !i.drain || !timedOut(err) {
 			return n, err
 		}
--- a/internal/wire/backend/lease.go
+++ b/internal/wire/backend/lease.go
@@ -19,11 +19,11 @@
 type Conversation interface {
 	// Converse speaks with a host until it is through or the connection fails, and says how that ended. It may be called
 	// once more, with another host, only if what it said allows that.
-	Converse(h *Host) Ending
+	Converse(h *Host) ConversationResult
 }
 
-// Ending is how a conversation ended.
-type Ending struct {
+// ConversationResult is how a conversation ended.
+type ConversationResult struct {
 	Result balance.Result
 	Clean  bool          // the connection can serve others: nothing is out on it, no transaction is open
 	Busy   time.Duration // that the host took, without what its client took
@@ -40,10 +40,10 @@
 	written  atomic.Int64  // when that batch had been written, in nanoseconds; 0: not yet
 }
 
-// Link is what the connection has been set up with.
-func (h *Host) Link() *pooling.ConnState {
+// ConnState is what the connection has been set up with.
+func (h *Host) ConnState() *pooling.ConnState {
 	if h.c.link == nil {
-		h.c.link = pooling.NewConnState(h.t.b.cfg.Prepared)
+		h.c.link = pooling.NewConnState(h.t.b.cfg.MaxPrepared)
 	}
 	return h.c.link
 }
@@ -60,14 +60,14 @@
 	return err
 }
 
-// Begin says that another batch is about to be written.
-func (h *Host) Begin() {
+// BeginBatch says that another batch is about to be written.
+func (h *Host) BeginBatch() {
 	h.position = 0
 	h.written.Store(0)
 }
 
-// Untold says that the host has not told yet that what it gives is not TooOld.
-func (h *Host) Untold() bool {
+// DemandUnmet says that the host has not told yet that what it gives is not TooOld.
+func (h *Host) DemandUnmet() bool {
 	return h.t.Demand != (balance.Demand{}) && (h.position == 0 || h.TooOld())
 }
 
@@ -77,14 +77,14 @@
 	return h.t.refuted(&reply{role: h.notes.role, position: h.position}, written)
 }
 
-// Late says that what is read from the host came past the conversation's time: it counts for what the host says of itself only.
-func (h *Host) Late() bool { return h.c.incoming.late }
+// PastDeadline says that what is read from the host came past the conversation's time: it counts for what the host says of itself only.
+func (h *Host) PastDeadline() bool { return h.c.incoming.late }
 
 // Head reads the head of the next message. What the host notes of itself is taken out of the stream.
-func (h *Host) Head() (kind byte, length int, err error) { return pg.Head(h.c.in) }
+func (h *Host) Head() (kind byte, length int, err error) { return pg.ReadHead(h.c.in) }
 
 // Body reads the body of a message whose head was read, up to most bytes.
-func (h *Host) Body(length, most int) ([]byte, error) { return pg.Body(h.c.in, length, most) }
+func (h *Host) Body(length, most int) ([]byte, error) { return pg.ReadBody(h.c.in, length, most) }
 
 // Copy passes a body on without holding it whole.
 func (h *Host) Copy(to io.Writer, length int) error {
@@ -92,8 +92,8 @@
 	return err
 }
 
-// Note takes a ParameterStatus of the host's; it says whether that was a note of the host's on itself, which is no client's.
-func (h *Host) Note(body []byte) bool {
+// HandleStatement takes a ParameterStatus of the host's; it says whether that was a note of the host's on itself, which is no client's.
+func (h *Host) HandleStatement(body []byte) bool {
 	name, _, err := pg.Parameter(body)
 	if err != nil {
 		return false
@@ -121,11 +121,11 @@
 // ForgetPosition drops what was told before: Position then tells only what comes after.
 func (h *Host) ForgetPosition() { h.notes.position = 0 }
 
-// Limit bounds what is read from the host from now on.
-func (h *Host) Limit(within time.Duration) { _ = h.c.SetReadDeadline(time.Now().Add(within)) }
+// SetReadTimeout bounds what is read from the host from now on.
+func (h *Host) SetReadTimeout(within time.Duration) { _ = h.c.SetReadDeadline(time.Now().Add(within)) }
 
-// Quiet says that the host has sent nothing beyond what was read.
-func (h *Host) Quiet() bool { return h.c.in.Buffered() == 0 }
+// InputEmpty says that the host has sent nothing beyond what was read.
+func (h *Host) InputEmpty() bool { return h.c.in.Buffered() == 0 }
 
 // Cancel asks the host to cancel what runs on this connection, and waits until the host has taken the request: what runs there
 // next must not be hit by it.
@@ -170,7 +170,7 @@
 	c.incoming.drain = false
 	t.mu.Lock()
 	t.conn = nil
-	c.clean = end.Clean && !t.ended && !h.Late() && c.in.Buffered() == 0
+	c.clean = end.Clean && !t.ended && !h.PastDeadline() && c.in.Buffered() == 0
 	t.mu.Unlock()
 	t.b.put(t.Server, c)
 	h.notes.result = end.Result
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -53,7 +53,7 @@
 
 // repeatedAge is by how much the answer to an earlier query is older than the next one on its connection, which rests between them;
 // the rest of DefaultRest is for a host whose clock is read a little early.
-const repeatedAge = DefaultRest * 2 / 3
+const repeatedAge = DefaultMinRest * 2 / 3
 
 // repeated says that an answer proves to be that to an earlier query on its connection, come once more.
 func (t *attempt) repeated(c *conn, r *reply, sent time.Duration) bool {
--- a/internal/wire/backend/repeated_answer_test.go
+++ b/internal/wire/backend/repeated_answer_test.go
@@ -59,14 +59,14 @@
 				}
 				r.b.mu.Unlock()
 			}
-			time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
+			time.Sleep(DefaultMinRest + 10*time.Millisecond) // the connection may be used again
 			var readings atomic.Int64
 			held := r.clock.WithReadHook(func() {
 				if readings.Add(1) != reading+1 {
 					return
 				}
 				_, _ = host.Write(answer("first"))
-				for socket.Quiet(kept) {
+				for socket.NothingReceived(kept) {
 					time.Sleep(time.Millisecond)
 				}
 			})
@@ -93,10 +93,10 @@
 	}{
 		"of its query":               {"leader", 0, true, false, balance.OK},
 		"of a host's moment before":  {"leader", 10 * time.Millisecond, true, false, balance.OK},
-		"of an earlier query":        {"leader", 2 * DefaultRest, true, false, balance.Garbled},
-		"of a replica that lags":     {"follower", 2 * DefaultRest, true, false, balance.OK},
-		"of an earlier keyed write":  {"leader", 2 * DefaultRest, true, true, balance.OK},
-		"while the clock is unknown": {"leader", 2 * DefaultRest, false, false, balance.OK},
+		"of an earlier query":        {"leader", 2 * DefaultMinRest, true, false, balance.Garbled},
+		"of a replica that lags":     {"follower", 2 * DefaultMinRest, true, false, balance.OK},
+		"of an earlier keyed write":  {"leader", 2 * DefaultMinRest, true, true, balance.OK},
+		"while the clock is unknown": {"leader", 2 * DefaultMinRest, false, false, balance.OK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r *rig
@@ -122,7 +122,7 @@
 				if o := wait(t, r.outcomes, id); o.Result != want {
 					t.Errorf("the %s request ends with %v, want %v", id, o.Result, want)
 				}
-				time.Sleep(DefaultRest + 10*time.Millisecond) // the connection may be used again
+				time.Sleep(DefaultMinRest + 10*time.Millisecond) // the connection may be used again
 			}
 		})
 	}
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -106,7 +106,7 @@
 	s, b := r.stream, t.b
 	s.r = reply{result: balance.OK, role: r.role, position: r.position, report: r.report} // for the end: until then nothing that it tells is believed
 	s.tooOld = func() bool { return t.refuted(&s.r, r.written) }
-	r.value.Size, r.value.Rest = s.size, s
+	r.value.Size, r.value.Stream = s.size, s
 	o := exchange.Outcome{Outcome: balance.Outcome{Result: balance.OK}, Value: r.value}
 	if !t.finish(o, -1, true) { // given up meanwhile, and closed under it
 		b.put(t.Server, s.c)
--- a/internal/wire/backend/unread_word_test.go
+++ b/internal/wire/backend/unread_word_test.go
@@ -77,7 +77,7 @@
 	_ = host.SetDeadline(time.Now().Add(soon))
 	go func() { _, _ = host.Write(make([]byte, 64<<20)) }()
 	i := &incoming{conn: n.(*net.TCPConn), drain: true}
-	for socket.Quiet(i.conn) {
+	for socket.NothingReceived(i.conn) {
 		time.Sleep(time.Millisecond)
 	}
 	_ = i.conn.SetReadDeadline(time.Now().Add(-time.Second))
@@ -122,7 +122,7 @@
 	later := r.clock.Now() // the first word speaks against nothing decided from here on
 	first := r.b.attempts[key{"first", 0}].conn
 	close(rest)
-	for socket.Quiet(first) {
+	for socket.NothingReceived(first) {
 		time.Sleep(time.Millisecond)
 	}
 	r.b.Cancel("first", 0)
@@ -148,7 +148,7 @@
 	late              bool // what it read came past its time
 }
 
-func (k *talk) Converse(h *Host) Ending {
+func (k *talk) Converse(h *Host) ConversationResult {
 	defer close(k.read)
 	_ = h.Write(pg.AppendQuery(nil, "x"))
 	close(k.asked)
@@ -156,11 +156,11 @@
 	for {
 		kind, length, err := h.Head()
 		if err != nil {
-			return Ending{Result: balance.Reset}
+			return ConversationResult{Result: balance.Reset}
 		}
 		body, _ := h.Body(length, length)
-		if k.late = h.Late(); kind == pg.ParameterStatus {
-			h.Note(body)
+		if k.late = h.PastDeadline(); kind == pg.ParameterStatus {
+			h.HandleStatement(body)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 			r.b.Send(exchange.Attempt{ID: "first", Server: "s", Sent: before, Deadline: before + 100*time.Millisecond, Command: k})
 			wait(t, k.asked, "the query")
 			first := r.b.attempts[key{"first", 0}].conn
-			for socket.Quiet(first) {
+			for socket.NothingReceived(first) {
 				time.Sleep(time.Millisecond)
 			}
 			c.end(r, first)
--- a/internal/wire/backend/write_by_test.go
+++ b/internal/wire/backend/write_by_test.go
@@ -20,11 +20,11 @@
 
 func (bulky) AppendQuery([]byte, time.Duration) []byte { return bulkyQuery() }
 
-func (bulky) Converse(h *Host) Ending {
+func (bulky) Converse(h *Host) ConversationResult {
 	if h.Write(bulkyQuery()) != nil {
-		return Ending{Result: balance.Reset}
+		return ConversationResult{Result: balance.Reset}
 	}
-	return Ending{Result: balance.OK}
+	return ConversationResult{Result: balance.OK}
 }
 
 // plain is a bulky command that is no conversation.
@@ -46,7 +46,7 @@
 				_, _ = in.Peek(1)
 				close(begun)
 				<-over
-				_, length, _ := pg.Head(in)
+				_, length, _ := pg.ReadHead(in)
 				_, err := io.CopyN(io.Discard, in, int64(length))
 				whole <- length > 0 && err == nil
 			})
@@ -76,17 +76,17 @@
 // short is a conversation of one query.
 type short struct{}
 
-func (short) Converse(h *Host) Ending {
+func (short) Converse(h *Host) ConversationResult {
 	if h.Write(pg.AppendQuery(nil, "x")) != nil {
-		return Ending{Result: balance.Reset}
+		return ConversationResult{Result: balance.Reset}
 	}
 	for {
 		kind, length, err := h.Head()
 		if err != nil {
-			return Ending{Result: balance.Reset}
+			return ConversationResult{Result: balance.Reset}
 		}
 		if _, _ = h.Body(length, length); kind == pg.ReadyForQuery {
-			return Ending{Result: balance.OK, Clean: true}
+			return ConversationResult{Result: balance.OK, Clean: true}
 		}
 	}
 }
--- a/internal/wire/discovery/notified_test.go
+++ b/internal/wire/discovery/notified_test.go
@@ -30,13 +30,13 @@
 func play(revision int64) *played {
 	p := &played{}
 	w := NewWatcher("a", 1)
-	w.Log, w.Counters, w.Clock, w.Answered = zap.NewNop(), &counters.Set{}, exchange.NewClock(), func() {}
-	w.Members = func(l exchange.List) {
+	w.Log, w.Counters, w.Clock, w.OnFirstAnswer = zap.NewNop(), &counters.Set{}, exchange.NewClock(), func() {}
+	w.OnList = func(l exchange.List) {
 		p.notified, p.revisions = append(p.notified, l.At), append(p.revisions, w.Revision())
 		p.agents = append(p.agents, l.Agent)
 	}
 	p.began = w.Clock.Now()
-	w.Begun = p.began - 400*ms
+	w.ProcessStart = p.began - 400*ms
 	p.session = &session{Watcher: w, ctx: context.Background(), cancels: map[int]context.CancelFunc{}, decisions: listwatch.New("a", revision, 1)}
 	return p
 }
--- a/internal/wire/discovery/watch.go
+++ b/internal/wire/discovery/watch.go
@@ -39,12 +39,12 @@
 
 // Watcher follows the list: it carries out the calls that listwatch decides on.
 type Watcher struct {
-	Log      *zap.Logger
-	Counters *counters.Set
-	Clock    exchange.Clock
-	Begun    time.Duration // the process's first moment, by Clock
-	Members  func(exchange.List)
-	Answered func() // called once, when the agent has answered for the first time
+	Log           *zap.Logger
+	Counters      *counters.Set
+	Clock         exchange.Clock
+	ProcessStart  time.Duration // the process's first moment, by Clock
+	OnList        func(exchange.List)
+	OnFirstAnswer func() // called once, when the agent has answered for the first time
 
 	seed     uint64
 	revision atomic.Int64  // of the last answer
@@ -65,14 +65,14 @@
 // Revision is that of the last answer whose list was handed over; below 0: there was none from the present agent.
 func (w *Watcher) Revision() int64 { return w.revision.Load() }
 
-// HeardAgo is how long ago discovery was last heard; not ok: it never was.
-func (w *Watcher) HeardAgo() (ago time.Duration, ok bool) {
+// SinceLastAnswer is how long ago discovery was last heard; not ok: it never was.
+func (w *Watcher) SinceLastAnswer() (ago time.Duration, ok bool) {
 	at := w.heardAt.Load()
 	return w.Clock.Now() - time.Duration(at), at > 0
 }
 
-// Move goes on at another address; the present one changes nothing.
-func (w *Watcher) Move(address string) {
+// SetAddress goes on at another address; the present one changes nothing.
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	w.address = address
 	w.mu.Unlock()
@@ -195,12 +195,12 @@
 	if r.list.Complete || len(r.list.Members) > 0 {
 		s.Log.Info("hosts listed", zap.Bool("whole", r.list.Complete), zap.Int64("revision", r.list.Revision), zap.Int("entries", len(r.list.Members)),
 			zap.String("agent", r.call.Address), zap.Duration("handled_after", now-r.at), zap.Duration("notified_before", r.at-notified))
-		s.Members(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Snapshot: r.list.Complete, Hosts: r.list.Members})
+		s.OnList(exchange.List{Agent: s.agent(r.call), Revision: r.list.Revision, At: notified, Snapshot: r.list.Complete, Hosts: r.list.Members})
 	}
 	s.revision.Store(s.decisions.Revision())
 	if !s.answered {
 		s.answered = true
-		s.Watcher.Answered()
+		s.Watcher.OnFirstAnswer()
 	}
 }
 
@@ -220,7 +220,7 @@
 	since := r.at
 	switch {
 	case !s.answered:
-		since = s.Begun
+		since = s.ProcessStart
 	case s.missed, r.call.Address == s.heardFrom && r.at-r.call.Began <= promptly+s.decisions.Latency():
 		since = time.Duration(s.heardAt.Load())
 	}
--- a/internal/wire/discovery/watch_test.go
+++ b/internal/wire/discovery/watch_test.go
@@ -62,9 +62,9 @@
 	l := shallow(t)
 	w := NewWatcher(l.Addr().String(), 1)
 	got := make(chan bool, 100)
-	w.Log, w.Counters, w.Answered = zap.NewNop(), &counters.Set{}, func() {}
+	w.Log, w.Counters, w.OnFirstAnswer = zap.NewNop(), &counters.Set{}, func() {}
 	w.Clock = exchange.NewClock()
-	w.Members = func(exchange.List) { got <- true }
+	w.OnList = func(exchange.List) { got <- true }
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = w.Run(ctx, 0) }()
--- a/internal/wire/frontend/accept_end_test.go
+++ b/internal/wire/frontend/accept_end_test.go
@@ -57,7 +57,7 @@
 		}
 		defer tcp.Close()
 		s := newAcceptor(&fake{})
-		s.Leave(leaves)
+		s.SetLeaveQueued(leaves)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		accepted := 0
--- a/internal/wire/frontend/accept_test.go
+++ b/internal/wire/frontend/accept_test.go
@@ -31,7 +31,7 @@
 // newAcceptor is a server that is ready for any client.
 func newAcceptor(x Exchange) *Server {
 	return New(Config{Clock: exchange.NewClock(), Log: zap.NewNop(), Counters: &counters.Set{}, MaxConns: 100, KeepIdle: 50,
-		MaxBytes: 1 << 20, MaxLarge: 1 << 20, Yes: func() bool { return true }}, x)
+		MaxBytes: 1 << 20, MaxLarge: 1 << 20, Ready: func() bool { return true }}, x)
 }
 
 // waiting makes a ready server, and a client at its listener that asks whether it serves and has not been accepted yet.
@@ -42,7 +42,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Run(ctx) }()
-	s.Ready()
+	s.SetReady()
 	t.Cleanup(func() { l.Close(); stop(); <-done })
 	n, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/wire/frontend/commands.go
+++ b/internal/wire/frontend/commands.go
@@ -25,7 +25,7 @@
 
 // next reads one message and queues what there is to answer.
 func (c *session) next() error {
-	kind, length, err := pg.Head(c.in)
+	kind, length, err := pg.ReadHead(c.in)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 	case length > largeBody:
 		cmd.held = length
 	}
-	body, err := pg.Body(c.in, length, length)
+	body, err := pg.ReadBody(c.in, length, length)
 	if err != nil {
 		c.s.bytes.give(cmd.held)
 		return err
--- a/internal/wire/frontend/frontend.go
+++ b/internal/wire/frontend/frontend.go
@@ -69,13 +69,13 @@
 	Counters   *counters.Set
 	MaxConns   int                               // clients at a time
 	KeepIdle   int                               // of them that may stay for long with nothing open
-	Share      int                               // connections that clients with requests can hold among them; 0: no such limit
+	MaxActive  int                               // connections that clients with requests can hold among them; 0: no such limit
 	Pool       func(user, database string) *Pool // of general sessions; nil, or nil of it: only the platform's statements are taken
 	MaxBytes   int64                             // of statements held at a time that are taken whole
 	MaxLarge   int64                             // of larger ones, that are taken in pieces
 	RetryAfter time.Duration                     // when a client that found no room may try again; 0: no advice
-	Yes        func() bool                       // once ready: whether the empty query is answered with yes; must not wait
-	Emptied    func()                            // the last connection has ended, and none is accepted; may be nil
+	Ready      func() bool                       // once ready: whether the empty query is answered with yes; must not wait
+	OnEmpty    func()                            // the last connection has ended, and none is accepted; may be nil
 }
 
 // Server serves clients.
@@ -93,7 +93,7 @@
 	leaves    atomic.Bool    // what waits at a listener's deadline is another process's
 
 	mu       sync.Mutex
-	pass     Pass // nil: connections are ended, not passed on
+	pass     HandOver // nil: connections are ended, not passed on
 	sessions map[*session]struct{}
 	closing  int                 // of them, closing
 	keys     map[pg.Key]*session // of general sessions: what a cancel request names
@@ -107,20 +107,20 @@
 	s := &Server{cfg: cfg, x: x, ready: make(chan struct{}), ending: make(chan struct{}), bytes: &allowance{left: cfg.MaxBytes},
 		large:    newMemory(cfg.MaxLarge, cfg.Counters),
 		sessions: map[*session]struct{}{}, keys: map[pg.Key]*session{}}
-	s.Retune(cfg.RetryAfter)
+	s.SetRetryAfter(cfg.RetryAfter)
 	return s
 }
 
-// Retune changes when a client that found no room may try again; 0: no advice.
-func (s *Server) Retune(retryAfter time.Duration) { s.retry.Store(int64(retryAfter)) }
+// SetRetryAfter changes when a client that found no room may try again; 0: no advice.
+func (s *Server) SetRetryAfter(retryAfter time.Duration) { s.retry.Store(int64(retryAfter)) }
 
 func (s *Server) retryAfter() time.Duration { return time.Duration(s.retry.Load()) }
 
-// Resize changes how many bytes of large statements are held at a time.
-func (s *Server) Resize(large int64) { s.large.resize(large) }
+// SetMaxLarge changes how many bytes of large statements are held at a time.
+func (s *Server) SetMaxLarge(large int64) { s.large.resize(large) }
 
-// Ready lets the empty query be answered: the front takes the gateway in when it is.
-func (s *Server) Ready() { close(s.ready) }
+// SetReady lets the empty query be answered: the front takes the gateway in when it is.
+func (s *Server) SetReady() { close(s.ready) }
 
 // Run looks after the sessions until the context ends, which ends them, and waits for their end.
 func (s *Server) Run(ctx context.Context) error {
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// Leave says whether connections that wait at a listener when its deadline passes are left there, for another process that listens at
+// SetLeaveQueued says whether connections that wait at a listener when its deadline passes are left there, for another process that listens at
 // the same address. They are accepted otherwise.
-func (s *Server) Leave(leaves bool) { s.leaves.Store(leaves) }
+func (s *Server) SetLeaveQueued(leaves bool) { s.leaves.Store(leaves) }
 
 // Accept accepts clients until the listener is closed, or until its deadline has passed and, without Leave, nothing waits there: then
 // it may be accepted from again. The context's end ends the sessions, and the accepting of what waits past the deadline.
@@ -224,8 +224,8 @@
 	})
 }
 
-// Held is how many connections there are, with those that may just be accepted, and how many of them wait for an answer.
-func (s *Server) Held() (all, waiting int) {
+// Connections is how many connections there are, with those that may just be accepted, and how many of them wait for an answer.
+func (s *Server) Connections() (all, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.sessions {
@@ -240,8 +240,8 @@
 	s.mu.Lock()
 	held := len(s.sessions) + int(s.accepting.Load())
 	s.mu.Unlock()
-	if s.cfg.Emptied != nil && held == 0 {
-		s.cfg.Emptied()
+	if s.cfg.OnEmpty != nil && held == 0 {
+		s.cfg.OnEmpty()
 	}
 }
 
@@ -323,7 +323,7 @@
 			silent = append(silent, idler{c, since})
 		}
 	}
-	pressed = s.cfg.Share > 0 && float64(asked) >= nearly*float64(s.cfg.Share) ||
+	pressed = s.cfg.MaxActive > 0 && float64(asked) >= nearly*float64(s.cfg.MaxActive) ||
 		float64(held) >= nearly*float64(s.cfg.MaxConns)
 	limit := mayClose
 	if pressed {
@@ -367,7 +367,7 @@
 
 // taken says that a client has taken its last answer, or has had its time for that.
 func (s *Server) taken(i idler) bool {
-	return s.cfg.Clock.Now()-i.since >= takeWithin || socket.Unsent(i.c.conn) == 0
+	return s.cfg.Clock.Now()-i.since >= takeWithin || socket.Unacknowledged(i.c.conn) == 0
 }
 
 // note logs why a client's connection ends that the client did not end.
@@ -413,15 +413,15 @@
 	s.cfg.Counters.ClientsOpen.Add(-1)
 }
 
-// Ending lets clients keep their connections from now on, idle or not: they would get no new ones.
-func (s *Server) Ending() { s.endOnce.Do(func() { close(s.ending) }) }
+// StopEviction lets clients keep their connections from now on, idle or not: they would get no new ones.
+func (s *Server) StopEviction() { s.endOnce.Do(func() { close(s.ending) }) }
 
-// Pass gives a connection on which nothing is open, and nothing has been for so long, to another process.
-type Pass func(conn *net.TCPConn, user string, idle time.Duration) error
+// HandOver gives a connection on which nothing is open, and nothing has been for so long, to another process.
+type HandOver func(conn *net.TCPConn, user string, idle time.Duration) error
 
 // Drain ends every session as soon as it is between requests, and those that come, until Resume. With pass, connections are
 // passed on in place of being ended.
-func (s *Server) Drain(pass Pass) {
+func (s *Server) Drain(pass HandOver) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pass = pass
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -21,23 +21,23 @@
 
 // Pool is how the sessions of a user or database are served that may ask general SQL.
 type Pool struct {
-	Name             string
-	Mode             pooling.Mode
-	Group            int
-	Read, Own, Write string        // classes: of reads, of reads after a write of the session's own, of all that may write
-	Transaction      time.Duration // that a transaction may take from its first statement
-	Idle             time.Duration // that one may be open with nothing asked
-	MaxBatch         int           // bytes of a pipeline that are held before its end
-	MaxMessage       int           // bytes of a Bind, which is passed on in pieces
-	Most             int           // sessions that hold a host connection at a time; 0: any number
-	Stats            *PoolStats
+	Name                        string
+	Mode                        pooling.Mode
+	Group                       int
+	Read, ReadAfterWrite, Write string        // classes: of reads, of reads after a write of the session's own, of all that may write
+	MaxTransaction              time.Duration // that a transaction may take from its first statement
+	MaxIdle                     time.Duration // that one may be open with nothing asked
+	MaxBatch                    int           // bytes of a pipeline that are held before its end
+	MaxMessage                  int           // bytes of a Bind, which is passed on in pieces
+	MaxSessions                 int           // sessions that hold a host connection at a time; 0: any number
+	Stats                       *PoolStats
 }
 
 // PoolStats counts what sessions of a pool do.
 type PoolStats struct {
-	Sessions, Leased, Batches, Transactions atomic.Int64
-	Pins                                    [8]atomic.Int64 // by the bits of pooling.Pin
-	Lost, Cancels                           atomic.Int64
+	Sessions, CheckedOut, Batches, Transactions atomic.Int64
+	Pins                                        [8]atomic.Int64 // by the bits of pooling.Pin
+	Lost, Cancels                               atomic.Int64
 }
 
 // overPool is when a client may come again whose pool holds as many host connections as it may.
@@ -57,13 +57,13 @@
 	bytes int
 	held  int // of the budget
 
-	lease   *relay.Lease // that is kept between batches
+	lease   *relay.Checkout // that is kept between batches
 	request *exchange.Request
 	answers chan exchange.Answer
 	skip    bool          // up to the next Sync
 	wrote   time.Duration // position of the session's last write, by the fleet's clock
 	free    time.Duration // when its last batch ended: no client says how long it waits, so the next one's time starts there
-	running atomic.Pointer[relay.Lease]
+	running atomic.Pointer[relay.Checkout]
 }
 
 func newGeneral(c *session, p *Pool, parameters pg.Parameters) *general {
@@ -149,7 +149,7 @@
 		}
 		g.held += length
 	}
-	body, err := pg.Body(c.in, length, length)
+	body, err := pg.ReadBody(c.in, length, length)
 	if err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 	g.batch.Messages = append(g.batch.Messages, relay.Message{Kind: kind, Body: body})
 	g.bytes += length + 5
 	if kind == pg.Query || kind == pg.Sync || kind == pg.Flush {
-		g.batch.Ends = kind != pg.Flush
+		g.batch.Complete = kind != pg.Flush
 		cmd := command{batch: g.batch, held: g.held, arrived: c.s.cfg.Clock.Now()}
 		g.batch, g.bytes, g.held = nil, 0, 0
 		c.queue(cmd)
@@ -198,7 +198,7 @@
 	if g.batch == nil {
 		g.batch = &relay.Batch{}
 	}
-	g.batch.Messages, g.batch.Part = append(g.batch.Messages, m), true
+	g.batch.Messages, g.batch.Streamed = append(g.batch.Messages, m), true
 	cmd := command{batch: g.batch, held: g.held, arrived: c.s.cfg.Clock.Now()}
 	g.batch, g.bytes, g.held = nil, 0, 0
 	c.queue(cmd)
@@ -317,7 +317,7 @@
 	case write:
 		class = g.pool.Write
 	case g.wrote != 0:
-		class = g.pool.Own
+		class = g.pool.ReadAfterWrite
 	}
 	if said["c"] != "" && !write {
 		class = said["c"]
@@ -337,24 +337,24 @@
 	for _, x := range b.Commands {
 		pins = pins || x.Pin != 0
 	}
-	if pins || begins || g.pool.Mode == pooling.BySession || !b.Ends {
-		r.Checkout = g.pool.Transaction
+	if pins || begins || g.pool.Mode == pooling.BySession || !b.Complete {
+		r.Checkout = g.pool.MaxTransaction
 		if pins || g.pool.Mode == pooling.BySession {
 			r.Checkout = sessionLease
 		}
 	}
-	if m := int64(g.pool.Most); m > 0 && g.pool.Stats.Leased.Load() >= m {
+	if m := int64(g.pool.MaxSessions); m > 0 && g.pool.Stats.CheckedOut.Load() >= m {
 		r.QuotaRetryAfter = overPool
 	}
 	if begins {
 		g.pool.Stats.Transactions.Add(1)
 	}
 	l := relay.New(g.state, g.pool.Mode, g.write, b)
-	l.Idle = g.pool.Idle
+	l.MaxIdle = g.pool.MaxIdle
 	if !write && r.Checkout == 0 && g.wrote > 0 {
-		l.MustSee = g.wrote
+		l.MinPosition = g.wrote
 	}
-	l.Pinned = func(p pooling.Pin) {
+	l.OnPinned = func(p pooling.Pin) {
 		for i := range g.pool.Stats.Pins {
 			if p&(1<<i) != 0 {
 				g.pool.Stats.Pins[i].Add(1)
@@ -370,7 +370,7 @@
 }
 
 // hold takes a lease, or lets it go: a session that holds one is at work.
-func (g *general) hold(l *relay.Lease) {
+func (g *general) hold(l *relay.Checkout) {
 	if (g.lease == nil) == (l == nil) {
 		g.lease = l
 		return
@@ -378,10 +378,10 @@
 	g.c.mu.Lock()
 	if l != nil {
 		g.c.open++
-		g.pool.Stats.Leased.Add(1)
+		g.pool.Stats.CheckedOut.Add(1)
 	} else {
 		g.c.open--
-		g.pool.Stats.Leased.Add(-1)
+		g.pool.Stats.CheckedOut.Add(-1)
 	}
 	g.c.mu.Unlock()
 	g.lease = l
@@ -406,7 +406,7 @@
 		g.hold(nil)
 		if !first {
 			g.state.ConnectionLost()
-			return g.fatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
+			return g.fatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 		}
 		if a.Kind == exchange.Served { // its Done comes before
 			return false
@@ -441,7 +441,7 @@
 		g.hold(nil)
 		g.pool.Stats.Lost.Add(1)
 		g.state.ConnectionLost()
-		return g.fatal(relay.ErrorOf(d.Err))
+		return g.fatal(relay.ConnectionError(d.Err))
 	case !d.Keep:
 		g.hold(nil)
 		g.free = g.c.s.cfg.Clock.Now()
@@ -460,7 +460,7 @@
 // say answers a batch with an error of the gateway's own.
 func (g *general) say(b *relay.Batch, e *pg.Error) bool {
 	out := pg.AppendError(nil, e)
-	if g.skip = !b.Ends; b.Ends {
+	if g.skip = !b.Complete; b.Complete {
 		out = pg.AppendReadyAs(out, g.state.Status)
 	}
 	return g.c.write(out)
@@ -492,7 +492,7 @@
 			return command{}, c.general.done(d)
 		case a := <-c.general.answers:
 			c.general.hold(nil)
-			c.general.fatal(relay.ErrorOf(fmt.Errorf("%s", reason(a))))
+			c.general.fatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 			return command{}, false
 		}
 	}
--- a/internal/wire/frontend/large.go
+++ b/internal/wire/frontend/large.go
@@ -147,7 +147,7 @@
 // pour writes an answer whose value is still coming: each piece before the next is read. One that turns out too old ends in an
 // error. false: the client can tell that it is not whole.
 func (c *session) pour(v pg.Value, tag string) bool {
-	defer v.Rest.Close()
+	defer v.Stream.Close()
 	if !c.write(pg.AppendRowHead(nil, v)) {
 		return false
 	}
@@ -155,10 +155,10 @@
 	defer pieces.Put(piece)
 	given := 0
 	for {
-		n, err := v.Rest.Read(piece[:])
+		n, err := v.Stream.Read(piece[:])
 		if n > 0 {
 			_ = c.conn.SetWriteDeadline(time.Now().Add(clientStall))
-			if _, err := (socket.Steady{Conn: c.conn}).Write(piece[:n]); err != nil {
+			if _, err := (socket.RetryConn{Conn: c.conn}).Write(piece[:n]); err != nil {
 				c.s.cfg.Log.Info("value cut", zap.String("why", "its client takes no more"), zap.Int("given", given), zap.Int("of", v.Size), zap.Error(err))
 				return false
 			}
--- a/internal/wire/frontend/reading.go
+++ b/internal/wire/frontend/reading.go
@@ -71,7 +71,7 @@
 
 func (p paced) Read(b []byte) (int, error) {
 	c := p.c
-	n, err := socket.Steady{Conn: c.conn}.Read(b)
+	n, err := socket.RetryConn{Conn: c.conn}.Read(b)
 	if n == 0 {
 		return n, err
 	}
@@ -115,7 +115,7 @@
 	draining, said := c.draining && c.unanswered == 0, c.said
 	c.mu.Unlock()
 	none := c.in.Buffered() == 0
-	quiet := none && socket.Quiet(c.conn)
+	quiet := none && socket.NothingReceived(c.conn)
 	c.atRest = draining && none && (passed || quiet)
 	switch {
 	case c.atRest:
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -153,7 +153,7 @@
 func (c *session) spare() (since time.Duration, said, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idleSince, c.said, c.open == 0 && !c.midway && socket.Quiet(c.conn)
+	return c.idleSince, c.said, c.open == 0 && !c.midway && socket.NothingReceived(c.conn)
 }
 
 // linger ends the sending and reads on for a moment: a close with something unread would take away what was said last.
@@ -169,14 +169,14 @@
 // connection is closed once the client has taken all. Nothing is read meanwhile: a request that crosses the end shows to its
 // client as one that nobody took.
 func (c *session) part() {
-	if socket.Unsent(c.conn) == 0 || c.conn.CloseWrite() != nil {
+	if socket.Unacknowledged(c.conn) == 0 || c.conn.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
 	written := c.idleSince
 	c.mu.Unlock()
 	left := max(lingerFor, takeWithin-(c.s.cfg.Clock.Now()-written))
-	for end := time.Now().Add(left); socket.Unsent(c.conn) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(left); socket.Unacknowledged(c.conn) > 0 && time.Now().Before(end); {
 		time.Sleep(unsentPause)
 	}
 }
@@ -187,7 +187,7 @@
 		c.writeBy = now.Add(writeTimeout)
 		_ = c.conn.SetWriteDeadline(c.writeBy)
 	}
-	_, err := socket.Steady{Conn: c.conn}.Write(b)
+	_, err := socket.RetryConn{Conn: c.conn}.Write(b)
 	return err == nil
 }
 
@@ -219,7 +219,7 @@
 		case <-ctx.Done():
 			return false
 		}
-		if !c.s.cfg.Yes() {
+		if !c.s.cfg.Ready() {
 			e := &pg.Error{Code: pg.CodeCannotConnectNow, Message: "drained: the gateway takes no new clients"}
 			return c.write(pg.AppendReady(pg.AppendError(nil, e)))
 		}
@@ -236,7 +236,7 @@
 	case a := <-answer:
 		// A large statement is not needed any more, however slowly its client takes the answer.
 		c.s.large.close(cmd.holding)
-		if v, ok := a.Value.(pg.Value); ok && v.Rest != nil {
+		if v, ok := a.Value.(pg.Value); ok && v.Stream != nil {
 			return c.pour(v, st.Tag())
 		}
 		return c.write(pg.AppendReady(appendAnswer(nil, st, a)))
--- a/internal/wire/frontend/session_test.go
+++ b/internal/wire/frontend/session_test.go
@@ -45,7 +45,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Run(ctx) }()
 	go s.Accept(ctx, l)
-	s.Ready()
+	s.SetReady()
 	t.Cleanup(func() {
 		l.Close()
 		stop()
@@ -239,13 +239,13 @@
 		return c.unanswered == 2
 	})
 	r.Answer <- exchange.Answer{Kind: exchange.Served, Value: pg.Value{Data: make([]byte, 16<<20), Format: 1}} // more than buffers hold
-	if kind, _, err := pg.Head(in); err != nil || kind != pg.RowDescription {
+	if kind, _, err := pg.ReadHead(in); err != nil || kind != pg.RowDescription {
 		t.Fatalf("%q, %v", kind, err)
 	}
 	_ = n.CloseWrite()
 	await(t, "the leaving is noticed", c.left)
 	_, _ = io.Copy(io.Discard, in) // lets the answer be written whole
-	await(t, "the session has ended", func() bool { all, _ := s.Held(); return all == 1 })
+	await(t, "the session has ended", func() bool { all, _ := s.Connections(); return all == 1 })
 	if len(f.taken) != 0 {
 		t.Error("the second request was taken up")
 	}
@@ -299,7 +299,7 @@
 	})
 	_ = n.Close()
 	<-f.gone
-	await(t, "the session has ended", func() bool { all, _ := s.Held(); return all == 1 })
+	await(t, "the session has ended", func() bool { all, _ := s.Connections(); return all == 1 })
 	if got := s.bytes.left; got != 1<<20 {
 		t.Errorf("%d bytes of the budget are left of %d", got, 1<<20)
 	}
@@ -326,7 +326,7 @@
 	_, f, address := serving(t)
 	n, in := client(t, address)
 	_, _ = n.Write(append(query(1), query(2)...))
-	(<-f.taken).Answer <- exchange.Answer{Kind: exchange.Served, Value: pg.Value{Size: 1 << 20, Rest: &old{1 << 20}}}
+	(<-f.taken).Answer <- exchange.Answer{Kind: exchange.Served, Value: pg.Value{Size: 1 << 20, Stream: &old{1 << 20}}}
 	var kinds []byte
 	for range 4 {
 		kind, _, err := pg.Read(in, 2<<20)
@@ -366,7 +366,7 @@
 		c.idleSince -= 2*soonClose - time.Duration(id)*soonClose/2 // the first for longest
 		c.mu.Unlock()
 	}
-	await(t, "the second has taken its answer", func() bool { return socket.Unsent(held[1].conn) == 0 })
+	await(t, "the second has taken its answer", func() bool { return socket.Unacknowledged(held[1].conn) == 0 })
 	client(t, address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/wire/frontend/startup.go
+++ b/internal/wire/frontend/startup.go
@@ -45,10 +45,10 @@
 				if p := c.s.cfg.Pool(c.user, parameters["database"]); p != nil {
 					c.general = newGeneral(c, p, parameters)
 					c.s.register(c)
-					return c.write(pg.AppendWelcomeAs(nil, kind, pg.DefaultParameters(), c.general.key))
+					return c.write(pg.AppendStartupResponseWith(nil, kind, pg.DefaultParameters(), c.general.key))
 				}
 			}
-			return c.write(pg.AppendWelcome(nil, kind))
+			return c.write(pg.AppendStartupResponse(nil, kind))
 		}
 	}
 	return false
--- a/internal/wire/peers/peers.go
+++ b/internal/wire/peers/peers.go
@@ -49,7 +49,7 @@
 	}
 	config := net.ListenConfig{}
 	if cfg.Share {
-		config.Control = socket.Share
+		config.Control = socket.ReusePort
 	}
 	conn, err := socket.ListenPacket(context.Background(), &config, cfg.Listen.String())
 	if err != nil {
--- a/internal/wire/pg/extended.go
+++ b/internal/wire/pg/extended.go
@@ -114,8 +114,8 @@
 // AppendReadyAs appends ReadyForQuery with a transaction's status: I, T or E.
 func AppendReadyAs(out []byte, status byte) []byte { return Append(out, ReadyForQuery, []byte{status}) }
 
-// AppendWelcomeAs is AppendWelcome with parameters and a key of the session's own.
-func AppendWelcomeAs(out []byte, s Startup, parameters [][2]string, k Key) []byte {
+// AppendStartupResponseWith is AppendWelcome with parameters and a key of the session's own.
+func AppendStartupResponseWith(out []byte, s Startup, parameters [][2]string, k Key) []byte {
 	if s == StartOlder {
 		out = Append(out, NegotiateVersion, []byte{0, 3, 0, 0, 0, 0, 0, 0})
 	}
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -54,13 +54,13 @@
 // ErrFraming says that the stream can't be followed any further.
 var ErrFraming = errors.New("pg: framing lost")
 
-// TooLong says that a message is over the limit; its body has not been read.
-type TooLong struct{ Length int }
+// TooLongError says that a message is over the limit; its body has not been read.
+type TooLongError struct{ Length int }
 
-func (e TooLong) Error() string { return fmt.Sprintf("pg: message of %d bytes", e.Length) }
+func (e TooLongError) Error() string { return fmt.Sprintf("pg: message of %d bytes", e.Length) }
 
-// Head reads a message's type and the length of its body.
-func Head(r *bufio.Reader) (kind byte, length int, err error) {
+// ReadHead reads a message's type and the length of its body.
+func ReadHead(r *bufio.Reader) (kind byte, length int, err error) {
 	head, err := r.Peek(5) // in the reader's own memory: an array here would be allocated for each message
 	if err != nil {
 		if err == io.EOF && len(head) > 0 {
@@ -87,10 +87,10 @@
 	return err == nil && int64(binary.BigEndian.Uint32(head[1:])) <= int64(have-1)
 }
 
-// Body reads the body that Head announced; one that is longer than most is left unread.
-func Body(r *bufio.Reader, length, most int) ([]byte, error) {
+// ReadBody reads the body that Head announced; one that is longer than most is left unread.
+func ReadBody(r *bufio.Reader, length, most int) ([]byte, error) {
 	if length > most {
-		return nil, TooLong{length}
+		return nil, TooLongError{length}
 	}
 	body := make([]byte, length)
 	_, err := io.ReadFull(r, body)
@@ -105,9 +105,9 @@
 
 // Read reads one message whole.
 func Read(r *bufio.Reader, most int) (kind byte, body []byte, err error) {
-	kind, length, err := Head(r)
+	kind, length, err := ReadHead(r)
 	if err == nil {
-		body, err = Body(r, length, most)
+		body, err = ReadBody(r, length, most)
 	}
 	return kind, body, err
 }
@@ -175,17 +175,17 @@
 
 // Value is what a statement served: the bytes as a database host gave them and the format it gave them in.
 type Value struct {
-	Data   []byte // nil: null, or one that Rest gives
-	Format int16  // 0 text, 1 binary
-	Size   int    // with Rest: bytes in all
-	Rest   Rest   // nil: Data is all
+	Data   []byte      // nil: null, or one that Rest gives
+	Format int16       // 0 text, 1 binary
+	Size   int         // with Rest: bytes in all
+	Stream ValueStream // nil: Data is all
 }
 
 // ErrTooOld says that a value, which is whole, proves to be older than its request allows.
 var ErrTooOld = errors.New("pg: the value is older than its request allows")
 
-// Rest is a large value that is still coming. Whoever is given one closes it.
-type Rest interface {
+// ValueStream is a large value that is still coming. Whoever is given one closes it.
+type ValueStream interface {
 	// Read gives what has come, at least one byte. io.EOF says that the value is whole and that its answer has ended as it
 	// should; ErrTooOld, the same, but it must not be served; any other error, that it never will be.
 	Read(p []byte) (int, error)
--- a/internal/wire/pg/startup.go
+++ b/internal/wire/pg/startup.go
@@ -88,8 +88,8 @@
 	return append(binary.BigEndian.AppendUint32(out, version3), body...)
 }
 
-// AppendWelcome appends all that a server says at the start of a session, ReadyForQuery included.
-func AppendWelcome(out []byte, s Startup) []byte {
+// AppendStartupResponse appends all that a server says at the start of a session, ReadyForQuery included.
+func AppendStartupResponse(out []byte, s Startup) []byte {
 	if s == StartOlder {
 		out = Append(out, NegotiateVersion, []byte{0, 3, 0, 0, 0, 0, 0, 0})
 	}
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -24,9 +24,9 @@
 
 // build turns the batch into what goes to the host and what it owes for that.
 func (x *exchangeOf) build() error {
-	link := x.h.Link()
+	link := x.h.ConnState()
 	if x.l.skipping {
-		if x.b.Ends && x.b.Messages[len(x.b.Messages)-1].Kind == pg.Sync {
+		if x.b.Complete && x.b.Messages[len(x.b.Messages)-1].Kind == pg.Sync {
 			x.l.skipping = false
 			x.query = pg.Append(x.query, pg.Sync)
 			x.expects = append(x.expects, expect{kind: pg.Sync})
@@ -134,7 +134,7 @@
 
 // here prepares a statement on this connection where it is not, and gives its name.
 func (x *exchangeOf) here(st *pooling.Statement) string {
-	link := x.h.Link()
+	link := x.h.ConnState()
 	name, parse := link.Use(st)
 	for _, gone := range link.Evicted() {
 		x.query = pg.AppendTarget(x.query, pg.Close, 'S', gone)
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -13,7 +13,7 @@
 
 // exchangeOf is one batch's way to the host and back.
 type exchangeOf struct {
-	l          *Lease
+	l          *Checkout
 	h          *backend.Host
 	s          *pooling.Session
 	b          *Batch
@@ -33,7 +33,7 @@
 	switch {
 	case len(x.out) == 0:
 		return nil
-	case x.h.Late():
+	case x.h.PastDeadline():
 		x.out = x.out[:0]
 		return nil
 	}
@@ -49,7 +49,7 @@
 // run takes the batch to the host and its answer to the client.
 func (x *exchangeOf) run() error {
 	x.s.StartBatch()
-	x.h.Begin()
+	x.h.BeginBatch()
 	if err := x.build(); err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	}
 	x.expects = append(x.l.owed, x.expects...)
 	x.l.owed = nil
-	if x.b.Part && len(x.expects) > 0 {
+	if x.b.Streamed && len(x.expects) > 0 {
 		x.query = pg.Append(x.query, pg.Flush) // nothing may wait for us to read while we write a long message
 	}
 	var written chan error
@@ -84,14 +84,14 @@
 			return err
 		}
 	}
-	if x.b.Part {
+	if x.b.Streamed {
 		if err := x.stream(x.b.Messages[len(x.b.Messages)-1]); err != nil {
 			return err
 		}
 		return x.flush()
 	}
-	switch see := x.l.MustSee; {
-	case x.h.Late():
+	switch see := x.l.MinPosition; {
+	case x.h.PastDeadline():
 		return os.ErrDeadlineExceeded
 	case see > 0 && !x.relayed && x.h.Behind(see):
 		return errBehind
@@ -153,9 +153,9 @@
 // rollback ends the open transaction and says whether the connection is clean after it.
 func (x *exchangeOf) rollback() bool {
 	if !x.s.InTransaction() {
-		return x.h.Quiet()
+		return x.h.InputEmpty()
 	}
-	x.h.Limit(rollbackIn)
+	x.h.SetReadTimeout(rollbackIn)
 	if x.h.Write(pg.AppendQuery(pg.Append(nil, pg.Sync), "ROLLBACK")) != nil {
 		return false
 	}
@@ -176,6 +176,6 @@
 	}
 	x.s.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
 	x.s.EndBatch('I')
-	x.h.Link().AdoptSettings(x.s)
-	return x.h.Quiet()
+	x.h.ConnState().AdoptSettings(x.s)
+	return x.h.InputEmpty()
 }
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -38,7 +38,7 @@
 // full says that what has been gathered goes to the client. What may yet prove too old is held as long as there is room, and the
 // end of a statement in any case: an error in its place makes it one that failed.
 func (x *exchangeOf) full() bool {
-	if x.h.Untold() {
+	if x.h.DemandUnmet() {
 		return len(x.out) >= holdMost && x.last == pg.DataRow
 	}
 	return len(x.out) >= flushAt
@@ -54,7 +54,7 @@
 	}
 	x.last, x.read = kind, x.read || kind == pg.DataRow && !e.hidden
 	held := bodyMost
-	if x.h.Untold() && kind == pg.DataRow {
+	if x.h.DemandUnmet() && kind == pg.DataRow {
 		held = max(bodyMost, holdMost-len(x.out))
 	}
 	if length > held {
@@ -78,7 +78,7 @@
 	}
 	switch kind {
 	case pg.ParameterStatus:
-		if x.h.Note(body) || e.carry {
+		if x.h.HandleStatement(body) || e.carry {
 			return nil
 		}
 		x.out = pg.Append(x.out, kind, body)
@@ -148,7 +148,7 @@
 		case pg.ReadyForQuery:
 			ok = len(body) == 1
 			if e.carry {
-				x.h.Link().SettingsApplied(x.s)
+				x.h.ConnState().SettingsApplied(x.s)
 				x.pop()
 				return nil
 			}
@@ -171,7 +171,7 @@
 
 // pass gives a piece of a long row to the client, unless its time is over.
 func (x *exchangeOf) pass(piece []byte) error {
-	if x.h.Late() {
+	if x.h.PastDeadline() {
 		return nil
 	}
 	return x.l.write(piece)
@@ -189,9 +189,9 @@
 	e.commands = e.commands[1:]
 	had := x.s.Pins()
 	x.s.Completed(c, tag)
-	x.h.Link().StatementRan(c, x.s)
+	x.h.ConnState().StatementRan(c, x.s)
 	if fresh := x.s.Pins() &^ had; fresh != 0 {
-		x.l.Pinned(fresh)
+		x.l.OnPinned(fresh)
 	}
 	if c.Kind == pooling.Write || c.Kind == pooling.Commit && tag != "ROLLBACK" {
 		// When is told with the end of the batch, if at all: what the host told before lies before the commit.
@@ -205,7 +205,7 @@
 		x.wrote = p
 	}
 	x.s.EndBatch(body[0])
-	x.h.Link().AdoptSettings(x.s)
+	x.h.ConnState().AdoptSettings(x.s)
 }
 
 // errCarry says that the session's settings could not be brought to the connection.
@@ -226,7 +226,7 @@
 	}
 	x.out = pg.Append(x.out, pg.ErrorResponse, body)
 	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(bad.Message, "cached plan must not change") {
-		x.h.Link().Forget(e.statement) // prepared anew, it gives what there is now; its client is told by the error
+		x.h.ConnState().Forget(e.statement) // prepared anew, it gives what there is now; its client is told by the error
 	}
 	if bad.Fatal {
 		if err := x.flush(); err != nil {
@@ -242,8 +242,8 @@
 		skipped := &x.expects[0]
 		if skipped.kind == pg.Parse {
 			// It was never prepared: neither for this connection nor, if its client named it just now, for the session.
-			x.h.Link().Forget(skipped.statement)
-			x.h.Link().Evicted()
+			x.h.ConnState().Forget(skipped.statement)
+			x.h.ConnState().Evicted()
 			if !skipped.hidden {
 				x.s.Close(skipped.name)
 			}
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -76,8 +76,8 @@
 // Batch is what a client sends before it waits: one Query, or extended messages up to a Sync or Flush.
 type Batch struct {
 	Messages []Message
-	Ends     bool // with a Query or Sync: ReadyForQuery follows
-	Part     bool // its last message comes as a stream, and more of the pipeline follows
+	Complete bool // with a Query or Sync: ReadyForQuery follows
+	Streamed bool // its last message comes as a stream, and more of the pipeline follows
 	Commands []pooling.Command
 }
 
@@ -114,15 +114,15 @@
 // ErrIdle says that a transaction was open for too long with nothing asked.
 var ErrIdle = errors.New("idle in transaction for too long")
 
-// Lease is a session's hold of a host connection, from a batch until nothing ties them any more. The session calls Next and
+// Checkout is a session's hold of a host connection, from a batch until nothing ties them any more. The session calls Next and
 // Close, the backend Converse.
-type Lease struct {
-	Session *pooling.Session
-	Mode    pooling.Mode
-	Write   func([]byte) error // to the client
-	MustSee time.Duration      // position that a read must see; 0: none
-	Idle    time.Duration      // that a transaction may be open with nothing asked
-	Pinned  func(pooling.Pin)  // is told of new reasons to pin
+type Checkout struct {
+	Session     *pooling.Session
+	Mode        pooling.Mode
+	Write       func([]byte) error // to the client
+	MinPosition time.Duration      // position that a read must see; 0: none
+	MaxIdle     time.Duration      // that a transaction may be open with nothing asked
+	OnPinned    func(pooling.Pin)  // is told of new reasons to pin
 
 	skipping bool     // of the conversation: the host skips all until a Sync
 	owed     []expect // for what was sent in parts
@@ -145,13 +145,13 @@
 }
 
 // Mute lets nothing more of the lease's reach the client: what follows is the session's own.
-func (l *Lease) Mute() {
+func (l *Checkout) Mute() {
 	l.writing.Lock()
 	defer l.writing.Unlock()
 	l.muted = true
 }
 
-func (l *Lease) write(b []byte) error {
+func (l *Checkout) write(b []byte) error {
 	l.writing.Lock()
 	defer l.writing.Unlock()
 	if l.muted {
@@ -161,22 +161,22 @@
 }
 
 // New makes a lease for a batch.
-func New(s *pooling.Session, mode pooling.Mode, write func([]byte) error, first *Batch) *Lease {
-	return &Lease{Session: s, Mode: mode, Write: write, Idle: time.Minute, first: first, next: make(chan *Batch, 1),
-		done: make(chan Done, 2), closed: make(chan struct{}), Pinned: func(pooling.Pin) {}}
+func New(s *pooling.Session, mode pooling.Mode, write func([]byte) error, first *Batch) *Checkout {
+	return &Checkout{Session: s, Mode: mode, Write: write, MaxIdle: time.Minute, first: first, next: make(chan *Batch, 1),
+		done: make(chan Done, 2), closed: make(chan struct{}), OnPinned: func(pooling.Pin) {}}
 }
 
 // Done gives the end of each batch.
-func (l *Lease) Done() <-chan Done { return l.done }
+func (l *Checkout) Done() <-chan Done { return l.done }
 
 // Next asks for another batch on a lease that is kept.
-func (l *Lease) Next(b *Batch) { l.next <- b }
+func (l *Checkout) Next(b *Batch) { l.next <- b }
 
 // Close ends the lease: an open transaction is rolled back.
-func (l *Lease) Close() { l.once.Do(func() { close(l.closed) }) }
+func (l *Checkout) Close() { l.once.Do(func() { close(l.closed) }) }
 
 // Cancel cancels the batch that is running, if one is. The connection serves nobody else before the host has taken the request.
-func (l *Lease) Cancel(ctx context.Context) error {
+func (l *Checkout) Cancel(ctx context.Context) error {
 	l.mu.Lock()
 	h := l.running
 	if h == nil {
@@ -190,7 +190,7 @@
 }
 
 // run marks a batch as running, or not. After it has ended, cancels that were under way are waited for.
-func (l *Lease) run(h *backend.Host) {
+func (l *Checkout) run(h *backend.Host) {
 	l.mu.Lock()
 	l.running = h
 	l.mu.Unlock()
@@ -200,12 +200,12 @@
 }
 
 // Converse implements backend.Conversation.
-func (l *Lease) Converse(h *backend.Host) (end backend.Ending) {
+func (l *Checkout) Converse(h *backend.Host) (end backend.ConversationResult) {
 	l.mu.Lock()
 	over := l.over
 	l.mu.Unlock()
 	if over {
-		return backend.Ending{Result: balance.NotSent, Clean: true}
+		return backend.ConversationResult{Result: balance.NotSent, Clean: true}
 	}
 	batch := l.first
 	for {
@@ -234,7 +234,7 @@
 			case errors.Is(err, errCarry):
 				end.Result = balance.Failed
 			case errors.Is(err, errBehind):
-				end.Result, end.Clean = balance.Misdirected, h.Quiet()
+				end.Result, end.Clean = balance.Misdirected, h.InputEmpty()
 			case errors.Is(err, errStale):
 				end.Result = balance.Stale
 			}
@@ -244,16 +244,16 @@
 			end.Result = balance.Reset
 			return end
 		}
-		keep := !batch.Ends || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
+		keep := !batch.Complete || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
 		if !keep {
 			l.end(Done{Wrote: x.wrote})
-			end.Result, end.Clean = balance.OK, h.Quiet()
+			end.Result, end.Clean = balance.OK, h.InputEmpty()
 			return end
 		}
 		l.done <- Done{Keep: true, Wrote: x.wrote}
 		var idle <-chan time.Time // only an open transaction keeps others waiting
 		if l.Session.InTransaction() {
-			idle = time.After(l.Idle)
+			idle = time.After(l.MaxIdle)
 		}
 		var ended error
 		select {
@@ -272,7 +272,7 @@
 }
 
 // end tells the end of the lease, once.
-func (l *Lease) end(d Done) {
+func (l *Checkout) end(d Done) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.over {
@@ -286,8 +286,8 @@
 
 func (b *badAnswer) Error() string { return "the host's answer can't be read: " + b.what }
 
-// ErrorOf is how the end of a lease in the middle is told to its client.
-func ErrorOf(err error) *pg.Error {
+// ConnectionError is how the end of a lease in the middle is told to its client.
+func ConnectionError(err error) *pg.Error {
 	if errors.Is(err, ErrIdle) {
 		return &pg.Error{Code: fatalIdle, Message: err.Error(), Fatal: true}
 	}
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -44,7 +44,7 @@
 		defer c.Close()
 		in := bufio.NewReader(c)
 		_, _, _ = pg.ReadStartup(in)
-		_, _ = c.Write(pg.AppendWelcome(nil, pg.StartSession))
+		_, _ = c.Write(pg.AppendStartupResponse(nil, pg.StartSession))
 		for {
 			if _, _, err := pg.Read(in, 1000); err != nil {
 				return
@@ -101,7 +101,7 @@
 			lease := New(pooling.NewSession(pg.Parameters{}), pooling.ByStatement, func(b []byte) error {
 				served = append(served, b...)
 				return nil
-			}, &Batch{Messages: []Message{{Kind: pg.Query, Body: []byte("SELECT 1\x00")}}, Ends: true, Commands: pooling.Scan("SELECT 1")})
+			}, &Batch{Messages: []Message{{Kind: pg.Query, Body: []byte("SELECT 1\x00")}}, Complete: true, Commands: pooling.Scan("SELECT 1")})
 			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + soon, Command: lease, Demand: c.demand})
 			if o := <-to; o.Result != c.want {
 				t.Errorf("it ends with %v, want %v", o.Result, c.want)
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -16,8 +16,8 @@
 
 // Settings is the object, as far as this project reads it.
 type Settings struct {
-	Balance balance.Settings // the module's part
-	Zero    time.Duration    // the simulator's clock time that positions are counted from
+	Balance        balance.Settings // the module's part
+	PositionOrigin time.Duration    // the simulator's clock time that positions are counted from
 	// ConnIdle and ConnectTimeout bound connections to database hosts; 0 where the settings name none.
 	ConnIdle, ConnectTimeout time.Duration
 	ReportColumns            []string // the values a load report holds; none where there are no reports
@@ -47,8 +47,8 @@
 	}
 	top := d.root
 	out := Settings{
-		Zero:  d.span(top, "domain.zero"),
-		Peers: d.truth(top, "limits.peers"), Ordinal: d.whole(top, "ordinal"),
+		PositionOrigin: d.span(top, "domain.zero"),
+		Peers:          d.truth(top, "limits.peers"), Ordinal: d.whole(top, "ordinal"),
 		ConnIdle: d.span(top, "limits.connIdle"), ConnectTimeout: d.span(top, "limits.connectTimeout"),
 		Balance: balance.Settings{
 			Routers: d.whole(top, "balancers"), Tick: d.span(top, "step"),
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Settings{Zero: 9, ConnIdle: 30, ConnectTimeout: 25, ReportColumns: []string{"x0", "x1"},
+	want := Settings{PositionOrigin: 9, ConnIdle: 30, ConnectTimeout: 25, ReportColumns: []string{"x0", "x1"},
 		Balance: balance.Settings{Routers: 2, Tick: 5 * time.Millisecond, OverShareWorth: 0.1, TokensCarried: true,
 			Probes: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 8, MaxAttempts: 10, DrainGrace: 7,
 			OverloadFactor: 4, ColdShare: 0.25, ColdTime: 16,
--- a/internal/wire/settings/shape.go
+++ b/internal/wire/settings/shape.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// Fits says what a document lacks of the shape, by its path; nil: nothing.
-func (s *Shape) Fits(v gjson.Result) error { return s.fits(v, "") }
+// Check says what a document lacks of the shape, by its path; nil: nothing.
+func (s *Shape) Check(v gjson.Result) error { return s.fits(v, "") }
 
 func (s *Shape) fits(v gjson.Result, path string) error {
 	at := func(key string) string {
@@ -106,8 +106,8 @@
 	return s.kind == t || truth(s.kind) && truth(t)
 }
 
-// Positive says which deadline or number of attempts is no positive number; nil: none.
-func Positive(object gjson.Result) error {
+// CheckPositive says which deadline or number of attempts is no positive number; nil: none.
+func CheckPositive(object gjson.Result) error {
 	positive := func(v gjson.Result, path string) error {
 		if v.Type != gjson.Number || !(v.Num > 0) {
 			return fmt.Errorf("settings.%s: not a positive number: %.40s", path, v.Raw)
--- a/internal/wire/settings/shape_test.go
+++ b/internal/wire/settings/shape_test.go
@@ -35,9 +35,9 @@
 				text = strings.Replace(text, `}],"tenants"`, `}]},"tenants"`, 1)
 			}
 			v := gjson.Parse(text)
-			err := shape.Fits(v)
+			err := shape.Check(v)
 			if err == nil {
-				err = Positive(v.Get("settings"))
+				err = CheckPositive(v.Get("settings"))
 			}
 			if got := errText(err); !strings.HasPrefix(got, c.want) || (c.want == "") != (got == "") {
 				t.Errorf("%q, want %q", got, c.want)
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -77,8 +77,8 @@
 	Metrics   map[string]float64 `json:"metrics"`
 }
 
-// Line splits one incoming line into its name and fields.
-func Line(b []byte) (string, *Event, error) {
+// ParseLine splits one incoming line into its name and fields.
+func ParseLine(b []byte) (string, *Event, error) {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	var m map[string]json.RawMessage
 	if err := dec.Decode(&m); err != nil {
@@ -136,8 +136,8 @@
 
 type m = map[string]any
 
-// Action appends the line for one action of an instance.
-func Action(out []byte, who int, a balance.Action) ([]byte, error) {
+// AppendAction appends the line for one action of an instance.
+func AppendAction(out []byte, who int, a balance.Action) ([]byte, error) {
 	name, f := "", m{"who": who}
 	switch a := a.(type) {
 	case balance.Send:
@@ -163,11 +163,11 @@
 	default:
 		return out, fmt.Errorf("unknown action %T", a)
 	}
-	return Plain(out, name, f)
+	return AppendMessage(out, name, f)
 }
 
-// Plain appends one line of the given name and fields.
-func Plain(out []byte, name string, fields map[string]any) ([]byte, error) {
+// AppendMessage appends one line of the given name and fields.
+func AppendMessage(out []byte, name string, fields map[string]any) ([]byte, error) {
 	b, err := json.Marshal(m{name: fields})
 	return append(append(out, b...), '\n'), err
 }
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -32,7 +32,7 @@
 		{"timer", `{"TIMER":{"who":1,"ctx":77}}`, balance.Timer{Tag: 77}},
 		{"gone", `{"ABANDONED":{"who":1,"requestId":"0a"}}`, balance.RequestCanceled{ID: "0a"}},
 	} {
-		name, e, err := Line([]byte(c.line))
+		name, e, err := ParseLine([]byte(c.line))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 			continue
@@ -54,19 +54,19 @@
 		`{"AFTER":{"after":3,"ctx":4,"who":2}}`:                     balance.StartTimer{Wait: 3, Tag: 4},
 		`{"FOLLOW":{"enable":true,"who":2}}`:                        balance.Watch{},
 	} {
-		got, err := Action(nil, 2, a)
+		got, err := AppendAction(nil, 2, a)
 		if err != nil || strings.TrimSpace(string(got)) != want {
 			t.Errorf("got %s (%v), want %s", got, err, want)
 		}
 	}
-	if _, err := Action(nil, 2, 17); err == nil {
+	if _, err := AppendAction(nil, 2, 17); err == nil {
 		t.Error("an unknown action was taken")
 	}
 }
 
 func TestBadLines(t *testing.T) {
 	for _, l := range []string{``, `{`, `{"A":{},"B":{}}`, `{}`, `{"TIMER":{"ctx":"x"}}`} {
-		if _, _, err := Line([]byte(l)); err == nil {
+		if _, _, err := ParseLine([]byte(l)); err == nil {
 			t.Errorf("%q was taken", l)
 		}
 	}
--- a/internal/wire/socket/socket.go
+++ b/internal/wire/socket/socket.go
@@ -32,9 +32,9 @@
 	return n, err
 }
 
-// Quiet says whether the other end of a connection has neither closed it nor written anything that is still unread.
+// NothingReceived says whether the other end of a connection has neither closed it nor written anything that is still unread.
 // It does not wait.
-func Quiet(c syscall.Conn) bool {
+func NothingReceived(c syscall.Conn) bool {
 	_, err := peek(c)
 	return err == syscall.EAGAIN
 }
@@ -83,8 +83,8 @@
 	return max(n, 0)
 }
 
-// Unsent is how many bytes that were written the other end has not acknowledged yet; 0 where that is not known.
-func Unsent(c syscall.Conn) int {
+// Unacknowledged is how many bytes that were written the other end has not acknowledged yet; 0 where that is not known.
+func Unacknowledged(c syscall.Conn) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
@@ -96,8 +96,8 @@
 	return n
 }
 
-// Share lets several processes of one user listen at the same address. It is the Control of a net.ListenConfig.
-func Share(_, _ string, c syscall.RawConn) error {
+// ReusePort lets several processes of one user listen at the same address. It is the Control of a net.ListenConfig.
+func ReusePort(_, _ string, c syscall.RawConn) error {
 	var bad error
 	if err := c.Control(func(fd uintptr) { bad = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); err != nil {
 		return err
--- a/internal/wire/socket/socket_test.go
+++ b/internal/wire/socket/socket_test.go
@@ -31,7 +31,7 @@
 		}
 		if c.end != nil {
 			c.end(other.(*net.TCPConn))
-			for Quiet(n.(*net.TCPConn)) {
+			for NothingReceived(n.(*net.TCPConn)) {
 				time.Sleep(time.Millisecond)
 			}
 		}
--- a/internal/wire/socket/transient.go
+++ b/internal/wire/socket/transient.go
@@ -69,11 +69,11 @@
 	return c.(*net.UDPConn), nil
 }
 
-// Steady is a connection whose reads and writes go on where a call fails for a moment with nothing wrong on the connection.
-type Steady struct{ net.Conn }
+// RetryConn is a connection whose reads and writes go on where a call fails for a moment with nothing wrong on the connection.
+type RetryConn struct{ net.Conn }
 
 // Read is net.Conn's.
-func (s Steady) Read(b []byte) (int, error) {
+func (s RetryConn) Read(b []byte) (int, error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Read(b)
 		if n > 0 || calls >= steadyCalls || !Transient(err) {
@@ -84,7 +84,7 @@
 }
 
 // Write is net.Conn's.
-func (s Steady) Write(b []byte) (written int, err error) {
+func (s RetryConn) Write(b []byte) (written int, err error) {
 	for calls := 1; ; calls++ {
 		n, err := s.Conn.Write(b[written:])
 		written += n
--- a/internal/wire/socket/transient_test.go
+++ b/internal/wire/socket/transient_test.go
@@ -94,7 +94,7 @@
 
 func TestSteady(t *testing.T) {
 	f := &flaky{}
-	s := Steady{f}
+	s := RetryConn{f}
 	if n, err := s.Write([]byte("abcdefg")); n != 7 || err != nil || string(f.data) != "abcdefg" {
 		t.Errorf("wrote %d of 7 (%v): %q", n, err, f.data)
 	}
@@ -102,7 +102,7 @@
 	if n, err := s.Read(b); n != 3 || err != nil {
 		t.Errorf("read %d (%v)", n, err)
 	}
-	if _, err := (Steady{failed{}}).Read(b); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := (RetryConn{failed{}}).Read(b); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a connection that is broken: %v", err)
 	}
 }
--- a/internal/wire/succession/queue_test.go
+++ b/internal/wire/succession/queue_test.go
@@ -59,7 +59,7 @@
 func TestWhoWaitsWhileTheOldProcessEnds(t *testing.T) {
 	const upgrades, clients = 100, 100
 	open := func(address string) *net.TCPListener {
-		l, err := (&net.ListenConfig{Control: socket.Share}).Listen(context.Background(), "tcp4", address)
+		l, err := (&net.ListenConfig{Control: socket.ReusePort}).Listen(context.Background(), "tcp4", address)
 		if err != nil {
 			t.Fatal(err)
 		}
