--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -12,7 +12,7 @@
 	"yokemast/internal/control/service"
 	"yokemast/internal/disk/handover"
 	"yokemast/internal/wire/frontend"
-	"yokemast/internal/wire/succession"
+	"yokemast/internal/wire/hotrestart"
 )
 
 // claimInterval is how often a process without the instance lock tries to acquire it.
@@ -23,11 +23,11 @@
 type upgrade struct {
 	requestedAt time.Duration // when the handover state was requested
 	receivedAt  time.Duration // when the handover state had been received
-	lock        *succession.InstanceLock
-	oldProcess  *succession.OldProcess // nil if there is none
+	lock        *hotrestart.InstanceLock
+	oldProcess  *hotrestart.OldProcess // nil if there is none
 
 	mu         sync.Mutex
-	newProcess *succession.NewProcess // nil if there is none
+	newProcess *hotrestart.NewProcess // nil if there is none
 }
 
 // peerConn returns the gossip socket of the old process, or nil if there is none.
@@ -56,7 +56,7 @@
 	return u.newProcess.PassConnection
 }
 
-func (u *upgrade) setNewProcess(p *succession.NewProcess) {
+func (u *upgrade) setNewProcess(p *hotrestart.NewProcess) {
 	u.mu.Lock()
 	u.newProcess = p
 	u.mu.Unlock()
@@ -69,7 +69,7 @@
 		return
 	}
 	g.upgrade.requestedAt = g.clock.Now()
-	lock, oldProcess, err := succession.Join(g.ctx, os.TempDir(), g.config.Listen)
+	lock, oldProcess, err := hotrestart.Join(g.ctx, os.TempDir(), g.config.Listen)
 	g.upgrade.receivedAt = g.clock.Now()
 	if err != nil {
 		g.log.Warn("no handover", zap.Error(err))
@@ -124,7 +124,7 @@
 			u.oldProcess.ReceiveClients(g.ctx, func(c *net.TCPConn, user string, idle time.Duration) { g.frontend.Adopt(g.ctx, c, user, idle) })
 			_ = g.controller.handle(service.OldProcessExited)
 		case u.lock == nil:
-			lock, err := succession.WaitLock(g.ctx, os.TempDir(), g.config.Listen, claimInterval)
+			lock, err := hotrestart.WaitLock(g.ctx, os.TempDir(), g.config.Listen, claimInterval)
 			_ = g.controller.handle(service.OldProcessExited)
 			if err != nil {
 				if g.ctx.Err() == nil {
@@ -137,8 +137,8 @@
 		if g.ctx.Err() != nil {
 			return nil
 		}
-		err := u.lock.AcceptNewProcesses(g.ctx, succession.NewProcessHandler{Log: g.log, HandoverState: g.collectHandoverState,
-			Connected: func(p *succession.NewProcess) {
+		err := u.lock.AcceptNewProcesses(g.ctx, hotrestart.NewProcessHandler{Log: g.log, HandoverState: g.collectHandoverState,
+			Connected: func(p *hotrestart.NewProcess) {
 				u.setNewProcess(p)
 				_ = g.controller.handle(service.NewProcessConnected)
 			},
@@ -158,8 +158,8 @@
 }
 
 // collectHandoverState returns what this process passes to a new one.
-func (g *gateway) collectHandoverState(ctx context.Context) (succession.HandoverState, error) {
-	state := succession.HandoverState{Clients: g.listener}
+func (g *gateway) collectHandoverState(ctx context.Context) (hotrestart.HandoverState, error) {
+	state := hotrestart.HandoverState{Clients: g.listener}
 	if g.peers != nil {
 		state.Peers = g.peers.Conn()
 	}
--- a/internal/wire/succession/conn.go
+++ b/internal/wire/hotrestart/conn.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"encoding/binary"
--- a/internal/wire/succession/instancelock.go
+++ b/internal/wire/hotrestart/instancelock.go
@@ -1,10 +1,10 @@
-// Package succession implements the hot restart of a gateway. Over a Unix socket the old process passes to the new process
+// Package hotrestart implements the hot restart of a gateway. Over a Unix socket the old process passes to the new process
 // on the same machine its listening sockets, its handover state, and then its client connections.
 //
 // Each gateway has one instance lock: a lock file in a folder that all its processes share, with a socket next to it. The
 // process that holds the lock listens on the socket. The new process receives the descriptor of the lock itself, so that a
 // third process always finds either a process that answers or a lock that is free.
-package succession
+package hotrestart
 
 import (
 	"context"
