--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -150,9 +150,9 @@
 func (s *State) AppendMessage(now time.Duration, offsets Offsets, out []byte) []byte {
 	out = append(out, version)
 	// Rounded down, so that no encoded time is later than the real one.
-	fleetMillis := (now + offsets.Min) / time.Millisecond
-	out = binary.BigEndian.AppendUint32(out, uint32(fleetMillis))
-	headerFleetClock := fleetMillis * time.Millisecond
+	fleetTime := (now + offsets.Min) / time.Millisecond
+	out = binary.BigEndian.AppendUint32(out, uint32(fleetTime))
+	headerFleetClock := fleetTime * time.Millisecond
 	headerClock := headerFleetClock - offsets.Min
 	for _, entry := range s.pending {
 		out = s.appendEntry(out, entry, headerClock, headerFleetClock)
@@ -223,8 +223,8 @@
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
 	// The header holds the fleet's clock modulo 2^32: take the value nearest to now.
-	fleetMillis := (now + offsets.Min) / time.Millisecond
-	headerFleetClock := (fleetMillis + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(fleetMillis)))) * time.Millisecond
+	fleetTime := (now + offsets.Min) / time.Millisecond
+	headerFleetClock := (fleetTime + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(fleetTime)))) * time.Millisecond
 	if offsets.Bounded && headerFleetClock-offsets.Max > now+maxFuture || headerFleetClock-offsets.Min < now-maxAge {
 		return out, fmt.Errorf("%w: %s to %s", ErrClock, now-headerFleetClock+offsets.Min, now-headerFleetClock+offsets.Max)
 	}
