--- a/internal/control/pooling/model_test.go
+++ b/internal/control/pooling/model_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// server is a host connection as PostgreSQL has one: settings with transactions and savepoints, and prepared statements. It is
-// written apart from the session's own bookkeeping, to check it.
-type server struct {
+// modelConn models a PostgreSQL connection: settings with transactions and savepoints, and prepared
+// statements. It is implemented independently of Session, to check it.
+type modelConn struct {
 	session, effective map[string]string
 	saved              []savedLevel
 	failed             bool
@@ -23,8 +23,8 @@
 	session, effective map[string]string
 }
 
-func newServer() *server {
-	return &server{session: map[string]string{}, effective: map[string]string{}, prepared: map[string]string{}}
+func newModelConn() *modelConn {
+	return &modelConn{session: map[string]string{}, effective: map[string]string{}, prepared: map[string]string{}}
 }
 
 func clone(m map[string]string) map[string]string {
@@ -35,7 +35,7 @@
 	return out
 }
 
-func (s *server) status() byte {
+func (s *modelConn) status() byte {
 	switch {
 	case s.failed:
 		return 'E'
@@ -45,8 +45,8 @@
 	return 'I'
 }
 
-// exec runs one statement; not ok: it fails.
-func (s *server) exec(c Command) (tag string, ok bool) {
+// exec runs one statement; ok is false if it fails.
+func (s *modelConn) exec(c Command) (tag string, ok bool) {
 	if s.failed && c.Kind != Rollback && c.Kind != Commit && c.Kind != RollbackTo {
 		return "", false
 	}
@@ -119,17 +119,17 @@
 		clear(s.prepared)
 	case DeallocateAll:
 		clear(s.prepared)
-	case Write: // stands for any statement that fails
+	case Write: // represents any statement that fails
 		return fail()
 	}
 	return "OK", true
 }
 
-// batch runs a simple query of several statements: outside a transaction it is one.
-func (s *server) batch(commands []Command) (tags []string, ok bool) {
+// batch runs a simple query of several statements, which outside of a transaction is an implicit transaction.
+func (s *modelConn) batch(commands []Command) (tags []string, ok bool) {
 	session, effective := clone(s.session), clone(s.effective)
 	for _, c := range commands {
-		if c.Kind == Rollback && len(s.saved) == 0 { // what stands before it in the query is undone too
+		if c.Kind == Rollback && len(s.saved) == 0 { // also rolls back the statements before it in the query
 			s.session, s.effective = clone(session), clone(effective)
 		}
 		open := len(s.saved) > 0
@@ -150,28 +150,29 @@
 	return tags, true
 }
 
-// TestModel runs random sessions over few connections and, side by side, over one connection each: settings, statements and
-// answers must be the same at every step. A failure prints its seed; `go test -run TestModel -rapid.seed=SEED` replays it.
+// TestModel runs random sessions over shared connections and, for comparison, each session over a connection
+// of its own. Settings, statements and answers must be equal after every step. A failure prints its seed; `go
+// test -run TestModel -rapid.seed=SEED` replays it.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type client struct {
-			own    *server
+			own    *modelConn
 			s      *Session
-			link   int // -1: none
+			conn   int // index of the connection, or -1 if it has none
 			number int
 		}
-		type link struct {
-			*server
-			*Link
+		type sharedConn struct {
+			*modelConn
+			*ConnState
 			taken bool
 		}
 		var clients []*client
-		var links []*link
+		var conns []*sharedConn
 		for i := range rapid.IntRange(2, 5).Draw(t, "clients") {
-			clients = append(clients, &client{own: newServer(), s: NewSession(nil), link: -1, number: i})
+			clients = append(clients, &client{own: newModelConn(), s: NewSession(nil), conn: -1, number: i})
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "links") {
-			links = append(links, &link{newServer(), NewLink(3), false})
+			conns = append(conns, &sharedConn{newModelConn(), NewConnState(3), false})
 		}
 		names := []string{"a", "b", "c", "d"}
 		command := func(t *rapid.T) string {
@@ -181,10 +182,10 @@
 				"SAVEPOINT " + name, "ROLLBACK TO " + name, "RELEASE " + name, "FAIL", "DEALLOCATE ALL", "DISCARD ALL", "SHOW all",
 			}).Draw(t, "command")
 		}
-		take := func(t *rapid.T, c *client) *link {
-			if c.link < 0 {
+		take := func(t *rapid.T, c *client) *sharedConn {
+			if c.conn < 0 {
 				var free []int
-				for i, l := range links {
+				for i, l := range conns {
 					if !l.taken {
 						free = append(free, i)
 					}
@@ -192,22 +193,22 @@
 				if len(free) == 0 {
 					return nil
 				}
-				c.link = rapid.SampledFrom(free).Draw(t, "link")
-				l := links[c.link]
+				c.conn = rapid.SampledFrom(free).Draw(t, "link")
+				l := conns[c.conn]
 				l.taken = true
-				if sql := l.Carry(c.s); sql != "" {
+				if sql := l.SettingsQuery(c.s); sql != "" {
 					if _, ok := l.batch(Scan(sql)); !ok {
-						t.Fatalf("carrying fails: %s", sql)
+						t.Fatalf("query that applies the settings fails: %s", sql)
 					}
 				}
-				l.Carried(c.s)
+				l.SettingsApplied(c.s)
 			}
-			return links[c.link]
+			return conns[c.conn]
 		}
 		give := func(c *client) {
 			if c.s.Status == 'I' && c.s.Pins() == 0 {
-				links[c.link].taken = false
-				c.link = -1
+				conns[c.conn].taken = false
+				c.conn = -1
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -223,26 +224,26 @@
 				}
 				commands := Scan(strings.Join(sql, "; "))
 				if slices.ContainsFunc(commands, func(x Command) bool { return x.Kind == DiscardAll }) {
-					commands = commands[:1] // it may not stand among others
+					commands = commands[:1] // DISCARD ALL must be the only statement
 				}
 				wantTags, wantOK := c.own.batch(commands)
-				c.s.Start()
+				c.s.StartBatch()
 				tags, ok := l.batch(commands)
 				for i, tag := range tags {
 					c.s.Completed(commands[i], tag)
-					l.Ran(commands[i], c.s)
+					l.StatementRan(commands[i], c.s)
 				}
 				if !ok {
 					c.s.Failed()
 				}
-				c.s.Ready(l.status())
-				l.Follow(c.s)
+				c.s.EndBatch(l.status())
+				l.AdoptSettings(c.s)
 				if !slices.Equal(tags, wantTags) || ok != wantOK || l.status() != c.own.status() {
-					t.Fatalf("%v is answered %v %v %c, on a connection of its own %v %v %c", sql, tags, ok, l.status(), wantTags, wantOK,
+					t.Fatalf("%v: answer %v %v %c on a shared connection, %v %v %c on its own one", sql, tags, ok, l.status(), wantTags, wantOK,
 						c.own.status())
 				}
 				if diff := cmp.Diff(c.own.effective, l.effective); diff != "" {
-					t.Fatalf("after %v client %d has other settings: %s", sql, c.number, diff)
+					t.Fatalf("after %v client %d has different settings: %s", sql, c.number, diff)
 				}
 				give(c)
 			},
@@ -260,47 +261,47 @@
 					text := rapid.SampledFrom([]string{"SELECT 1", "SELECT 2", "SELECT 3", "SELECT 4", "SELECT 5"}).Draw(t, "text")
 					c.own.prepared[name] = text
 					if !c.s.Prepare(name, NewStatement(text, nil)) {
-						t.Fatalf("%s is taken", name)
+						t.Fatalf("name %s is in use", name)
 					}
 				}
 				st := c.s.Prepared(name)
 				if st == nil {
-					t.Fatalf("client %d has lost %s", c.number, name)
+					t.Fatalf("client %d has lost the prepared statement %s", c.number, name)
 				}
 				host, parse := l.Use(st)
 				for _, gone := range l.Evicted() {
-					delete(l.server.prepared, gone)
+					delete(l.modelConn.prepared, gone)
 				}
 				if parse {
-					if l.server.prepared[host] != "" {
+					if l.modelConn.prepared[host] != "" {
 						t.Fatalf("%s is prepared twice", host)
 					}
-					l.server.prepared[host] = st.Text
+					l.modelConn.prepared[host] = st.Text
 				}
-				if got := l.server.prepared[host]; got != c.own.prepared[name] {
-					t.Fatalf("%s of client %d runs %q, it is %q", name, c.number, got, c.own.prepared[name])
+				if got := l.modelConn.prepared[host]; got != c.own.prepared[name] {
+					t.Fatalf("statement %s of client %d runs %q, want %q", name, c.number, got, c.own.prepared[name])
 				}
-				if len(l.server.prepared) > 3 {
-					t.Fatalf("%d statements on a connection", len(l.server.prepared))
+				if len(l.modelConn.prepared) > 3 {
+					t.Fatalf("%d prepared statements on a connection, want at most 3", len(l.modelConn.prepared))
 				}
 				give(c)
 			},
-			"a connection dies": func(t *rapid.T) {
-				i := rapid.IntRange(0, len(links)-1).Draw(t, "link")
+			"connection is lost": func(t *rapid.T) {
+				i := rapid.IntRange(0, len(conns)-1).Draw(t, "link")
 				for _, c := range clients {
-					if c.link == i {
-						carried := c.s.Lost()
+					if c.conn == i {
+						carried := c.s.ConnectionLost()
 						if carried != (c.own.status() == 'I') {
-							t.Fatalf("carried %v with status %c", carried, c.own.status())
+							t.Fatalf("session can continue: %v, with transaction status %c", carried, c.own.status())
 						}
-						// What was open is rolled back; the rest of the session goes on elsewhere.
+						// The open transaction is rolled back; the session continues on another connection.
 						if c.own.status() != 'I' {
 							c.own.exec(Command{Kind: Rollback})
 						}
-						c.link = -1
+						c.conn = -1
 					}
 				}
-				links[i] = &link{newServer(), NewLink(3), false}
+				conns[i] = &sharedConn{newModelConn(), NewConnState(3), false}
 			},
 		})
 	})
--- a/internal/control/pooling/pool.go
+++ b/internal/control/pooling/pool.go
@@ -6,137 +6,141 @@
 	"time"
 )
 
-// Limits bound the connections to hosts.
+// Limits bounds the connections to hosts.
 type Limits struct {
-	Total    int           // open or being opened, to all hosts
-	PerHost  int           // of them to one host; 0: as many as Total
-	Least    int           // that a host can have even where others hold the total: an idle one of theirs is closed for it
-	Opening  int           // being opened to one host at a time; 0: any number
-	PerSec   float64       // opened to one host in a second, with as many at once; 0: any number
-	Rest     time.Duration // after use before the next one
-	Idle     time.Duration // a connection is closed after as much idling
-	Age      time.Duration // and at this age, give or take a quarter, so that they are not all opened anew together; 0: never
-	Memory   time.Duration // in which the number kept halves to what is used; 0: only Idle closes any
-	ColdPart float64       // of PerHost that a host has that starts cold; 0: all
+	Total             int           // maximum number of connections to all hosts, open or being opened
+	PerHost           int           // maximum number of connections to one host; 0 means Total
+	MinPerHost        int           // guaranteed to each host: at the total, an idle connection of another host is closed for it
+	Opening           int           // maximum number of connections being opened to one host; 0 means no limit
+	OpenRate          float64       // rate of opening connections to one host, also the burst; 0 means no limit
+	MinRest           time.Duration // minimum time from the end of a use of a connection to its next use
+	Idle              time.Duration // maximum idle time of a connection; 0 means no limit
+	Age               time.Duration // maximum age, varied by up to a quarter so as not to reopen all at once; 0 means no limit
+	PeakHalfLife      time.Duration // half-life of the peak usage, to which idle connections are reduced; 0 closes by Idle only
+	SlowStartFraction float64       // fraction of PerHost that a host may have during its slow start; 0 means all
 }
 
-// Choice is what to do for one who needs a connection.
+// Choice is the decision of Pools.Take.
 type Choice int
 
 // Choices.
 const (
-	Reuse  Choice = iota // the connection of that number
-	Open                 // open one, and close that of the number if there is one
-	Full                 // all are in use
-	Paused               // the host gets no more new ones just now
+	Reuse          Choice = iota // use the returned idle connection
+	Open                         // open a new connection, and close the returned one if its number is not 0
+	LimitReached                 // the connection limit is reached
+	OpeningLimited               // the limits of opening connections to the host are reached
 )
 
-// conn is one connection that idles.
-type conn struct {
-	id    int
-	since time.Duration
-	endAt time.Duration // of its age; 0: none
+// idleConn is an idle connection.
+type idleConn struct {
+	id        int
+	idleSince time.Duration // when it became idle
+	expiresAt time.Duration // when it reaches its maximum age, or 0 if there is none
 }
 
-type pool struct {
-	idle    []conn // the one used last at the end
-	open    int    // with those in use and being opened
-	opening int
-	used    int // in use
-	peak    float64
-	peakAt  time.Duration
-	tokens  float64
-	tokenAt time.Duration
-	closed  bool // takes nothing new: it drains or is gone
-	cold    bool
-	ends    map[int]time.Duration // of those in use: when their age is over
+// hostPool holds the connections to one host.
+type hostPool struct {
+	idle        []idleConn // in order of their last use
+	open        int        // all connections, including those in use and those being opened
+	opening     int
+	used        int // number of connections in use
+	peak        float64
+	peakAt      time.Duration
+	tokens      float64
+	tokensAt    time.Duration
+	closed      bool // gets no new connections: the host drains or was removed
+	cold        bool
+	expirations map[int]time.Duration // when the connections in use reach their maximum age
 }
 
-// Pools decides about the connections of one gateway. Connections are known by numbers that the caller gives. It is not safe
-// for concurrent use.
+// Pools manages the connections of one gateway to all hosts. The caller assigns the numbers of the
+// connections. It is not safe for concurrent use.
 type Pools struct {
 	limits Limits
 	rng    *rand.Rand
-	hosts  map[string]*pool
+	hosts  map[string]*hostPool
 	total  int
 	peak   int
 }
 
-// NewPools makes pools; seed draws the spread of ages.
+// NewPools returns empty pools. The seed determines the variation of maximum ages.
 func NewPools(l Limits, seed uint64) *Pools {
-	return &Pools{limits: l, rng: rand.New(rand.NewPCG(seed, 0x706f6f6c)), hosts: map[string]*pool{}}
+	return &Pools{limits: l, rng: rand.New(rand.NewPCG(seed, 0x706f6f6c)), hosts: map[string]*hostPool{}}
 }
 
-func (p *Pools) host(name string) *pool {
+func (p *Pools) host(name string) *hostPool {
 	h := p.hosts[name]
 	if h == nil {
-		h = &pool{tokens: max(1, p.limits.PerSec), ends: map[int]time.Duration{}}
+		h = &hostPool{tokens: max(1, p.limits.OpenRate), expirations: map[int]time.Duration{}}
 		p.hosts[name] = h
 	}
 	return h
 }
 
-func (p *Pools) most(h *pool) int {
-	most := p.limits.PerHost
-	if most <= 0 {
-		most = p.limits.Total
+// maxOpen returns the maximum number of connections to a host.
+func (p *Pools) maxOpen(h *hostPool) int {
+	limit := p.limits.PerHost
+	if limit <= 0 {
+		limit = p.limits.Total
 	}
-	if h.cold && p.limits.ColdPart > 0 {
-		most = max(1, int(float64(most)*p.limits.ColdPart))
+	if h.cold && p.limits.SlowStartFraction > 0 {
+		limit = max(1, int(float64(limit)*p.limits.SlowStartFraction))
 	}
-	return most
+	return limit
 }
 
-// SetTotal changes how many may be open. Idle connections above that are to be closed; those in use are when they are given
-// back.
-func (p *Pools) SetTotal(n int) (end []int) {
+// SetTotal changes the maximum number of connections. It returns the idle connections to close in order to
+// comply; further connections in excess are closed when they are returned by Put.
+func (p *Pools) SetTotal(n int) (closing []int) {
 	p.limits.Total = n
 	for p.total > n {
-		id := p.evict(&pool{open: p.limits.Least})
+		id := p.evict(&hostPool{open: p.limits.MinPerHost})
 		if id == 0 {
 			break
 		}
-		end = append(end, id)
+		closing = append(closing, id)
 	}
-	return end
+	return closing
 }
 
-// SetIdle changes how long a connection may idle.
+// SetIdle changes the maximum idle time.
 func (p *Pools) SetIdle(d time.Duration) { p.limits.Idle = d }
 
-// Take chooses a connection to a host: of those that have rested the one used last, or a new one. alive says whether an idle one
-// is still good; those that are not are in dead, and closed. With Open, close is a connection to be closed for it, if not 0.
+// Take chooses a connection to a host: among the idle connections that have rested for long enough the one
+// used last, or else a new one. It calls alive to check an idle connection. Idle connections that are not
+// alive or past a limit are returned in dead, to be closed. With Open, id is a connection to close for the
+// new one, or 0 if there is none.
 func (p *Pools) Take(now time.Duration, name string, alive func(id int) bool) (c Choice, id int, dead []int) {
 	h := p.host(name)
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		x := h.idle[i]
-		if now-x.since < p.limits.Rest {
+		if now-x.idleSince < p.limits.MinRest {
 			continue
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
-		if p.limits.Idle > 0 && now-x.since > p.limits.Idle || x.endAt > 0 && now >= x.endAt || !alive(x.id) {
+		if p.limits.Idle > 0 && now-x.idleSince > p.limits.Idle || x.expiresAt > 0 && now >= x.expiresAt || !alive(x.id) {
 			dead = append(dead, x.id)
 			h.open--
 			p.total--
 			continue
 		}
-		p.use(now, h)
-		h.ends[x.id] = x.endAt
+		p.markUsed(now, h)
+		h.expirations[x.id] = x.expiresAt
 		return Reuse, x.id, dead
 	}
 	switch {
-	case h.closed, h.open >= p.most(h):
-		return Full, 0, dead
-	case p.limits.Opening > 0 && h.opening >= p.limits.Opening, !p.token(now, h):
-		return Paused, 0, dead
+	case h.closed, h.open >= p.maxOpen(h):
+		return LimitReached, 0, dead
+	case p.limits.Opening > 0 && h.opening >= p.limits.Opening, !p.refillTokens(now, h):
+		return OpeningLimited, 0, dead
 	}
 	evicted := 0
 	if p.total >= p.limits.Total {
 		if evicted = p.evict(h); evicted == 0 {
-			return Full, 0, dead
+			return LimitReached, 0, dead
 		}
 	}
-	if p.limits.PerSec > 0 {
+	if p.limits.OpenRate > 0 {
 		h.tokens--
 	}
 	h.open++
@@ -146,14 +150,16 @@
 	return Open, evicted, dead
 }
 
-// evict closes the connection that has idled longest, of all hosts; of a host's least ones only where this host has less.
-func (p *Pools) evict(h *pool) int {
-	var from *pool
+// evict removes the connection that has been idle for longest among all hosts, and returns its number or 0 if
+// there is none. It takes no connection that is guaranteed to another host unless h has fewer than the
+// guaranteed number.
+func (p *Pools) evict(h *hostPool) int {
+	var from *hostPool
 	for _, o := range p.hosts {
-		if len(o.idle) == 0 || o != h && o.open <= p.limits.Least && h.open >= p.limits.Least {
+		if len(o.idle) == 0 || o != h && o.open <= p.limits.MinPerHost && h.open >= p.limits.MinPerHost {
 			continue
 		}
-		if from == nil || o.idle[0].since < from.idle[0].since || o.idle[0].since == from.idle[0].since && o.idle[0].id < from.idle[0].id {
+		if from == nil || o.idle[0].idleSince < from.idle[0].idleSince || o.idle[0].idleSince == from.idle[0].idleSince && o.idle[0].id < from.idle[0].id {
 			from = o
 		}
 	}
@@ -167,139 +173,145 @@
 	return id
 }
 
-func (p *Pools) token(now time.Duration, h *pool) bool {
-	if p.limits.PerSec <= 0 {
+// refillTokens refills the host's token bucket and reports whether a connection may be opened.
+func (p *Pools) refillTokens(now time.Duration, h *hostPool) bool {
+	if p.limits.OpenRate <= 0 {
 		return true
 	}
-	if h.tokenAt > 0 {
-		h.tokens = min(max(1, p.limits.PerSec), h.tokens+(now-h.tokenAt).Seconds()*p.limits.PerSec)
+	if h.tokensAt > 0 {
+		h.tokens = min(max(1, p.limits.OpenRate), h.tokens+(now-h.tokensAt).Seconds()*p.limits.OpenRate)
 	}
-	h.tokenAt = now
+	h.tokensAt = now
 	return h.tokens >= 1
 }
 
-func (p *Pools) use(now time.Duration, h *pool) {
+// markUsed counts a connection as in use.
+func (p *Pools) markUsed(now time.Duration, h *hostPool) {
 	h.used++
-	p.decay(now, h)
+	p.decayPeak(now, h)
 	h.peak = max(h.peak, float64(h.used))
 }
 
-// decay lets what was in use at most be forgotten by half in each Memory.
-func (p *Pools) decay(now time.Duration, h *pool) {
-	if p.limits.Memory > 0 && h.peakAt > 0 {
-		for h.peakAt+p.limits.Memory <= now && h.peak > float64(h.used) {
+// decayPeak halves the difference between the peak usage and the current usage once per half-life.
+func (p *Pools) decayPeak(now time.Duration, h *hostPool) {
+	if p.limits.PeakHalfLife > 0 && h.peakAt > 0 {
+		for h.peakAt+p.limits.PeakHalfLife <= now && h.peak > float64(h.used) {
 			h.peak = float64(h.used) + (h.peak-float64(h.used))/2
-			h.peakAt += p.limits.Memory
+			h.peakAt += p.limits.PeakHalfLife
 		}
 	}
-	if h.peakAt == 0 || h.peakAt+p.limits.Memory <= now {
+	if h.peakAt == 0 || h.peakAt+p.limits.PeakHalfLife <= now {
 		h.peakAt = now
 	}
 }
 
-// Opened says that a connection came up, under its number; it is in use.
+// Opened records that a connection was established, and assigns its number. The connection is in use.
 func (p *Pools) Opened(now time.Duration, name string, id int) {
 	h := p.host(name)
 	h.opening--
-	p.use(now, h)
+	p.markUsed(now, h)
 	end := time.Duration(0)
 	if a := p.limits.Age; a > 0 {
 		end = now + a*3/4 + time.Duration(p.rng.Int64N(int64(a/2)+1))
 	}
-	h.ends[id] = end
+	h.expirations[id] = end
 }
 
-// NotOpened says that a connection did not come up.
-func (p *Pools) NotOpened(name string) {
+// OpenFailed records that a connection could not be established.
+func (p *Pools) OpenFailed(name string) {
 	h := p.host(name)
 	h.opening--
 	h.open--
 	p.total--
 }
 
-// Put gives a connection back; keep says that it may be used again, otherwise the caller closes it.
+// Put returns a connection to the pool. A connection that is not clean is not used again. If Put returns false,
+// the caller has to close the connection.
 func (p *Pools) Put(now time.Duration, name string, id int, clean bool) (keep bool) {
 	h := p.host(name)
-	end := h.ends[id]
-	delete(h.ends, id)
+	end := h.expirations[id]
+	delete(h.expirations, id)
 	h.used--
-	if !clean || h.closed || end > 0 && now >= end || h.open > p.most(h) || p.total > p.limits.Total {
+	if !clean || h.closed || end > 0 && now >= end || h.open > p.maxOpen(h) || p.total > p.limits.Total {
 		h.open--
 		p.total--
 		return false
 	}
-	h.idle = append(h.idle, conn{id, now, end})
+	h.idle = append(h.idle, idleConn{id, now, end})
 	return true
 }
 
-// Close lets nothing new to a host, or something again. The idle connections of a closed one are to be closed.
-func (p *Pools) Close(name string, closed bool) (end []int) {
+// SetClosed sets whether a host gets no more connections. For a closed host it returns the idle connections to
+// close.
+func (p *Pools) SetClosed(name string, closed bool) (closing []int) {
 	h := p.host(name)
 	h.closed = closed
 	if closed {
-		end = p.drop(h)
+		closing = p.removeIdle(h)
 	}
-	return end
+	return closing
 }
 
-func (p *Pools) drop(h *pool) (end []int) {
+// removeIdle removes all idle connections of a host and returns their numbers.
+func (p *Pools) removeIdle(h *hostPool) (closing []int) {
 	for _, x := range h.idle {
-		end = append(end, x.id)
+		closing = append(closing, x.id)
 	}
 	h.open -= len(h.idle)
 	p.total -= len(h.idle)
 	h.idle = nil
-	return end
+	return closing
 }
 
-// Cold says whether a host has just started.
-func (p *Pools) Cold(name string, cold bool) { p.host(name).cold = cold }
+// SetCold sets whether a host is in its slow start.
+func (p *Pools) SetCold(name string, cold bool) { p.host(name).cold = cold }
 
-// Drop ends the idle connections of a host, whose address has changed.
-func (p *Pools) Drop(name string) []int { return p.drop(p.host(name)) }
+// CloseIdle removes the idle connections of a host whose address has changed, and returns them to be closed.
+func (p *Pools) CloseIdle(name string) []int { return p.removeIdle(p.host(name)) }
 
-// Forget ends the idle connections of a host that is gone for good, and forgets it once none is in use.
-func (p *Pools) Forget(name string) (end []int) {
+// RemoveHost closes the pool of a removed host and returns its idle connections to be closed. The pool is deleted
+// if no connection is in use or being opened.
+func (p *Pools) RemoveHost(name string) (closing []int) {
 	if h := p.hosts[name]; h != nil {
 		h.closed = true
-		if end = p.drop(h); h.open == 0 {
+		if closing = p.removeIdle(h); h.open == 0 {
 			delete(p.hosts, name)
 		}
 	}
-	return end
+	return closing
 }
 
-// Tick gives the connections to be closed: those that have idled for too long, are too old, or are more than has been used
-// lately, one of each host at a time.
-func (p *Pools) Tick(now time.Duration) (end []int) {
+// Tick returns the connections to close: those that have been idle for too long or are too old, and one per
+// host if there are more than the recent peak usage.
+func (p *Pools) Tick(now time.Duration) (closing []int) {
 	for _, h := range p.hosts {
 		kept := h.idle[:0]
-		p.decay(now, h)
+		p.decayPeak(now, h)
 		spare := h.open - h.opening - int(h.peak+0.999)
 		for _, x := range h.idle {
-			over := p.limits.Idle > 0 && now-x.since > p.limits.Idle || x.endAt > 0 && now >= x.endAt
-			if !over && p.limits.Memory > 0 && spare > 0 {
-				over, spare = true, 0
+			closeIt := p.limits.Idle > 0 && now-x.idleSince > p.limits.Idle || x.expiresAt > 0 && now >= x.expiresAt
+			if !closeIt && p.limits.PeakHalfLife > 0 && spare > 0 {
+				closeIt, spare = true, 0
 			}
-			if !over {
+			if !closeIt {
 				kept = append(kept, x)
 				continue
 			}
-			end = append(end, x.id)
+			closing = append(closing, x.id)
 			h.open--
 			p.total--
 		}
 		h.idle = kept
 	}
-	return end
+	return closing
 }
 
-// Stat is how a host's pool stands.
+// Stat counts the connections of a host. Open includes those that are idle, in use or being opened.
 type Stat struct {
 	Open, Idle, Used, Opening int
 }
 
-// Stats says how all pools stand.
+// Stats returns the counts of all pools by host.
 func (p *Pools) Stats() map[string]Stat {
 	out := make(map[string]Stat, len(p.hosts))
 	for name, h := range p.hosts {
@@ -308,8 +320,8 @@
 	return out
 }
 
-// Peak is how many were open or being opened at most.
+// Peak returns the highest number of connections that were open or being opened at the same time.
 func (p *Pools) Peak() int { return p.peak }
 
-// Total is how many are open or being opened.
+// Total returns the number of connections that are open or being opened.
 func (p *Pools) Total() int { return p.total }
--- a/internal/control/pooling/sql_test.go
+++ b/internal/control/pooling/sql_test.go
@@ -48,7 +48,7 @@
 		"SET x":                                                  {{Kind: Neutral}},
 		"RESET work_mem":                                         {{Kind: Reset, Name: "work_mem"}},
 		"RESET ALL":                                              {{Kind: ResetAll}},
-		"DISCARD ALL":                                            {{Kind: DiscardAll, Unpin: pinsAll}},
+		"DISCARD ALL":                                            {{Kind: DiscardAll, Unpin: allPins}},
 		"DISCARD TEMP":                                           {{Kind: Neutral, Unpin: PinTempTable}},
 		"DEALLOCATE ALL":                                         {{Kind: DeallocateAll}},
 		"DEALLOCATE PREPARE s":                                   {{Kind: Deallocate, Name: "s"}},
@@ -84,14 +84,15 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, sql string) {
-		s, l := NewSession(nil), NewLink(0)
+		s, l := NewSession(nil), NewConnState(0)
 		for _, c := range Scan(sql) {
 			s.Completed(c, "")
 		}
-		// Whatever is carried must be read back as what it was: a setting can't turn into another statement.
-		for _, c := range Scan(l.Carry(s)) {
+		// The query that carries the settings must consist of SET and RESET: a value cannot inject another
+		// statement.
+		for _, c := range Scan(l.SettingsQuery(s)) {
 			if c.Kind != Set && c.Kind != Empty && c.Kind != Reset && c.Kind != Neutral {
-				t.Fatalf("%q carries %q", sql, l.Carry(s))
+				t.Fatalf("after %q another connection has to run %q", sql, l.SettingsQuery(s))
 			}
 		}
 	})
--- a/internal/control/reload/need_test.go
+++ b/internal/control/reload/need_test.go
@@ -7,20 +7,20 @@
 	"yokemast/balance"
 )
 
-func TestAReadKeepsTheBoundOfTheOldSettingsUntilTheNewOnesBind(t *testing.T) {
+func TestOldBoundAppliesUntilNewSettingsBind(t *testing.T) {
 	view := balance.Class{Name: "view", Need: balance.Bounded, Bound: 200 * time.Millisecond}
 	v := New(balance.Settings{Classes: []balance.Class{view}}, time.Second)
 	loose := view
 	loose.Need, loose.Bound = balance.AnyData, 0
-	v.Take(0, balance.Settings{Classes: []balance.Class{loose}})
+	v.Update(0, balance.Settings{Classes: []balance.Class{loose}})
 	if got := v.InForce().Classes[0]; got.Need != balance.Bounded || got.Bound != view.Bound {
-		t.Errorf("before the new settings bind a read may be served from data of any age: %+v", got)
+		t.Errorf("a read may be served from data of any age before the new settings are binding: %+v", got)
 	}
 }
 
 const bound = 200 * time.Millisecond
 
-func TestOfTwoNeedsBothHold(t *testing.T) {
+func TestStrictestNeed(t *testing.T) {
 	for _, c := range []struct{ old, new, want balance.Need }{
 		{balance.Session, balance.AnyData, balance.Session},
 		{balance.AnyData, balance.Session, balance.Session},
@@ -41,23 +41,23 @@
 			return balance.Settings{Classes: []balance.Class{a}}
 		}
 		v := New(class(c.old), time.Second)
-		v.Take(0, class(c.new))
+		v.Update(0, class(c.new))
 		if got := v.InForce().Classes[0]; got.Need != c.want {
 			t.Errorf("from need %d to %d: %d, want %d", c.old, c.new, got.Need, c.want)
 		} else if got.Need == balance.Session && got.Bound != class(c.old).Classes[0].Bound+class(c.new).Classes[0].Bound {
 			t.Errorf("from need %d to %d: a bound of %s", c.old, c.new, got.Bound)
 		}
 		if v.Settle(time.Second); v.InForce().Classes[0].Need != c.new {
-			t.Errorf("from need %d to %d: after the grace %d", c.old, c.new, v.InForce().Classes[0].Need)
+			t.Errorf("from need %d to %d: %d after the grace period", c.old, c.new, v.InForce().Classes[0].Need)
 		}
 	}
 }
 
-func TestWhatOneVersionDoesNotAllowIsNotTakenUntilTheNewOneBinds(t *testing.T) {
+func TestPermissionsNeedBothVersions(t *testing.T) {
 	lax, strict := balance.Settings{DroppedStayOpen: true, TokensCarried: true}, balance.Settings{}
 	for _, c := range []struct{ old, new balance.Settings }{{lax, strict}, {strict, lax}} {
 		v := New(c.old, time.Second)
-		v.Take(0, c.new)
+		v.Update(0, c.new)
 		if got := v.InForce(); got.DroppedStayOpen || got.TokensCarried {
 			t.Errorf("from %+v to %+v: %+v", c.old, c.new, got)
 		}
--- a/internal/control/service/service.go
+++ b/internal/control/service/service.go
@@ -1,15 +1,16 @@
-// Package service says what a gateway's process owes whom: whether it says yes to the front, keeps its clients' connections,
-// passes them on to the process that follows it, and when it ends. One machine takes every word on that (the start, a drain
-// and its end, SIGTERM, an heir), so that no two parts can believe different things. It does no I/O and has no clock: now and
-// events in, a View out.
+// Package service is the state machine for the lifecycle of a gateway process. It decides whether the process
+// reports ready to the load balancer in front of it, whether it keeps the connections of its clients, closes
+// them or passes them to a new process, and when it exits. All events that affect these (start, drain and resume, SIGTERM, hot restart)
+// are handled here, so that all parts of the process act on the same state. The package does no I/O and does
+// not read a clock: its inputs are events and the time, its output is a View.
 //
 //	          Ready           Drain             Terminate
-//	Starting -------> Serving <-----> Draining -----------> Ending
+//	Starting -------> Serving <-----> Draining -----------> ShuttingDown
 //	                            Resume          (from any)
 //
-// An heir is a second process of the same gateway, started to follow this one. It comes, is ready or is lost in any phase;
-// from when it is ready it gets the clients, and this process keeps only what it has taken. To the heir this process is its
-// elder.
+// In a hot restart, a new process of the same gateway is started to replace this one, the old process. The
+// new process may connect, become ready or be lost in any phase. Once it is ready it takes over the clients,
+// and the old process only completes the requests that it has accepted.
 package service
 
 import (
@@ -18,125 +19,131 @@
 	"time"
 )
 
-// Phase is what the process is at.
+// Phase is the phase of the lifecycle of the process.
 type Phase int
 
 const (
-	Starting Phase = iota // not ready yet: the front has to wait
+	Starting Phase = iota // not ready yet
 	Serving
-	Draining // staff sent the clients away; it may be taken back
-	Ending   // SIGTERM came; nothing takes that back
+	Draining     // an operator drains the gateway; Resume ends the drain
+	ShuttingDown // SIGTERM was received; the shutdown cannot be undone
 )
 
 var phases = [...]string{"starting", "serving", "draining", "ending"}
 
 func (p Phase) String() string { return phases[p] }
 
-// Heir is how far the process that follows this one is.
-type Heir int
+// NewProcess is the state of the new process of a hot restart.
+type NewProcess int
 
 const (
-	None Heir = iota
-	Came      // it runs and shares the limits
-	Took      // it is ready and takes the clients
+	NoNewProcess NewProcess = iota
+	Connected               // the new process runs and shares the limits with this one
+	TookOver                // the new process is ready and takes over the clients
 )
 
-var heirs = [...]string{"none", "came", "took"}
+var newProcessStates = [...]string{"none", "came", "took"}
 
-func (h Heir) String() string { return heirs[h] }
+func (p NewProcess) String() string { return newProcessStates[p] }
 
-// Event is what happens to the process.
+// Event is an event in the lifecycle of the process.
 type Event int
 
 const (
-	Ready     Event = iota // it knows enough to serve
-	Drain                  // staff send the clients away
-	Resume                 // and take them back
+	Ready     Event = iota // the process has the state that it needs to serve
+	Drain                  // an operator starts a drain
+	Resume                 // an operator ends the drain
 	Terminate              // SIGTERM
-	HeirCame
-	HeirReady
-	HeirLost   // it died, or never became ready
-	ElderFound // this process is to follow another
-	ElderGone  // which has ended
+	NewProcessConnected
+	NewProcessReady
+	NewProcessLost   // the new process died or did not become ready
+	OldProcessFound  // this process is the new process of a hot restart
+	OldProcessExited // the old process has exited
 )
 
 var events = [...]string{"ready", "drain", "resume", "terminate", "heir came", "heir ready", "heir lost", "elder found", "elder gone"}
 
 func (e Event) String() string { return events[e] }
 
-// Times are the platform's, as durations from the event that they count from. All are above 0.
+// Times are the time limits that the platform sets, as durations since the event that each refers to. All are
+// above 0.
 type Times struct {
-	// FrontAway is how long after a no the front still opens connections: 0.2 s, and the tenth between two questions.
-	FrontAway time.Duration
-	// LastAnswer is how long after SIGTERM the last answer is due, Shed (before it) when connections are ended between
-	// requests, End (after it) when the process must have ended.
-	Shed, LastAnswer, End time.Duration
-	// Accept is how long after SIGTERM, at the least, new connections are taken: for 0.2 to 0.4 s they keep coming.
+	// LoadBalancerDelay is how long after the process stops reporting ready the load balancer still opens
+	// connections to it: 0.2 s, plus the tenth of a second between two of its readiness probes.
+	LoadBalancerDelay time.Duration
+	// CloseConnections, AnswersDue and Exit are durations since SIGTERM, in this order: when to close connections between
+	// requests, when the last answer is due, and when the process must have exited.
+	CloseConnections, AnswersDue, Exit time.Duration
+	// Accept is the minimum time after SIGTERM for which new connections are accepted. Clients keep connecting
+	// for 0.2 to 0.4 s.
 	Accept time.Duration
-	// Linger is how long a process whose heir took the clients stays, for the heir's death, before it ends by itself. The
-	// platform's SIGTERM comes within 6 s.
+	// Linger is how long the old process stays after the new process has taken over the clients, in case the
+	// new process dies, before it exits without SIGTERM. The platform sends SIGTERM within 6 s.
 	Linger time.Duration
 }
 
-// View is what holds from now on.
+// View is the behavior that the state of the process requires from now on.
 type View struct {
-	Phase  Phase
-	Heir   Heir
-	Yes    bool          // the front's question is answered with yes, and staff's too
-	Accept bool          // new connections are taken
-	Shed   bool          // connections are ended as soon as they are between requests
-	Pass   bool          // to the heir, in place of ending them
-	Shared bool          // two processes have the limits of one
-	Last   time.Duration // when the last answer is due; 0: no such time
-	Idle   bool          // nothing more is to come: the process ends once it has answered all that it took
-	Over   bool          // the process ends, whatever it holds
-	Next   time.Duration // when the view changes by itself; 0: it does not
+	Phase            Phase
+	NewProcess       NewProcess
+	Ready            bool          // the process answers readiness probes and operators with ready
+	Accept           bool          // new connections are accepted
+	CloseConnections bool          // connections are closed as soon as they are between requests
+	HandOver         bool          // connections are passed to the new process instead of being closed
+	LimitsShared     bool          // two processes share the limits of one gateway
+	AnswersDue       time.Duration // when the last answer is due, or 0 if there is no deadline
+	ExitWhenIdle     bool          // no new requests are expected: the process exits once it has answered all that it accepted
+	ExitNow          bool          // the process exits now, even with unanswered requests
+	NextChange       time.Duration // when the view changes without an event, or 0 if it does not
 }
 
-// ErrEnding says that a process that ends can't be taken back into service.
-var ErrEnding = errors.New("the process is ending")
+// ErrShuttingDown is returned if a process that shuts down is to resume service. Its text is sent to operators
+// in HTTP answers.
+var ErrShuttingDown = errors.New("the process is ending")
 
-// State is one process. It is not safe for concurrent use.
+// State is the lifecycle state of one process. It is not safe for concurrent use.
 type State struct {
-	times Times
-	next  Times // of the newest settings, in force alone from settleAt on
-	// settleAt is 0 where the newest times are in force alone.
-	settleAt time.Duration
-	phase    Phase
-	ready    bool // it was, once
-	heir     Heir
-	elder    bool
-	since    time.Duration // of the drain
-	endAt    time.Duration // when SIGTERM came
-	tookAt   time.Duration // when the heir took the clients
-	drained  bool          // SIGTERM found it draining
+	times     Times
+	nextTimes Times // of the newest settings, which replace times at settleAt
+	// settleAt is 0 if the newest settings are already in times.
+	settleAt     time.Duration
+	phase        Phase
+	ready        bool // the process has been ready
+	newProcess   NewProcess
+	oldProcess   bool          // an old process is running
+	drainStart   time.Duration // start of the drain
+	terminatedAt time.Duration // when SIGTERM was received
+	takenOverAt  time.Duration // when the new process took over the clients
+	wasDraining  bool          // the process was draining when SIGTERM was received
 }
 
-// New makes the state of a process that starts.
+// New returns the state of a process that starts.
 func New(t Times) *State { return &State{times: t} }
 
-// Retime changes the platform's times to those of new settings, which bind from a time on. Until then SIGKILL may come by the old or the new
-// ones, so that the earlier hold; and so for good where SIGTERM comes by then.
-func (s *State) Retime(now time.Duration, t Times, binds time.Duration) {
+// SetTimes changes the time limits to those of new settings, which the platform applies from binds on. Until
+// then SIGKILL may come by the old or the new settings, so the earlier time limits apply. They stay in force
+// if SIGTERM is received before binds.
+func (s *State) SetTimes(now time.Duration, t Times, binds time.Duration) {
 	s.settle(now)
 	s.times = s.times.earlier(t)
-	s.next, s.settleAt = t, binds
+	s.nextTimes, s.settleAt = t, binds
 }
 
-// settle puts the newest times in force alone, if their time has come.
+// settle replaces the time limits by the newest ones if settleAt has passed.
 func (s *State) settle(now time.Duration) {
-	if s.phase != Ending && s.settleAt > 0 && now >= s.settleAt {
-		s.times, s.settleAt = s.next, 0
+	if s.phase != ShuttingDown && s.settleAt > 0 && now >= s.settleAt {
+		s.times, s.settleAt = s.nextTimes, 0
 	}
 }
 
-// earlier gives times by which everything that the end asks for is done by either.
+// earlier returns o with the earlier of both time limits for each step of a shutdown.
 func (t Times) earlier(o Times) Times {
-	o.Shed, o.LastAnswer, o.End = min(t.Shed, o.Shed), min(t.LastAnswer, o.LastAnswer), min(t.End, o.End)
+	o.CloseConnections, o.AnswersDue, o.Exit = min(t.CloseConnections, o.CloseConnections), min(t.AnswersDue, o.AnswersDue), min(t.Exit, o.Exit)
 	return o
 }
 
-// Handle takes an event. An event that changes nothing is no error; one that can't be followed is.
+// Handle applies an event. An event that changes nothing is not an error. It returns an error if the event is
+// unknown or is not possible in the current phase.
 func (s *State) Handle(now time.Duration, e Event) error {
 	s.settle(now)
 	switch e {
@@ -145,77 +152,79 @@
 			s.phase = Serving
 		}
 	case Drain:
-		// A process that starts is told to drain before it was ever ready: it must not say yes then.
+		// A process may be drained before it has been ready. It must not report ready then.
 		if s.phase == Starting || s.phase == Serving {
-			s.phase, s.since = Draining, now
+			s.phase, s.drainStart = Draining, now
 		}
 	case Resume:
 		switch s.phase {
-		case Ending:
-			return ErrEnding
+		case ShuttingDown:
+			return ErrShuttingDown
 		case Draining:
 			if s.phase = Serving; !s.ready {
 				s.phase = Starting
 			}
 		}
 	case Terminate:
-		if s.phase != Ending {
-			s.drained = s.phase == Draining
-			s.phase, s.endAt = Ending, now
+		if s.phase != ShuttingDown {
+			s.wasDraining = s.phase == Draining
+			s.phase, s.terminatedAt = ShuttingDown, now
 		}
-	case HeirCame:
-		if s.heir == None {
-			s.heir = Came
+	case NewProcessConnected:
+		if s.newProcess == NoNewProcess {
+			s.newProcess = Connected
 		}
-	case HeirReady:
-		if s.heir != Took {
-			s.heir, s.tookAt = Took, now
+	case NewProcessReady:
+		if s.newProcess != TookOver {
+			s.newProcess, s.takenOverAt = TookOver, now
 		}
-	case HeirLost:
-		s.heir = None
-	case ElderFound:
-		s.elder = true
-	case ElderGone:
-		s.elder = false
+	case NewProcessLost:
+		s.newProcess = NoNewProcess
+	case OldProcessFound:
+		s.oldProcess = true
+	case OldProcessExited:
+		s.oldProcess = false
 	default:
 		return fmt.Errorf("service: unknown event %d", e)
 	}
 	return nil
 }
 
-// View says what holds at a time.
+// View returns the behavior that is required at the time now.
 func (s *State) View(now time.Duration) View {
-	// Before it is ready a process takes clients who then wait for it, but not while its elder serves them.
-	v := View{Phase: s.phase, Heir: s.heir, Yes: s.phase == Serving, Accept: s.ready || !s.elder, Shared: s.heir != None || s.elder}
-	next := func(at time.Duration) bool { // says whether the time has come, and notes it as the next otherwise
+	// A process accepts clients before it is ready, and they wait for it, unless the old process still serves
+	// them.
+	v := View{Phase: s.phase, NewProcess: s.newProcess, Ready: s.phase == Serving, Accept: s.ready || !s.oldProcess, LimitsShared: s.newProcess != NoNewProcess || s.oldProcess}
+	next := func(at time.Duration) bool { // reports whether the time has passed, and records it as a coming change otherwise
 		if now >= at {
 			return true
 		}
-		if v.Next == 0 || at < v.Next {
-			v.Next = at
+		if v.NextChange == 0 || at < v.NextChange {
+			v.NextChange = at
 		}
 		return false
 	}
 	switch s.phase {
 	case Draining:
-		// Before the front has noticed, those sent away would only come back.
-		v.Shed = next(s.since + s.times.FrontAway)
-	case Ending:
-		// Without an heir nobody takes this gateway's place so soon: clients are served as before, on the connections that
-		// they have, and the front's question as well.
-		v.Yes = s.ready && !s.drained
-		v.Last = s.endAt + s.times.LastAnswer
-		shed := next(s.endAt + s.times.Shed)
-		v.Shed = shed || s.drained && next(s.since+s.times.FrontAway)
-		v.Accept = !shed || !next(s.endAt+s.times.Accept)
-		v.Idle = !v.Accept
-		v.Over = next(s.endAt + s.times.End)
+		// Until the load balancer has noticed the drain, clients whose connections are closed would reconnect
+		// here.
+		v.CloseConnections = next(s.drainStart + s.times.LoadBalancerDelay)
+	case ShuttingDown:
+		// Without a new process, no other one replaces this gateway so soon. Clients are served as before on
+		// their existing connections, and readiness probes are answered as before.
+		v.Ready = s.ready && !s.wasDraining
+		v.AnswersDue = s.terminatedAt + s.times.AnswersDue
+		closing := next(s.terminatedAt + s.times.CloseConnections)
+		v.CloseConnections = closing || s.wasDraining && next(s.drainStart+s.times.LoadBalancerDelay)
+		v.Accept = !closing || !next(s.terminatedAt+s.times.Accept)
+		v.ExitWhenIdle = !v.Accept
+		v.ExitNow = next(s.terminatedAt + s.times.Exit)
 	}
-	if s.heir == Took {
-		v.Accept, v.Shed, v.Pass = false, true, true
-		v.Idle = s.phase == Ending
-		if s.phase != Ending && next(s.tookAt+s.times.Linger) {
-			v.Idle = true
+	if s.newProcess == TookOver {
+		v.Accept, v.CloseConnections, v.HandOver = false, true, true
+		v.ExitWhenIdle = s.phase == ShuttingDown
+		if s.phase != ShuttingDown && next(s.takenOverAt+s.times.Linger) {
+			v.ExitWhenIdle = true
 		}
 	}
 	return v
--- a/internal/disk/handover/small_step_test.go
+++ b/internal/disk/handover/small_step_test.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-func TestASmallStepBetweenTheProcessesMakesNothingSeemFresher(t *testing.T) {
+// The wall clock is set back by less than a second between the starts of the two processes. Decoded positions
+// and statements that a host is primary must not seem newer than they are.
+func TestSmallStepMakesNothingFresher(t *testing.T) {
 	for _, step := range []time.Duration{-900 * time.Millisecond, -300 * time.Millisecond, -60 * time.Millisecond} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
-			told := known()
-			told.Hosts[0].Position, told.Hosts[0].Leads = told.At+told.Ahead.Most-2*time.Second, told.At-2*time.Second
-			b, err := Encode(told)
+			encoded := sampleState()
+			encoded.Hosts[0].Position, encoded.Hosts[0].PrimaryNotBefore = encoded.At+encoded.Offset.Max-2*time.Second, encoded.At-2*time.Second
+			b, err := Encode(encoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			asked := told.At + step // the new process reads the wall after it was stepped
-			got, err := Decode(asked, asked+4*time.Millisecond, b)
+			requestedAt := encoded.At + step // the new process starts after the wall clock was stepped
+			got, err := Decode(requestedAt, requestedAt+4*time.Millisecond, b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if age := asked + got.Ahead.Most - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
-				t.Errorf("a position 2 s old is %s old to the new process", age)
+			if age := requestedAt + got.Offset.Max - got.Hosts[0].Position; age < 2*time.Second-time.Millisecond {
+				t.Errorf("the decoded age of a position is %s, want at least 2 s", age)
 			}
-			if ago := asked - got.Hosts[0].Leads; ago < 2*time.Second-time.Millisecond {
-				t.Errorf("a leader's word made 2 s ago is %s old to the new process", ago)
+			if ago := requestedAt - got.Hosts[0].PrimaryNotBefore; ago < 2*time.Second-time.Millisecond {
+				t.Errorf("the decoded age of a leadership statement is %s, want at least 2 s", ago)
 			}
-			if want := told.Ahead.Most - step; got.Ahead.Most < want {
-				t.Errorf("the fleet's clock is ahead by %s at most, want no less than %s", got.Ahead.Most, want)
+			if want := encoded.Offset.Max - step; got.Offset.Max < want {
+				t.Errorf("the upper bound of the clock offset is %s, want at least %s", got.Offset.Max, want)
 			}
 		})
 	}
--- a/internal/memory/exchange/bench_test.go
+++ b/internal/memory/exchange/bench_test.go
@@ -11,11 +11,12 @@
 	"yokemast/internal/memory/counters"
 )
 
-// BenchmarkRequest is a read's path through the exchange and the module: taken, decided on, sent, answered.
+// BenchmarkRequest measures a read's path through the exchange and the module, from its submission to its
+// answer.
 func BenchmarkRequest(b *testing.B) {
 	x, err := New(Config{Clock: NewClock(), Log: zap.NewNop(), Counters: &counters.Set{},
 		Settings: balance.Settings{Probes: true, RetryAfter: true, MaxRetryAfter: time.Second, DrainGrace: time.Second,
-			Classes: []balance.Class{{Name: "view", Need: balance.AnyData, Aim: time.Minute, Deadline: time.Minute}}}})
+			Classes: []balance.Class{{Name: "view", Need: balance.AnyData, LatencyTarget: time.Minute, Deadline: time.Minute}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -25,7 +26,7 @@
 	for i, role := range []bool{true, false, false, false} {
 		all = append(all, Member{Address: "h:1", Member: balance.Member{Server: fmt.Sprint("s", i), Group: 1, State: balance.Active, Primary: role, Weight: 1}})
 	}
-	x.handle(x.cfg.Clock.Now(), members{true, all})
+	x.handle(x.cfg.Clock.Now(), endpointList{true, all})
 	answers := make(chan Answer, 1)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -38,7 +39,7 @@
 		x.handle(x.cfg.Clock.Now(), Outcome{Outcome: balance.Outcome{ID: r.ID, Server: h.sent[0].Server, Result: balance.OK, Took: 40 * time.Millisecond}, Value: 1})
 		<-answers
 		if i%1000 == 0 {
-			x.timers = x.timers[:0] // the deadlines of what is answered
+			x.timers = x.timers[:0] // the deadlines of answered requests
 		}
 	}
 }
--- a/internal/memory/exchange/clock.go
+++ b/internal/memory/exchange/clock.go
@@ -13,35 +13,36 @@
 	"yokemast/internal/memory/counters"
 )
 
-// Clock is the gateway's one clock: wall time read once, monotonic from there. Its readings are Unix time by this machine's wall
-// clock, which may have been stepped. Positions are readings of the fleet's clock and stay so everywhere; Bounds says how the two stand.
+// Clock is the only clock of the gateway. It reads the wall clock once and is monotonic from there. Its
+// readings are Unix time by this machine's wall clock, which may have been stepped. Positions are readings of
+// the fleet's clock and are never converted; Bounds relates the two clocks.
 type Clock struct {
-	start time.Time
-	hold  func() // called between each reading and its use; nil in service
-	fleet *fleetTime
+	start    time.Time
+	readHook func() // called between reading the clock and returning; nil in production
+	fleet    *fleetTime
 }
 
-// fleetTime is what the process has learnt of the fleet's clock. It is safe for concurrent use.
+// fleetTime holds the estimate of the fleet's clock. It is safe for concurrent use.
 type fleetTime struct {
-	mu       sync.Mutex
-	estimate *fleetclock.Estimate
-	doubts   int         // answers that contradicted what was known
-	log      *zap.Logger // nil: nobody is told of contradictions
-	counts   *counters.Set
+	mu             sync.Mutex
+	estimate       *fleetclock.Estimate
+	contradictions int         // answers that contradicted the estimate
+	log            *zap.Logger // logs contradictions unless nil
+	counts         *counters.Set
 
 	now atomic.Pointer[fleetNow]
 }
 
-// fleetNow is what is known at a moment.
+// fleetNow is a snapshot of fleetTime.
 type fleetNow struct {
-	bounds        fleetclock.Bounds
-	epoch, doubts int
+	bounds                fleetclock.Bounds
+	epoch, contradictions int
 }
 
-// farAhead is a position that no log has reached.
-const farAhead = time.Duration(math.MaxInt64 / 2)
+// unreachedPosition is later than any position that a log can reach.
+const unreachedPosition = time.Duration(math.MaxInt64 / 2)
 
-// NewClock reads the wall.
+// NewClock returns a Clock that starts from the current wall time.
 func NewClock() Clock {
 	c := Clock{start: time.Now(), fleet: &fleetTime{}}
 	c.fleet.estimate = fleetclock.New(c.Now())
@@ -49,8 +50,9 @@
 	return c
 }
 
-// Watched gives the same clock, which logs and counts what hosts' answers contradict of what is known.
-func (c Clock) Watched(log *zap.Logger, counts *counters.Set) Clock {
+// WithContradictionLog returns the same clock, which now logs and counts hosts' answers that contradict the
+// estimate of the fleet's clock.
+func (c Clock) WithContradictionLog(log *zap.Logger, counts *counters.Set) Clock {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	c.fleet.log, c.fleet.counts = log, counts
@@ -58,40 +60,40 @@
 	return c
 }
 
-// Held gives the same clock, whose readings reach their caller only when hold returns. Tests use it to stop a goroutine between
-// reading the clock and acting on what it read.
-func (c Clock) Held(hold func()) Clock {
-	c.hold = hold
+// WithReadHook returns a copy of the clock that calls hold between reading the clock and returning the reading.
+// Tests use it to stop a goroutine between reading the clock and acting on the reading.
+func (c Clock) WithReadHook(hold func()) Clock {
+	c.readHook = hold
 	return c
 }
 
-// Now is the time since the start of 1970.
+// Now returns the time since the start of 1970.
 func (c Clock) Now() time.Duration {
 	now := time.Duration(c.start.UnixNano()) + time.Since(c.start)
-	if c.hold != nil {
-		c.hold()
+	if c.readHook != nil {
+		c.readHook()
 	}
 	return now
 }
 
-// Bounds say how this clock stands to the fleet's.
+// Bounds returns the known bounds of the fleet's clock relative to this one.
 func (c Clock) Bounds() fleetclock.Bounds { return c.fleet.now.Load().bounds }
 
-// Offset is what the fleet's clock shows more than this one, now.
+// Offset returns the current interval of the fleet's clock minus this one.
 func (c Clock) Offset() fleetclock.Interval { return c.Bounds().At(c.Now()) }
 
-// ForModule is what the decision module is told of Bounds: by at most a millisecond less than is known, so that it need not be told of
-// each little change.
+// ForModule returns Bounds as passed to the decision module. They are rounded up to milliseconds, so that the
+// module need not be notified of each small change.
 func (c Clock) ForModule() balance.ClockBounds {
 	now, b := c.Now(), c.Bounds()
-	if !b.Bounded {
+	if !b.HasMax {
 		return balance.ClockBounds{}
 	}
-	return balance.ClockBounds{Known: true, Ages: up(b.Ages(now)), Most: up(b.At(now).Most)}
+	return balance.ClockBounds{Known: true, AgeOffset: ceilToMillis(b.AgeOffset(now)), MaxOffset: ceilToMillis(b.At(now).Max)}
 }
 
-// up rounds up to milliseconds.
-func up(t time.Duration) time.Duration {
+// ceilToMillis rounds up to a multiple of a millisecond.
+func ceilToMillis(t time.Duration) time.Duration {
 	whole := t.Truncate(time.Millisecond)
 	if whole < t {
 		whole += time.Millisecond
@@ -99,33 +101,37 @@
 	return whole
 }
 
-// Epoch changes whenever what was known of the fleet's clock turns out wrong: what was dated by it does not hold any more.
+// Epoch returns a number that changes whenever the estimate of the fleet's clock proved wrong. Times that were
+// dated in another epoch are no longer valid.
 func (c Clock) Epoch() int { return c.fleet.now.Load().epoch }
 
-// Doubts counts the answers that contradicted what was known of the fleet's clock.
-func (c Clock) Doubts() int { return c.fleet.now.Load().doubts }
+// Contradictions returns the number of answers that contradicted the estimate of the fleet's clock.
+func (c Clock) Contradictions() int { return c.fleet.now.Load().contradictions }
 
-// Earliest is the earliest time by this clock at which the fleet's showed a position; not ok: there is no bound.
+// Earliest returns the earliest time by this clock at which the fleet's clock showed a position. It returns
+// false if there is no such bound.
 func (c Clock) Earliest(position time.Duration) (t time.Duration, ok bool) {
 	b := c.Bounds()
-	if !b.Bounded || position <= 0 {
+	if !b.HasMax || position <= 0 {
 		return 0, false
 	}
-	return position - b.At(c.Now()).Most, true
+	return position - b.At(c.Now()).Max, true
 }
 
-// FleetAtMost is the latest time that the fleet's clock may show now; where nothing bounds it, one that no log has reached.
-func (c Clock) FleetAtMost() time.Duration { return c.fleetAtMost(c.Now()) }
+// MaxFleetTime returns the latest time that the fleet's clock may show now, or a time later than any position if
+// it has no upper bound.
+func (c Clock) MaxFleetTime() time.Duration { return c.maxFleetTime(c.Now()) }
 
-func (c Clock) fleetAtMost(t time.Duration) time.Duration {
+// maxFleetTime returns the latest time that the fleet's clock may have shown at time t of this clock.
+func (c Clock) maxFleetTime(t time.Duration) time.Duration {
 	b := c.Bounds()
-	if !b.Bounded {
-		return farAhead
+	if !b.HasMax {
+		return unreachedPosition
 	}
-	return t + b.At(c.Now()).Most
+	return t + b.At(c.Now()).Max
 }
 
-// Observe learns from a host's answer.
+// Observe updates the estimate of the fleet's clock from a host's answer.
 func (c Clock) Observe(o fleetclock.Observation) {
 	f := c.fleet
 	f.mu.Lock()
@@ -136,7 +142,7 @@
 		return
 	}
 	if change == fleetclock.Contradicted {
-		f.doubts++
+		f.contradictions++
 	}
 	f.publish()
 	if f.log != nil && (change == fleetclock.Contradicted || change == fleetclock.Replaced) {
@@ -144,7 +150,8 @@
 	}
 }
 
-// Inherit takes what an earlier process on this machine knew at a time, in terms of this clock.
+// Inherit sets the offset of the fleet's clock that an earlier process on this machine knew at the given time.
+// Both are in terms of this clock.
 func (c Clock) Inherit(at time.Duration, offset fleetclock.Interval) {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
@@ -152,43 +159,44 @@
 	c.fleet.publish()
 }
 
-// report logs and counts an answer that contradicts what was known, or settles that another interval holds.
+// report logs and counts an answer that contradicts the estimate or caused it to be replaced.
 func (c Clock) report(change fleetclock.Change, o fleetclock.Observation, before fleetclock.Bounds) {
 	what, count := "answer contradicts the fleet's clock", &c.fleet.counts.ClockContradicted
 	if change == fleetclock.Replaced {
 		what, count = "fleet's clock replaced", &c.fleet.counts.ClockReplaced
 	}
 	count.Add(1)
-	proves := o.Proves()
-	fields := []zap.Field{zap.String("host", o.Host), zap.Bool("primary", o.Present > 0), zap.Duration("answer_least", proves.Least)}
-	if o.Present > 0 {
-		fields = append(fields, zap.Duration("answer_most", proves.Most))
+	proves := o.OffsetInterval()
+	fields := []zap.Field{zap.String("host", o.Host), zap.Bool("primary", o.PrimaryPosition > 0), zap.Duration("answer_least", proves.Min)}
+	if o.PrimaryPosition > 0 {
+		fields = append(fields, zap.Duration("answer_most", proves.Max))
 	}
 	fields = append(fields, clockFields("before_", before, o.Received)...)
 	fields = append(fields, clockFields("now_", c.Bounds(), o.Received)...)
 	c.fleet.log.Warn(what, fields...)
 }
 
-// clockFields are the ends of an interval that are known.
+// clockFields returns log fields with the known ends of the offset's interval.
 func clockFields(prefix string, b fleetclock.Bounds, now time.Duration) (fields []zap.Field) {
-	i := b.At(now)
-	if b.Told {
-		fields = append(fields, zap.Duration(prefix+"least", i.Least))
+	offset := b.At(now)
+	if b.HasMin {
+		fields = append(fields, zap.Duration(prefix+"least", offset.Min))
 	}
-	if b.Bounded {
-		fields = append(fields, zap.Duration(prefix+"most", i.Most))
+	if b.HasMax {
+		fields = append(fields, zap.Duration(prefix+"most", offset.Max))
 	}
 	return fields
 }
 
+// publish makes the current estimate visible to readers. The caller holds mu.
 func (f *fleetTime) publish() {
 	b := f.estimate.Bounds()
-	f.now.Store(&fleetNow{b, f.estimate.Epoch(), f.doubts})
+	f.now.Store(&fleetNow{b, f.estimate.Epoch(), f.contradictions})
 	if f.counts == nil {
 		return
 	}
 	width := int64(-1)
-	if b.Told && b.Bounded {
+	if b.HasMin && b.HasMax {
 		width = b.Width().Microseconds()
 	}
 	f.counts.ClockWidth.Set(width)
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// unmadeReport is what a host tells before it has made its first load report.
-const unmadeReport = "x0=0.000,x1=0"
+// emptyReport is the load report of a host that has not made one yet.
+const emptyReport = "x0=0.000,x1=0"
 
-// reporter keeps the newest load report of a host's process between two makings. It is guarded by its host's mutex.
+// reporter makes the load reports of a host's process and keeps the newest. It is guarded by its host's mutex.
 type reporter struct {
-	rng         *rand.Rand
-	least, most time.Duration
-	text        string
-	stopped     bool
-	next        *time.Timer
+	rng                *rand.Rand
+	minPause, maxPause time.Duration
+	newest             string
+	stopped            bool
+	timer              *time.Timer
 }
 
 func (r *reporter) pause() time.Duration {
-	return r.least + time.Duration(r.rng.Int64N(int64(r.most-r.least)+1))
+	return r.minPause + time.Duration(r.rng.Int64N(int64(r.maxPause-r.minPause)+1))
 }
 
-// KeepReports has a host of a cluster make a load report after each pause from least to most, drawn from the seed, and tell the
-// newest with every answer and to probes until the next is made. None is made while the host hangs. It is called before the first
-// connection comes.
-func (h *Host) KeepReports(seed uint64, least, most time.Duration) {
-	h.Report = h.keptReport
+// KeepReports makes a host of a cluster produce load reports at random intervals between the two bounds, drawn from the seed,
+// and send the newest with every answer and to probes. No report is made while the host hangs. It must be called before the
+// first connection.
+func (h *Host) KeepReports(seed uint64, minPause, maxPause time.Duration) {
+	h.Report = h.lastReport
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reports = &reporter{rng: rand.New(rand.NewPCG(seed, 0x6c6f6164)), least: least, most: most}
+	h.reports = &reporter{rng: rand.New(rand.NewPCG(seed, 0x6c6f6164)), minPause: minPause, maxPause: maxPause}
 	h.startReportsLocked()
 }
 
-// StopReports has a host go on telling its newest load report without making another, or ends that.
+// StopReports makes a host keep sending its newest load report without making another, or ends that.
 func (h *Host) StopReports(stopped bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,39 +41,39 @@
 	}
 }
 
-func (h *Host) keptReport() string {
+func (h *Host) lastReport() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reports.text
+	return h.reports.newest
 }
 
-// startReportsLocked begins the reports of a process that starts.
+// startReportsLocked starts the reports of a new process.
 func (h *Host) startReportsLocked() {
 	if h.reports == nil {
 		return
 	}
-	h.reports.text = unmadeReport
-	life := h.life
-	h.reports.next = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
+	h.reports.newest = emptyReport
+	process := h.process
+	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(process) })
 }
 
-// stopReportsLocked ends the reports of a process that dies.
+// stopReportsLocked stops the reports of a process that ends.
 func (h *Host) stopReportsLocked() {
 	if h.reports != nil {
-		h.reports.next.Stop()
+		h.reports.timer.Stop()
 	}
 }
 
-// makeReport makes the next load report of the process that has a number, and sees to the one after it.
-func (h *Host) makeReport(life int) {
-	text := h.load()
+// makeReport makes a load report of the process with the given number and schedules the next one.
+func (h *Host) makeReport(process int) {
+	text := h.newLoadReport()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.life != life {
+	if h.process != process {
 		return
 	}
-	if h.hung == Awake && !h.reports.stopped {
-		h.reports.text = text
+	if h.hung == NotHung && !h.reports.stopped {
+		h.reports.newest = text
 	}
-	h.reports.next = time.AfterFunc(h.reports.pause(), func() { h.makeReport(life) })
+	h.reports.timer = time.AfterFunc(h.reports.pause(), func() { h.makeReport(process) })
 }
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -11,33 +11,33 @@
 	"yokemast/internal/wire/socket"
 )
 
-// queued is how many reads from one end wait to go on to the other.
-const queued = 4096
+// maxQueued is the maximum number of reads from one end that wait to be forwarded.
+const maxQueued = 4096
 
-// conn is a connection of the gateway and the one to the host that it goes on to.
+// conn is a connection of the gateway with the connection to the host to which it is forwarded.
 type conn struct {
 	link    *Link
 	gateway *net.TCPConn
-	done    chan struct{} // closed once both are
+	done    chan struct{} // closed once both connections are
 
-	mu      sync.Mutex
-	host    *net.TCPConn // nil: not yet
-	ended   bool
-	asked   string // the query that is out; "": none
-	idle    *time.Timer
-	lost    bool // it has been forgotten
-	queries framer
-	answers framer
-	answer  Answer // the one that is coming
+	mu        sync.Mutex
+	host      *net.TCPConn // nil until connected
+	ended     bool
+	inFlight  string      // text of the query in flight, or empty
+	idle      *time.Timer // runs while no query is in flight
+	forgotten bool        // ForgetsIdle has struck: data of the gateway is dropped
+	queries   framer
+	answers   framer
+	answer    Answer // the answer that is being received
 }
 
-// chunk is what was read at once from one end.
+// chunk is the result of one read from one end.
 type chunk struct {
 	data    []byte
 	at      time.Time
-	err     error    // what the reading ended with
-	query   bool     // it ends a query
-	answers []Answer // that it ends
+	err     error    // with which reading ended, or nil
+	query   bool     // the chunk ends a query
+	answers []Answer // answers that end in the chunk
 }
 
 func (c *conn) setHost(host *net.TCPConn) {
@@ -49,10 +49,10 @@
 	}
 }
 
-// reset resets both ends.
+// reset resets both connections.
 func (c *conn) reset() { c.end(true) }
 
-// end closes both ends.
+// end closes or resets both connections.
 func (c *conn) end(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,26 +77,26 @@
 	c.Close()
 }
 
-// open says whether the gateway still waits on the connection.
+// open reports whether the gateway still waits for answers on the connection.
 func (c *conn) open() bool {
 	c.mu.Lock()
 	ended := c.ended
 	c.mu.Unlock()
-	return !ended && socket.Quiet(c.gateway)
+	return !ended && socket.NothingReceived(c.gateway)
 }
 
-// wait waits for a time, and until a channel that is not nil is closed; false: the connection has ended.
-func (c *conn) wait(long time.Duration, over <-chan struct{}) bool {
-	timer := time.NewTimer(long)
+// wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
+func (c *conn) wait(duration time.Duration, faultEnd <-chan struct{}) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-c.done:
 		return false
 	}
-	if over != nil {
+	if faultEnd != nil {
 		select {
-		case <-over:
+		case <-faultEnd:
 		case <-c.done:
 			return false
 		}
@@ -104,18 +104,18 @@
 	return true
 }
 
-// run carries both ways until both are over.
+// run forwards both directions until both have ended.
 func (c *conn) run() {
-	var ways sync.WaitGroup
-	ways.Go(func() { c.pass(c.gateway, c.host, c.readQueries, c.passQuery) })
-	ways.Go(func() { c.pass(c.host, c.gateway, c.readAnswers, c.passAnswer) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { c.forward(c.gateway, c.host, c.readQueries, c.forwardQuery) })
+	directions.Go(func() { c.forward(c.host, c.gateway, c.readAnswers, c.forwardAnswer) })
+	directions.Wait()
 	c.end(false)
 }
 
-// pass carries what comes from one end on to the other, in order; the reading does not wait for what has to be passed on.
-func (c *conn) pass(from, to *net.TCPConn, read func(*chunk), pass func(chunk, Fault) bool) {
-	chunks := make(chan chunk, queued)
+// forward forwards data from one end to the other in order. Reading does not wait for the forwarding.
+func (c *conn) forward(from, to *net.TCPConn, read func(*chunk), write func(chunk, Fault) bool) {
+	chunks := make(chan chunk, maxQueued)
 	go func() {
 		defer close(chunks)
 		for buffer := make([]byte, 16<<10); ; {
@@ -130,16 +130,16 @@
 	}()
 	defer func() {
 		go func() {
-			for range chunks { // what is read is looked at to the end
+			for range chunks { // all reads are parsed, up to the end
 			}
 		}()
 	}()
 	for k := range chunks {
-		fault, over := c.link.current()
-		if !c.hold(k, fault, over, to) {
+		fault, faultEnd := c.link.current()
+		if !c.delay(k, fault, faultEnd, to) {
 			return
 		}
-		if len(k.data) > 0 && !pass(k, fault) {
+		if len(k.data) > 0 && !write(k, fault) {
 			return
 		}
 		switch {
@@ -151,37 +151,37 @@
 	}
 }
 
-// hold keeps a chunk for as long as the fault says; false: the connection has ended meanwhile.
-func (c *conn) hold(k chunk, f Fault, over <-chan struct{}, to *net.TCPConn) bool {
+// delay delays a chunk as the fault requires. It returns false if the connection ended meanwhile.
+func (c *conn) delay(k chunk, f Fault, faultEnd <-chan struct{}, to *net.TCPConn) bool {
 	toGateway := to == c.gateway
 	switch {
 	case f.Kind == Silent, f.Kind == HoldsAnswers && toGateway:
-		return c.wait(0, over)
+		return c.wait(0, faultEnd)
 	case f.Kind == DelaysAnswers && toGateway, f.Kind == DelaysQueries && !toGateway:
-		return c.wait(time.Until(k.at.Add(f.Most/2+time.Duration(c.link.draw(int64(f.Most/2))))), nil)
+		return c.wait(time.Until(k.at.Add(f.Max/2+time.Duration(c.link.draw(int64(f.Max/2))))), nil)
 	}
 	return true
 }
 
-// readQueries looks at what the gateway has sent.
+// readQueries parses data of the gateway and reports complete queries to the watcher.
 func (c *conn) readQueries(k *chunk) {
 	c.mu.Lock()
-	whole := c.queries.add(k.data, k.at)
-	for _, m := range whole {
+	messages := c.queries.add(k.data, k.at)
+	for _, m := range messages {
 		if m.kind == 'Q' {
-			k.query, c.asked = true, strings.TrimSuffix(string(m.body), "\x00")
+			k.query, c.inFlight = true, strings.TrimSuffix(string(m.body), "\x00")
 		}
 	}
 	c.stopIdle()
 	c.mu.Unlock()
-	for _, m := range whole {
+	for _, m := range messages {
 		if m.kind == 'Q' {
-			c.link.watch.Sent(Sent{Text: strings.TrimSuffix(string(m.body), "\x00"), First: m.first, Last: k.at, Open: c.open})
+			c.link.watcher.Sent(Sent{Text: strings.TrimSuffix(string(m.body), "\x00"), First: m.firstAt, Last: k.at, Open: c.open})
 		}
 	}
 }
 
-// readAnswers looks at what the host has sent.
+// readAnswers parses data of the host and stores complete answers in the chunk.
 func (c *conn) readAnswers(k *chunk) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,46 +191,46 @@
 			c.answer.Follower = c.answer.Follower || string(m.body) == "node_role\x00follower\x00"
 		case 'D':
 			report := string(m.body)
-			c.answer.Follower = c.answer.Follower || c.asked == "SHOW server_load" && strings.HasSuffix(report, "x1=0") &&
-				!strings.HasSuffix(report, unmade)
+			c.answer.Follower = c.answer.Follower || c.inFlight == "SHOW server_load" && strings.HasSuffix(report, "x1=0") &&
+				!strings.HasSuffix(report, emptyReport)
 		case 'Z':
-			c.answer.Text, c.answer.Made = c.asked, k.at
-			if c.asked != "" {
+			c.answer.Text, c.answer.Made = c.inFlight, k.at
+			if c.inFlight != "" {
 				k.answers = append(k.answers, c.answer)
 			}
-			c.answer, c.asked = Answer{}, ""
+			c.answer, c.inFlight = Answer{}, ""
 		}
 	}
 }
 
-// unmade is the report of a host that has made none yet.
-const unmade = "x0=0.000,x1=0"
+// emptyReport is the load report of a host that has not made one yet.
+const emptyReport = "x0=0.000,x1=0"
 
-// passQuery writes to the host what the gateway sent; false: nothing more is passed on.
-func (c *conn) passQuery(k chunk, f Fault) bool {
+// forwardQuery writes data of the gateway to the host. It returns false if no more data must be forwarded.
+func (c *conn) forwardQuery(k chunk, f Fault) bool {
 	c.mu.Lock()
-	lost := c.lost
+	forgotten := c.forgotten
 	c.mu.Unlock()
-	if lost {
+	if forgotten {
 		if c.link.draw(2) == 0 {
 			c.reset()
 		}
 		return true
 	}
-	if k.query && f.Kind == ResetsQuery && c.link.draw(oneIn) == 0 {
+	if k.query && f.Kind == ResetsQuery && c.link.draw(affectedOneIn) == 0 {
 		_, _ = c.host.Write(k.data[:c.link.draw(int64(len(k.data)))])
 		c.reset()
 		return false
 	}
-	if k.query && f.Kind == ResetsLater && c.link.draw(oneIn) == 0 {
-		time.AfterFunc(time.Duration(c.link.draw(int64(f.Most))), c.reset)
+	if k.query && f.Kind == ResetsLater && c.link.draw(affectedOneIn) == 0 {
+		time.AfterFunc(time.Duration(c.link.draw(int64(f.Max))), c.reset)
 	}
 	return c.write(c.host, k.data, f, nil)
 }
 
-// passAnswer writes to the gateway what the host sent; false: nothing more is passed on.
-func (c *conn) passAnswer(k chunk, f Fault) bool {
-	if len(k.answers) > 0 && c.link.draw(oneIn) == 0 {
+// forwardAnswer writes data of the host to the gateway. It returns false if no more data must be forwarded.
+func (c *conn) forwardAnswer(k chunk, f Fault) bool {
+	if len(k.answers) > 0 && c.link.draw(affectedOneIn) == 0 {
 		switch f.Kind {
 		case ResetsAnswer:
 			_, _ = c.gateway.Write(k.data[:c.link.draw(int64(len(k.data)))])
@@ -239,31 +239,31 @@
 		case HalfCloses:
 			_, _ = c.gateway.Write(k.data[:c.link.draw(int64(len(k.data)))])
 			_ = c.gateway.CloseWrite()
-			return false // what the gateway still sends goes on
+			return false // the gateway's data is still forwarded
 		}
 	}
-	tell := func(told func(Answer)) {
+	notify := func(callback func(Answer)) {
 		for _, a := range k.answers {
 			if c.open() {
-				told(a)
+				callback(a)
 			}
 		}
 	}
-	if !c.write(c.gateway, k.data, f, func() { tell(c.link.watch.Delivering) }) {
+	if !c.write(c.gateway, k.data, f, func() { notify(c.link.watcher.Delivering) }) {
 		return false
 	}
-	tell(c.link.watch.Delivered)
+	notify(c.link.watcher.Delivered)
 	if len(k.answers) > 0 {
-		c.rest(f)
+		c.startIdle(f)
 	}
 	return true
 }
 
-// write writes to one end, in pieces where the fault says so, and calls last before the last of it.
+// write writes to one end, in pieces if the fault requires it, and calls last before the last write.
 func (c *conn) write(to *net.TCPConn, data []byte, f Fault, last func()) bool {
-	for f.Kind == Pieces && len(data) > longestPiece {
-		n := 1 + c.link.draw(longestPiece)
-		if _, err := to.Write(data[:n]); err != nil || !c.wait(time.Duration(c.link.draw(int64(piecePause))), nil) {
+	for f.Kind == Pieces && len(data) > maxPiece {
+		n := 1 + c.link.draw(maxPiece)
+		if _, err := to.Write(data[:n]); err != nil || !c.wait(time.Duration(c.link.draw(int64(maxPiecePause))), nil) {
 			return false
 		}
 		data = data[n:]
@@ -275,20 +275,20 @@
 	return err == nil
 }
 
-// rest closes or forgets the connection once it has idled for long enough, where the fault says so.
-func (c *conn) rest(f Fault) {
+// startIdle starts the timer of a fault that closes or forgets idle connections.
+func (c *conn) startIdle(f Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopIdle()
 	switch {
-	case c.asked != "" || c.ended:
+	case c.inFlight != "" || c.ended:
 	case f.Kind == ClosesIdle:
-		c.idle = time.AfterFunc(f.Most, func() { c.end(c.link.draw(2) == 0) })
+		c.idle = time.AfterFunc(f.Max, func() { c.end(c.link.draw(2) == 0) })
 	case f.Kind == ForgetsIdle:
-		c.idle = time.AfterFunc(f.Most, func() {
+		c.idle = time.AfterFunc(f.Max, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.lost = c.asked == ""
+			c.forgotten = c.inFlight == ""
 		})
 	}
 }
--- a/internal/testbed/linkfault/framer.go
+++ b/internal/testbed/linkfault/framer.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// framer finds the messages of PostgreSQL's protocol in bytes that come in any pieces.
+// framer splits a byte stream into messages of PostgreSQL's protocol.
 type framer struct {
-	startup bool // the next message is the one that opens a session, which has no type
-	rest    []byte
-	first   time.Time // when the first byte of rest came
+	startup  bool      // the next message is the startup message, which has no type byte
+	buffered []byte    // bytes of an incomplete message
+	firstAt  time.Time // when the first byte of rest was received
 }
 
 type message struct {
-	kind  byte // 0: startup
-	body  []byte
-	first time.Time
+	kind    byte // 0 for the startup message
+	body    []byte
+	firstAt time.Time
 }
 
-// add takes bytes that came at a time and gives the messages that they complete.
-func (f *framer) add(data []byte, at time.Time) (whole []message) {
-	if len(f.rest) == 0 {
-		f.first = at
+// add adds bytes received at a time and returns the messages that they complete.
+func (f *framer) add(data []byte, at time.Time) (messages []message) {
+	if len(f.buffered) == 0 {
+		f.firstAt = at
 	}
-	f.rest = append(f.rest, data...)
+	f.buffered = append(f.buffered, data...)
 	for {
 		head := 1
 		if f.startup {
 			head = 0
 		}
-		if len(f.rest) < head+4 {
-			return whole
+		if len(f.buffered) < head+4 {
+			return messages
 		}
-		end := head + max(4, int(binary.BigEndian.Uint32(f.rest[head:])))
-		if len(f.rest) < end {
-			return whole
+		end := head + max(4, int(binary.BigEndian.Uint32(f.buffered[head:])))
+		if len(f.buffered) < end {
+			return messages
 		}
-		m := message{body: f.rest[head+4 : end], first: f.first}
+		m := message{body: f.buffered[head+4 : end], firstAt: f.firstAt}
 		if !f.startup {
-			m.kind = f.rest[0]
+			m.kind = f.buffered[0]
 		}
-		whole = append(whole, m)
-		f.startup, f.rest, f.first = false, f.rest[end:], at
+		messages = append(messages, m)
+		f.startup, f.buffered, f.firstAt = false, f.buffered[end:], at
 	}
 }
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -11,34 +11,34 @@
 	"yokemast/internal/wire/pg"
 )
 
-// exchangeOf is one batch's way to the host and back.
-type exchangeOf struct {
-	l          *Lease
-	h          *backend.Host
-	s          *pooling.Session
-	b          *Batch
-	statements map[string]*pooling.Statement // as they were before
+// batchExchange is the exchange of one batch with a host.
+type batchExchange struct {
+	checkout   *Checkout
+	host       *backend.Host
+	session    *pooling.Session
+	batch      *Batch
+	statements map[string]*pooling.Statement // the session's prepared statements before the batch
 	portals    map[string]*pooling.Statement
 	query      []byte
-	expects    []expect
+	expected   []expectation
 	out        []byte
-	sent       bool // something has gone to the host
-	relayed    bool // something has gone to the client
-	last       byte // kind of the last message from the host
-	read       bool // it has given a row
-	wrote      time.Duration
+	sent       bool          // something was sent to the host
+	relayed    bool          // something was sent to the client
+	lastKind   byte          // kind of the last message from the host
+	rowRead    bool          // the host has sent a row
+	wrote      time.Duration // as Done.Wrote
 }
 
-func (x *exchangeOf) flush() error {
+func (x *batchExchange) flush() error {
 	switch {
 	case len(x.out) == 0:
 		return nil
-	case x.h.Late():
+	case x.host.PastDeadline():
 		x.out = x.out[:0]
 		return nil
 	}
 	x.relayed = true
-	err := x.l.write(x.out)
+	err := x.checkout.write(x.out)
 	x.out = x.out[:0]
 	if err != nil {
 		return fmt.Errorf("writing to the client: %w", err)
@@ -46,34 +46,34 @@
 	return nil
 }
 
-// run takes the batch to the host and its answer to the client.
-func (x *exchangeOf) run() error {
-	x.s.Start()
-	x.h.Begin()
-	if err := x.build(); err != nil {
+// run sends the batch to the host and forwards its answer to the client.
+func (x *batchExchange) run() error {
+	x.session.StartBatch()
+	x.host.BeginBatch()
+	if err := x.buildQuery(); err != nil {
 		return err
 	}
-	if n := len(x.expects); n > 0 && x.expects[n-1].made != nil && x.expects[n-1].kind == pg.ErrorResponse {
-		// Found here, in the middle of a batch: what stands before it runs, and the rest up to Sync does not.
+	if n := len(x.expected); n > 0 && x.expected[n-1].reply != nil && x.expected[n-1].kind == pg.ErrorResponse {
+		// The gateway found an error within the batch: the messages before it run, the rest up to Sync does not.
 		x.query = pg.Append(x.query, pg.Sync)
-		x.expects = append(x.expects, expect{kind: pg.Sync})
+		x.expected = append(x.expected, expectation{kind: pg.Sync})
 	}
-	x.expects = append(x.l.owed, x.expects...)
-	x.l.owed = nil
-	if x.b.Part && len(x.expects) > 0 {
-		x.query = pg.Append(x.query, pg.Flush) // nothing may wait for us to read while we write a long message
+	x.expected = append(x.checkout.pendingAnswers, x.expected...)
+	x.checkout.pendingAnswers = nil
+	if x.batch.Streamed && len(x.expected) > 0 {
+		x.query = pg.Append(x.query, pg.Flush) // the answers must be read before the long message is written, or both ends could block
 	}
 	var written chan error
 	if len(x.query) > 0 {
 		x.sent = true
-		if len(x.query) <= writeAhead {
-			if err := x.h.Write(x.query); err != nil {
+		if len(x.query) <= maxWriteAhead {
+			if err := x.host.Write(x.query); err != nil {
 				return err
 			}
 		} else {
-			// The host may answer the first statements of a long pipeline before it reads the last.
+			// The host may answer the first statements of a long pipeline before it reads the last ones.
 			written = make(chan error, 1)
-			go func() { written <- x.h.Write(x.query) }()
+			go func() { written <- x.host.Write(x.query) }()
 		}
 	}
 	if err := x.receiveAll(); err != nil {
@@ -84,29 +84,29 @@
 			return err
 		}
 	}
-	if x.b.Part {
-		if err := x.stream(x.b.Messages[len(x.b.Messages)-1]); err != nil {
+	if x.batch.Streamed {
+		if err := x.stream(x.batch.Messages[len(x.batch.Messages)-1]); err != nil {
 			return err
 		}
 		return x.flush()
 	}
-	switch see := x.l.MustSee; {
-	case x.h.Late():
+	switch minPosition := x.checkout.MinPosition; {
+	case x.host.PastDeadline():
 		return os.ErrDeadlineExceeded
-	case see > 0 && !x.relayed && x.h.Behind(see):
-		return errBehind
-	case x.read && x.h.TooOld():
+	case minPosition > 0 && !x.relayed && x.host.Behind(minPosition):
+		return errMisdirected
+	case x.rowRead && x.host.TooOld():
 		return errStale
 	}
 	return x.flush()
 }
 
-// writeAhead is how much is written before answers are read: it fits into the buffers between two sockets.
-const writeAhead = 32 << 10
+// maxWriteAhead is the number of bytes written before answers are read; they fit into the socket buffers of both ends.
+const maxWriteAhead = 32 << 10
 
-// stream passes a Bind on as it comes. It can't be sent again, to no other host.
-func (x *exchangeOf) stream(m Message) error {
-	if x.l.skipping {
+// stream forwards a Bind as it arrives. It cannot be retried, on this host or another.
+func (x *batchExchange) stream(m Message) error {
+	if x.checkout.skipping {
 		m.Rest.Discard()
 		return nil
 	}
@@ -114,57 +114,57 @@
 	if err != nil {
 		return err
 	}
-	st, host := x.s.Prepared(name), unknown
+	statement, hostName := x.session.Prepared(name), unknownStatement
 	x.query = x.query[:0]
-	before := len(x.expects)
-	if st != nil {
-		host = x.here(st)
-	}
-	x.portals[portal] = st
-	x.l.owed = append(x.l.owed, x.expects[before:]...)
-	x.l.owed = append(x.l.owed, expect{kind: pg.Bind, statement: st, name: name})
-	x.expects = nil
-	x.l.portal, x.l.bound = portal, st
-	x.query = pg.AppendLong(x.query, pg.Bind, m.Rest.Length, []byte(portal), []byte{0}, []byte(host), []byte{0})
+	before := len(x.expected)
+	if statement != nil {
+		hostName = x.ensurePrepared(statement)
+	}
+	x.portals[portal] = statement
+	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, x.expected[before:]...)
+	x.checkout.pendingAnswers = append(x.checkout.pendingAnswers, expectation{kind: pg.Bind, statement: statement, name: name})
+	x.expected = nil
+	x.checkout.streamedPortal, x.checkout.streamedStatement = portal, statement
+	x.query = pg.AppendLong(x.query, pg.Bind, m.Rest.Length, []byte(portal), []byte{0}, []byte(hostName), []byte{0})
 	x.sent, x.relayed = true, true
-	if err := x.h.Write(x.query); err != nil {
+	if err := x.host.Write(x.query); err != nil {
 		return err
 	}
-	left := m.Rest.Length
+	remaining := m.Rest.Length
 	for piece := range m.Rest.pieces {
-		if err := x.h.Write(piece); err != nil {
+		if err := x.host.Write(piece); err != nil {
 			m.Rest.Discard()
 			return err
 		}
-		left -= len(piece)
+		remaining -= len(piece)
 	}
-	if left != 0 {
+	if remaining != 0 {
 		return errors.New("the client left in the middle of a message")
 	}
 	return nil
 }
 
-// errBehind says that a host which was taken for the primary is none any more, and lies behind what the session must see.
-var errBehind = errors.New("the host lies behind what the session has written")
+// errMisdirected reports that a presumed primary no longer is one and lags behind the position that the session must see.
+var errMisdirected = errors.New("the host lies behind what the session has written")
 
-// errStale says that the data behind an answer proves to be older than its class allows.
+// errStale reports that the data of an answer proved to be older than its class allows.
 var errStale = errors.New("the answer is older than its class allows")
 
-// rollback ends the open transaction and says whether the connection is clean after it.
-func (x *exchangeOf) rollback() bool {
-	if !x.s.Open() {
-		return x.h.Quiet()
+// rollback rolls back the open transaction and reports whether the connection is clean afterwards.
+func (x *batchExchange) rollback() bool {
+	if !x.session.InTransaction() {
+		return x.host.InputEmpty()
 	}
-	x.h.Limit(rollbackIn)
-	if x.h.Write(pg.AppendQuery(pg.Append(nil, pg.Sync), "ROLLBACK")) != nil {
+	x.host.SetReadTimeout(rollbackTimeout)
+	if x.host.Write(pg.AppendQuery(pg.Append(nil, pg.Sync), "ROLLBACK")) != nil {
 		return false
 	}
 	for ready := 0; ready < 2; {
-		kind, length, err := x.h.Head()
-		if err != nil || length > bodyMost {
+		kind, length, err := x.host.Head()
+		if err != nil || length > maxBody {
 			return false
 		}
-		body, err := x.h.Body(length, bodyMost)
+		body, err := x.host.Body(length, maxBody)
 		if err != nil {
 			return false
 		}
@@ -174,8 +174,8 @@
 			}
 		}
 	}
-	x.s.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
-	x.s.Ready('I')
-	x.h.Link().Follow(x.s)
-	return x.h.Quiet()
+	x.session.Completed(pooling.Command{Kind: pooling.Rollback}, "ROLLBACK")
+	x.session.EndBatch('I')
+	x.host.ConnState().AdoptSettings(x.session)
+	return x.host.InputEmpty()
 }
--- a/internal/wire/relay/receive.go
+++ b/internal/wire/relay/receive.go
@@ -11,14 +11,14 @@
 	"yokemast/internal/wire/pg"
 )
 
-// receiveAll takes all that is owed.
-func (x *exchangeOf) receiveAll() error {
-	for len(x.expects) > 0 {
-		e := &x.expects[0]
-		if e.made != nil {
-			x.out = append(x.out, e.made...)
+// receiveAll reads all expected answers and forwards them.
+func (x *batchExchange) receiveAll() error {
+	for len(x.expected) > 0 {
+		e := &x.expected[0]
+		if e.reply != nil {
+			x.out = append(x.out, e.reply...)
 			if e.kind == pg.ErrorResponse {
-				x.s.Failed()
+				x.session.Failed()
 			}
 			x.pop()
 			continue
@@ -26,7 +26,7 @@
 		if err := x.receive(e); err != nil {
 			return err
 		}
-		if x.full() {
+		if x.mustFlush() {
 			if err := x.flush(); err != nil {
 				return err
 			}
@@ -35,102 +35,103 @@
 	return nil
 }
 
-// full says that what has been gathered goes to the client. What may yet prove too old is held as long as there is room, and the
-// end of a statement in any case: an error in its place makes it one that failed.
-func (x *exchangeOf) full() bool {
-	if x.h.Untold() {
-		return len(x.out) >= holdMost && x.last == pg.DataRow
+// mustFlush reports whether the buffered answers must be written to the client. While the age of the data is unknown, rows are
+// buffered up to maxHeld bytes. The end of a statement is always buffered then, because an error in its place tells the
+// client that the statement failed.
+func (x *batchExchange) mustFlush() bool {
+	if x.host.DemandUnmet() {
+		return len(x.out) >= maxHeld && x.lastKind == pg.DataRow
 	}
-	return len(x.out) >= flushAt
+	return len(x.out) >= flushSize
 }
 
-func (x *exchangeOf) pop() { x.expects = x.expects[1:] }
+func (x *batchExchange) pop() { x.expected = x.expected[1:] }
 
-// receive takes one message from the host.
-func (x *exchangeOf) receive(e *expect) error {
-	kind, length, err := x.h.Head()
+// receive reads one message from the host.
+func (x *batchExchange) receive(e *expectation) error {
+	kind, length, err := x.host.Head()
 	if err != nil {
 		return err
 	}
-	x.last, x.read = kind, x.read || kind == pg.DataRow && !e.hidden
-	held := bodyMost
-	if x.h.Untold() && kind == pg.DataRow {
-		held = max(bodyMost, holdMost-len(x.out))
+	x.lastKind, x.rowRead = kind, x.rowRead || kind == pg.DataRow && !e.hidden
+	maxBuffered := maxBody
+	if x.host.DemandUnmet() && kind == pg.DataRow {
+		maxBuffered = max(maxBody, maxHeld-len(x.out))
 	}
-	if length > held {
+	if length > maxBuffered {
 		if kind != pg.DataRow || e.hidden {
-			return &badAnswer{fmt.Sprintf("%c of %d bytes", kind, length)}
+			return &invalidAnswer{fmt.Sprintf("%c of %d bytes", kind, length)}
 		}
 		x.out = append(x.out, kind, byte((length+4)>>24), byte((length+4)>>16), byte((length+4)>>8), byte(length+4))
 		if err := x.flush(); err != nil {
 			return err
 		}
-		return x.h.Copy(writer(x.pass), length)
+		return x.host.Copy(writerFunc(x.writePiece), length)
 	}
-	body, err := x.h.Body(length, held)
+	body, err := x.host.Body(length, maxBuffered)
 	if err != nil {
 		return err
 	}
-	relay := func() {
+	forward := func() {
 		if !e.hidden {
 			x.out = pg.Append(x.out, kind, body)
 		}
 	}
 	switch kind {
 	case pg.ParameterStatus:
-		if x.h.Note(body) || e.carry {
+		if x.host.HandleStatement(body) || e.settings {
 			return nil
 		}
 		x.out = pg.Append(x.out, kind, body)
-		if name, value, err := pg.Parameter(body); err == nil && !pooling.Settles(x.b.Commands) && !x.s.Open() {
-			x.s.Reported(name, value)
+		if name, value, err := pg.Parameter(body); err == nil && !pooling.ChangesSettings(x.batch.Commands) && !x.session.InTransaction() {
+			x.session.Reported(name, value)
 		}
 		return nil
 	case pg.NoticeResponse, pg.NotificationResponse:
 		x.out = pg.Append(x.out, kind, body)
 		return nil
 	case pg.ErrorResponse:
-		return x.failed(e, body)
+		return x.handleError(e, body)
 	case pg.CopyInResponse, pg.CopyOutResponse, pg.CopyBothResponse:
-		return &badAnswer{"a copy, which is not carried"}
+		return &invalidAnswer{"a copy, which is not carried"}
 	}
 	ok := false
 	switch e.kind {
 	case pg.Parse:
 		if ok = kind == pg.ParseComplete; ok {
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Bind:
 		if ok = kind == pg.BindComplete; ok {
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Close:
 		if ok = kind == pg.CloseComplete; ok {
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Describe:
 		switch kind {
 		case pg.ParameterDescription:
-			ok = e.of == 'S'
-			relay()
+			ok = e.target == 'S'
+			forward()
 		case pg.RowDescription, pg.NoData:
 			ok = true
-			relay()
+			forward()
 			x.pop()
 		}
 	case pg.Execute:
 		switch kind {
 		case pg.DataRow:
 			ok = true
-			relay()
+			forward()
 		case pg.CommandComplete, pg.EmptyQueryResponse, pg.PortalSuspended:
 			ok = true
-			relay()
+			forward()
 			if kind == pg.CommandComplete {
-				x.completed(e, pg.ReadTag(body))
+				x.handleCompletion(e, pg.ReadTag(body))
 			}
 			x.pop()
 		}
@@ -138,122 +139,122 @@
 		switch kind {
 		case pg.RowDescription, pg.DataRow, pg.EmptyQueryResponse:
 			ok = true
-			relay()
+			forward()
 		case pg.CommandComplete:
 			ok = true
-			relay()
-			if !e.carry {
-				x.completed(e, pg.ReadTag(body))
+			forward()
+			if !e.settings {
+				x.handleCompletion(e, pg.ReadTag(body))
 			}
 		case pg.ReadyForQuery:
 			ok = len(body) == 1
-			if e.carry {
-				x.h.Link().Carried(x.s)
+			if e.settings {
+				x.host.ConnState().SettingsApplied(x.session)
 				x.pop()
 				return nil
 			}
-			x.ready(body)
-			relay()
+			x.handleReady(body)
+			forward()
 			x.pop()
 		}
 	case pg.Sync:
 		if ok = kind == pg.ReadyForQuery && len(body) == 1; ok {
-			x.ready(body)
-			relay()
+			x.handleReady(body)
+			forward()
 			x.pop()
 		}
 	}
 	if !ok {
-		return &badAnswer{fmt.Sprintf("%c where the answer to %c was due", kind, e.kind)}
+		return &invalidAnswer{fmt.Sprintf("%c where the answer to %c was due", kind, e.kind)}
 	}
 	return nil
 }
 
-// pass gives a piece of a long row to the client, unless its time is over.
-func (x *exchangeOf) pass(piece []byte) error {
-	if x.h.Late() {
+// writePiece writes a piece of a long row to the client, unless the attempt's deadline has passed.
+func (x *batchExchange) writePiece(piece []byte) error {
+	if x.host.PastDeadline() {
 		return nil
 	}
-	return x.l.write(piece)
+	return x.checkout.write(piece)
 }
 
-type writer func([]byte) error
+type writerFunc func([]byte) error
 
-func (w writer) Write(b []byte) (int, error) { return len(b), w(b) }
+func (w writerFunc) Write(b []byte) (int, error) { return len(b), w(b) }
 
-func (x *exchangeOf) completed(e *expect, tag string) {
+func (x *batchExchange) handleCompletion(e *expectation, tag string) {
 	if len(e.commands) == 0 {
 		return
 	}
 	c := e.commands[0]
 	e.commands = e.commands[1:]
-	had := x.s.Pins()
-	x.s.Completed(c, tag)
-	x.h.Link().Ran(c, x.s)
-	if fresh := x.s.Pins() &^ had; fresh != 0 {
-		x.l.Pinned(fresh)
+	before := x.session.Pins()
+	x.session.Completed(c, tag)
+	x.host.ConnState().StatementRan(c, x.session)
+	if added := x.session.Pins() &^ before; added != 0 {
+		x.checkout.OnPinned(added)
 	}
 	if c.Kind == pooling.Write || c.Kind == pooling.Commit && tag != "ROLLBACK" {
-		// When is told with the end of the batch, if at all: what the host told before lies before the commit.
+		// The commit's position comes with the end of the batch, if at all; earlier positions lie before the commit.
 		x.wrote = -1
-		x.h.ForgetPosition()
+		x.host.ForgetPosition()
 	}
 }
 
-func (x *exchangeOf) ready(body []byte) {
-	if p := x.h.Position(); x.wrote < 0 && p > 0 {
+func (x *batchExchange) handleReady(body []byte) {
+	if p := x.host.Position(); x.wrote < 0 && p > 0 {
 		x.wrote = p
 	}
-	x.s.Ready(body[0])
-	x.h.Link().Follow(x.s)
+	x.session.EndBatch(body[0])
+	x.host.ConnState().AdoptSettings(x.session)
 }
 
-// errCarry says that the session's settings could not be brought to the connection.
-var errCarry = errors.New("the session's settings are refused")
+// errSettings reports that the host refused the session's settings on the connection.
+var errSettings = errors.New("the session's settings are refused")
 
-// failed takes an error of the host's. The host skips all up to the end of the batch.
-func (x *exchangeOf) failed(e *expect, body []byte) error {
-	bad := pg.ReadError(body)
-	if len(bad.Code) != 5 {
-		return &badAnswer{"an error without a code"}
+// handleError handles an error response of the host, after which the host skips all messages up to the end of the batch.
+func (x *batchExchange) handleError(e *expectation, body []byte) error {
+	failure := pg.ReadError(body)
+	if len(failure.Code) != 5 {
+		return &invalidAnswer{"an error without a code"}
 	}
-	if e.carry {
-		return fmt.Errorf("%w: %s", errCarry, bad.Message)
+	if e.settings {
+		return fmt.Errorf("%w: %s", errSettings, failure.Message)
 	}
-	x.s.Failed()
-	if bad.Code == "26000" {
-		body = bytes.ReplaceAll(body, []byte(unknown), []byte(e.name)) // as its client calls it
+	x.session.Failed()
+	if failure.Code == "26000" {
+		body = bytes.ReplaceAll(body, []byte(unknownStatement), []byte(e.name)) // the name that the client uses
 	}
 	x.out = pg.Append(x.out, pg.ErrorResponse, body)
-	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(bad.Message, "cached plan must not change") {
-		x.h.Link().Forget(e.statement) // prepared anew, it gives what there is now; its client is told by the error
+	if e.kind == pg.Bind && e.statement != nil && strings.HasPrefix(failure.Message, "cached plan must not change") {
+		x.host.ConnState().Forget(e.statement) // it is prepared again with the current result type; the client gets the error
 	}
-	if bad.Fatal {
+	if failure.Fatal {
 		if err := x.flush(); err != nil {
 			return err
 		}
-		return fmt.Errorf("the host ended the session: %s", bad.Message)
+		return fmt.Errorf("the host ended the session: %s", failure.Message)
 	}
 	if e.kind == pg.Query {
 		e.commands = nil
 		return nil // ReadyForQuery follows
 	}
-	for len(x.expects) > 0 && x.expects[0].kind != pg.Sync {
-		skipped := &x.expects[0]
+	for len(x.expected) > 0 && x.expected[0].kind != pg.Sync {
+		skipped := &x.expected[0]
 		if skipped.kind == pg.Parse {
-			// It was never prepared: neither for this connection nor, if its client named it just now, for the session.
-			x.h.Link().Forget(skipped.statement)
-			x.h.Link().Evicted()
+			// It was never prepared on this connection, nor, if this batch introduced its name, in the session.
+			x.host.ConnState().Forget(skipped.statement)
+			x.host.ConnState().Evicted()
 			if !skipped.hidden {
-				x.s.Close(skipped.name)
+				x.session.Close(skipped.name)
 			}
 		}
 		x.pop()
 	}
-	if len(x.expects) == 0 {
-		x.l.skipping = true // a Flush and no Sync: the host skips all until the client sends one
+	if len(x.expected) == 0 {
+		x.checkout.skipping = true // the batch ended with a Flush: the host skips all until the client sends a Sync
 	}
 	return nil
 }
 
-var _ io.Writer = writer(nil)
+var _ io.Writer = writerFunc(nil)
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -22,12 +22,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Settings{Zero: 9, ConnIdle: 30, ConnectTimeout: 25, ReportColumns: []string{"x0", "x1"},
+	want := Settings{PositionOrigin: 9, ConnIdle: 30, ConnectTimeout: 25, ReportColumns: []string{"x0", "x1"},
 		Balance: balance.Settings{Routers: 2, Tick: 5 * time.Millisecond, OverShareWorth: 0.1, TokensCarried: true,
 			Probes: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 8, MaxAttempts: 10, DrainGrace: 7,
 			OverloadFactor: 4, ColdShare: 0.25, ColdTime: 16,
 			Classes: []balance.Class{
-				{Name: "r", Need: balance.Bounded, Bound: 500, Aim: 3, Deadline: 4, KeyTTL: 5, Worth: 1.5},
+				{Name: "r", Need: balance.Bounded, Bound: 500, LatencyTarget: 3, Deadline: 4, KeyTTL: 5, Worth: 1.5},
 				{Name: "w", Need: balance.Write, Effect: balance.Unsafe, LateWorth: 0.7}},
 			Tenants: []balance.Tenant{{Name: "t", PerSec: 2.5}}}}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestDecodeNamesTheFieldAtFault(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	for field, object := range map[string]string{
 		"settings:":                         `{`,
 		"settings.step:":                    `{"step":"soon"}`,
@@ -47,7 +47,7 @@
 		"settings.contract.overloadFactor:": `{"contract":{"overloadFactor":"4"}}`,
 	} {
 		if _, err := Decode([]byte(object)); err == nil || !strings.HasPrefix(err.Error(), field) {
-			t.Errorf("%s: error %v, want one of field %s", object, err, field)
+			t.Errorf("%s: error %v, want prefix %q", object, err, field)
 		}
 	}
 }
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -1,4 +1,4 @@
-// Package sim translates between the operators' line protocol and package balance. It decides nothing.
+// Package sim translates between the simulator's line protocol and package balance. It makes no decisions.
 package sim
 
 import (
@@ -12,23 +12,23 @@
 	"yokemast/internal/wire/settings"
 )
 
-func word[T any](field, w string, m map[string]T) (T, error) {
-	v, ok := m[w]
+func enum[T any](field, name string, values map[string]T) (T, error) {
+	v, ok := values[name]
 	if !ok {
-		return v, fmt.Errorf("%s: unknown word %q", field, w)
+		return v, fmt.Errorf("%s: unknown value %q", field, name)
 	}
 	return v, nil
 }
 
 var (
 	states = map[string]balance.State{"": balance.Active, "active": balance.Active,
-		"leaving": balance.Draining, "left": balance.Left}
-	results = map[string]balance.Result{"Ok": balance.OK, "Failed": balance.Failed, "QueueFull": balance.Full,
+		"leaving": balance.Draining, "left": balance.Removed}
+	results = map[string]balance.Result{"Ok": balance.OK, "Failed": balance.Failed, "QueueFull": balance.QueueFull,
 		"TimedOut": balance.TimedOut, "ConnectError": balance.NoConnection, "ResetByPeer": balance.Reset,
-		"Canceled": balance.Cancelled, "Ignored": balance.NotSent, "Miss": balance.Miss}
+		"Canceled": balance.Canceled, "Ignored": balance.NotSent, "Miss": balance.Misdirected}
 )
 
-// Entry is one line of a TABLE.
+// Entry is one line of a TABLE message.
 type Entry struct {
 	Host     string   `json:"host"`
 	Leader   float64  `json:"leader"`
@@ -38,9 +38,9 @@
 	BootTime int64    `json:"bootTime"`
 }
 
-// Member turns a list entry into the module's.
+// Member converts the entry to a member of package balance.
 func (e Entry) Member() (balance.Member, error) {
-	st, err := word("status", e.Status, states)
+	st, err := enum("status", e.Status, states)
 	m := balance.Member{Server: e.Host, Group: e.Shard, State: st, Primary: e.Leader == 1,
 		Weight: 1, Started: time.Duration(e.BootTime)}
 	if e.Heft != nil {
@@ -49,7 +49,7 @@
 	return m, err
 }
 
-// Event holds the fields of every message that comes in; each message uses some.
+// Event holds the fields of all incoming messages; each message uses some of them.
 type Event struct {
 	Who       int                `json:"who"`
 	Salt      uint64             `json:"salt"`
@@ -77,15 +77,15 @@
 	Metrics   map[string]float64 `json:"metrics"`
 }
 
-// Line splits one incoming line into its name and fields.
-func Line(b []byte) (string, *Event, error) {
+// ParseLine decodes an incoming line into the message's name and fields.
+func ParseLine(b []byte) (string, *Event, error) {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	var m map[string]json.RawMessage
 	if err := dec.Decode(&m); err != nil {
 		return "", nil, err
 	}
 	if len(m) != 1 {
-		return "", nil, fmt.Errorf("a message with %d names", len(m))
+		return "", nil, fmt.Errorf("message has %d names, want 1", len(m))
 	}
 	for name, raw := range m {
 		e := new(Event)
@@ -94,10 +94,11 @@
 		}
 		return name, e, nil
 	}
-	return "", nil, errors.New("empty message")
+	return "", nil, errors.New("message has no name")
 }
 
-// Balance turns an incoming message into an event; nil where the module has no use for it.
+// Balance converts an incoming message to an event of package balance, or nil if the package does not use the
+// message.
 func (e *Event) Balance(name string, zero time.Duration) (balance.Event, error) {
 	switch name {
 	case "ORDER":
@@ -109,9 +110,9 @@
 	case "TIMER":
 		return balance.Timer{Tag: e.Ctx}, nil
 	case "ABANDONED":
-		return balance.Gone{ID: e.RequestID}, nil
+		return balance.RequestCanceled{ID: e.RequestID}, nil
 	case "CLOSED_ATTEMPT":
-		res, err := word("how", e.How, results)
+		res, err := enum("how", e.How, results)
 		o := balance.Outcome{ID: e.RequestID, Attempt: e.Try, Server: e.Host, Result: res,
 			Took: time.Duration(e.Spent), Final: e.Finished, Report: settings.Report(e.Metrics, zero)}
 		switch e.Mark & 3 {
@@ -125,7 +126,7 @@
 		}
 		return o, err
 	case "PING_RESULT":
-		res, err := word("how", e.How, results)
+		res, err := enum("how", e.How, results)
 		return balance.ProbeResult{Server: e.Host, Result: res, Took: time.Duration(e.Spent),
 			Report: settings.Report(e.Metrics, zero)}, err
 	case "MAIL", "UNDER_WAY":
@@ -136,8 +137,8 @@
 
 type m = map[string]any
 
-// Action appends the line for one action of an instance.
-func Action(out []byte, who int, a balance.Action) ([]byte, error) {
+// AppendAction appends the line for one action of the instance numbered who.
+func AppendAction(out []byte, who int, a balance.Action) ([]byte, error) {
 	name, f := "", m{"who": who}
 	switch a := a.(type) {
 	case balance.Send:
@@ -156,18 +157,18 @@
 		name, f["requestId"], f["try"] = "UNDO_SEND", a.ID, a.Attempt
 	case balance.Probe:
 		name, f["host"] = "POLL", a.Server
-	case balance.After:
+	case balance.StartTimer:
 		name, f["after"], f["ctx"] = "AFTER", int64(a.Wait), a.Tag
 	case balance.Watch:
 		name, f["enable"] = "FOLLOW", true
 	default:
 		return out, fmt.Errorf("unknown action %T", a)
 	}
-	return Plain(out, name, f)
+	return AppendMessage(out, name, f)
 }
 
-// Plain appends one line of the given name and fields.
-func Plain(out []byte, name string, fields map[string]any) ([]byte, error) {
+// AppendMessage appends one line with the message's name and fields.
+func AppendMessage(out []byte, name string, fields map[string]any) ([]byte, error) {
 	b, err := json.Marshal(m{name: fields})
 	return append(append(out, b...), '\n'), err
 }
