--- a/internal/wire/backend/attempt.go
+++ b/internal/wire/backend/attempt.go
@@ -109,7 +109,7 @@
 	// canceled is set while awaitsHost is: the goroutine ends the attempt as canceled once it has read what
 	// has arrived.
 	canceled     bool
-	mustNotStart bool
+	mustNotStart bool // set by CancelUnsent: nothing of the attempt may be sent
 }
 
 // dialContext returns the context in which the attempt opens a connection. It is canceled when the attempt
--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -90,6 +90,7 @@
 	waiting    []*waiter     // attempts that wait for a connection, in order of arrival
 }
 
+// key identifies an attempt by its request's id and its number within the request.
 type key struct {
 	id     string
 	number int
@@ -101,6 +102,7 @@
 	wake   chan struct{} // closed when the attempt may try again
 }
 
+// host is the backend's state of a database host. Its times are by Config.Clock.
 type host struct {
 	address      string
 	coldUntil    time.Duration // end of the slow start; 0 if it is over
@@ -210,8 +212,8 @@
 				inFlight = append(inFlight, t)
 			}
 			b.mu.Unlock()
-			// An abandoned write would be waited for as long as its client would have waited. The shutdown of
-			// the gateway must not be delayed by that.
+			// A sent write whose client has disconnected stays in flight until its answer or its deadline, because
+			// only its end shows whether it was executed. Shutdown must not wait for that.
 			for _, t := range inFlight {
 				t.end(canceled)
 			}
--- a/internal/wire/backend/checkout.go
+++ b/internal/wire/backend/checkout.go
@@ -35,11 +35,11 @@
 type Host struct {
 	conn    *conn
 	attempt *attempt
-	reply   reply
+	reply   reply         // the host's latest statements
 	writeBy time.Duration // limit for the first write; 0 if none
 
 	position time.Duration // position of the data behind the last batch; 0 if not yet stated
-	written  atomic.Int64  // when that batch had been written, in nanoseconds; 0 if it was not
+	written  atomic.Int64  // when that batch had been written, in nanoseconds by the gateway's clock; 0 if it was not
 }
 
 // ConnState returns the settings and prepared statements of the connection.
--- a/internal/wire/backend/dial.go
+++ b/internal/wire/backend/dial.go
@@ -34,7 +34,7 @@
 		b.mu.Unlock()
 		return c, nil
 	case pooling.Open:
-		if id > 0 {
+		if id > 0 { // an idle connection that must be closed to stay within the limits
 			b.closeLocked([]int{id})
 		}
 	default:
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -29,7 +29,7 @@
 	if r.role == balance.Unknown && r.report.Role == balance.Replica {
 		b.recordReplica(server)
 	}
-	// All the times below belong to this epoch or a later one.
+	// The epoch is read before clock.Earliest converts times below, so those belong to this epoch or a later one.
 	statedAt := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()}
 	if r.role == balance.Primary {
 		b.recordPrimary(server)
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -27,15 +27,15 @@
 type stream struct {
 	c         *conn
 	tag       string
-	size      int
-	remaining int
+	size      int // of the value, in bytes
+	remaining int // bytes of the value not yet read
 
 	started   chan struct{} // closed when the client side has started reading
 	done      chan struct{} // closed when the client side reads no more
 	startOnce sync.Once
 	closeOnce sync.Once
 	r         reply // statements of the host after the value; valid once done is closed
-	complete  bool
+	complete  bool  // the end of the answer was read and is valid
 
 	tooOld func() bool // reports whether the statements in r show that the value must not be served
 }
--- a/internal/wire/discovery/watch.go
+++ b/internal/wire/discovery/watch.go
@@ -65,8 +65,8 @@
 	return w
 }
 
-// Revision is the revision of the last list that was passed on, or negative if none came from the present
-// agent.
+// Revision returns the revision of the last list that was passed on, or a negative value if none came from
+// the present agent.
 func (w *Watcher) Revision() int64 { return w.revision.Load() }
 
 // SinceLastAnswer returns the time since discovery's last answer. It returns false if there was none.
@@ -86,7 +86,7 @@
 	}
 }
 
-// Address is the address of the present agent.
+// Address returns the address of the present agent.
 func (w *Watcher) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,7 +101,8 @@
 	err       error
 }
 
-// session is the state of one call of Watcher.Run. Only the goroutines of the calls run outside it.
+// session is the state of one run of Watcher.Run. Each call to the agent has its own goroutine, which
+// sends the result to results; the decisions are made on the goroutine of Run.
 type session struct {
 	*Watcher
 	ctx          context.Context
@@ -219,9 +220,9 @@
 
 // notifiedAt returns the time at which the gateway counts as notified of the statements in a list. The agent
 // may have had the list for some time, and what the agent has counts as notified. For the first list the time
-// is the process's start. It is the last answer if a call has brought no list since then, or if the agent may
-// have had the list before the watch was opened. Otherwise it is the arrival of the list. It is never more
-// than maxNotifiedAge before the arrival.
+// is the process's start. It is the arrival of the last answer if a later call has brought no usable list, or
+// if the agent may have had the list before the watch was opened. Otherwise it is the arrival of the list. It
+// is never more than maxNotifiedAge before the arrival.
 func (s *session) notifiedAt(r result) time.Duration {
 	notifiedAt := r.arrivedAt
 	switch {
--- a/internal/wire/relay/exchange.go
+++ b/internal/wire/relay/exchange.go
@@ -110,6 +110,7 @@
 		m.Rest.Discard()
 		return nil
 	}
+	// Body ends after the names; the six bytes stand for the three counts that ReadBind requires after them.
 	portal, name, _, err := pg.ReadBind(append(m.Body, make([]byte, 6)...))
 	if err != nil {
 		return err
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -199,7 +199,8 @@
 	}
 }
 
-// Converse implements backend.Conversation.
+// Converse implements backend.Conversation. It runs the first batch and, while the checkout continues, each
+// further one on the host.
 func (l *Checkout) Converse(h *backend.Host) (end backend.ConversationResult) {
 	l.mu.Lock()
 	finished := l.ended
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -26,6 +26,7 @@
 	Ordinal                  int      // number of this gateway, from 0
 }
 
+// These maps translate the enumeration values of the settings object; "" stands for an absent value.
 var (
 	needNames = map[string]balance.Need{"loose": balance.AnyData, "recent": balance.Bounded,
 		"own_writes": balance.Session, "latest": balance.Latest, "update": balance.Write}
@@ -177,6 +178,7 @@
 	return out
 }
 
+// enum returns the value that values has for the text at a path. It records an error if there is none.
 func enum[T any](d *decoder, o gjson.Result, path string, values map[string]T) T {
 	s := d.text(o, path)
 	v, ok := values[s]
--- a/internal/wire/settings/shape.go
+++ b/internal/wire/settings/shape.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-// optionalKeys lists the keys that the protocol allows to be missing.
+// optionalKeys lists the keys that the protocol allows to be missing, in objects at any depth.
 var optionalKeys = []string{"aimStretch", "droppedStayOpen", "tenants"}
 
 // intersect returns the shape that two shapes have in common, or nil if they are of different types.
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -12,6 +12,7 @@
 	"yokemast/internal/wire/settings"
 )
 
+// enum returns the value for a name, or an error with the name of the message's field if there is none.
 func enum[T any](field, name string, values map[string]T) (T, error) {
 	v, ok := values[name]
 	if !ok {
@@ -98,7 +99,9 @@
 }
 
 // Balance converts an incoming message to an event of package balance, or nil if the package does not use the
-// message.
+// message; zero is the clock time at position 0. Bit 1 of StateBits marks a client retry. The two lowest bits
+// of Mark are the host's role (1 for primary, 2 for replica, else unknown), and the bits above them are its
+// position in milliseconds, or 0 if unknown.
 func (e *Event) Balance(name string, zero time.Duration) (balance.Event, error) {
 	switch name {
 	case "ORDER":
@@ -137,7 +140,7 @@
 
 type m = map[string]any
 
-// AppendAction appends the line for one action of the instance numbered who.
+// AppendAction appends the line for one action of the gateway instance with the given number.
 func AppendAction(out []byte, who int, a balance.Action) ([]byte, error) {
 	name, f := "", m{"who": who}
 	switch a := a.(type) {
