--- a/internal/wire/backend/backend.go
+++ b/internal/wire/backend/backend.go
@@ -208,14 +208,14 @@
 				b.closeLocked(b.pools.CloseIdle(server))
 			}
 			var inFlight []*attempt
-			for _, t := range b.attempts {
-				inFlight = append(inFlight, t)
+			for _, attempt := range b.attempts {
+				inFlight = append(inFlight, attempt)
 			}
 			b.mu.Unlock()
 			// A sent write whose client has disconnected stays in flight until its answer or its deadline, because
 			// only its end shows whether it was executed. Shutdown must not wait for that.
-			for _, t := range inFlight {
-				t.end(canceled)
+			for _, attempt := range inFlight {
+				attempt.end(canceled)
 			}
 			return nil
 		case <-tick.C:
--- a/internal/wire/backend/backend_test.go
+++ b/internal/wire/backend/backend_test.go
@@ -122,8 +122,8 @@
 func (probes) Outcome(exchange.Outcome)       {}
 
 func TestProbeRetriesBrokenConnections(t *testing.T) {
-	for resets, want := range map[int]balance.Result{0: balance.OK, probeTries - 1: balance.OK,
-		probeTries: balance.NoConnection} {
+	for resets, want := range map[int]balance.Result{0: balance.OK, maxProbeConns - 1: balance.OK,
+		maxProbeConns: balance.NoConnection} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/wire/backend/checkout.go
+++ b/internal/wire/backend/checkout.go
@@ -164,14 +164,14 @@
 }
 
 // converse runs an attempt that is a conversation.
-func (t *attempt) converse(c *conn, conversation Conversation) {
-	h := &Host{conn: c, attempt: t, writeBy: t.WriteBy}
+func (attempt *attempt) converse(c *conn, conversation Conversation) {
+	h := &Host{conn: c, attempt: attempt, writeBy: attempt.WriteBy}
 	c.clean = false
-	t.mu.Lock()
-	if !t.ended { // if it has, stopWaiting has set a deadline that must stay
-		_ = c.SetReadDeadline(c.deadline(t.Deadline))
+	attempt.mu.Lock()
+	if !attempt.ended { // if it has, stopWaiting has set a deadline that must stay
+		_ = c.SetReadDeadline(c.deadline(attempt.Deadline))
 	}
-	t.mu.Unlock()
+	attempt.mu.Unlock()
 	if c.writeLimited { // by an earlier statement
 		_ = c.SetWriteDeadline(time.Time{})
 		c.writeLimited = false
@@ -179,13 +179,13 @@
 	c.incoming.readLate = true
 	end := conversation.Converse(h)
 	c.incoming.readLate = false
-	t.mu.Lock()
-	t.conn = nil
-	c.clean = end.Clean && !t.ended && !h.PastDeadline() && c.in.Buffered() == 0
-	t.mu.Unlock()
-	t.b.release(t.Server, c)
+	attempt.mu.Lock()
+	attempt.conn = nil
+	c.clean = end.Clean && !attempt.ended && !h.PastDeadline() && c.in.Buffered() == 0
+	attempt.mu.Unlock()
+	attempt.b.release(attempt.Server, c)
 	h.reply.result = end.Result
-	statedAt := t.b.observe(t.Server, &h.reply, t.Sent, t.Keyed)
-	t.finish(exchange.Outcome{Outcome: balance.Outcome{Result: end.Result, Role: h.reply.role, Position: h.reply.position,
+	statedAt := attempt.b.observe(attempt.Server, &h.reply, attempt.Sent, attempt.Keyed)
+	attempt.finish(exchange.Outcome{Outcome: balance.Outcome{Result: end.Result, Role: h.reply.role, Position: h.reply.position,
 		Report: h.reply.report, StatedAt: statedAt}}, end.Busy, false)
 }
--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -62,9 +62,9 @@
 
 // isRepeatedAnswer reports whether an answer is proven to be the repeated answer to an earlier query on the
 // same connection.
-func (t *attempt) isRepeatedAnswer(c *conn, r *reply, sent time.Duration) bool {
-	clock := t.b.cfg.Clock
-	return c.used && clock.Bounds().Predates(r.observation(t.Server, sent, clock.Now(), t.Keyed), minRepeatedAge)
+func (attempt *attempt) isRepeatedAnswer(c *conn, r *reply, sent time.Duration) bool {
+	clock := attempt.b.cfg.Clock
+	return c.used && clock.Bounds().Predates(r.observation(attempt.Server, sent, clock.Now(), attempt.Keyed), minRepeatedAge)
 }
 
 // recordPrimary records that a host has stated in a complete answer that it is the primary.
--- a/internal/wire/backend/probe.go
+++ b/internal/wire/backend/probe.go
@@ -13,10 +13,10 @@
 	"yokemast/internal/wire/pg"
 )
 
-// probeTries is how many consecutive connections may break during a probe before the probe has failed. A
+// maxProbeConns is how many consecutive connections may break during a probe before the probe has failed. A
 // failed probe counts as the host's failure, and the host gets a slow start when it answers again. The
 // process of a dead host refuses connections, while a single connection to a healthy host may be reset.
-const probeTries = 3
+const maxProbeConns = 3
 
 // brokeBeforeSession reports whether the host closed or reset a new connection before its session began.
 func brokeBeforeSession(err error) bool {
@@ -38,7 +38,7 @@
 			b.reporter.Probed(p)
 		}()
 		until := start + b.connectTimeout()
-		for range probeTries {
+		for range maxProbeConns {
 			c, err := b.acquire(func() context.Context { return b.ctx }, server, until)
 			if err != nil {
 				if p.Result = connectResult(err); brokeBeforeSession(err) {
--- a/internal/wire/backend/stream.go
+++ b/internal/wire/backend/stream.go
@@ -25,7 +25,7 @@
 // stream is a large value that is passed on while it is received. The client side reads it directly from the
 // host's connection. The end of the answer is read after the value and checked as with any other answer.
 type stream struct {
-	c         *conn
+	conn      *conn
 	tag       string
 	size      int // of the value, in bytes
 	remaining int // bytes of the value not yet read
@@ -34,24 +34,24 @@
 	done      chan struct{} // closed when the client side reads no more
 	startOnce sync.Once
 	closeOnce sync.Once
-	r         reply // statements of the host after the value; valid once done is closed
+	reply     reply // statements of the host after the value; valid once done is closed
 	complete  bool  // the end of the answer was read and is valid
 
 	tooOld func() bool // reports whether the statements in r show that the value must not be served
 }
 
 func newStream(c *conn, size int, tag string) *stream {
-	return &stream{c: c, tag: tag, size: size, remaining: size, started: make(chan struct{}), done: make(chan struct{})}
+	return &stream{conn: c, tag: tag, size: size, remaining: size, started: make(chan struct{}), done: make(chan struct{})}
 }
 
 // Read implements pg.Rest.
 func (s *stream) Read(p []byte) (int, error) {
 	s.startOnce.Do(func() { close(s.started) })
-	if err := s.c.SetReadDeadline(time.Now().Add(maxHostStall)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(maxHostStall)); err != nil {
 		return 0, err
 	}
 	if s.remaining > 0 {
-		n, err := s.c.in.Read(p[:min(len(p), s.remaining)])
+		n, err := s.conn.in.Read(p[:min(len(p), s.remaining)])
 		s.remaining -= n
 		if n > 0 {
 			return n, nil // the next call returns the error
@@ -77,7 +77,7 @@
 func (s *stream) readEnd() error {
 	complete := false
 	for {
-		kind, body, err := s.c.receive()
+		kind, body, err := s.conn.receive()
 		if err != nil {
 			return err
 		}
@@ -85,11 +85,11 @@
 		case kind == pg.CommandComplete && !complete && string(body) == s.tag+"\x00":
 			complete = true
 		case kind == pg.ParameterStatus:
-			s.r.parseStatement(body)
-			s.c.reportReplica(&s.r)
+			s.reply.parseStatement(body)
+			s.conn.reportReplica(&s.reply)
 		case kind == pg.NoticeResponse:
 		case kind == pg.ReadyForQuery && complete && len(body) == 1:
-			s.c.clean = body[0] == 'I' && s.c.in.Buffered() == 0
+			s.conn.clean = body[0] == 'I' && s.conn.in.Buffered() == 0
 			return nil
 		default:
 			return errMalformed
@@ -105,21 +105,21 @@
 
 // stream delivers a large value. The outcome is reported at its first bytes, and the connection is released
 // after its end.
-func (t *attempt) stream(r reply) {
-	s, b := r.stream, t.b
-	// The host's statements count only once the value is complete; s.r collects them until then.
-	s.r = reply{result: balance.OK, role: r.role, position: r.position, report: r.report}
-	s.tooOld = func() bool { return t.demandViolated(&s.r, r.written) }
+func (attempt *attempt) stream(r reply) {
+	s, b := r.stream, attempt.b
+	// The host's statements count only once the value is complete; s.reply collects them until then.
+	s.reply = reply{result: balance.OK, role: r.role, position: r.position, report: r.report}
+	s.tooOld = func() bool { return attempt.demandViolated(&s.reply, r.written) }
 	r.value.Size, r.value.Stream = s.size, s
 	o := exchange.Outcome{Outcome: balance.Outcome{Result: balance.OK}, Value: r.value}
-	if !t.finish(o, -1, true) { // the attempt has ended in the meantime, and its connection is closed
-		b.release(t.Server, s.c)
+	if !attempt.finish(o, -1, true) { // the attempt has ended in the meantime, and its connection is closed
+		b.release(attempt.Server, s.conn)
 		return
 	}
 	b.cfg.Counters.Streams.Add(1)
 	b.cfg.Counters.StreamsOpen.Add(1)
 	defer b.cfg.Counters.StreamsOpen.Add(-1)
-	stop := context.AfterFunc(b.ctx, s.c.close)
+	stop := context.AfterFunc(b.ctx, s.conn.close)
 	defer stop()
 	unclaimed := time.NewTimer(claimTimeout)
 	defer unclaimed.Stop()
@@ -128,15 +128,15 @@
 		<-s.done
 	case <-s.done:
 	case <-unclaimed.C:
-		s.c.close() // a client side that starts reading later gets an error
+		s.conn.close() // a client side that starts reading later gets an error
 	}
 	if !s.complete {
 		b.cfg.Counters.StreamsCut.Add(1)
-		s.c.clean = false
+		s.conn.clean = false
 	}
-	b.release(t.Server, s.c)
+	b.release(attempt.Server, s.conn)
 	if s.complete {
-		statedAt := b.observe(t.Server, &s.r, t.Sent, t.Keyed)
-		b.reporter.Learned(balance.RemoteOutcome{Server: t.Server, Result: balance.OK, Role: s.r.role, Position: s.r.position}, statedAt, s.r.report)
+		statedAt := b.observe(attempt.Server, &s.reply, attempt.Sent, attempt.Keyed)
+		b.reporter.Learned(balance.RemoteOutcome{Server: attempt.Server, Result: balance.OK, Role: s.reply.role, Position: s.reply.position}, statedAt, s.reply.report)
 	}
 }
--- a/internal/wire/relay/build.go
+++ b/internal/wire/relay/build.go
@@ -24,7 +24,7 @@
 
 // buildQuery translates the batch into the messages for the host and the answers expected to them.
 func (x *batchExchange) buildQuery() error {
-	link := x.host.ConnState()
+	connState := x.host.ConnState()
 	if x.checkout.skipping {
 		if x.batch.Complete && x.batch.Messages[len(x.batch.Messages)-1].Kind == pg.Sync {
 			x.checkout.skipping = false
@@ -33,7 +33,7 @@
 		}
 		return nil
 	}
-	if sql := link.SettingsQuery(x.session); sql != "" {
+	if sql := connState.SettingsQuery(x.session); sql != "" {
 		x.query = pg.AppendQuery(x.query, sql)
 		x.expected = append(x.expected, expectation{kind: pg.Query, hidden: true, settings: true})
 	}
@@ -134,9 +134,9 @@
 
 // ensurePrepared prepares a statement on this connection if it is not prepared yet, and returns its name on the host.
 func (x *batchExchange) ensurePrepared(statement *pooling.Statement) string {
-	link := x.host.ConnState()
-	name, parse := link.Use(statement)
-	for _, evicted := range link.Evicted() {
+	connState := x.host.ConnState()
+	name, parse := connState.Use(statement)
+	for _, evicted := range connState.Evicted() {
 		x.query = pg.AppendTarget(x.query, pg.Close, 'S', evicted)
 		x.expect(expectation{kind: pg.Close, hidden: true})
 	}
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -145,19 +145,19 @@
 }
 
 // Mute stops all further output of the checkout to the client: from now on the session writes its own messages.
-func (l *Checkout) Mute() {
-	l.writeMu.Lock()
-	defer l.writeMu.Unlock()
-	l.muted = true
+func (checkout *Checkout) Mute() {
+	checkout.writeMu.Lock()
+	defer checkout.writeMu.Unlock()
+	checkout.muted = true
 }
 
-func (l *Checkout) write(b []byte) error {
-	l.writeMu.Lock()
-	defer l.writeMu.Unlock()
-	if l.muted {
+func (checkout *Checkout) write(b []byte) error {
+	checkout.writeMu.Lock()
+	defer checkout.writeMu.Unlock()
+	if checkout.muted {
 		return errors.New("the lease is over")
 	}
-	return l.Write(b)
+	return checkout.Write(b)
 }
 
 // New returns a checkout for a first batch.
@@ -167,66 +167,66 @@
 }
 
 // Done returns the channel that receives the result of each batch.
-func (l *Checkout) Done() <-chan Done { return l.done }
+func (checkout *Checkout) Done() <-chan Done { return checkout.done }
 
 // Next submits another batch to a checkout that continues.
-func (l *Checkout) Next(b *Batch) { l.next <- b }
+func (checkout *Checkout) Next(b *Batch) { checkout.next <- b }
 
 // Close ends the checkout; an open transaction is rolled back.
-func (l *Checkout) Close() { l.once.Do(func() { close(l.closed) }) }
+func (checkout *Checkout) Close() { checkout.once.Do(func() { close(checkout.closed) }) }
 
 // Cancel cancels the running batch, if any. The connection is not reused before the host has received the cancel request.
-func (l *Checkout) Cancel(ctx context.Context) error {
-	l.mu.Lock()
-	h := l.running
+func (checkout *Checkout) Cancel(ctx context.Context) error {
+	checkout.mu.Lock()
+	h := checkout.running
 	if h == nil {
-		l.mu.Unlock()
+		checkout.mu.Unlock()
 		return nil // the statement has ended; the cancel must not reach a later one
 	}
-	l.cancels.Add(1)
-	l.mu.Unlock()
-	defer l.cancels.Done()
+	checkout.cancels.Add(1)
+	checkout.mu.Unlock()
+	defer checkout.cancels.Done()
 	return h.Cancel(ctx, cancelTimeout)
 }
 
 // setRunning sets the host on which a batch runs, or nil when it has ended, and then waits for the cancels in flight.
-func (l *Checkout) setRunning(h *backend.Host) {
-	l.mu.Lock()
-	l.running = h
-	l.mu.Unlock()
+func (checkout *Checkout) setRunning(h *backend.Host) {
+	checkout.mu.Lock()
+	checkout.running = h
+	checkout.mu.Unlock()
 	if h == nil {
-		l.cancels.Wait()
+		checkout.cancels.Wait()
 	}
 }
 
 // Converse implements backend.Conversation. It runs the first batch and, while the checkout continues, each
 // further one on the host.
-func (l *Checkout) Converse(h *backend.Host) (end backend.ConversationResult) {
-	l.mu.Lock()
-	finished := l.ended
-	l.mu.Unlock()
+func (checkout *Checkout) Converse(h *backend.Host) (end backend.ConversationResult) {
+	checkout.mu.Lock()
+	finished := checkout.ended
+	checkout.mu.Unlock()
 	if finished {
 		return backend.ConversationResult{Result: balance.NotSent, Clean: true}
 	}
-	batch := l.first
+	batch := checkout.first
 	for {
 		start := time.Now()
-		saved := *l.Session
-		exchange := &batchExchange{checkout: l, host: h, session: l.Session, batch: batch, statements: maps.Clone(l.Session.AllPrepared())}
-		l.setRunning(h)
+		saved := *checkout.Session
+		exchange := &batchExchange{checkout: checkout, host: h, session: checkout.Session, batch: batch, statements: maps.Clone(checkout.Session.AllPrepared())}
+		checkout.setRunning(h)
 		err := exchange.run()
-		l.setRunning(nil)
+		checkout.setRunning(nil)
 		end.Busy += time.Since(start)
 		switch {
 		case err != nil && !exchange.relayed && !exchange.sent:
-			*l.Session = saved
-			l.Session.RestorePrepared(exchange.statements)
+			*checkout.Session = saved
+			checkout.Session.RestorePrepared(exchange.statements)
 			end.Result = balance.NotSent
 			return end
-		case err != nil && !exchange.relayed && batch == l.first:
+		case err != nil && !exchange.relayed && batch == checkout.first:
 			// Package balance decides whether to retry, so the session's state is restored.
-			*l.Session = saved
-			l.Session.RestorePrepared(exchange.statements)
+			*checkout.Session = saved
+			checkout.Session.RestorePrepared(exchange.statements)
 			end.Result = balance.Reset
 			var invalid *invalidAnswer
 			switch {
@@ -241,44 +241,44 @@
 			}
 			return end
 		case err != nil:
-			l.finish(Done{Err: err, Relayed: exchange.relayed})
+			checkout.finish(Done{Err: err, Relayed: exchange.relayed})
 			end.Result = balance.Reset
 			return end
 		}
-		keep := !batch.Complete || l.Session.InTransaction() || l.Session.Pins() != 0 || l.Mode == pooling.BySession
+		keep := !batch.Complete || checkout.Session.InTransaction() || checkout.Session.Pins() != 0 || checkout.Mode == pooling.BySession
 		if !keep {
-			l.finish(Done{Wrote: exchange.wrote})
+			checkout.finish(Done{Wrote: exchange.wrote})
 			end.Result, end.Clean = balance.OK, h.InputEmpty()
 			return end
 		}
-		l.done <- Done{Keep: true, Wrote: exchange.wrote}
+		checkout.done <- Done{Keep: true, Wrote: exchange.wrote}
 		var idle <-chan time.Time // only an open transaction may block other sessions
-		if l.Session.InTransaction() {
-			idle = time.After(l.MaxIdle)
+		if checkout.Session.InTransaction() {
+			idle = time.After(checkout.MaxIdle)
 		}
 		var ended error
 		select {
-		case batch = <-l.next:
+		case batch = <-checkout.next:
 			continue
-		case <-l.closed:
+		case <-checkout.closed:
 			ended = errors.New("closed")
 		case <-idle:
 			ended = ErrIdle
 		}
-		pinned := l.Session.Pins() != 0 // pinned state cannot be removed from the connection
+		pinned := checkout.Session.Pins() != 0 // pinned state cannot be removed from the connection
 		end.Result, end.Clean = balance.OK, exchange.rollback() && !pinned
-		l.finish(Done{Err: ended})
+		checkout.finish(Done{Err: ended})
 		return end
 	}
 }
 
 // finish sends the last result of the checkout, once.
-func (l *Checkout) finish(d Done) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.ended {
-		l.ended = true
-		l.done <- d
+func (checkout *Checkout) finish(d Done) {
+	checkout.mu.Lock()
+	defer checkout.mu.Unlock()
+	if !checkout.ended {
+		checkout.ended = true
+		checkout.done <- d
 	}
 }
 
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -99,11 +99,11 @@
 				ConnectTimeout: testTimeout, IdleTimeout: testTimeout}, to)
 			b.Members([]exchange.Member{{Member: balance.Member{Server: "s"}, Address: host(t, pg.AppendReady(answer))}})
 			var served []byte
-			lease := New(pooling.NewSession(pg.Parameters{}), pooling.ByStatement, func(b []byte) error {
+			checkout := New(pooling.NewSession(pg.Parameters{}), pooling.ByStatement, func(b []byte) error {
 				served = append(served, b...)
 				return nil
 			}, &Batch{Messages: []Message{{Kind: pg.Query, Body: []byte("SELECT 1\x00")}}, Complete: true, Commands: pooling.Scan("SELECT 1")})
-			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + testTimeout, Command: lease, Demand: c.demand})
+			b.Send(exchange.Attempt{ID: "a", Server: "s", Sent: clock.Now(), Deadline: clock.Now() + testTimeout, Command: checkout, Demand: c.demand})
 			if o := <-to; o.Result != c.want {
 				t.Errorf("outcome %v, want %v", o.Result, c.want)
 			}
--- a/internal/wire/sim/sim.go
+++ b/internal/wire/sim/sim.go
@@ -138,40 +138,40 @@
 	return nil, fmt.Errorf("unknown message %q", name)
 }
 
-type m = map[string]any
+type object = map[string]any
 
 // AppendAction appends the line for one action of the gateway instance with the given number.
-func AppendAction(out []byte, who int, a balance.Action) ([]byte, error) {
-	name, f := "", m{"who": who}
+func AppendAction(out []byte, instance int, a balance.Action) ([]byte, error) {
+	name, fields := "", object{"who": instance}
 	switch a := a.(type) {
 	case balance.Send:
-		name, f["requestId"], f["host"] = "ISSUE", a.ID, a.Server
+		name, fields["requestId"], fields["host"] = "ISSUE", a.ID, a.Server
 		if a.Timeout != 0 {
-			f["cap"] = int64(a.Timeout)
+			fields["cap"] = int64(a.Timeout)
 		}
 	case balance.Refuse:
-		name, f["requestId"] = "SAY_NO", a.ID
+		name, fields["requestId"] = "SAY_NO", a.ID
 		if a.RetryAfter > 0 {
-			f["wait"] = int64(a.RetryAfter)
+			fields["wait"] = int64(a.RetryAfter)
 		}
 	case balance.Fail:
-		name, f["requestId"] = "RESPOND_ERROR", a.ID
+		name, fields["requestId"] = "RESPOND_ERROR", a.ID
 	case balance.Cancel:
-		name, f["requestId"], f["try"] = "UNDO_SEND", a.ID, a.Attempt
+		name, fields["requestId"], fields["try"] = "UNDO_SEND", a.ID, a.Attempt
 	case balance.Probe:
-		name, f["host"] = "POLL", a.Server
+		name, fields["host"] = "POLL", a.Server
 	case balance.StartTimer:
-		name, f["after"], f["ctx"] = "AFTER", int64(a.Wait), a.Tag
+		name, fields["after"], fields["ctx"] = "AFTER", int64(a.Wait), a.Tag
 	case balance.Watch:
-		name, f["enable"] = "FOLLOW", true
+		name, fields["enable"] = "FOLLOW", true
 	default:
 		return out, fmt.Errorf("unknown action %T", a)
 	}
-	return AppendMessage(out, name, f)
+	return AppendMessage(out, name, fields)
 }
 
 // AppendMessage appends one line with the message's name and fields.
 func AppendMessage(out []byte, name string, fields map[string]any) ([]byte, error) {
-	b, err := json.Marshal(m{name: fields})
+	b, err := json.Marshal(object{name: fields})
 	return append(append(out, b...), '\n'), err
 }
