--- a/internal/wire/backend/position.go
+++ b/internal/wire/backend/position.go
@@ -29,7 +29,7 @@
 	if r.role == balance.Unknown && r.report.Role == balance.Replica {
 		b.recordReplica(server)
 	}
-	// All the times below belong to this epoch or a later one.
+	// The epoch is read before clock.Earliest converts times below, so those belong to this epoch or a later one.
 	statedAt := balance.TimeBounds{NotBefore: sent, NotAfter: received, Epoch: clock.Epoch()}
 	if r.role == balance.Primary {
 		b.recordPrimary(server)
@@ -62,9 +62,9 @@
 
 // isRepeatedAnswer reports whether an answer is proven to be the repeated answer to an earlier query on the
 // same connection.
-func (t *attempt) isRepeatedAnswer(c *conn, r *reply, sent time.Duration) bool {
-	clock := t.b.cfg.Clock
-	return c.used && clock.Bounds().Predates(r.observation(t.Server, sent, clock.Now(), t.Keyed), minRepeatedAge)
+func (attempt *attempt) isRepeatedAnswer(c *conn, r *reply, sent time.Duration) bool {
+	clock := attempt.b.cfg.Clock
+	return c.used && clock.Bounds().Predates(r.observation(attempt.Server, sent, clock.Now(), attempt.Keyed), minRepeatedAge)
 }
 
 // recordPrimary records that a host has stated in a complete answer that it is the primary.
