--- a/internal/wire/admin/admin.go
+++ b/internal/wire/admin/admin.go
@@ -39,7 +39,8 @@
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// Descriptors is the maximum number of file descriptors in use: those of the listener and of the callers.
+// Descriptors is the maximum number of file descriptors in use: those of the callers, of one more that is to replace the
+// oldest, and of the listener.
 const Descriptors = maxCallers + 2
 
 // Service is the process state that calls read and change. Its methods must not block.
--- a/internal/wire/control/server.go
+++ b/internal/wire/control/server.go
@@ -35,8 +35,8 @@
 
 // PlanRequest lists hosts that would be added or removed.
 type PlanRequest struct {
-	Come  []Host   `json:"come"`
-	Leave []string `json:"leave"`
+	Come  []Host   `json:"come"`  // hosts added
+	Leave []string `json:"leave"` // IDs of the hosts removed
 }
 
 // Host is a host that would be added.
@@ -55,7 +55,8 @@
 	Confirm   bool   `json:"confirm,omitempty"`
 }
 
-// PoolsReport shows how clients share connections to hosts.
+// PoolsReport shows how clients share connections to hosts. Hits and Misses count uses of prepared statements that
+// the host connection already had, and that had to be prepared on it.
 type PoolsReport struct {
 	Pools    []PoolReport `json:"pools"`
 	Hosts    []HostReport `json:"hosts"`
--- a/internal/wire/frontend/commands.go
+++ b/internal/wire/frontend/commands.go
@@ -11,8 +11,8 @@
 
 // command is one unit of input that needs an answer.
 type command struct {
-	statement    *pg.Statement // statement to execute
-	arrived      time.Duration
+	statement    *pg.Statement   // statement to execute
+	arrived      time.Duration   // when it was read, by Config.Clock
 	size         int             // length of the statement's text in bytes
 	held         int             // bytes held of the statement budget
 	largeHolding *budget.Holding // memory held for a large statement; nil: none
@@ -63,8 +63,8 @@
 	return pg.ErrFraming // unknown type: fail at once, as the announced length may never arrive
 }
 
-// skipBody discards a message body. The first answer is queued before that, as the body may take long or never
-// arrive.
+// skipBody discards a message body and queues the given answers. The first is queued before the body is read, as the
+// body may take long or never arrive.
 func (c *session) skipBody(length int, answers ...command) error {
 	if len(answers) > 0 {
 		c.enqueue(answers[0])
--- a/internal/wire/frontend/frontend.go
+++ b/internal/wire/frontend/frontend.go
@@ -50,10 +50,11 @@
 	// connections, others cannot connect at all.
 	idleTimeout      = 2 * time.Second
 	shortIdleTimeout = 250 * time.Millisecond
-	// scarceFraction is the fraction of Config.Share or Config.MaxConns from which on connections are scarce.
+	// scarceFraction is the fraction of Config.MaxActive or Config.MaxConns from which on connections are scarce, so that
+	// shortIdleTimeout applies.
 	scarceFraction   = 0.75
 	silentTimeout    = 100 * time.Millisecond // without a first command; then the client may be evicted
-	minCountedBody   = 2 << 10                // larger bodies count against MaxBytes
+	minCountedBody   = 2 << 10                // in bytes; larger bodies count against Config.MaxBytes
 	acceptRetryPause = 5 * time.Millisecond   // after a failed accept
 	// maxAcceptFailures limits the failures in a row for which the deadline of a listener is extended.
 	maxAcceptFailures = 50
@@ -77,8 +78,8 @@
 	// Pool returns the pool of a general SQL session. If it is nil, or returns nil, only the platform's
 	// statements are served.
 	Pool       func(user, database string) *Pool
-	MaxBytes   int64         // total size of the statements that are buffered whole
-	MaxLarge   int64         // total size of larger statements, which are read in chunks
+	MaxBytes   int64         // maximum total size in bytes of the statements that are buffered whole
+	MaxLarge   int64         // maximum memory in bytes for larger statements, which are read in chunks
 	RetryAfter time.Duration // sent to clients refused for lack of capacity; 0: none
 	Ready      func() bool   // answer to a readiness probe (the empty query) after Ready; must not block
 	OnEmpty    func()        // called when no connection is open or being accepted; may be nil
@@ -96,7 +97,7 @@
 
 	group       errgroup.Group // of sessions
 	accepting   atomic.Int32   // running calls of Accept
-	leaveQueued atomic.Bool    // connections queued at a listener past its deadline belong to another process
+	leaveQueued atomic.Bool    // set by SetLeaveQueued
 
 	mu              sync.Mutex
 	handOver        HandOver // nil: connections are closed, not handed over
@@ -141,9 +142,9 @@
 // process that listens on the same address. Otherwise they are accepted.
 func (s *Server) SetLeaveQueued(leave bool) { s.leaveQueued.Store(leave) }
 
-// Accept accepts clients until the listener is closed, or until its deadline has passed and, unless set by
-// Leave, no connection is queued there. It may then be called again. The end of the context ends the
-// sessions, and the accepting past the deadline.
+// Accept accepts clients until the listener is closed, or until its deadline has passed and no connection is queued
+// there. After SetLeaveQueued(true) it leaves those queued, and returns. It may then be called again. The end of the
+// context ends the sessions, and past the deadline also Accept.
 func (s *Server) Accept(ctx context.Context, l net.Listener) {
 	s.accepting.Add(1)
 	defer func() {
@@ -247,6 +248,7 @@
 	return len(s.sessions) + int(s.accepting.Load()), waiting
 }
 
+// notifyIfEmpty calls OnEmpty if no connection is open or being accepted.
 func (s *Server) notifyIfEmpty() {
 	s.mu.Lock()
 	held := len(s.sessions) + int(s.accepting.Load())
@@ -391,6 +393,7 @@
 		zap.Duration("age", s.cfg.Clock.Now()-c.acceptedAt), zap.Int64("clients", s.cfg.Counters.ClientsOpen.Get()))
 }
 
+// evict drains a session and marks it as closing. The caller holds s.mu.
 func (s *Server) evict(c *session) {
 	s.cfg.Counters.ClientsEvicted.Add(1)
 	s.logEnd("evicted: idle", c)
--- a/internal/wire/frontend/general.go
+++ b/internal/wire/frontend/general.go
@@ -24,7 +24,7 @@
 	Name  string
 	Mode  pooling.Mode
 	Group int
-	// Read, Own and Write are the classes of reads, of reads after a write of the same session, and of
+	// Read, ReadAfterWrite and Write are the classes of reads, of reads after a write of the same session, and of
 	// everything that may write.
 	Read, ReadAfterWrite, Write string
 	MaxTransaction              time.Duration // maximum duration of a transaction, from its first statement
@@ -35,7 +35,9 @@
 	Stats                       *PoolStats
 }
 
-// PoolStats counts the activity of a pool's sessions.
+// PoolStats counts the activity of a pool's sessions. Sessions and CheckedOut are the current numbers of sessions and of
+// checked-out connections; the other fields are totals. Lost counts the sessions whose host connection was lost, Cancels
+// the cancel requests that found a command running.
 type PoolStats struct {
 	Sessions, CheckedOut, Batches, Transactions atomic.Int64
 	Pins                                        [8]atomic.Int64 // by the bits of pooling.Pin
@@ -49,8 +51,8 @@
 // maxSessionCheckout limits how long a session may keep its host connection.
 const maxSessionCheckout = 24 * time.Hour
 
-// generalSession is the state of a general SQL session. The reader collects batches, the other goroutine executes
-// them.
+// generalSession is the state of a general SQL session. The goroutine that reads collects batches, the one that answers
+// executes them.
 type generalSession struct {
 	c     *session
 	pool  *Pool
@@ -66,12 +68,14 @@
 	answers   chan exchange.Answer
 	skipping  bool          // after an error, messages up to the next Sync are skipped
 	lastWrite time.Duration // position of the session's last write by the fleet's clock; negative: unknown, 0: none
-	// freeSince is the end of the last batch after which no connection was kept. Clients of general SQL state
-	// no wait, so the time of the next batch starts there at the earliest.
+	// freeSince is the end of the last batch after which no connection was kept, or 0 if there was none. The next batch
+	// counts as arrived then at the earliest: clients of general SQL do not state how long they wait, so the time spent
+	// behind an earlier batch of the session does not count.
 	freeSince time.Duration
-	running   atomic.Pointer[relay.Checkout]
+	running   atomic.Pointer[relay.Checkout] // checkout whose batch is awaited, which a cancel request cancels; nil: none
 }
 
+// newGeneralSession returns the state of a new session of the pool, with a random key for cancel requests.
 func newGeneralSession(c *session, p *Pool, parameters pg.Parameters) *generalSession {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
@@ -81,13 +85,6 @@
 	return g
 }
 
-// register makes the session known to cancel requests.
-func (s *Server) register(c *session) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.keys[c.general.key] = c
-}
-
 // errClientWrite reports a failed write to the client. Its text may be part of the error that ends the
 // session.
 var errClientWrite = errors.New("the client takes no answer")
@@ -99,21 +96,8 @@
 	return nil
 }
 
-// cancel cancels the command that the session of the given key executes, if any.
-func (s *Server) cancel(key pg.Key) {
-	s.mu.Lock()
-	c := s.keys[key]
-	s.mu.Unlock()
-	if c == nil {
-		return
-	}
-	if l := c.general.running.Load(); l != nil {
-		c.general.pool.Stats.Cancels.Add(1)
-		_ = l.Cancel(context.Background()) // bounded in time; it is no error if nothing was running
-	}
-}
-
-// readMessage reads one message into the batch, and queues the batch at its end.
+// readMessage reads the body of one message into the batch, and queues the batch after a Query, Sync or Flush. badMessage
+// counts an invalid message and returns the error for it.
 func (g *generalSession) readMessage(kind byte, length int, badMessage func(code, message string) *pg.Error) error {
 	c := g.c
 	refuse := func(e *pg.Error) error {
@@ -270,6 +254,7 @@
 	return out
 }
 
+// requestIDs numbers the requests of general SQL sessions, whose clients send no request ID.
 var requestIDs atomic.Int64
 
 // answer executes a batch and writes its answer. It returns false if the session ends.
@@ -416,7 +401,7 @@
 			g.state.ConnectionLost()
 			return g.writeFatal(relay.ConnectionError(fmt.Errorf("%s", reason(a))))
 		}
-		if a.Kind == exchange.Served { // the relay's Done precedes it, so the session cannot go on
+		if a.Kind == exchange.Served { // not reached: the relay sends Done before, and it was received above
 			return false
 		}
 		return g.writeError(b, errorOf(a))
@@ -430,6 +415,7 @@
 	}
 }
 
+// reason returns why a request was not served.
 func reason(a exchange.Answer) string {
 	if a.Reason == "" {
 		return "its time is over"
--- a/internal/wire/frontend/large.go
+++ b/internal/wire/frontend/large.go
@@ -42,8 +42,8 @@
 	return m.budget.Open(need)
 }
 
-// take reserves n more bytes for a holding that needs at most the given maximum in all. It waits until the
-// given time for other holdings to be closed, then returns errNoMemory.
+// take reserves n more bytes for a holding that needs at most limit bytes in all. It waits for other holdings to release
+// memory, and returns errNoMemory if there is none by the deadline.
 func (m *largeMemory) take(h *budget.Holding, n int, limit int64, deadline time.Time) error {
 	for {
 		m.mu.Lock()
@@ -145,7 +145,7 @@
 // chunkBuffers holds buffers for large values in transit.
 var chunkBuffers = sync.Pool{New: func() any { return new([pg.ChunkSize]byte) }}
 
-// writeLargeValue writes an answer whose value is still being received, each chunk before the next is read.
+// writeLargeValue writes an answer whose value is still being received. It writes each chunk before it reads the next.
 // If the value proves too old, the answer ends in an error. It returns false if the connection must be
 // closed, so that the client sees that the value is incomplete.
 func (c *session) writeLargeValue(v pg.Value, tag string) bool {
--- a/internal/wire/frontend/queue.go
+++ b/internal/wire/frontend/queue.go
@@ -8,7 +8,8 @@
 
 const (
 	// freeQueued is how many commands of a session may be queued at no cost, maxQueued the maximum. Each
-	// command beyond freeQueued counts against the byte budget of statements, with queuedCost plus its text.
+	// command beyond freeQueued counts against the byte budget of statements, with queuedCost bytes plus the length
+	// of its text.
 	// The reader must go on whatever is queued, as only reading detects that the client has disconnected, and
 	// all that it reads has to fit into memory.
 	freeQueued = 8
@@ -64,8 +65,8 @@
 	return cmd, true, false
 }
 
-// enqueue adds a command to the queue. If too many commands are queued, an error takes its place and all later
-// commands of the session are dropped.
+// enqueue adds a command to the queue. If too many commands are queued, a fatal error is queued in its place and all
+// later commands of the session are dropped.
 func (c *session) enqueue(cmd command) {
 	if c.overrun {
 		c.release(cmd)
--- a/internal/wire/frontend/session.go
+++ b/internal/wire/frontend/session.go
@@ -27,7 +27,7 @@
 	messageDeadline time.Time     // deadline of the message that has begun, whatever progress it makes
 	open            int           // commands without an answer, plus one if a host connection is checked out
 	unanswered      int           // commands without an answer
-	idleSince       time.Duration // since when no command is open, initially the accept
+	idleSince       time.Duration // when the last command was answered, initially when the connection was accepted
 
 	adopted bool // another process did the startup
 	// stoppedIdle means that the reader ended between two messages at a drain. Input that follows is left to
@@ -189,6 +189,7 @@
 	}
 }
 
+// write writes to the client. It returns false if that fails or takes too long.
 func (c *session) write(b []byte) bool {
 	// The deadline is renewed only once half of it has passed, so an answer gets between half of writeTimeout and
 	// all of it.
@@ -277,3 +278,24 @@
 	}
 	return &pg.Error{Code: pg.CodeFailed, Message: a.Reason}
 }
+
+// register makes the session known to cancel requests.
+func (s *Server) register(c *session) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.keys[c.general.key] = c
+}
+
+// cancel cancels the command that the session of the given key executes, if any.
+func (s *Server) cancel(key pg.Key) {
+	s.mu.Lock()
+	c := s.keys[key]
+	s.mu.Unlock()
+	if c == nil {
+		return
+	}
+	if l := c.general.running.Load(); l != nil {
+		c.general.pool.Stats.Cancels.Add(1)
+		_ = l.Cancel(context.Background()) // bounded in time; it is no error if nothing was running
+	}
+}
--- a/internal/wire/frontend/startup.go
+++ b/internal/wire/frontend/startup.go
@@ -7,8 +7,8 @@
 	"yokemast/internal/wire/pg"
 )
 
-// startup performs the startup. Bytes that the client sends after its startup message stay in the buffer. It
-// returns false if the session ends.
+// startup reads the client's startup message and answers it. Bytes that the client sends after that message stay in the
+// buffer. It returns false if the session ends.
 func (c *session) startup(timeout time.Duration) bool {
 	c.mu.Lock()
 	_ = c.conn.SetDeadline(time.Now().Add(timeout))
@@ -55,7 +55,7 @@
 	return false
 }
 
-// reject tells the client that the connection limit is reached.
+// reject performs the startup and then answers with the error that the connection limit is reached.
 func (c *session) reject() {
 	if !c.startup(lingerTimeout) {
 		return
--- a/internal/wire/hotrestart/instancelock.go
+++ b/internal/wire/hotrestart/instancelock.go
@@ -26,7 +26,8 @@
 	// messageTimeout is the time limit for a message of the other process. An old process that hangs must not keep the new
 	// one from serving.
 	messageTimeout = 2 * time.Second
-	// busyTimeout is how long a third process waits for a hot restart in progress: one of the platform takes at most 10 s.
+	// busyTimeout is how long a third process waits for a hot restart in progress. A hot restart by the platform takes at
+	// most 10 s.
 	busyTimeout = 15 * time.Second
 	retryDelay  = 50 * time.Millisecond
 	// maxSentIdle is the longest idle time that is sent; a longer one is sent as this value.
@@ -188,7 +189,7 @@
 }
 
 // handshakeError wraps the error of a connection that ended before the handover state had arrived. The other process has
-// closed the connection or has exited; the next try shows which, so the error is ErrBusy.
+// closed the connection or has exited; the next attempt shows which, so the error is ErrBusy.
 func handshakeError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
 		return fmt.Errorf("%w: %w", ErrBusy, err)
--- a/internal/wire/hotrestart/newprocess.go
+++ b/internal/wire/hotrestart/newprocess.go
@@ -19,7 +19,7 @@
 type NewProcessHandler struct {
 	HandoverState func(context.Context) (HandoverState, error) // collects what is passed on
 	Connected     func(*NewProcess)                            // a new process has received the handover state
-	Ready         func()                                       // it serves
+	Ready         func()                                       // the new process serves from now on
 	Lost          func()                                       // its connection has ended, whether or not it was ready
 	Log           *zap.Logger
 }
--- a/internal/wire/pg/errors.go
+++ b/internal/wire/pg/errors.go
@@ -28,8 +28,8 @@
 
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-// Refusal returns an error for a statement that was not executed and may be retried after the given time; 0
-// states none.
+// Refusal returns an error for a statement that was not executed and may be retried after retryAfter. It states no time
+// if retryAfter is 0.
 func Refusal(message string, retryAfter time.Duration) *Error {
 	e := &Error{Code: CodeTooMany, Message: message}
 	if retryAfter > 0 {
--- a/internal/wire/pg/large.go
+++ b/internal/wire/pg/large.go
@@ -25,8 +25,8 @@
 	maxLargeTail = 4 << 10
 )
 
-// LargeMemory returns the memory in bytes that a large message of the given length needs if its digits are of
-// one case, and at most.
+// LargeMemory returns the memory in bytes that a large message of the given length needs: typical if its hex digits are
+// all upper case or all lower case, limit otherwise.
 func LargeMemory(length int) (typical, limit int64) {
 	const overhead = 2*ChunkSize + int64(maxLargeHead+maxLargeTail)
 	return int64(length)/2 + overhead, int64(length) + overhead
@@ -274,7 +274,8 @@
 // Large reports whether the statement has a large value. Only WriteQuery can write such a statement.
 func (s *Statement) Large() bool { return s.value != nil }
 
-// WriteQuery writes a large statement as a Query message in chunks, unchanged except for d.
+// WriteQuery writes a large statement as a Query message in chunks, unchanged except for d, the
+// sender's remaining wait.
 func (s *Statement) WriteQuery(w io.Writer, wait time.Duration) error {
 	d := s.Text[s.waitStart:s.waitEnd]
 	if s.waitEnd > 0 {
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -91,7 +91,7 @@
 }
 
 // ReadBody reads the body announced by the head. A body above the limit is left unread, and the error is a
-// TooLong.
+// TooLongError.
 func ReadBody(r *bufio.Reader, length, limit int) ([]byte, error) {
 	if length > limit {
 		return nil, TooLongError{length}
@@ -130,7 +130,8 @@
 	return out
 }
 
-// AppendLong appends the head of a message and the given parts of its body, of which rest more bytes follow.
+// AppendLong appends the head of a message and the given parts of its body. The caller writes the remaining rest bytes
+// of the body after them.
 func AppendLong(out []byte, kind byte, rest int, parts ...[]byte) []byte {
 	n := 4 + rest
 	for _, p := range parts {
@@ -179,9 +180,9 @@
 
 // Value is the result of a statement in the format that the host sent.
 type Value struct {
-	Data   []byte      // nil: NULL, or the value is in Rest
+	Data   []byte      // nil: NULL, or the value is in Stream
 	Format int16       // 0 text, 1 binary
-	Size   int         // size in bytes of the value in Rest
+	Size   int         // size in bytes of the value in Stream
 	Stream ValueStream // a large value; nil: Data is the value
 }
 
