--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -47,7 +47,7 @@
 	return q
 }
 
-// requestEnded records the end of a request.
+// requestEnded records the end of a request. The estimator counts a first attempt that was not served.
 func (it *instance) requestEnded(id string, served bool) {
 	if class, ok := it.firstAttempts[id]; ok && !served {
 		it.estimator.Unserved(class)
@@ -58,7 +58,7 @@
 // host runs the instances and collects the reply of the current batch.
 type host struct {
 	instances   map[int]*instance
-	memberLists map[int][]balance.Member
+	memberLists map[int][]balance.Member // by reference, as sent in TABLE
 	actions     []balance.Action
 	reply       []byte
 }
--- a/cmd/yokemast/cells.go
+++ b/cmd/yokemast/cells.go
@@ -73,6 +73,7 @@
 	return s.report(r)
 }
 
+// report prints the state of the cells and of the moves.
 func (g gatewayFlags) report(r cells.Report) error {
 	return g.print(r, func(w io.Writer) {
 		fmt.Fprintln(w, "CELL\tWEIGHT\tTENANTS\tHOSTS\tBORROWED\tHELD\tMOST\tTAKEN\tOVER RATE\tOVER HELD\tOVER TENANT")
@@ -97,6 +98,7 @@
 	})
 }
 
+// overlaps writes the table of the hosts that cells have in common.
 func overlaps(w io.Writer, pairs []cells.NamedPair, relaxed int) {
 	if len(pairs) > 0 {
 		fmt.Fprintln(w, "\nCELL\tAND\tGROUP\tHOSTS IN COMMON")
@@ -206,6 +208,7 @@
 	return order(a.gatewayFlags, "confirm", control.MoveRequest{Tenant: a.Tenant})
 }
 
+// order sends an order about a move, with its verb, and prints the resulting state.
 func order(g gatewayFlags, verb string, q control.MoveRequest) error {
 	c, err := g.client()
 	if err != nil {
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -149,7 +149,8 @@
 // offset does not add to their age.
 func (s *State) AppendMessage(now time.Duration, offsets Offsets, out []byte) []byte {
 	out = append(out, version)
-	// Rounded down, so that no encoded time is later than the real one.
+	// fleetTime is a count of whole milliseconds, not a duration in nanoseconds. It is rounded down, so that no encoded time
+	// is later than the real one.
 	fleetTime := (now + offsets.Min) / time.Millisecond
 	out = binary.BigEndian.AppendUint32(out, uint32(fleetTime))
 	headerFleetClock := fleetTime * time.Millisecond
@@ -222,7 +223,8 @@
 	case len(b) < headerSize+entrySize || len(b) > maxMessageSize || (len(b)-headerSize)%entrySize != 0:
 		return out, fmt.Errorf("%w: %d bytes", ErrLength, len(b))
 	}
-	// The header holds the fleet's clock modulo 2^32: take the value nearest to now.
+	// The header holds the fleet's clock in ms modulo 2^32: take the value nearest to now. fleetTime is a count of whole
+	// milliseconds, not a duration in nanoseconds.
 	fleetTime := (now + offsets.Min) / time.Millisecond
 	headerFleetClock := (fleetTime + time.Duration(int32(binary.BigEndian.Uint32(b[1:])-uint32(fleetTime)))) * time.Millisecond
 	if offsets.Bounded && headerFleetClock-offsets.Max > now+maxFuture || headerFleetClock-offsets.Min < now-maxAge {
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -15,7 +15,8 @@
 	"yokemast/internal/wire/settings"
 )
 
-// Config is the configuration that a gateway is started with.
+// Config is the configuration that a gateway is started with. Cores, MemoryMB and Sockets limit the process's processor cores,
+// memory and file descriptors. Known is the endpoint list in the file, which may be empty.
 type Config struct {
 	Name, Listen, Discovery string
 	Admin                   string // address of the administration calls, or empty if there is none
@@ -25,8 +26,8 @@
 	Known                   discovery.List
 	Peers                   Peers
 	Settings                settings.Settings
-	shape                   *settings.Shape
-	fileDiscovery           string // discovery address in the file, before Override
+	shape                   *settings.Shape // keys and types of the file, which a replacement must have as well
+	fileDiscovery           string          // discovery address in the file, before Override
 }
 
 // Peers holds the addresses for gossip messages between gateways. It is empty if the settings do not allow them or if
@@ -117,7 +118,7 @@
 }
 
 // checkReplacement returns an error if the new configuration cannot replace c. A truncated file or one without some keys
-// can still parse, with zero values for what is missing, so the raw keys are compared with those of the first file.
+// can still parse, with zero values for what is missing, so the raw keys are compared with those of the file of c.
 func (c Config) checkReplacement(_ Config, raw []byte) error {
 	root := gjson.ParseBytes(raw)
 	if err := c.shape.Check(root); err != nil {
--- a/internal/lifecycle/lease.go
+++ b/internal/lifecycle/lease.go
@@ -56,14 +56,14 @@
 	entry     leases.Entry  // what was requested
 }
 
-// answerSize is the size of an answer to an ask: the proposal number of the ask, 1 byte that is 1 if the lease is granted
+// answerSize is the size in bytes of an answer to an ask: the sequence number that the asker gave it, 1 byte that is 1 if the lease is granted
 // or held and 0 otherwise, and the token.
 const answerSize = 8 + 1 + 8
 
 // forwardedAsk is an ask of another voter that this voter has proposed.
 type forwardedAsk struct {
 	from     uint64
-	proposal uint64
+	proposal uint64 // the asker's sequence number, not the number of this voter's proposal
 }
 
 // RunLeaseVoter runs a voter until ctx is done.
@@ -130,6 +130,7 @@
 		counts       voterCounts
 	)
 	defer func() { log.Info("lease counters", counts.fields()...) }()
+	// nextEntry returns the next request for the lease: a renewal while it is held, otherwise an acquisition.
 	nextEntry := func() leases.Entry {
 		if _, err := holding.Act(now()); err == nil {
 			return leases.Entry{Op: leases.Renew, Name: c.Task, Holder: fmt.Sprint(c.ID), Token: holding.Token(),
@@ -137,6 +138,7 @@
 		}
 		return leases.Entry{Op: leases.Acquire, Name: c.Task, Holder: fmt.Sprint(c.ID), TTL: c.Lease.TTL}
 	}
+	// handleResult handles the result of one of this voter's requests.
 	handleResult := func(r request, granted bool, token uint64) {
 		pendingSince = -1
 		if c.History {
@@ -224,7 +226,7 @@
 				pendingSince = -1 // the request or its answer was lost
 				counts.lostRequests++
 			}
-			// Proposals and asks that a change of leader lost would otherwise stay in the tables for ever.
+			// Without this, requests that were lost in a change of leader would stay in the maps forever.
 			for _, m := range []map[uint64]request{proposed, sentRequests} {
 				for p, r := range m {
 					if t-r.sent > c.Lease.TTL {
@@ -312,8 +314,8 @@
 	}
 }
 
-// dialOut writes the frames from ch to addr. It dials again after a failure; frames that arrive while there is no
-// connection are dropped.
+// dialOut writes the frames from ch to addr. It connects when there is a frame to write and no connection. A frame is
+// dropped if its dial or write fails.
 func dialOut(ctx context.Context, addr string, ch <-chan []byte) {
 	var conn net.Conn
 	defer func() {
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -41,21 +41,21 @@
 	memoryFraction        = 0.75 // of the memory, as the garbage collector's limit
 	reservedSockets       = 44   // for the listener, discovery, the log, and client connections being closed
 	clientFraction        = 0.6  // of the remaining sockets, for clients
-	keepIdleDivisor       = 12   // idle clients may keep 1/12 of the sockets for long
-	shareDivisor          = 3    // clients with requests hold at most 1/3 of the sockets
-	clientsPerMB          = 8    // each may buffer an answer of 64 KiB
-	hostsPerMB            = 5    // each may be receiving one answer and hold another complete one
+	keepIdleDivisor       = 12   // up to 1/12 of the sockets, idle clients are kept open until the connection limit is reached
+	shareDivisor          = 3    // clients that have sent a command hold at most 1/3 of the sockets
+	clientsPerMB          = 8    // client connections per MB of memory, as each may buffer an answer of 64 KiB
+	hostsPerMB            = 5    // host connections per MB, as each may buffer an answer in part and another complete one
 	statementFraction     = 0.15 // of the memory, for statements that are held completely
 	programOverheadMB     = 14   // memory outside of the garbage collector: the program itself and thread stacks
 	largeDivisor          = 3    // 1/3 of the heap limit is for larger statements, which are held in pieces
 	// finalAcceptTime is how long connections are still accepted before the listener is closed, and longer while any are
 	// queued.
 	finalAcceptTime       = 20 * time.Millisecond
-	gossipMaxDelay        = 50 * time.Millisecond // how long a gossip entry may wait to share a message with others
-	gossipBytesPerRequest = 192                   // added to the send budget for each accepted request
-	gossipBurst           = 8 << 10
+	gossipMaxDelay        = 50 * time.Millisecond  // how long a gossip entry may wait to share a message with others
+	gossipBytesPerRequest = 192                    // added to the send budget for each accepted request
+	gossipBurst           = 8 << 10                // maximum send budget in bytes
 	retryAfter            = 200 * time.Millisecond // for a client refused at the connection limit
-	user, database        = "backend", "store"
+	user, database        = "backend", "store"     // for connections to hosts
 )
 
 // processStart is the start time of the process, as closely as package initialization can measure it. Statements of
@@ -87,8 +87,8 @@
 	pools      []*frontend.Pool
 	upgrade    upgrade
 
-	accepting       bool // used by apply only
-	limitsShared    bool
+	accepting       bool        // as in the view applied last; used by apply only
+	limitsShared    bool        // likewise
 	closingListener atomic.Bool // the client listener is closed once its queue is empty
 }
 
--- a/internal/lifecycle/service.go
+++ b/internal/lifecycle/service.go
@@ -25,8 +25,8 @@
 	// answerLead and exitLead are how long before SIGKILL the last answer is due and the process exits.
 	answerLead = 150 * time.Millisecond
 	exitLead   = 80 * time.Millisecond
-	// lateAnswerWait is how long the process then still waits for answers that a stall has delayed: both times may pass
-	// during one stall.
+	// lateAnswerWait is how long the process waits after its exit time for answers that a stall has delayed: both the time
+	// of the last answer and the exit time may pass during one stall.
 	lateAnswerWait     = 60 * time.Millisecond
 	answerPollInterval = time.Millisecond // between two checks for unanswered requests
 	// closeLead is how long before the last answer is due connections are closed between requests. Until then clients are
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -15,8 +15,8 @@
 // full, and a series of SIGHUP must not displace a SIGTERM. A pending signal stands for all later ones of its kind.
 type Signals struct{ terminate, reload, report chan os.Signal }
 
-// NotifySignals starts the delivery of signals to the returned channels. An earlier SIGHUP ends the process, unless the
-// process was started with SIGHUP ignored.
+// NotifySignals starts the delivery of signals to the returned channels. A SIGHUP before the call ends the process,
+// unless the process was started with SIGHUP ignored.
 func NotifySignals() Signals {
 	s := Signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/testbed/datagrams/datagrams.go
+++ b/internal/testbed/datagrams/datagrams.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// minDelay and mostDelay bound the delay of a datagram unless SetDelay was called.
+	// minDelay and maxDelay bound the delay of a datagram unless SetDelay was called.
 	minDelay, maxDelay = time.Millisecond, 40 * time.Millisecond
-	// lossOneIn makes one in so many datagrams get lost.
+	// lossOneIn is the number of datagrams of which one is lost on average.
 	lossOneIn = 20
-	maxBytes  = 2048
+	maxBytes  = 2048 // of a datagram
 )
 
 // Network forwards datagrams between all gateways of a tier.
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -36,7 +36,7 @@
 	changed          map[string]int // by ID, the revision of the last change
 	changedCh        chan struct{}  // closed and replaced at each change
 	raw              chan string    // texts that answer a watch as they are
-	silences         int            // number of calls of Silence; earlier calls of the gateway are never answered
+	silences         int            // number of calls of DropCalls; the gateway's calls before the last one are never answered
 	stop             chan struct{}
 }
 
@@ -96,7 +96,7 @@
 	s.silences++
 }
 
-// answer writes a list, unless Silence was called since the call began.
+// answer writes a list, unless DropCalls was called since the call began.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, silences, revision int, list string) {
 	s.mu.Lock()
 	dropped := s.silences != silences
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -247,7 +247,8 @@
 	}
 }
 
-// newLoadReport returns a new load report.
+// newLoadReport returns a new load report: x0 is the host's position in Unix seconds by the host's clock, x1 is 1 for a primary and
+// 0 for a follower.
 func (h *Host) newLoadReport() string {
 	state, primary := h.state(), 0
 	if state.role == Leader {
--- a/internal/testbed/hosts/report.go
+++ b/internal/testbed/hosts/report.go
@@ -32,7 +32,7 @@
 	h.startReportsLocked()
 }
 
-// StopReports makes a host keep sending its newest load report without making another, or ends that.
+// StopReports sets whether a host stops making load reports. While it does, it keeps sending the newest one.
 func (h *Host) StopReports(stopped bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/hosts/sql.go
+++ b/internal/testbed/hosts/sql.go
@@ -15,7 +15,7 @@
 type savepoint struct {
 	name                      string
 	sessionSettings, settings map[string]string
-	writes                    int
+	writes                    int // number of writes of the transaction up to here
 }
 
 type write struct{ key, value string }
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -85,7 +85,7 @@
 	return !ended && socket.NothingReceived(c.gateway)
 }
 
-// wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
+// wait waits for a duration and, if faultEnd is not nil, until it is closed. It returns false if the connection ended.
 func (c *conn) wait(duration time.Duration, faultEnd <-chan struct{}) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -259,7 +259,7 @@
 	return true
 }
 
-// write writes to one end, in pieces if the fault requires it, and calls last before the last write.
+// write writes to one end, in pieces if the fault requires it, and calls beforeLast, if not nil, before the last write.
 func (c *conn) write(to *net.TCPConn, data []byte, f Fault, last func()) bool {
 	for f.Kind == Pieces && len(data) > maxPiece {
 		n := 1 + c.link.draw(maxPiece)
--- a/internal/testbed/linkfault/framer.go
+++ b/internal/testbed/linkfault/framer.go
@@ -9,7 +9,7 @@
 type framer struct {
 	startup  bool      // the next message is the startup message, which has no type byte
 	buffered []byte    // bytes of an incomplete message
-	firstAt  time.Time // when the first byte of rest was received
+	firstAt  time.Time // when the first byte of buffered was received
 }
 
 type message struct {
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -42,8 +42,8 @@
 }
 
 const (
-	affectedOneIn = 8                      // one in so many messages is affected by a fault that affects some
-	lateOneIn     = 3                      // one in so many connections is established late
+	affectedOneIn = 8                      // a fault that affects some messages affects one in 8
+	lateOneIn     = 3                      // one in 3 connections is established late
 	maxPiece      = 7                      // bytes
 	maxPiecePause = 500 * time.Microsecond // longest pause between two pieces
 	// backlog is the listen backlog while the link is not silent.
--- a/internal/testbed/rules/link.go
+++ b/internal/testbed/rules/link.go
@@ -7,7 +7,7 @@
 
 // SentTo records that a gateway has written a whole request to a link to a host; its first and last byte were received at
 // first and last. What the host reports later about arrival and answer of the request is ignored; the link reports the answer
-// to Delivering and a follower's answer to its own method below.
+// with Delivering, and that of a follower with FollowerDelivered as well.
 func (l *Ledger) SentTo(host, id string, first, last time.Time, open func() bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -22,8 +22,8 @@
 	delete(l.request(id).inFlight, host)
 }
 
-// FollowerDelivered records that a link has just written an answer to a gateway which names the host a follower, and which the host had
-// made no later than made.
+// FollowerDelivered records that a link has just written to a gateway an answer that names the host a follower. The host had made
+// the answer by madeAt.
 func (l *Ledger) FollowerDelivered(gateway, host string, madeAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/rules/rules.go
+++ b/internal/testbed/rules/rules.go
@@ -54,7 +54,7 @@
 	mu              sync.Mutex
 	requests        map[string]*request
 	drains          map[string]time.Time // when discovery listed a host as draining or removed
-	notified        map[link]time.Time   // when a gateway was notified of the same
+	notified        map[link]time.Time   // when a gateway counts as notified that a host drains or was removed
 	cold            map[string]*coldHost
 	leaderships     map[string]leadershipState
 	followerAnswers map[link][]followerAnswer // answers of a host as a follower to a gateway, oldest first
@@ -72,7 +72,10 @@
 	work time.Duration
 }
 
-// Counts are the numbers of requests, attempts and violations seen.
+// Counts are the numbers of requests, attempts and violations seen. Late counts answers after the client's deadline, WritesRan
+// executions of writes, Doubled repeated executions of writes that are not repeatable, and TwoOut attempts that arrived while
+// another of their request was in flight. AfterLeaving counts attempts that began too long after the client's disconnect,
+// AfterWindow writes retried after Window, and StaleExcused stale reads of which the gateway could not know.
 type Counts struct {
 	Asked, Served, Refused, Failed, Unanswered, Late int
 	Attempts, WritesRan, Doubled, TwoOut, Stale      int
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -79,19 +79,19 @@
 // Age classifies the age of a field sent by hosts, discovery or other gateways.
 type Age string
 
-// Ages. Older is beyond the documented bound, if there is one.
+// Ages. Older is beyond the bound that the platform's documentation gives, if any.
 const (
 	Usual   Age = "usual"
 	Allowed Age = "as old as allowed"
 	Older   Age = "older"
 )
 
-// Documented bounds of ages.
+// Bounds of ages in the platform's documentation.
 const (
 	ReportLeast, ReportMost = 59 * time.Millisecond, 190 * time.Millisecond // interval between two load reports
-	KnownWithin             = 100 * time.Millisecond                        // after an answer was written
-	ListedWithin            = 6 * time.Second                               // after a change of the endpoint list
-	RoleListedWithin        = 5 * time.Second                               // after a change of a role in the endpoint list
+	KnownWithin             = 100 * time.Millisecond                        // until a gateway knows an answer that was written to it
+	ListedWithin            = 6 * time.Second                               // until a change of a host is in the endpoint list
+	RoleListedWithin        = 5 * time.Second                               // until a change of a role is in the endpoint list
 )
 
 // Ages are the ages of the received fields, by their source.
@@ -108,9 +108,9 @@
 
 // Ways to state roles.
 const (
-	RolesLate  Roles = "late"
-	RolesStart Roles = "as at the start"
-	RolesNever Roles = "never"
+	RolesLate  Roles = "late"            // changes are listed after RoleLag
+	RolesStart Roles = "as at the start" // changes are not listed
+	RolesNever Roles = "never"           // entries state no role
 )
 
 func (e Event) String() string {
@@ -145,11 +145,11 @@
 	Grace                 time.Duration    // of drains
 	Deadline, MaxDeadline time.Duration    // of reads, and of the class with the latest deadline
 	Window                time.Duration    // for retries of the keyed class of writes; 0 if writes must not be executed twice
-	Poll                  bool             // gateways subscribe to the endpoint list, which is pushed to them otherwise
-	Skew                  time.Duration    // offset of the other processes' clocks
+	Poll                  bool             // gateways subscribe to the endpoint list (membershipMode "ask"); otherwise it is pushed to them
+	Skew                  time.Duration    // clock of hosts and clients minus that of the gateways
 	Crowd                 bool             // many more clients that hold connections
-	Roles                 Roles            // how the list states roles
-	RoleLag, StartLag     time.Duration    // delay of roles and start times in the list
+	Roles                 Roles            // how the endpoint list states roles
+	RoleLag, StartLag     time.Duration    // delay of roles and start times in the endpoint list
 	Lag                   time.Duration    // of replicas
 	Gossip                bool             // gateways exchange gossip messages
 	EagerClients          int              // additional clients per gateway that send with hardly a pause
@@ -276,7 +276,7 @@
 	}
 }
 
-// maxConnectDelay is the documented maximum delay in establishing a connection.
+// maxConnectDelay is the maximum delay in establishing a connection, according to the platform's documentation of short days.
 const maxConnectDelay = 1500 * time.Millisecond
 
 // links draws, in half of the plans, the gateways that reach the hosts over links, and the faults of the links. Like ages, it
