--- a/cmd/yokemast/soak_link_test.go
+++ b/cmd/yokemast/soak_link_test.go
@@ -46,8 +46,8 @@
 func (r *soakRun) playLinkEvent(e soak.Event) {
 	for i, h := range r.allHosts() {
 		if l := r.nodes[e.Target].links[h.ID]; e.Host == soak.EveryHost || e.Host == i {
-			over := l.Begin(e.Fault)
-			time.AfterFunc(e.For, over)
+			endFault := l.Begin(e.Fault)
+			time.AfterFunc(e.For, endFault)
 		}
 	}
 }
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -36,7 +36,7 @@
 	changed          map[string]int // by ID, the revision of the last change
 	changedCh        chan struct{}  // closed and replaced at each change
 	raw              chan string    // texts that answer a watch as they are
-	silences         int            // number of calls of DropCalls; the gateway's calls before the last one are never answered
+	drops            int            // number of calls of DropCalls; the gateway's calls before the last one are never answered
 	stop             chan struct{}
 }
 
@@ -93,13 +93,13 @@
 func (s *Server) DropCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silences++
+	s.drops++
 }
 
 // answer writes a list, unless DropCalls was called since the call began.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, silences, revision int, list string) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, drops, revision int, list string) {
 	s.mu.Lock()
-	dropped := s.silences != silences
+	dropped := s.drops != drops
 	s.mu.Unlock()
 	if dropped {
 		<-r.Context().Done()
@@ -165,10 +165,10 @@
 	q := r.URL.Query()
 	after, err := strconv.Atoi(q.Get("after"))
 	s.mu.Lock()
-	silences, snapshot, revision := s.silences, s.list(true, 0), s.revision
+	drops, snapshot, revision := s.drops, s.list(true, 0), s.revision
 	s.mu.Unlock()
 	if err != nil {
-		s.answer(w, r, silences, revision, snapshot)
+		s.answer(w, r, drops, revision, snapshot)
 		return
 	}
 	ms, _ := strconv.Atoi(q.Get("wait_ms"))
@@ -179,7 +179,7 @@
 		changed, list, changedCh, revision := s.revision > after, s.list(false, after), s.changedCh, s.revision
 		s.mu.Unlock()
 		if changed || ms == 0 {
-			s.answer(w, r, silences, revision, list)
+			s.answer(w, r, drops, revision, list)
 			return
 		}
 		select {
@@ -188,7 +188,7 @@
 			return
 		case <-changedCh:
 		case <-timeout.C:
-			s.answer(w, r, silences, revision, list)
+			s.answer(w, r, drops, revision, list)
 			return
 		case <-r.Context().Done():
 			select {
--- a/internal/testbed/hosts/cluster.go
+++ b/internal/testbed/hosts/cluster.go
@@ -51,13 +51,13 @@
 }
 
 // NewCluster starts a cluster of n hosts that listen on loopback, the first of which is the primary. The name of a host is the
-// prefix and its index. set, if not nil, is called to configure each host before it starts.
-func NewCluster(group int, prefix string, n int, ledger *rules.Ledger, set func(*Host)) (*Cluster, error) {
+// prefix and its index. configure, if not nil, is called to configure each host before it starts.
+func NewCluster(group int, prefix string, n int, ledger *rules.Ledger, configure func(*Host)) (*Cluster, error) {
 	c := &Cluster{Group: group, commits: map[string][]commit{}}
 	for i := range n {
 		h := &Host{ID: fmt.Sprintf("%s%d", prefix, i), Address: "127.0.0.1:0", Group: group, cluster: c, Ledger: ledger}
-		if set != nil {
-			set(h)
+		if configure != nil {
+			configure(h)
 		}
 		var err error
 		if h.Listener, err = net.Listen("tcp", h.Address); err != nil {
--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -260,7 +260,7 @@
 }
 
 // write writes to one end, in pieces if the fault requires it, and calls beforeLast, if not nil, before the last write.
-func (c *conn) write(to *net.TCPConn, data []byte, f Fault, last func()) bool {
+func (c *conn) write(to *net.TCPConn, data []byte, f Fault, beforeLast func()) bool {
 	for f.Kind == Pieces && len(data) > maxPiece {
 		n := 1 + c.link.draw(maxPiece)
 		if _, err := to.Write(data[:n]); err != nil || !c.wait(time.Duration(c.link.draw(int64(maxPiecePause))), nil) {
@@ -268,8 +268,8 @@
 		}
 		data = data[n:]
 	}
-	if last != nil {
-		last()
+	if beforeLast != nil {
+		beforeLast()
 	}
 	_, err := to.Write(data)
 	return err == nil
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -89,12 +89,12 @@
 }
 
 // New starts a link to a host's address.
-func New(target string, seed uint64, watch Watcher) (*Link, error) {
+func New(target string, seed uint64, watcher Watcher) (*Link, error) {
 	n, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", target, err)
 	}
-	l := &Link{target: target, watcher: watch, listener: n.(*net.TCPListener), address: n.Addr().String(),
+	l := &Link{target: target, watcher: watcher, listener: n.(*net.TCPListener), address: n.Addr().String(),
 		rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), faultEnd: make(chan struct{}), conns: map[*conn]bool{}}
 	go l.accept()
 	return l, nil
