--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -44,8 +44,8 @@
 }
 
 // reloadConfig applies the address of discovery and the settings, both or neither. Hosts, sessions and requests are kept:
-// the endpoint list of a new discovery is merged with the known hosts. All other values keep those
-// of the start until the process exits.
+// the endpoint list of a new discovery is merged with the known hosts. All other values stay as
+// at the start until the process exits.
 func (r *reloader) reloadConfig() (retry bool) {
 	c, err := r.source.Config(r.config)
 	if err != nil {
