--- a/internal/testbed/linkfault/conn.go
+++ b/internal/testbed/linkfault/conn.go
@@ -85,7 +85,7 @@
 	return !ended && socket.NothingReceived(c.gateway)
 }
 
-// wait waits for a duration and, if over is not nil, until it is closed. It returns false if the connection ended.
+// wait waits for a duration and, if faultEnd is not nil, until it is closed. It returns false if the connection ended.
 func (c *conn) wait(duration time.Duration, faultEnd <-chan struct{}) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -259,8 +259,8 @@
 	return true
 }
 
-// write writes to one end, in pieces if the fault requires it, and calls last before the last write.
-func (c *conn) write(to *net.TCPConn, data []byte, f Fault, last func()) bool {
+// write writes to one end, in pieces if the fault requires it, and calls beforeLast, if not nil, before the last write.
+func (c *conn) write(to *net.TCPConn, data []byte, f Fault, beforeLast func()) bool {
 	for f.Kind == Pieces && len(data) > maxPiece {
 		n := 1 + c.link.draw(maxPiece)
 		if _, err := to.Write(data[:n]); err != nil || !c.wait(time.Duration(c.link.draw(int64(maxPiecePause))), nil) {
@@ -268,8 +268,8 @@
 		}
 		data = data[n:]
 	}
-	if last != nil {
-		last()
+	if beforeLast != nil {
+		beforeLast()
 	}
 	_, err := to.Write(data)
 	return err == nil
--- a/internal/testbed/linkfault/linkfault.go
+++ b/internal/testbed/linkfault/linkfault.go
@@ -42,8 +42,8 @@
 }
 
 const (
-	affectedOneIn = 8                      // one in so many messages is affected by a fault that affects some
-	lateOneIn     = 3                      // one in so many connections is established late
+	affectedOneIn = 8                      // a fault that affects some messages affects one in 8
+	lateOneIn     = 3                      // one in 3 connections is established late
 	maxPiece      = 7                      // bytes
 	maxPiecePause = 500 * time.Microsecond // longest pause between two pieces
 	// backlog is the listen backlog while the link is not silent.
@@ -89,12 +89,12 @@
 }
 
 // New starts a link to a host's address.
-func New(target string, seed uint64, watch Watcher) (*Link, error) {
+func New(target string, seed uint64, watcher Watcher) (*Link, error) {
 	n, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("link to %s: %w", target, err)
 	}
-	l := &Link{target: target, watcher: watch, listener: n.(*net.TCPListener), address: n.Addr().String(),
+	l := &Link{target: target, watcher: watcher, listener: n.(*net.TCPListener), address: n.Addr().String(),
 		rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), faultEnd: make(chan struct{}), conns: map[*conn]bool{}}
 	go l.accept()
 	return l, nil
